--- a/src/main/java/mulleinfront/Balancer.java
+++ b/src/main/java/mulleinfront/Balancer.java
@@ -143,8 +143,8 @@
         }
 
         /**
-         * Nothing may be sent by the list that is held from this time on, unless it is renewed: changes may count as told
-         * that are not known. {@link Long#MAX_VALUE}: there is no such time.
+         * Nothing may be sent by the list that is held from this time on, unless it is renewed: changes may count
+         * as told that are not known. {@link Long#MAX_VALUE}: there is no such time.
          */
         default void listValidUntil(long atUs) { }
 
--- a/src/main/java/mulleinfront/CallSchedule.java
+++ b/src/main/java/mulleinfront/CallSchedule.java
@@ -3,9 +3,9 @@
 import java.util.SplittableRandom;
 
 /**
- * When an instance calls discovery. Two things are kept: the instance's own {@link ListDeadline}, whatever has become of
- * its calls; and what discovery bears from all together, which works through calls in turn, so that a call it gives up
- * has cost it as much as an answer.
+ * When an instance calls discovery. Two things are kept: the instance's own {@link ListDeadline}, whatever has
+ * become of its calls; and what discovery bears from all together, which works through calls in turn, so that a
+ * call it gives up has cost it as much as an answer.
  *
  * <p>Calls go by time slots (time-division multiple access): in each window every instance has one place of its own, by
  * its number among all, so that calls of all that fail at one moment come evenly. The window is
@@ -174,9 +174,9 @@
     }
 
     /**
-     * How long the next call may go unanswered, microseconds: longer than discovery itself lets one wait, since one that is
-     * given up has lost its turn and is made again behind all others. Where the settings' time for asking is shorter, the
-     * first is given up within that, and the next ones have twice as long each.
+     * How long the next call may go unanswered, microseconds: longer than discovery itself lets one wait, since one
+     * that is given up has lost its turn and is made again behind all others. Where the settings' time for asking
+     * is shorter, the first is given up within that, and the next ones have twice as long each.
      */
     long patienceUs() {
         long withinAsking = Math.max(SHORTEST_PATIENCE_US, (long) (GIVE_UP_PART * deadline.askWithinUs()));
--- a/src/main/java/mulleinfront/ListDeadline.java
+++ b/src/main/java/mulleinfront/ListDeadline.java
@@ -10,19 +10,22 @@
  *
  * <ul>
  * <li>What discovery has counts as told {@link #REACHABLE_US} after it had it and could be reached.
- * <li>One without a watch has to ask within the settings' time, counted from its last call or its start; after a call that
- * failed it has four times as long.
+ * <li>One without a watch has to ask within the settings' time, counted from its last call or its start; after a
+ * call that failed it has four times as long.
  * <li>A watch that discovery has ended in order is a poll whose wait is over: what it missed counts as told
  * {@link #WATCH_ENDED_US} after that, whatever has become of calls since.
  * <li>After a move of discovery it is {@link #MOVED_US}.
  * </ul>
  *
- * <p>All of them count anew when discovery could not be reached. That is seen of a call that nobody took. One that failed
- * after a wait may have met a crowd as well as a discovery that is down: {@link #WAITS_OF_DOWN} of them in a row count as
- * down ({@link #WAITS_AFTER_END} after a watch that ended in order), unless there was a quick refusal since the last answer.
+ * <p>All of them count anew when discovery could not be reached. That is seen of a call that nobody took. One that
+ * failed after a wait may have met a crowd as well as a discovery that is down: {@link #WAITS_OF_DOWN} of them in a
+ * row count as down ({@link #WAITS_AFTER_END} after a watch that ended in order), unless there was a quick refusal
+ * since the last answer.
  */
 final class ListDeadline {
-    /** Time after which a change counts as told, counted from when discovery had it and could be reached, microseconds. */
+    /**
+     * Time after which a change counts as told, counted from when discovery had it and could be reached, microseconds.
+     */
     static final long REACHABLE_US = 6_000_000;
     /** The same after discovery ended the watch, where the settings' time for asking is not less, microseconds. */
     static final long WATCH_ENDED_US = 2_000_000;
@@ -141,7 +144,9 @@
         waitsInARow = waits;
     }
 
-    /** A call was refused at once or broke off: discovery is there, and no waits say otherwise before it has answered. */
+    /**
+     * A call was refused at once or broke off: discovery is there, and no waits say otherwise before it has answered.
+     */
     void refused() {
         callFailed();
         waitsInARow = 0;
--- a/src/main/java/mulleinfront/StartTimes.java
+++ b/src/main/java/mulleinfront/StartTimes.java
@@ -1,9 +1,9 @@
 package mulleinfront;
 
 /**
- * When an endpoint's process began, on this instance's own clock. A list tells it by the wall clock, which may have been
- * stepped since this instance read it: a start that cannot be, by when this instance last knew better, is taken to have
- * been just now, so that slow start is a span of monotonic time whatever wall clocks do.
+ * When an endpoint's process began, on this instance's own clock. A list tells it by the wall clock, which may have
+ * been stepped since this instance read it: a start that cannot be, by when this instance last knew better, is
+ * taken to have been just now, so that slow start is a span of monotonic time whatever wall clocks do.
  */
 final class StartTimes {
     /** Discovery tells of a start this long after it at the most, microseconds. */
--- a/src/main/java/mulleinfront/Subscription.java
+++ b/src/main/java/mulleinfront/Subscription.java
@@ -5,8 +5,8 @@
 import mulleinfront.Balancer.Source;
 
 /**
- * An instance's subscription to discovery: when it calls, whether a watch is open, and until when requests may be sent by
- * the list that is held. Where lists come by themselves it never calls, and every list is valid.
+ * An instance's subscription to discovery: when it calls, whether a watch is open, and until when requests may be
+ * sent by the list that is held. Where lists come by themselves it never calls, and every list is valid.
  */
 final class Subscription {
     private final boolean asked;
