--- a/src/main/java/mulleinfront/Balancer.java
+++ b/src/main/java/mulleinfront/Balancer.java
@@ -49,7 +49,7 @@
      *
      * @param agoUs how long ago, microseconds
      */
-    default void onProcessStart(long now, long agoUs) { }
+    default void onProcessStart(long now, long agoUs) {}
 
     /** Discovery has ended the subscription in order: it has to be asked for anew. */
     default void onWatchEnded(long now) {
@@ -61,7 +61,7 @@
      *
      * @param movedAgoUs how long ago that was asked for, microseconds
      */
-    default void onDiscoveryMoved(long now, long movedAgoUs) { }
+    default void onDiscoveryMoved(long now, long movedAgoUs) {}
 
     /** A request arrived; it must get one final answer within its budget. */
     void onRequest(long now, Request request);
@@ -82,10 +82,10 @@
      * An endpoint said how many requests it holds, all clients' together; a little old and not exact. Comes
      * ahead of the outcome that brought it. Unknown endpoints are ignored.
      */
-    default void onReport(long now, String endpointId, double held) { }
+    default void onReport(long now, String endpointId, double held) {}
 
     /** Whom to tell why requests are not served; null, as at the start: nobody, at no cost. */
-    default void observe(Observer observer) { }
+    default void observe(Observer observer) {}
 
     /** A probe ended, {@code lagUs} after it was asked for. Unknown endpoints are ignored. */
     void onProbeEnded(long now, String endpointId, Outcome outcome, long lagUs);
@@ -146,10 +146,10 @@
          * Nothing may be sent by the list that is held from this time on, unless it is renewed: changes may count
          * as told that are not known. {@link Long#MAX_VALUE}: there is no such time.
          */
-        default void listValidUntil(long atUs) { }
+        default void listValidUntil(long atUs) {}
 
         /** That time has come. */
-        default void listOverdue(ListBound bound) { }
+        default void listOverdue(ListBound bound) {}
 
         /** Asks for {@link Balancer#onTimer} at this time or soon after. */
         void wakeAt(long atUs);
@@ -166,7 +166,11 @@
     }
 
     /** The endpoints that drop repeats of a {@link Effect#DEDUP} request. */
-    enum DedupScope { ALL, ZONE, CELL }
+    enum DedupScope {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** How an endpoint list came about. */
     enum Source {
@@ -179,12 +183,22 @@
     }
 
     /** What discovery says of an endpoint's process. */
-    enum Availability { READY, DRAINING, GONE }
+    enum Availability {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /** How an attempt ended. */
     enum Outcome {
-        OK(false), FAILED(false), QUEUE_FULL(true), TIMED_OUT(false), CONNECT_ERROR(true), RESET(false),
-        CANCELED(false), IGNORED(true);
+        OK(false),
+        FAILED(false),
+        QUEUE_FULL(true),
+        TIMED_OUT(false),
+        CONNECT_ERROR(true),
+        RESET(false),
+        CANCELED(false),
+        IGNORED(true);
 
         private final boolean neverRan;
 
@@ -209,8 +223,8 @@
      * @param weight size relative to other endpoints, above 0
      * @param startedAtUs time of its last start; 0 if long ago
      */
-    record Endpoint(String id, int zone, int cell, int kind, Availability availability, double weight,
-            long startedAtUs) {}
+    record Endpoint(
+            String id, int zone, int cell, int kind, Availability availability, double weight, long startedAtUs) {}
 
     /**
      * A request of a client.
@@ -223,8 +237,7 @@
      * @param tenant position in {@link Settings#tenantShares}; ignored when there are none
      * @param repeat whether the client marks it as a repeat
      */
-    record Request(String id, int classIndex, String key, long budgetUs, long expectedUs,
-            int tenant, boolean repeat) {}
+    record Request(String id, int classIndex, String key, long budgetUs, long expectedUs, int tenant, boolean repeat) {}
 
     /**
      * The end of an attempt.
@@ -250,8 +263,16 @@
      * @param aimStretch how many times its own work is added to the aim
      * @param deadlineUs the client's whole patience
      */
-    record RequestClass(String name, Effect effect, DedupScope scope, long dedupWindowUs, double worth,
-            double lateWorth, long aimUs, double aimStretch, long deadlineUs) {
+    record RequestClass(
+            String name,
+            Effect effect,
+            DedupScope scope,
+            long dedupWindowUs,
+            double worth,
+            double lateWorth,
+            long aimUs,
+            double aimStretch,
+            long deadlineUs) {
         /** Rejects nonsense by name. */
         public RequestClass {
             Settings.need(effect != null, name + ": effect is missing");
@@ -262,9 +283,11 @@
             Settings.need(worth >= 0, name + ": worth is negative");
             Settings.need(lateWorth >= 0, name + ": lateWorth is negative");
             Settings.need(aimStretch >= 0, name + ": aimStretch is negative");
-            Settings.need(worth + lateWorth + aimStretch < Double.POSITIVE_INFINITY,
+            Settings.need(
+                    worth + lateWorth + aimStretch < Double.POSITIVE_INFINITY,
                     name + ": worth, lateWorth or aimStretch is no number");
-            Settings.need(Math.max(aimUs, deadlineUs) <= Settings.LONGEST_US,
+            Settings.need(
+                    Math.max(aimUs, deadlineUs) <= Settings.LONGEST_US,
                     name + ": onTimeUs or deadlineUs is over a day");
             Settings.need(dedupWindowUs <= Settings.LONGEST_US, name + ": dedupWindowUs is over a day");
         }
@@ -284,9 +307,17 @@
      * @param contract the figures of the rules
      * @param me this one's number among the instances, from 0; -1 if it is not told
      */
-    record Settings(List<RequestClass> classes, List<Double> tenantShares, double overShareWorth,
-            int instances, double probePrice, boolean subscribe, boolean weightsVary, Limits limits,
-            Contract contract, int me) {
+    record Settings(
+            List<RequestClass> classes,
+            List<Double> tenantShares,
+            double overShareWorth,
+            int instances,
+            double probePrice,
+            boolean subscribe,
+            boolean weightsVary,
+            Limits limits,
+            Contract contract,
+            int me) {
         /** Times beyond this are a slip of the pen, microseconds. */
         static final long LONGEST_US = 86_400_000_000L;
 
@@ -303,23 +334,57 @@
         }
 
         /** Of an instance that is not told its number. */
-        public Settings(List<RequestClass> classes, List<Double> tenantShares, double overShareWorth,
-                int instances, double probePrice, boolean subscribe, boolean weightsVary, Limits limits,
+        public Settings(
+                List<RequestClass> classes,
+                List<Double> tenantShares,
+                double overShareWorth,
+                int instances,
+                double probePrice,
+                boolean subscribe,
+                boolean weightsVary,
+                Limits limits,
                 Contract contract) {
-            this(classes, tenantShares, overShareWorth, instances, probePrice, subscribe, weightsVary, limits,
-                    contract, -1);
+            this(
+                    classes,
+                    tenantShares,
+                    overShareWorth,
+                    instances,
+                    probePrice,
+                    subscribe,
+                    weightsVary,
+                    limits,
+                    contract,
+                    -1);
         }
 
         /** The same for one of so many. */
         public Settings of(int number, int all) {
-            return new Settings(classes, tenantShares, overShareWorth, all, probePrice, subscribe, weightsVary,
-                    limits, contract, number);
+            return new Settings(
+                    classes,
+                    tenantShares,
+                    overShareWorth,
+                    all,
+                    probePrice,
+                    subscribe,
+                    weightsVary,
+                    limits,
+                    contract,
+                    number);
         }
 
         /** The same with another time for asking, microseconds. */
         Settings asking(long askWithinUs) {
-            return new Settings(classes, tenantShares, overShareWorth, instances, probePrice, subscribe, weightsVary,
-                    limits, new Contract(askWithinUs, contract.coldFrom(), contract.coldUs(), contract.overload()), me);
+            return new Settings(
+                    classes,
+                    tenantShares,
+                    overShareWorth,
+                    instances,
+                    probePrice,
+                    subscribe,
+                    weightsVary,
+                    limits,
+                    new Contract(askWithinUs, contract.coldFrom(), contract.coldUs(), contract.overload()),
+                    me);
         }
 
         static void need(boolean ok, String otherwise) {
@@ -338,8 +403,7 @@
      * @param maxRetryAfterUs longest advice a client honours; 0 where none is passed on
      * @param connIdleUs time after which idle connections close
      */
-    record Limits(int maxAttempts, boolean mayCancel, boolean mayProbe, long maxRetryAfterUs,
-            long connIdleUs) {
+    record Limits(int maxAttempts, boolean mayCancel, boolean mayProbe, long maxRetryAfterUs, long connIdleUs) {
         /** Rejects nonsense by name. */
         public Limits {
             Settings.need(maxAttempts >= 1, "limits.maxAttempts must be at least 1");
--- a/src/main/java/mulleinfront/CallSchedule.java
+++ b/src/main/java/mulleinfront/CallSchedule.java
@@ -50,9 +50,11 @@
     private static final int MOST_CROWDING = 4;
     /** How long a call may go unanswered, microseconds: discovery gives up after 2 or 3 s itself. */
     static final long PATIENCE_US = 3_200_000;
+
     private static final int MOST_DOUBLINGS = 4;
     /** Part of the time for asking after which a call is given up, and the least that is left to one, microseconds. */
     private static final double GIVE_UP_PART = 0.9;
+
     private static final long SHORTEST_PATIENCE_US = 500_000;
 
     private final int instances;
@@ -66,6 +68,7 @@
     private long answerUs = FIRST_ANSWER_US;
     /** Calls in a row that failed, and those among them that this instance gave up. */
     private int failures;
+
     private int givenUp;
 
     /**
@@ -80,7 +83,8 @@
         this.start = random.nextDouble();
         this.deadline = new ListDeadline(settings.contract().askWithinUs(), now);
         // In the first half of its place, so that clocks may differ by the other.
-        double number = settings.me() < 0 ? instances * random.nextDouble()
+        double number = settings.me() < 0
+                ? instances * random.nextDouble()
                 : settings.me() % instances + random.nextDouble() / 2;
         this.place = number / instances;
     }
--- a/src/main/java/mulleinfront/ListDeadline.java
+++ b/src/main/java/mulleinfront/ListDeadline.java
@@ -35,6 +35,7 @@
     static final int WAITS_OF_DOWN = 2;
     /** The same after discovery ended the watch in order: it was there then. */
     static final int WAITS_AFTER_END = 4;
+
     private static final int AFTER_FAILURE = 4;
     private static final long NONE = Long.MAX_VALUE;
 
@@ -48,9 +49,11 @@
     private long askedAt;
     /** The time for asking from then, and the time for which the list holds from then. */
     private long withinUs;
+
     private long holdsForUs;
     /** When the list runs out because the watch has ended in order, or discovery has moved. */
     private long endedBy = NONE;
+
     private long movedBy = NONE;
     private int waitsInARow;
     /** Discovery has turned a call away since it answered last: it is there, and too many call. */
@@ -180,8 +183,10 @@
     /** Which of the times is the first to run out. */
     ListBound bound() {
         long by = toldBy();
-        return by == endedBy ? ListBound.WATCH_ENDED
-                : by == movedBy ? ListBound.MOVED
-                : by == staleSince + REACHABLE_US ? ListBound.REACHABLE : ListBound.ASK_WITHIN;
+        return by == endedBy
+                ? ListBound.WATCH_ENDED
+                : by == movedBy
+                        ? ListBound.MOVED
+                        : by == staleSince + REACHABLE_US ? ListBound.REACHABLE : ListBound.ASK_WITHIN;
     }
 }
--- a/src/main/java/mulleinfront/Logic.java
+++ b/src/main/java/mulleinfront/Logic.java
@@ -34,6 +34,7 @@
     private static final int POINTS = 100;
     /** Most and fewest ring points of an endpoint, so that a stray weight can't swallow the ring. */
     private static final int MOST_POINTS = 800;
+
     private static final int FEWEST_POINTS = 20;
     /** Time between sweeps, microseconds: short against any aim, rare against requests. */
     private static final long SWEEP_US = 50_000;
@@ -43,20 +44,24 @@
     private static final double POOL_GAIN = 1.0 / 16;
     /** Kinds told apart, and the least capacity a kind counts for. */
     private static final int KINDS = 64;
+
     private static final double LEAST_KIND = 0.25;
     /** Samples over which a class's lag is smoothed, and the rise of what counts as usual, per second. */
     private static final double CLASS_GAIN = 1.0 / 64;
+
     private static final double USUAL_RISE = 0.03;
     /** Usual lag before any answer, as part of the aim: high, for it falls faster than it rises. */
     private static final double FIRST_USUAL = 0.25;
     /** A lag of this many times the usual, or part of the aim if not ordinary, tells of crowding. */
     private static final double CROWDED = 3;
+
     private static final double CROWDED_AIM = 0.35;
     private static final double ORDINARY = 1.5;
     /** What a lag is over the usual is noise up to this many mean deviations (as TCP has it, RFC 6298) ... */
     private static final double NOISE_DEVIATIONS = 4;
     /** ... and this part of the aim: more than that is felt, however often it comes. */
     private static final double NOISE_AIM = 0.05;
+
     private static final double CUT = 0.85;
     /** The cut where there was no answer at all in time: many instances with one attempt each are many. */
     private static final double LOSS_CUT = 0.6;
@@ -66,17 +71,21 @@
     private static final double CAUTION = 10;
     /** Part of endpoints late from which it is the fleet's trouble, and how fast the whole cut is reached. */
     private static final double FEW_LATE = 0.2;
+
     private static final double LATE_SLOPE = 5;
     /** Cut of admission by a lost attempt (a late one: half), and growth by a good one. */
     private static final double ADMIT_CUT = 0.4;
+
     private static final double ADMIT_GROW = 0.05;
     /** Admissions that may be saved up; the lower a request's worth, the more must be left after it. */
     static final double MOST_SAVED = 3;
     /** Growth of a limit in use: attempts for each limit of good answers (each one until the first cut). */
     private static final double GROW = 0.5;
+
     private static final double REGAIN = 0.2;
     /** Limit of attempts out at one endpoint at the start; the least share that it and admission fall to. */
     private static final double FIRST_LIMIT = 2;
+
     private static final double LEAST_LIMIT = 0.1;
     /** Time after which a tenant's traffic is forgotten to 1/e, microseconds. */
     private static final double FORGET_US = 10_000_000;
@@ -95,17 +104,20 @@
      * fewer where all are busy.
      */
     static final int REPORTED_OWNERS = 8;
+
     private static final int BUSY_OWNERS = 4;
     /**
      * Part of the aim that an endpoint's queue may take before some requests pass it by, and before all do.
      */
     private static final double SPILL_FROM = 0.3;
+
     private static final double SPILL_ALL = 1.5;
     /**
      * Part of the aim that an endpoint's queue may take before some requests with no key pass it by though
      * all are as busy, and before all do: no owner is worth waiting for, and what they hold slows them down.
      */
     private static final double BUSY_FROM = 0.5;
+
     private static final double BUSY_ALL = 1;
     /** Part of what all hold that is no reason to pass one by: the others are no better. */
     private static final double COMMON = 0.8;
@@ -113,6 +125,7 @@
      * Queue of all, as a part of the aim, from which requests are refused by worth, and at which most are.
      */
     private static final double REFUSE_FROM = 0.5;
+
     private static final double REFUSE_MOST = 1.5;
     /**
      * Time over which a report gives way to what all endpoints report, microseconds: it may be seconds to the
@@ -123,6 +136,7 @@
      * Without any report for a while nobody is held to be busy for long: who sends nothing hears of nothing.
      */
     private static final long UNHEARD_US = 300_000;
+
     private static final double UNHEARD_FADES_US = 2_000_000;
     /**
      * Losses in a row, with no report between, up to which each makes the last word of all fade more slowly
@@ -135,6 +149,7 @@
      * How long one that turned a request away is left alone at first; doubles with each that follows soon.
      */
     private static final long FULL_US = 1_000_000;
+
     private static final int MOST_FULL = 4;
     /**
      * Part of the multiple that pushes a cold endpoint over up to which it is sent work, were the fleet fully
@@ -149,14 +164,17 @@
     private static final double FAIL_SHARE = 0.33;
     /** Silence: nothing back for this many usual lags, and at least this part of the aim. */
     private static final double SILENT_LAGS = 4;
+
     private static final double SILENT_AIM = 0.4;
     /** First ejection, microseconds; doubles up to the longest with each that follows soon. */
     private static final long EJECT_US = 1_000_000;
+
     private static final long LONGEST_EJECT_US = 8_000_000;
     /** Share of the ring that may be ejected on suspicion: beyond it the trouble is elsewhere. */
     private static final double MOST_EJECTED = 0.4;
     /** Retry budget: each request earns this part of a retry; the most that can be saved up. */
     private static final double RETRY_EARN = 0.25;
+
     private static final double RETRY_MOST = 20;
     /** Part of the aim for which a request of the highest worth may be held when nobody can take it. */
     private static final double HOLD_AIM = 0.4;
@@ -166,6 +184,7 @@
     private static final double REPEAT_WORTH = 0.3;
     /** Part of the aim, and usual lags, that a probe may take before its endpoint is passed over as busy. */
     private static final double PROBE_AIM = 0.12;
+
     private static final double PROBE_LAGS = 2;
     /** Time for which a prompt answer spares a probe, microseconds. */
     private static final long PROMPT_US = 500_000;
@@ -175,6 +194,7 @@
     private static final int MOST_PROBES = 3;
     /** Part of a whole try's budget under which one is a repeat; how a large one fades by each request. */
     private static final double WHOLE_TRY = 0.95;
+
     private static final double WHOLE_FADE = 0.999;
     /** Part of the time left that one attempt may use while another could follow. */
     private static final double ATTEMPT_PART = 0.6;
@@ -191,15 +211,18 @@
     /** Requests answered or gone with attempts still out, whose outcomes still teach. */
     private final HashMap<String, Req> ended = new HashMap<>();
     /** Requests on hold, the worthiest first, then the oldest. */
-    private final TreeSet<Req> held = new TreeSet<>(
-            Comparator.comparingDouble((Req r) -> -r.worth).thenComparingLong(r -> r.order));
+    private final TreeSet<Req> held =
+            new TreeSet<>(Comparator.comparingDouble((Req r) -> -r.worth).thenComparingLong(r -> r.order));
+
     final Ring<Node> ring = new Ring<>();
     /** Listed endpoints in order of listing; one is taken out without a look at the others. */
     final LinkedHashSet<Node> listed = new LinkedHashSet<>();
+
     private final double[] meanLag;
     final double[] usualLag;
     /** Mean deviation of a class's lag: from jitter and from our own queue as much as from the endpoint's. */
     private final double[] deviation;
+
     private final double[] whole;
     private final double[] tenantRecent;
     final double mostWorth;
@@ -209,23 +232,28 @@
     private final long salt;
     /** Lag against the usual by kind of endpoint: at little traffic no endpoint alone shows it. */
     private final double[] kindRatio = new double[KINDS];
+
     private double tenantTotal;
     private long tenantAt;
     /** Capacity of all usable endpoints, and what was asked for of late; see {@link #weigh}. */
     double capacity;
+
     private double offered;
     /** The best of the listed kinds' ratios when last weighed. */
     private double bestKind = 1;
     /** Listed weight of all endpoints, and of the ejected ones among them. */
     double weight;
+
     private double ejectedWeight;
     /** Part of the latest answers, over all endpoints, that were late or lost. */
     double strain;
     /** Part of the endpoints heard of late whose last answer was late or lost: each counts once. */
     double lateShare;
+
     private long weighedAt = Long.MIN_VALUE / 2;
     /** Share of requests admitted, from all answers alike, and admissions saved up. */
     double admitted = 1;
+
     double saved = MOST_SAVED;
     double retryTokens = RETRY_MOST / 2;
     private long sends;
@@ -237,9 +265,11 @@
     private double fullWeight;
     /** Requests that endpoints report to hold, for each part of their size; and when one last did. */
     private double reported;
+
     private long reportedAt = Long.MIN_VALUE / 2;
     /** Losses since then. */
     private int lost;
+
     private boolean reports;
     private Node opening;
     int walk;
@@ -252,9 +282,11 @@
     private long nextHold = Long.MAX_VALUE;
     /** Requests waiting for a probe of the endpoint they are to go to. */
     private final List<Req> probing = new ArrayList<>();
+
     private long nextProbe = Long.MAX_VALUE;
     /** Until when the list was known to be up to date. */
     private long currentAt = Long.MIN_VALUE / 2;
+
     private final Subscription subscription;
 
     Logic(Settings settings, long seed, long now, Actions out) {
@@ -269,8 +301,13 @@
         Arrays.setAll(usualLag, i -> meanLag[i] = settings.classes().get(i).aimUs() * FIRST_USUAL);
         Arrays.setAll(deviation, i -> settings.classes().get(i).aimUs() * NOISE_AIM);
         Arrays.fill(kindRatio, 1);
-        this.mostWorth = settings.classes().stream().mapToDouble(RequestClass::worth).reduce(1e-9, Math::max);
-        this.safest = settings.classes().stream().map(RequestClass::effect).sorted().iterator().next();
+        this.mostWorth =
+                settings.classes().stream().mapToDouble(RequestClass::worth).reduce(1e-9, Math::max);
+        this.safest = settings.classes().stream()
+                .map(RequestClass::effect)
+                .sorted()
+                .iterator()
+                .next();
         this.many = settings.instances() > MANY;
         this.salt = many ? seed : 0;
         this.bornAt = now;
@@ -443,8 +480,7 @@
         Node ejected = null;
         int usable = 0;
         ring.seek(r.hash);
-        int owners = !reports ? OWNERS : aims(r, reportedByAll(now)) < SPILL_FROM ? REPORTED_OWNERS
-                : BUSY_OWNERS;
+        int owners = !reports ? OWNERS : aims(r, reportedByAll(now)) < SPILL_FROM ? REPORTED_OWNERS : BUSY_OWNERS;
         while (left > 0 && (usable < owners || keyless)) {
             Node n = ring.next();
             if (n.seen == walk) {
@@ -660,8 +696,9 @@
         int c = a.req.in.classIndex();
         double usual = usualLag[c];
         double noise = Math.min(NOISE_AIM * a.req.type.aimUs(), NOISE_DEVIATIONS * deviation[c]);
-        return a.at >= wokeAt && lag - usual > noise && lag > Math.min(CROWDED * usual,
-                Math.max(CROWDED_AIM * a.req.type.aimUs(), ORDINARY * usual));
+        return a.at >= wokeAt
+                && lag - usual > noise
+                && lag > Math.min(CROWDED * usual, Math.max(CROWDED_AIM * a.req.type.aimUs(), ORDINARY * usual));
     }
 
     /** Whether the endpoint's limit leaves room; one under 1 is the share of requests that may go there. */
@@ -762,8 +799,10 @@
         for (Node n : listed) {
             if (silent(n, now)) {
                 eject(n, now, false);
-                n.outstanding.stream().filter(a -> n.ejected && open.get(a.req.in.id()) == a.req)
-                        .filter(a -> mayResend(a.req, now)).forEach(this::cancel);
+                n.outstanding.stream()
+                        .filter(a -> n.ejected && open.get(a.req.in.id()) == a.req)
+                        .filter(a -> mayResend(a.req, now))
+                        .forEach(this::cancel);
             }
         }
     }
@@ -836,7 +875,8 @@
         }
         tenantRecent[t]++;
         // Few requests meet by chance: one deviation is granted, or small tenants would always be over.
-        double within = settings.tenantShares().get(t) * tenantTotal
+        double within = settings.tenantShares().get(t)
+                * tenantTotal
                 / Math.max(1e-9, tenantRecent[t] - Math.sqrt(tenantRecent[t]));
         return within >= 1 ? 1 : within + (1 - within) * settings.overShareWorth();
     }
@@ -856,9 +896,14 @@
     /** Whether to probe first: nothing came back promptly from there of late, and there is time for it. */
     private boolean doubtful(Req r, Node n, long now) {
         long patience = probePatience(r);
-        return settings.limits().mayProbe() && many && r.cautious
-                && strain > PROBE_PAYS * settings.probePrice() && r.probes < MOST_PROBES
-                && now >= n.busyUntil && !n.ejected && now - n.promptAt > PROMPT_US
+        return settings.limits().mayProbe()
+                && many
+                && r.cautious
+                && strain > PROBE_PAYS * settings.probePrice()
+                && r.probes < MOST_PROBES
+                && now >= n.busyUntil
+                && !n.ejected
+                && now - n.promptAt > PROMPT_US
                 && r.worthUntil() - now > 4 * patience;
     }
 
@@ -946,7 +991,8 @@
         if (held.isEmpty() && now < nextHold) {
             return;
         }
-        List<Req> first = now >= nextHold ? List.copyOf(held) : held.stream().limit(16).toList();
+        List<Req> first =
+                now >= nextHold ? List.copyOf(held) : held.stream().limit(16).toList();
         nextHold = now >= nextHold ? Long.MAX_VALUE : nextHold;
         int stuck = 0;
         for (Req r : first) {
@@ -1002,16 +1048,21 @@
     }
 
     static boolean inGroup(Req r, Attempt bond, Node n) {
-        return bond == null || r.type.effect() != Effect.DEDUP || r.type.scope() == DedupScope.ALL
+        return bond == null
+                || r.type.effect() != Effect.DEDUP
+                || r.type.scope() == DedupScope.ALL
                 || (r.type.scope() == DedupScope.ZONE ? n.zone == bond.node.zone : n.cell == bond.node.cell);
     }
 
     /** Whether a further attempt is harmless, has time, and the retry budget allows it. */
     boolean mayResend(Req r, long now) {
         Attempt bond = bond(r);
-        boolean harmless = bond == null || r.type.effect() == Effect.RETRYABLE
+        boolean harmless = bond == null
+                || r.type.effect() == Effect.RETRYABLE
                 || r.type.effect() == Effect.DEDUP && now < bond.at + r.type.dedupWindowUs();
-        return harmless && r.attempts.size() < settings.limits().maxAttempts() && retryTokens >= cost(bond)
+        return harmless
+                && r.attempts.size() < settings.limits().maxAttempts()
+                && retryTokens >= cost(bond)
                 && r.worthUntil() - now > usualLag[r.in.classIndex()] / 2;
     }
 
@@ -1021,7 +1072,8 @@
     }
 
     private boolean mayRefuse(Req r) {
-        return bond(r) == null || r.type.effect() == Effect.RETRYABLE
+        return bond(r) == null
+                || r.type.effect() == Effect.RETRYABLE
                 || r.type.effect() == Effect.DEDUP && r.type.scope() == DedupScope.ALL;
     }
 
@@ -1051,7 +1103,10 @@
 
     /** Stops waiting for an attempt that is out and may be cancelled. */
     private void cancel(Attempt a) {
-        if (a.outcome == null && !a.canceled && !a.streaming && settings.limits().mayCancel()) {
+        if (a.outcome == null
+                && !a.canceled
+                && !a.streaming
+                && settings.limits().mayCancel()) {
             a.canceled = true;
             out.cancel(a.req.in.id(), a.number);
         }
@@ -1094,7 +1149,9 @@
         Req r = open.get(end.requestId());
         boolean alive = r != null;
         r = alive ? r : ended.get(end.requestId());
-        if (r == null || end.attempt() < 0 || end.attempt() >= r.attempts.size()
+        if (r == null
+                || end.attempt() < 0
+                || end.attempt() >= r.attempts.size()
                 || r.attempts.get(end.attempt()).outcome != null) {
             return;
         }
@@ -1129,8 +1186,7 @@
         }
         if (o == Outcome.OK && !a.streaming) {
             learnLag(a, end.lagUs(), now, true);
-        } else if ((o == Outcome.TIMED_OUT || o == Outcome.CANCELED && a.canceled)
-                && crowded(a, end.lagUs())) {
+        } else if ((o == Outcome.TIMED_OUT || o == Outcome.CANCELED && a.canceled) && crowded(a, end.lagUs())) {
             // A loss tells of the endpoint only after an ordinary answer's time; else of the client.
             // It brings no report: where all are lost none comes, and the last word of them all still holds.
             reportedAt = now;
--- a/src/main/java/mulleinfront/Refusal.java
+++ b/src/main/java/mulleinfront/Refusal.java
@@ -15,8 +15,8 @@
  *        usual lag, the reported queue; NaN where there is none
  * @param madeFrom what that was made from, in words; empty where there is nothing to say
  */
-public record Refusal(String requestId, Cause cause, int classIndex, double worth, long ageUs, double bound,
-        String madeFrom) {
+public record Refusal(
+        String requestId, Cause cause, int classIndex, double worth, long ageUs, double bound, String madeFrom) {
 
     /** What it comes to. */
     public enum Cause {
--- a/src/main/java/mulleinfront/Ring.java
+++ b/src/main/java/mulleinfront/Ring.java
@@ -19,20 +19,25 @@
     private static final int SLOT_BITS = 0xffff;
     /** Points of an arc on the average; beyond four times as many, or a quarter, arcs are cut anew. */
     private static final int ARC_POINTS = 32;
+
     private static final long[] NONE = {};
 
     /** Arcs in the order of their points; their number is a power of two, at least 2. */
     private long[][] arcs = {NONE, NONE};
+
     private int points;
     /** Owners by slot; null where the owner has left. */
     private final List<T> slots = new ArrayList<>();
+
     private final Map<T, Integer> slotOf = new HashMap<>();
     private final BitSet taken = new BitSet();
     /** Owners that join at the next {@link #merge} and their hashes, in the order in which they were added. */
     private final Map<T, long[]> joining = new LinkedHashMap<>();
+
     private final List<long[]> leaving = new ArrayList<>();
     /** Place of the walk: arc and point in it. */
     private int arc;
+
     private int place;
 
     /** Adds an owner; its points count after the next {@link #merge}. */
@@ -122,7 +127,7 @@
     /** One sorted array of an arc's points and a sorted stretch of others. */
     private static long[] merged(long[] old, long[] fresh, int from, int to) {
         long[] all = new long[old.length + to - from];
-        for (int i = 0, j = from; i + j - from < all.length;) {
+        for (int i = 0, j = from; i + j - from < all.length; ) {
             boolean first = j == to || i < old.length && old[i] < fresh[j];
             all[i + j - from] = first ? old[i++] : fresh[j++];
         }
--- a/src/main/java/mulleinfront/StartTimes.java
+++ b/src/main/java/mulleinfront/StartTimes.java
@@ -9,7 +9,7 @@
     /** Discovery tells of a start this long after it at the most, microseconds. */
     static final long MOST_LAG_US = 60_000_000;
 
-    private StartTimes() { }
+    private StartTimes() {}
 
     /**
      * From when an endpoint is to be taken as cold.
--- a/src/main/java/mulleinfront/State.java
+++ b/src/main/java/mulleinfront/State.java
@@ -8,7 +8,7 @@
 
 /** What {@link Logic} remembers of endpoints, requests and attempts; it holds figures and decides nothing. */
 final class State {
-    private State() { }
+    private State() {}
 
     /** What is known of one endpoint. Kept after it leaves the list, for attempts still out. */
     static final class Node {
@@ -24,22 +24,27 @@
         long busyUntil;
         /** Requests that it reported to hold, for each part of its size, and when. */
         double reported;
+
         long reportedAt = Long.MIN_VALUE / 2;
         /** Until when it is left alone for having turned requests away, and how many in a row it has. */
         long fullUntil;
+
         int full;
         double capacity;
         /** What of it is in the sum over all endpoints. */
         double counted;
+
         double offered;
         /** When its process began, by the list that told of it; and from when it counts as cold. */
         long startedAt;
+
         long warmFrom;
         boolean cold;
         boolean ready;
         boolean onRing;
         /** Its points on the ring, as many as when it joined: listed weights may change since. */
         int points;
+
         final List<Attempt> outstanding = new ArrayList<>();
         double limit;
         boolean everCut;
--- a/src/main/java/mulleinfront/Subscription.java
+++ b/src/main/java/mulleinfront/Subscription.java
@@ -14,9 +14,11 @@
     private final Actions out;
     /** A call is out, or a watch is open. */
     private boolean asking;
+
     private boolean subscribed;
     /** When to call next, while neither is so. */
     private long askAt;
+
     private long validUntil = Long.MAX_VALUE;
     /** It was said that this time has come. */
     private boolean overdue;
--- a/src/main/java/mulleinfront/Why.java
+++ b/src/main/java/mulleinfront/Why.java
@@ -16,14 +16,15 @@
  * the request, and credit for cold endpoints grows by what is asked for, not by looks.
  */
 final class Why {
-    private Why() { }
+    private Why() {}
 
     /**
      * @param told what the decision itself says; null: nobody could take it, or it may not be sent again
      */
     static Refusal of(Logic m, Req r, long now, Cause told) {
         Cause why = told != null ? told : cause(m, r, now);
-        if (why == Cause.ADMISSION && r.worth < r.type.worth()
+        if (why == Cause.ADMISSION
+                && r.worth < r.type.worth()
                 && m.saved >= 1 + (Logic.MOST_SAVED - 1) * (1 - r.type.worth() / m.mostWorth)) {
             // Admission goes by worth: at its class's own this one would have been let in.
             why = Cause.TENANT;
@@ -46,10 +47,24 @@
             case BUDGET -> m.retryTokens;
             default -> Double.NaN;
         };
-        return new Refusal(r.in.id(), why, r.in.classIndex(), r.worth, now - m.bornAt, bound,
-                String.format(Locale.ROOT,
+        return new Refusal(
+                r.in.id(),
+                why,
+                r.in.classIndex(),
+                r.worth,
+                now - m.bornAt,
+                bound,
+                String.format(
+                        Locale.ROOT,
                         "late %.2f, strain %.2f, %d of %d hosts ready, %d out of limits %.1f, capacity %.1f of %.1f",
-                        m.lateShare, m.strain, ready, m.listed.size(), out, limits, m.capacity, m.weight));
+                        m.lateShare,
+                        m.strain,
+                        ready,
+                        m.listed.size(),
+                        out,
+                        limits,
+                        m.capacity,
+                        m.weight));
     }
 
     private static Cause cause(Logic m, Req r, long now) {
@@ -70,7 +85,8 @@
         if (bond != null && c.effect() == Effect.DEDUP && now >= bond.at + c.dedupWindowUs()) {
             return Cause.WINDOW;
         }
-        return r.attempts.size() >= m.settings.limits().maxAttempts() ? Cause.ATTEMPTS
+        return r.attempts.size() >= m.settings.limits().maxAttempts()
+                ? Cause.ATTEMPTS
                 : m.retryTokens < m.cost(bond) ? Cause.BUDGET : Cause.TIME;
     }
 
@@ -80,7 +96,7 @@
         int most = r.in.key() == null ? m.listed.size() : Logic.REPORTED_OWNERS;
         int walk = ++m.walk;
         m.ring.seek(r.hash);
-        for (int seen = 0, owners = 0; seen < m.listed.size() && owners < most;) {
+        for (int seen = 0, owners = 0; seen < m.listed.size() && owners < most; ) {
             Node n = m.ring.next();
             if (n.seen != walk) {
                 n.seen = walk;
@@ -90,7 +106,9 @@
                 counts.merge(c, c == Cause.NO_HOST ? 0 : 1, Integer::sum);
             }
         }
-        return counts.entrySet().stream().max(Map.Entry.comparingByValue()).map(Map.Entry::getKey)
+        return counts.entrySet().stream()
+                .max(Map.Entry.comparingByValue())
+                .map(Map.Entry::getKey)
                 .orElse(Cause.NO_HOST);
     }
 
--- a/src/main/java/mulleinfront/bench/AddedTime.java
+++ b/src/main/java/mulleinfront/bench/AddedTime.java
@@ -44,19 +44,24 @@
      * @param rates requests a second, over all connections
      * @param requests measured of each rate and way, at the least
      */
-    public List<Slope> measure(int[] rates, int requests, String command) throws IOException,
-            InterruptedException {
+    public List<Slope> measure(int[] rates, int requests, String command) throws IOException, InterruptedException {
         Measured m = new Measured("calls a second", command);
-        try (Child.Handle hosts = new Child.Handle("", List.of("-XX:+UseSerialGC"), "timed", "" + HOSTS,
-                "" + HOST_MICROS);
-                Child.Handle relay = new Child.Handle("", Throughput.DEPLOYED, "relay", ""
-                        + hosts.ports.get(0));
-                Child.Handle proxy = new Child.Handle("", Throughput.DEPLOYED, "proxy",
-                        Throughput.config(hosts.ports),
-                        "1")) {
-            out.printf(Locale.ROOT, "%-14s %8s %8s %9s %9s %9s %9s %9s%n", "outside hosts", "calls/s",
-                    "calls", "p50 ms",
-                    "p99 ms", "p99.9 ms", "cpu us", "no 200");
+        try (Child.Handle hosts =
+                        new Child.Handle("", List.of("-XX:+UseSerialGC"), "timed", "" + HOSTS, "" + HOST_MICROS);
+                Child.Handle relay = new Child.Handle("", Throughput.DEPLOYED, "relay", "" + hosts.ports.get(0));
+                Child.Handle proxy =
+                        new Child.Handle("", Throughput.DEPLOYED, "proxy", Throughput.config(hosts.ports), "1")) {
+            out.printf(
+                    Locale.ROOT,
+                    "%-14s %8s %8s %9s %9s %9s %9s %9s%n",
+                    "outside hosts",
+                    "calls/s",
+                    "calls",
+                    "p50 ms",
+                    "p99 ms",
+                    "p99.9 ms",
+                    "cpu us",
+                    "no 200");
             // The way that is not counted brings all three parts' code up.
             for (Child.Handle part : List.of(hosts, relay, proxy)) {
                 new Load(part.ports, rates[rates.length - 1]).run(WARM_MS, null);
@@ -78,25 +83,52 @@
         Histogram times = load.run(ms, () -> used[0] = part.figures());
         Child.Figures cpu = part.figures().since(used[0]);
         double each = cpu.cpuNanos() / 1e3 / Math.max(1, times.getTotalCount());
-        out.printf(Locale.ROOT, "%-14s %8d %8d %9.3f %9.3f %9.3f %9.1f %9d%n", way, rate,
+        out.printf(
+                Locale.ROOT,
+                "%-14s %8d %8d %9.3f %9.3f %9.3f %9.1f %9d%n",
+                way,
+                rate,
                 times.getTotalCount(),
-                ms(times, 50), ms(times, 99), ms(times, 99.9), direct == null ? 0 : each, load.others.get());
+                ms(times, 50),
+                ms(times, 99),
+                ms(times, 99.9),
+                direct == null ? 0 : each,
+                load.others.get());
         out.flush();
         if (direct != null) {
             String name = "data." + way;
             String of = way.equals("proxy") ? "the client proxy" : "the relay";
-            m.add(rate, name + ".p50", "added by " + of + " to half of the calls, at most", "s",
+            m.add(
+                    rate,
+                    name + ".p50",
+                    "added by " + of + " to half of the calls, at most",
+                    "s",
                     (ms(times, 50) - ms(direct, 50)) / 1e3);
-            m.add(rate, name + ".p99", "added by " + of + " to 99 in 100 calls, at most", "s",
+            m.add(
+                    rate,
+                    name + ".p99",
+                    "added by " + of + " to 99 in 100 calls, at most",
+                    "s",
                     (ms(times, 99) - ms(direct, 50)) / 1e3);
-            m.add(rate, name + ".p999", "added by " + of + " to 999 in 1,000 calls, at most", "s",
+            m.add(
+                    rate,
+                    name + ".p999",
+                    "added by " + of + " to 999 in 1,000 calls, at most",
+                    "s",
                     (ms(times, 99.9) - ms(direct, 50)) / 1e3);
-            m.add(rate, name + ".processor", "processor time of " + of, "of a core",
-                    cpu.cpuNanos() / 1e9 / (ms / 1e3));
+            m.add(rate, name + ".processor", "processor time of " + of, "of a core", cpu.cpuNanos() / 1e9 / (ms / 1e3));
         } else {
-            m.add(rate, "data.direct.p50", "outside the hosts with nothing between, half of the calls", "s",
+            m.add(
+                    rate,
+                    "data.direct.p50",
+                    "outside the hosts with nothing between, half of the calls",
+                    "s",
                     ms(times, 50) / 1e3);
-            m.add(rate, "data.direct.p99", "outside the hosts with nothing between, 99 in 100 calls", "s",
+            m.add(
+                    rate,
+                    "data.direct.p99",
+                    "outside the hosts with nothing between, 99 in 100 calls",
+                    "s",
                     ms(times, 99) / 1e3);
         }
         return times;
@@ -110,7 +142,8 @@
     static long served(String answer) {
         String body = answer.substring(answer.indexOf("\r\n\r\n") + 4);
         return answer.startsWith("HTTP/1.1 200") && body.matches("[0-9]{" + TimedHost.DIGITS + "}")
-                ? Long.parseLong(body) : -1;
+                ? Long.parseLong(body)
+                : -1;
     }
 
     /**
@@ -165,8 +198,8 @@
                     }
                     long id = IDS.incrementAndGet();
                     byte[] request = ("GET /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: a" + id
-                            + "\r\nX-Class: lookup\r\nX-Key: k" + id * 7919 % 1000
-                            + "\r\nX-Deadline-Ms: 5000\r\n\r\n")
+                                    + "\r\nX-Class: lookup\r\nX-Key: k" + id * 7919 % 1000
+                                    + "\r\nX-Deadline-Ms: 5000\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII);
                     long from = late ? due : System.nanoTime();
                     s.getOutputStream().write(request);
--- a/src/main/java/mulleinfront/bench/CapacityFile.java
+++ b/src/main/java/mulleinfront/bench/CapacityFile.java
@@ -48,9 +48,8 @@
             }
             root = t;
         } catch (JsonProcessingException e) {
-            throw new BadFileException(file + ":" + (e.getLocation() == null ? 1 : e.getLocation()
-                    .getLineNr()) + ": "
-                    + e.getOriginalMessage());
+            throw new BadFileException(file + ":"
+                    + (e.getLocation() == null ? 1 : e.getLocation().getLineNr()) + ": " + e.getOriginalMessage());
         } catch (IOException e) {
             throw new BadFileException(file + ": can't be read");
         }
@@ -63,15 +62,16 @@
         for (Table t : root.tables("slopes")) {
             List<Fit.Point> points = new ArrayList<>();
             for (Object p : t.list("points")) {
-                if (!(p instanceof List<?> two && two.size() == 2 && two.get(0) instanceof Double x
+                if (!(p instanceof List<?> two
+                        && two.size() == 2
+                        && two.get(0) instanceof Double x
                         && two.get(1) instanceof Double y)) {
                     throw t.wrong("points must be pairs of size and figure");
                 }
                 points.add(new Fit.Point(x, y));
             }
-            slopes.add(t.made(() -> new Slope(t.text("id"), t.text("what"), t.text("unit"), t.text("per"),
-                    points,
-                    t.text("command"))));
+            slopes.add(t.made(() ->
+                    new Slope(t.text("id"), t.text("what"), t.text("unit"), t.text("per"), points, t.text("command"))));
         }
         List<Row> rows = new ArrayList<>();
         for (Table t : root.tables("rows")) {
@@ -95,12 +95,14 @@
     private static Row.Cell cell(Table c) throws BadFileException {
         List<Row.Term> terms = new ArrayList<>();
         for (Table t : c.has("terms") ? c.tables("terms") : List.<Table>of()) {
-            terms.add(new Row.Term(t.text("slope"), t.text("at"), t.has("times") ? t.texts("times")
-                    : List.of()));
+            terms.add(new Row.Term(t.text("slope"), t.text("at"), t.has("times") ? t.texts("times") : List.of()));
             t.done();
         }
-        Row.Cell cell = c.made(() -> new Row.Cell(Row.Measure.of(c.text("measure")), terms,
-                c.has("budget") ? c.text("budget") : null, c.has("source") ? c.text("source") : null,
+        Row.Cell cell = c.made(() -> new Row.Cell(
+                Row.Measure.of(c.text("measure")),
+                terms,
+                c.has("budget") ? c.text("budget") : null,
+                c.has("source") ? c.text("source") : null,
                 c.has("given") ? c.number("given") : Double.NaN));
         if (!Double.isNaN(cell.given()) && (cell.source() == null)) {
             throw c.wrong("a given figure needs its source");
@@ -159,7 +161,9 @@
         List<String> figures = new ArrayList<>();
         for (Figure f : all.figures()) {
             figures.add(object(out -> {
-                out.writeStringField("row", f.row().role() + ", " + f.row().part() + ", " + f.row().when());
+                out.writeStringField(
+                        "row",
+                        f.row().role() + ", " + f.row().part() + ", " + f.row().when());
                 out.writeStringField("measure", f.cell().measure().word());
                 out.writeStringField("unit", f.cell().measure().unit());
                 out.writeFieldName("value");
@@ -170,12 +174,14 @@
                 out.writeBoolean(f.over());
             }));
         }
-        return "{\n\"size\": " + object(out -> {
-            for (var e : all.size().given().entrySet()) {
-                out.writeFieldName(e.getKey());
-                number(out, e.getValue());
-            }
-        }) + ",\n" + array("slopes", slopes) + ",\n" + array("rows", rows) + ",\n" + array("needs", needs)
+        return "{\n\"size\": "
+                + object(out -> {
+                    for (var e : all.size().given().entrySet()) {
+                        out.writeFieldName(e.getKey());
+                        number(out, e.getValue());
+                    }
+                })
+                + ",\n" + array("slopes", slopes) + ",\n" + array("rows", rows) + ",\n" + array("needs", needs)
                 + ",\n"
                 + array("figures", figures) + "\n}\n";
     }
--- a/src/main/java/mulleinfront/bench/Child.java
+++ b/src/main/java/mulleinfront/bench/Child.java
@@ -23,7 +23,7 @@
  * own figures, and ends when that closes. {@link Handle} is the other side.
  */
 public final class Child {
-    private Child() { }
+    private Child() {}
 
     /** What a process has used since it began. */
     record Figures(long cpuNanos, long allocatedBytes) {
@@ -46,18 +46,27 @@
                 List<String> all = new ArrayList<>();
                 for (int i = 0; i < Integer.parseInt(args[1]); i++) {
                     long micros = Long.parseLong(args[2]);
-                    all.add("" + (args[0].equals("timed") ? TimedHost.listen(group, micros)
-                            : StandIn.host(group, micros)));
+                    all.add(""
+                            + (args[0].equals("timed")
+                                    ? TimedHost.listen(group, micros)
+                                    : StandIn.host(group, micros)));
                 }
                 ports = String.join(",", all);
             }
-            case "relay" -> ports = "" + StandIn.relay(
-                    new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()), Integer.parseInt(args[1]));
+            case "relay" ->
+                ports = ""
+                        + StandIn.relay(
+                                new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()),
+                                Integer.parseInt(args[1]));
             case "proxy" -> {
                 Config config = Config.parse(args[1].getBytes(StandardCharsets.UTF_8));
                 int loops = Integer.parseInt(args[2]);
-                ports = "" + (loops == 1 ? ClientProxy.start(config)
-                        : Serve.start(config, new Machine(loops, 0)).get(0)).port();
+                ports = ""
+                        + (loops == 1
+                                        ? ClientProxy.start(config)
+                                        : Serve.start(config, new Machine(loops, 0))
+                                                .get(0))
+                                .port();
             }
             default -> throw new IllegalArgumentException("unknown part " + args[0]);
         }
@@ -95,7 +104,9 @@
             command.addAll(jvm);
             command.addAll(List.of("-cp", System.getProperty("java.class.path"), Child.class.getName()));
             command.addAll(List.of(args));
-            process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.DISCARD).start();
+            process = new ProcessBuilder(command)
+                    .redirectError(ProcessBuilder.Redirect.DISCARD)
+                    .start();
             out = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.US_ASCII));
             String line = out.readLine();
             while (line != null && !line.matches("[0-9,]+")) {
--- a/src/main/java/mulleinfront/bench/Decisions.java
+++ b/src/main/java/mulleinfront/bench/Decisions.java
@@ -81,8 +81,19 @@
 
         Driver(int hosts) {
             RequestClass lookup = new RequestClass("lookup", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 2_000_000);
-            module = Balancer.create(new Settings(List.of(lookup), List.of(), 1, 1, 0, false, false,
-                    new Limits(3, true, false, 0, 15_000_000), new Contract(10_000_000, 0.2, 20_000_000)), 1, now,
+            module = Balancer.create(
+                    new Settings(
+                            List.of(lookup),
+                            List.of(),
+                            1,
+                            1,
+                            0,
+                            false,
+                            false,
+                            new Limits(3, true, false, 0, 15_000_000),
+                            new Contract(10_000_000, 0.2, 20_000_000)),
+                    1,
+                    now,
                     this);
             for (int i = 0; i < hosts; i++) {
                 list.add(host());
@@ -120,8 +131,19 @@
                 Endpoint old = list.get(at);
                 Endpoint fresh = host();
                 list.set(at, fresh);
-                module.onEndpoints(now, Source.DELTA, List.of(new Endpoint(old.id(), old.zone(), old.cell(),
-                        old.kind(), Availability.GONE, old.weight(), old.startedAtUs()), fresh));
+                module.onEndpoints(
+                        now,
+                        Source.DELTA,
+                        List.of(
+                                new Endpoint(
+                                        old.id(),
+                                        old.zone(),
+                                        old.cell(),
+                                        old.kind(),
+                                        Availability.GONE,
+                                        old.weight(),
+                                        old.startedAtUs()),
+                                fresh));
             }
         }
 
--- a/src/main/java/mulleinfront/bench/Driver.java
+++ b/src/main/java/mulleinfront/bench/Driver.java
@@ -52,13 +52,19 @@
         for (int i = 0; i < count; i++) {
             Connection c = new Connection(i);
             connections.add(c);
-            c.channel = new Bootstrap().group(group).channel(NioSocketChannel.class)
-                    .option(ChannelOption.TCP_NODELAY, true).handler(new ChannelInitializer<SocketChannel>() {
+            c.channel = new Bootstrap()
+                    .group(group)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel ch) {
                             ch.pipeline().addLast(c);
                         }
-                    }).connect(InetAddress.getLoopbackAddress(), ports.get(i % ports.size())).sync().channel();
+                    })
+                    .connect(InetAddress.getLoopbackAddress(), ports.get(i % ports.size()))
+                    .sync()
+                    .channel();
         }
     }
 
@@ -101,6 +107,7 @@
         private long nextDue;
         /** Sends that are due and wait for the answer before them. */
         private final ArrayDeque<Long> due = new ArrayDeque<>();
+
         private final StringBuilder head = new StringBuilder();
         private int bodyLeft = -1;
         private boolean served;
@@ -143,9 +150,11 @@
             open = true;
             sentAt = at;
             long id = IDS.incrementAndGet();
-            channel.writeAndFlush(Unpooled.copiedBuffer("GET /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: b"
-                    + id + "\r\nX-Class: lookup\r\nX-Key: k" + id * 7919 % 1000
-                    + "\r\nX-Deadline-Ms: 5000\r\n\r\n", StandardCharsets.US_ASCII));
+            channel.writeAndFlush(Unpooled.copiedBuffer(
+                    "GET /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: b"
+                            + id + "\r\nX-Class: lookup\r\nX-Key: k" + id * 7919 % 1000
+                            + "\r\nX-Deadline-Ms: 5000\r\n\r\n",
+                    StandardCharsets.US_ASCII));
         }
 
         /** Answers have a Content-Length and come one at a time. */
--- a/src/main/java/mulleinfront/bench/IdleCost.java
+++ b/src/main/java/mulleinfront/bench/IdleCost.java
@@ -23,14 +23,20 @@
     private static final int HEARTBEAT_MS = 2_000;
     private static final int TICK_MS = 10;
     /** The deployed run line's flags that bear on memory and processor. */
-    private static final List<String> DEPLOYED = List.of("-Djava.net.preferIPv4Stack=true",
-            "-Dio.netty.jfr.enabled=false", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms24m",
+    private static final List<String> DEPLOYED = List.of(
+            "-Djava.net.preferIPv4Stack=true",
+            "-Dio.netty.jfr.enabled=false",
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-Xms24m",
             "-Xmx96m",
-            "-XX:MaxDirectMemorySize=16m", "-XX:MaxMetaspaceSize=48m", "-XX:ReservedCodeCacheSize=24m",
-                    "-Xss512k",
+            "-XX:MaxDirectMemorySize=16m",
+            "-XX:MaxMetaspaceSize=48m",
+            "-XX:ReservedCodeCacheSize=24m",
+            "-Xss512k",
             "-XX:-UsePerfData");
 
-    private IdleCost() { }
+    private IdleCost() {}
 
     /** Measures one process after the other, with lists of these sizes. */
     public static List<Slope> measure(int[] sizes, String command) throws IOException, InterruptedException {
@@ -48,9 +54,9 @@
             List<String> command = new ArrayList<>();
             command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
             command.addAll(DEPLOYED);
-            command.addAll(List.of("-cp", System.getProperty("java.class.path"), "mulleinfront.Main",
-                    "serve"));
-            ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
+            command.addAll(List.of("-cp", System.getProperty("java.class.path"), "mulleinfront.Main", "serve"));
+            ProcessBuilder builder = new ProcessBuilder(command)
+                    .redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.DISCARD);
             builder.environment().put("NODE_CONFIG", file.toString());
             Process process = builder.start();
@@ -65,13 +71,24 @@
                 long from = System.nanoTime();
                 Thread.sleep(MEASURED_MS);
                 double seconds = (System.nanoTime() - from) / 1e9;
-                out.add(hosts, "idle.processor", "processor time of an idle client proxy", "of a core",
+                out.add(
+                        hosts,
+                        "idle.processor",
+                        "processor time of an idle client proxy",
+                        "of a core",
                         (ticks(process) - ticks) * TICK_MS / 1e3 / seconds);
-                out.add(hosts, "idle.memory", "resident memory of an idle client proxy", "bytes",
-                        resident(process));
-                out.add(hosts, "idle.bytes", "bytes of a quiet watch of discovery", "bytes/s",
+                out.add(hosts, "idle.memory", "resident memory of an idle client proxy", "bytes", resident(process));
+                out.add(
+                        hosts,
+                        "idle.bytes",
+                        "bytes of a quiet watch of discovery",
+                        "bytes/s",
                         (discovery.bytes.get() - bytes) / seconds);
-                out.add(hosts, "idle.messages", "heartbeats of a quiet watch of discovery", "/s",
+                out.add(
+                        hosts,
+                        "idle.messages",
+                        "heartbeats of a quiet watch of discovery",
+                        "/s",
                         (discovery.messages.get() - messages) / seconds);
             } finally {
                 process.destroyForcibly().waitFor();
@@ -90,7 +107,9 @@
     private static long resident(Process process) throws IOException {
         String status = Files.readString(Path.of("/proc", "" + process.pid(), "status"));
         int at = status.indexOf("VmRSS:");
-        return 1024 * Long.parseLong(status.substring(at + 6, status.indexOf("kB", at)).strip());
+        return 1024
+                * Long.parseLong(
+                        status.substring(at + 6, status.indexOf("kB", at)).strip());
     }
 
     private static String config(int discovery) {
@@ -144,10 +163,13 @@
                 }
                 calls.incrementAndGet();
                 OutputStream out = s.getOutputStream();
-                write(out, ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                        + Integer.toHexString(list.length) + "\r\n" + new String(list,
-                        StandardCharsets.US_ASCII)
-                        + "\r\n").getBytes(StandardCharsets.US_ASCII));
+                write(
+                        out,
+                        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                        + Integer.toHexString(list.length) + "\r\n"
+                                        + new String(list, StandardCharsets.US_ASCII)
+                                        + "\r\n")
+                                .getBytes(StandardCharsets.US_ASCII));
                 while (true) {
                     Thread.sleep(HEARTBEAT_MS);
                     write(out, "1\r\n\n\r\n".getBytes(StandardCharsets.US_ASCII));
--- a/src/main/java/mulleinfront/bench/ListCost.java
+++ b/src/main/java/mulleinfront/bench/ListCost.java
@@ -24,7 +24,7 @@
     private static final int LEAST_ROUNDS = 20;
     private static final int HOSTS_READ = 200_000;
 
-    private ListCost() { }
+    private ListCost() {}
 
     /** One host in discovery's form, with names as long as the sites' own. */
     private static String entry(int i, int life, String state) {
@@ -45,13 +45,12 @@
 
     /** A change in the same form: the process on one host is gone, and the next one there. */
     private static byte[] change(int version, int host, int life) {
-        return list(version, false, List.of(entry(host, life - 1, "terminated"), entry(host, life,
-                "in_service")));
+        return list(version, false, List.of(entry(host, life - 1, "terminated"), entry(host, life, "in_service")));
     }
 
     private static byte[] list(int version, boolean full, List<String> entries) {
-        return ("{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries)
-                + "]}\n").getBytes(StandardCharsets.US_ASCII);
+        return ("{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries) + "]}\n")
+                .getBytes(StandardCharsets.US_ASCII);
     }
 
     /** Measures lists of these sizes. */
@@ -77,7 +76,11 @@
             now += 1_000;
             module.onEndpoints(now, Source.FULL, endpoints(Listing.parse(whole)));
         }
-        out.add(hosts, "lists.full.processor", "processor time to read and take a whole list", "s",
+        out.add(
+                hosts,
+                "lists.full.processor",
+                "processor time to read and take a whole list",
+                "s",
                 (cpu() - from) / 1e9 / rounds);
         byte[][] changes = new byte[rounds][];
         for (int i = 0; i < rounds; i++) {
@@ -88,7 +91,11 @@
             now += 1_000;
             module.onEndpoints(now, Source.DELTA, endpoints(Listing.parse(changes[i])));
         }
-        out.add(hosts, "lists.change.processor", "processor time to read and take one host replaced", "s",
+        out.add(
+                hosts,
+                "lists.change.processor",
+                "processor time to read and take one host replaced",
+                "s",
                 (cpu() - from) / 1e9 / rounds);
         double within = last(hosts);
         out.add(hosts, "lists.asked", "until all have asked discovery once, a list at hand", "s", within);
@@ -101,7 +108,8 @@
         for (int i = 0; i < instances; i++) {
             Caller caller = new Caller();
             Balancer module = module(instances, i, caller, true);
-            module.onEndpoints(0, Source.CACHED, List.of(new Endpoint("h", 0, 0, 0, Balancer.Availability.READY, 1, 0)));
+            module.onEndpoints(
+                    0, Source.CACHED, List.of(new Endpoint("h", 0, 0, 0, Balancer.Availability.READY, 1, 0)));
             for (long now = 0; !caller.called && caller.at < Long.MAX_VALUE; now = caller.at) {
                 module.onTimer(now);
                 last = Math.max(last, now);
@@ -139,11 +147,22 @@
     }
 
     private static Balancer module(int instances, int number, Balancer.Actions actions, boolean asks) {
-        RequestClass lookup = new RequestClass("lookup", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0,
-                2_000_000);
-        return Balancer.create(new Settings(List.of(lookup), List.of(), 1, instances, 0, asks, false,
-                new Limits(3, true, false, 0, 15_000_000), new Contract(10_000_000, 0.2, 20_000_000), number),
-                1 + number, asks ? 0 : 1_000_000, actions);
+        RequestClass lookup = new RequestClass("lookup", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 2_000_000);
+        return Balancer.create(
+                new Settings(
+                        List.of(lookup),
+                        List.of(),
+                        1,
+                        instances,
+                        0,
+                        asks,
+                        false,
+                        new Limits(3, true, false, 0, 15_000_000),
+                        new Contract(10_000_000, 0.2, 20_000_000),
+                        number),
+                1 + number,
+                asks ? 0 : 1_000_000,
+                actions);
     }
 
     private static long cpu() {
--- a/src/main/java/mulleinfront/bench/Measured.java
+++ b/src/main/java/mulleinfront/bench/Measured.java
@@ -30,8 +30,8 @@
     /** Takes down one figure at one size. */
     void add(double size, String id, String what, String unit, double figure) {
         words.put(id, new String[] {what, unit});
-        points.computeIfAbsent(id, i -> new ArrayList<>()).add(new Fit.Point(size,
-                new BigDecimal(figure).round(DIGITS).doubleValue()));
+        points.computeIfAbsent(id, i -> new ArrayList<>())
+                .add(new Fit.Point(size, new BigDecimal(figure).round(DIGITS).doubleValue()));
     }
 
     List<Slope> slopes() {
--- a/src/main/java/mulleinfront/bench/MembershipCost.java
+++ b/src/main/java/mulleinfront/bench/MembershipCost.java
@@ -27,6 +27,7 @@
     private static final long SETTLE_US = 100 * SECOND;
     /** After each fault, before the next. */
     private static final long BETWEEN_US = 20 * SECOND;
+
     private static final long GONE_US = 600 * SECOND;
     /** Parts of the fleet, as at the size: one rack and one day's restarts, all at once. */
     private static final double RESTARTS = 35.0 / 670;
@@ -47,8 +48,7 @@
         this.rack = rack;
         this.zones = zones;
         this.out = out;
-        this.run = FleetRun.alone(count, seed,
-                i -> FleetSettings.usual("size", "n" + i, i, count, PERIOD_US, GONE_US));
+        this.run = FleetRun.alone(count, seed, i -> FleetSettings.usual("size", "n" + i, i, count, PERIOD_US, GONE_US));
         this.known = new Fleet[count];
         this.sent = new long[count];
         this.firstSuspected = new long[count];
@@ -74,15 +74,14 @@
      * @param progress a line for each size
      * @param rack hosts of a rack as a part of the fleet
      */
-    public static List<Slope> measure(PrintWriter progress, int[] sizes, long seed, double rack, int zones,
-            String command) {
+    public static List<Slope> measure(
+            PrintWriter progress, int[] sizes, long seed, double rack, int zones, String command) {
         Measured out = new Measured("client proxies", command);
         new MembershipCost(sizes[0], seed, rack, zones, new Measured("", "")).play();
         for (int n : sizes) {
             long from = cpu();
             new MembershipCost(n, seed, rack, zones, out).play();
-            progress.printf(Locale.ROOT, "membership of %d: %.0f s of processor time%n", n,
-                    (cpu() - from) / 1e9);
+            progress.printf(Locale.ROOT, "membership of %d: %.0f s of processor time%n", n, (cpu() - from) / 1e9);
             progress.flush();
         }
         return out.slopes();
@@ -92,11 +91,14 @@
         long heap = used();
         phase("start", "through a start of all within a second", 20, () -> starts(0, count, SECOND));
         run.run(SETTLE_US);
-        out.add(count, "membership.state",
-                "heap that a member's view holds, its part of the emulator with it", "bytes",
+        out.add(
+                count,
+                "membership.state",
+                "heap that a member's view holds, its part of the emulator with it",
+                "bytes",
                 Math.max(0, used() - heap) / (double) count);
         Reference.reachabilityFence(run);
-        phase("rest", "at rest", 20, () -> { });
+        phase("rest", "at rest", 20, () -> {});
         killed("host", "after one host's end", Math.max(1, count / 2), 1);
         killed("rack", "after a rack's end, all at once", 0, Math.max(1, (int) Math.round(rack * count)));
         killed("zone", "after a zone's end, all at once", 0, count / zones);
@@ -148,8 +150,12 @@
             worst = Math.max(worst, (last - killedAt[i]) / 1e6);
             suspected = Math.max(suspected, (firstSuspected[i] - killedAt[i]) / 1e6);
         }
-        out.add(count, "membership." + id + ".suspected", "worst time until somebody suspects one " + what,
-                "s", suspected);
+        out.add(
+                count,
+                "membership." + id + ".suspected",
+                "worst time until somebody suspects one " + what,
+                "s",
+                suspected);
         out.add(count, "membership." + id + ".known", "worst time until all know of one " + what, "s", worst);
         Arrays.fill(killedAt, 0);
         phase(id + "-return", what + " and its return within a second", 20, () -> starts(from, many, SECOND));
@@ -161,8 +167,7 @@
         BitSet other = new BitSet();
         other.set(count / 2, count);
         PeerFaults.End[] cut = new PeerFaults.End[1];
-        phase("apart", "while two halves are apart for a minute", 60, () -> cut[0] = run.cut(one, other,
-                false));
+        phase("apart", "while two halves are apart for a minute", 60, () -> cut[0] = run.cut(one, other, false));
         long[] even = {0};
         phase("together", "while two halves find each other again", 40, () -> {
             cut[0].end();
@@ -178,7 +183,11 @@
                 }
             });
         });
-        out.add(count, "membership.together.known", "time until the two halves hold one view again", "s",
+        out.add(
+                count,
+                "membership.together.known",
+                "time until the two halves hold one view again",
+                "s",
                 (even[0] == 0 ? 40 * SECOND : even[0]) / 1e6);
     }
 
@@ -225,14 +234,15 @@
         double each = (double) count * seconds;
         FleetRun.Figures f = run.figures();
         String name = "membership." + id;
-        out.add(count, name + ".processor", "processor time of each " + what, "of a core",
-                (cpu() - cpu) / 1e9 / each);
-        out.add(count, name + ".messages", "datagrams from each " + what, "/s",
+        out.add(count, name + ".processor", "processor time of each " + what, "of a core", (cpu() - cpu) / 1e9 / each);
+        out.add(
+                count,
+                name + ".messages",
+                "datagrams from each " + what,
+                "/s",
                 (f.datagrams() - before.datagrams()) / each);
-        out.add(count, name + ".bytes", "bytes from each " + what, "bytes/s",
-                (f.bytes() - before.bytes()) / each);
-        out.add(count, name + ".worst", "bytes from the busiest in its busiest second " + what, "bytes/s",
-                worst);
+        out.add(count, name + ".bytes", "bytes from each " + what, "bytes/s", (f.bytes() - before.bytes()) / each);
+        out.add(count, name + ".worst", "bytes from the busiest in its busiest second " + what, "bytes/s", worst);
     }
 
     private static long cpu() {
--- a/src/main/java/mulleinfront/bench/SnapshotCost.java
+++ b/src/main/java/mulleinfront/bench/SnapshotCost.java
@@ -21,7 +21,7 @@
 public final class SnapshotCost {
     private static final int ROUNDS = 20_000;
 
-    private SnapshotCost() { }
+    private SnapshotCost() {}
 
     /**
      * Measures so many services.
@@ -35,16 +35,17 @@
         for (int n : services) {
             ByteArrayOutputStream whole = new ByteArrayOutputStream();
             for (int i = 0; i < n; i++) {
-                whole.write(("{\"service\":\"service-" + i + "\",\"settings\":")
-                        .getBytes(StandardCharsets.US_ASCII));
+                whole.write(("{\"service\":\"service-" + i + "\",\"settings\":").getBytes(StandardCharsets.US_ASCII));
                 whole.write(one);
                 whole.write("}\n".getBytes(StandardCharsets.US_ASCII));
             }
             out.add(n, "configuration.whole.bytes", "the settings of all services", "bytes", whole.size());
-            out.add(n, "configuration.change.bytes", "the settings of one service", "bytes",
-                    whole.size() / (double) n);
-            out.add(n, "configuration.whole.processor",
-                    "processor time to read the settings of all services", "s",
+            out.add(n, "configuration.change.bytes", "the settings of one service", "bytes", whole.size() / (double) n);
+            out.add(
+                    n,
+                    "configuration.whole.processor",
+                    "processor time to read the settings of all services",
+                    "s",
                     read(one, n));
         }
         return out.slopes();
--- a/src/main/java/mulleinfront/bench/StandIn.java
+++ b/src/main/java/mulleinfront/bench/StandIn.java
@@ -26,12 +26,18 @@
     private static final byte[] ANSWER =
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII);
 
-    private StandIn() { }
+    private StandIn() {}
 
     private static int listen(EventLoopGroup group, ChannelHandler connection) throws InterruptedException {
-        Channel server = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, 1024).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(connection).bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
+        Channel server = new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, 1024)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(connection)
+                .bind(InetAddress.getLoopbackAddress(), 0)
+                .sync()
+                .channel();
         return ((InetSocketAddress) server.localAddress()).getPort();
     }
 
@@ -72,8 +78,11 @@
                     if (micros == 0) {
                         ctx.write(Unpooled.wrappedBuffer(ANSWER));
                     } else {
-                        ctx.executor().schedule(() -> ctx.writeAndFlush(Unpooled.wrappedBuffer(ANSWER)),
-                                (long) (micros * (0.5 + own.nextDouble())), TimeUnit.MICROSECONDS);
+                        ctx.executor()
+                                .schedule(
+                                        () -> ctx.writeAndFlush(Unpooled.wrappedBuffer(ANSWER)),
+                                        (long) (micros * (0.5 + own.nextDouble())),
+                                        TimeUnit.MICROSECONDS);
                     }
                 }
             }
@@ -97,10 +106,14 @@
                 ctx.channel().config().setAutoRead(false);
                 Pass back = new Pass();
                 back.other = ctx.channel();
-                other = new Bootstrap().group(ctx.channel().eventLoop()).channel(NioSocketChannel.class)
-                        .option(ChannelOption.TCP_NODELAY, true).handler(back)
+                other = new Bootstrap()
+                        .group(ctx.channel().eventLoop())
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .handler(back)
                         .connect(InetAddress.getLoopbackAddress(), to)
-                        .addListener(f -> ctx.channel().config().setAutoRead(true)).channel();
+                        .addListener(f -> ctx.channel().config().setAutoRead(true))
+                        .channel();
             }
         }));
     }
--- a/src/main/java/mulleinfront/bench/Throughput.java
+++ b/src/main/java/mulleinfront/bench/Throughput.java
@@ -11,8 +11,8 @@
 public final class Throughput {
     private static final int HOSTS = 12;
     /** As in the deployed run line: small heap, first compiler only, one collector thread. */
-    static final List<String> DEPLOYED = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms24m",
-            "-Xmx96m", "-Dio.netty.jfr.enabled=false");
+    static final List<String> DEPLOYED = List.of(
+            "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms24m", "-Xmx96m", "-Dio.netty.jfr.enabled=false");
 
     private final PrintWriter out;
     private final long warmMs;
@@ -34,7 +34,7 @@
     }
 
     /** One line of a table. */
-    private record Row(String name, Driver.Result result, double cpuMicros, double bytes) { }
+    private record Row(String name, Driver.Result result, double cpuMicros, double bytes) {}
 
     /**
      * Measures one kind of hosts under some numbers of connections.
@@ -47,16 +47,30 @@
                 Child.Handle relay = new Child.Handle(cpus, DEPLOYED, "relay", "" + hosts.ports.get(0));
                 Child.Handle proxy = new Child.Handle(cpus, proxyJvm, "proxy", config(hosts.ports), "1")) {
             for (int count : connections) {
-                out.printf(Locale.ROOT, "%nhosts of %.1f ms, %d connections%n%-22s %11s %9s %9s %9s %9s %9s %9s%n",
-                        micros / 1e3, count, "", "requests/s", "p50 ms", "p99 ms", "p99.9 ms", "no 200", "cpu us",
+                out.printf(
+                        Locale.ROOT,
+                        "%nhosts of %.1f ms, %d connections%n%-22s %11s %9s %9s %9s %9s %9s %9s%n",
+                        micros / 1e3,
+                        count,
+                        "",
+                        "requests/s",
+                        "p50 ms",
+                        "p99 ms",
+                        "p99.9 ms",
+                        "no 200",
+                        "cpu us",
                         "bytes");
                 Row direct = row("direct", count, hosts.ports, null, 0);
                 Row by = row("relay", count, relay.ports, relay, 0);
                 Row through = row("client proxy", count, proxy.ports, proxy, 0);
-                out.printf(Locale.ROOT, "client proxy: %.0f%% of direct, %.0f%% of the relay, p99 %+.1f ms over direct,"
-                        + " cpu %.1f times the relay's%n", 100 * through.result.perSecond()
-                        / direct.result.perSecond(), 100 * through.result.perSecond() / by.result.perSecond(),
-                        through.result.ms(99) - direct.result.ms(99), through.cpuMicros / by.cpuMicros);
+                out.printf(
+                        Locale.ROOT,
+                        "client proxy: %.0f%% of direct, %.0f%% of the relay, p99 %+.1f ms over direct,"
+                                + " cpu %.1f times the relay's%n",
+                        100 * through.result.perSecond() / direct.result.perSecond(),
+                        100 * through.result.perSecond() / by.result.perSecond(),
+                        through.result.ms(99) - direct.result.ms(99),
+                        through.cpuMicros / by.cpuMicros);
                 if (open > 0) {
                     double rate = open * Math.min(by.result.perSecond(), through.result.perSecond());
                     row("direct, open loop", count, hosts.ports, null, rate);
@@ -74,8 +88,19 @@
      */
     public void measureLoops(long micros, int count, int[] loops) throws IOException, InterruptedException {
         try (Child.Handle hosts = new Child.Handle("", List.of("-XX:+UseSerialGC"), "hosts", "" + HOSTS, "" + micros)) {
-            out.printf(Locale.ROOT, "%nhosts of %.1f ms, %d connections%n%-22s %11s %9s %9s %9s %9s %9s %9s%n",
-                    micros / 1e3, count, "", "requests/s", "p50 ms", "p99 ms", "p99.9 ms", "no 200", "cpu us", "bytes");
+            out.printf(
+                    Locale.ROOT,
+                    "%nhosts of %.1f ms, %d connections%n%-22s %11s %9s %9s %9s %9s %9s %9s%n",
+                    micros / 1e3,
+                    count,
+                    "",
+                    "requests/s",
+                    "p50 ms",
+                    "p99 ms",
+                    "p99.9 ms",
+                    "no 200",
+                    "cpu us",
+                    "bytes");
             double first = 0;
             for (int many : loops) {
                 try (Child.Handle proxy = new Child.Handle(cpus, proxyJvm, "proxy", config(hosts.ports), "" + many)) {
@@ -96,11 +121,21 @@
                     at[0] = measured.figures();
                 }
             });
-            Figures used = measured == null ? new Figures(0, 0) : measured.figures().since(at[0]);
+            Figures used =
+                    measured == null ? new Figures(0, 0) : measured.figures().since(at[0]);
             double requests = Math.max(1, result.times().getTotalCount());
             Row row = new Row(name, result, used.cpuNanos() / 1e3 / requests, used.allocatedBytes() / requests);
-            out.printf(Locale.ROOT, "%-22s %11.0f %9.2f %9.2f %9.2f %9d %9.1f %9.0f%n", name, result.perSecond(),
-                    result.ms(50), result.ms(99), result.ms(99.9), result.others(), row.cpuMicros, row.bytes);
+            out.printf(
+                    Locale.ROOT,
+                    "%-22s %11.0f %9.2f %9.2f %9.2f %9d %9.1f %9.0f%n",
+                    name,
+                    result.perSecond(),
+                    result.ms(50),
+                    result.ms(99),
+                    result.ms(99.9),
+                    result.others(),
+                    row.cpuMicros,
+                    row.bytes);
             out.flush();
             return row;
         }
--- a/src/main/java/mulleinfront/bench/TimedHost.java
+++ b/src/main/java/mulleinfront/bench/TimedHost.java
@@ -25,6 +25,7 @@
      * client proxy passes bodies on as they are, and not every header.
      */
     static final int DIGITS = 12;
+
     private static final AtomicLong SEEDS = new AtomicLong(1);
 
     private final long micros;
@@ -42,14 +43,21 @@
      * @return its port
      */
     static int listen(EventLoopGroup group, long micros) throws InterruptedException {
-        return ((InetSocketAddress) new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new TimedHost(micros));
-                    }
-                }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel().localAddress()).getPort();
+        return ((InetSocketAddress) new ServerBootstrap()
+                        .group(group)
+                        .channel(NioServerSocketChannel.class)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(new ChannelInitializer<SocketChannel>() {
+                            @Override
+                            protected void initChannel(SocketChannel ch) {
+                                ch.pipeline().addLast(new TimedHost(micros));
+                            }
+                        })
+                        .bind(InetAddress.getLoopbackAddress(), 0)
+                        .sync()
+                        .channel()
+                        .localAddress())
+                .getPort();
     }
 
     /** Requests have no body here and come one at a time, so each ends with a blank line. */
@@ -61,11 +69,17 @@
             seen = b == '\n' ? seen + 1 : b == '\r' ? seen : 0;
             if (seen == 2) {
                 seen = 0;
-                ctx.executor().schedule(() -> ctx.writeAndFlush(Unpooled.copiedBuffer(
-                        String.format(Locale.ROOT, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%0" + DIGITS
-                        + "d",
-                        DIGITS, System.nanoTime() - now), StandardCharsets.US_ASCII)),
-                        (long) (micros * (0.5 + random.nextDouble())), TimeUnit.MICROSECONDS);
+                ctx.executor()
+                        .schedule(
+                                () -> ctx.writeAndFlush(Unpooled.copiedBuffer(
+                                        String.format(
+                                                Locale.ROOT,
+                                                "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%0" + DIGITS + "d",
+                                                DIGITS,
+                                                System.nanoTime() - now),
+                                        StandardCharsets.US_ASCII)),
+                                (long) (micros * (0.5 + random.nextDouble())),
+                                TimeUnit.MICROSECONDS);
             }
         }
     }
--- a/src/main/java/mulleinfront/benchlink/Adapter.java
+++ b/src/main/java/mulleinfront/benchlink/Adapter.java
@@ -28,6 +28,7 @@
     private final TreeMap<Integer, Instance> instances = new TreeMap<>();
     /** Instances addressed by the batch at hand, in order. */
     private final List<Instance> addressed = new ArrayList<>();
+
     private final List<List<Endpoint>> tables = new ArrayList<>();
 
     private Adapter(InputStream input, OutputStream output) throws IOException {
@@ -140,8 +141,7 @@
     /**
      * An action on its way to the wire; {@code number} is written under {@code numberName} if that is set.
      */
-    private record Action(String type, String requestId, String host, String numberName, long number,
-            String text) {
+    private record Action(String type, String requestId, String host, String numberName, long number, String text) {
         void write(JsonGenerator out) throws IOException {
             out.writeStartObject();
             out.writeStringField("m", type);
@@ -158,7 +158,7 @@
                 case "TIMER" -> out.writeStringField("name", "wake");
                 case "OBSERVE" -> out.writeBooleanField("enable", true);
                 case "CRASH" -> out.writeStringField("msg", text);
-                default -> { }
+                default -> {}
             }
             out.writeEndObject();
         }
@@ -190,16 +190,26 @@
             }
             switch (e.type) {
                 case "DISCOVERY" -> discovery(e, now);
-                case "ORDER" -> balancer.onRequest(now, new Request(e.requestId, e.classIndex, e.key, e.budgetUs,
-                        (e.bits & 1) != 0 ? e.expectedUs : 0, e.tenant, (e.bits & 2) != 0));
+                case "ORDER" ->
+                    balancer.onRequest(
+                            now,
+                            new Request(
+                                    e.requestId,
+                                    e.classIndex,
+                                    e.key,
+                                    e.budgetUs,
+                                    (e.bits & 1) != 0 ? e.expectedUs : 0,
+                                    e.tenant,
+                                    (e.bits & 2) != 0));
                 case "ABORTED" -> balancer.onRequestGone(now, e.requestId);
                 case "FIRST_BYTE" -> balancer.onStreamStarted(now, e.requestId, e.attempt);
-                case "ENDED" -> balancer.onAttemptEnded(now, new AttemptEnd(e.requestId, e.attempt,
-                        outcome(e.outcome), e.complete, e.lagUs));
+                case "ENDED" ->
+                    balancer.onAttemptEnded(
+                            now, new AttemptEnd(e.requestId, e.attempt, outcome(e.outcome), e.complete, e.lagUs));
                 case "BELL" -> balancer.onTimer(now);
                 case "STOP" -> balancer = null;
                 case "PONG" -> balancer.onProbeEnded(now, e.host, outcome(e.outcome), e.lagUs);
-                case "FROM_PEER" -> { }
+                case "FROM_PEER" -> {}
                 default -> throw new WireException("unknown event " + e.type);
             }
         }
@@ -232,8 +242,8 @@
 
         @Override
         public void refuse(String requestId, long retryAfterUs) {
-            pending.add(new Action("PUSH_BACK", requestId, null, retryAfterUs > 0 ? "holdOffUs" : null,
-                    retryAfterUs, null));
+            pending.add(new Action(
+                    "PUSH_BACK", requestId, null, retryAfterUs > 0 ? "holdOffUs" : null, retryAfterUs, null));
         }
 
         @Override
--- a/src/main/java/mulleinfront/benchlink/EventReader.java
+++ b/src/main/java/mulleinfront/benchlink/EventReader.java
@@ -17,6 +17,7 @@
     private int size;
     /** Three numbers a group: instance, first event, end of events. */
     private int[] groups = new int[48];
+
     private int groupCount;
 
     EventReader(JsonParser in) {
@@ -41,6 +42,7 @@
         int attempt;
         /** Requests that the host says it holds; NaN if it does not say. */
         double held;
+
         int table;
         boolean complete;
         List<Endpoint> rows;
--- a/src/main/java/mulleinfront/capacity/Capacity.java
+++ b/src/main/java/mulleinfront/capacity/Capacity.java
@@ -42,8 +42,8 @@
         Set<String> seen = new HashSet<>();
         for (Row row : rows) {
             if (!seen.add(row.role() + "/" + row.part() + "/" + row.when())) {
-                throw new IllegalArgumentException("row " + row.role() + ", " + row.part() + ", " + row.when()
-                        + " is there twice");
+                throw new IllegalArgumentException(
+                        "row " + row.role() + ", " + row.part() + ", " + row.when() + " is there twice");
             }
         }
         figures();
@@ -106,8 +106,7 @@
                 throw new IllegalArgumentException("row " + row.role() + ", " + row.part() + ", " + row.when()
                         + ": there is no slope " + t.slope());
             }
-            double part = !counted && fit == null ? Double.NaN : counted ? size.of(t.at())
-                    : fit.at(size.of(t.at()));
+            double part = !counted && fit == null ? Double.NaN : counted ? size.of(t.at()) : fit.at(size.of(t.at()));
             for (String times : t.times()) {
                 part *= factor(times);
             }
@@ -132,8 +131,11 @@
         List<Figure> worst = new ArrayList<>();
         for (Row row : rows) {
             List<Row.Cell> cells = row.none() && row.cells().isEmpty() ? List.of(NOTHING) : row.cells();
-            cells.stream().map(c -> figure(row, c)).max(Comparator.comparingDouble(Figure::share))
-                    .filter(f -> f.share() > 0).ifPresent(worst::add);
+            cells.stream()
+                    .map(c -> figure(row, c))
+                    .max(Comparator.comparingDouble(Figure::share))
+                    .filter(f -> f.share() > 0)
+                    .ifPresent(worst::add);
         }
         worst.sort(Comparator.comparingDouble(Figure::share).reversed());
         return worst;
@@ -151,12 +153,16 @@
 
     /** Rows that nothing carries and that this would carry. */
     public List<Row> missing(Need need) {
-        return rows.stream().filter(r -> r.none() && r.part().equals(need.rows())).toList();
+        return rows.stream()
+                .filter(r -> r.none() && r.part().equals(need.rows()))
+                .toList();
     }
 
     /** Largest share of a budget among the rows that it carries or would carry. */
     public double worst(Need need) {
-        return order().stream().filter(f -> f.row().part().equals(need.rows())).mapToDouble(Figure::share)
+        return order().stream()
+                .filter(f -> f.row().part().equals(need.rows()))
+                .mapToDouble(Figure::share)
                 .findFirst()
                 .orElse(0);
     }
@@ -167,7 +173,8 @@
      */
     public List<Need> neededFirst() {
         List<Need> all = new ArrayList<>(needs);
-        all.sort(Comparator.<Need>comparingDouble(n -> -worst(n)).thenComparingInt(n -> -kinds(n))
+        all.sort(Comparator.<Need>comparingDouble(n -> -worst(n))
+                .thenComparingInt(n -> -kinds(n))
                 .thenComparingDouble(n -> -daily(n)));
         return all;
     }
--- a/src/main/java/mulleinfront/capacity/Fit.java
+++ b/src/main/java/mulleinfront/capacity/Fit.java
@@ -55,7 +55,7 @@
     }
 
     /** One measurement. */
-    public record Point(double x, double y) { }
+    public record Point(double x, double y) {}
 
     /**
      * The simplest form that lies near the points.
@@ -86,15 +86,24 @@
 
     /** What grows in proportion until it meets a bound, at which two sizes or more stand. */
     private static Fit bounded(List<Point> points) {
-        List<Point> sorted = points.stream().sorted(Comparator.comparingDouble(Point::x)).toList();
+        List<Point> sorted =
+                points.stream().sorted(Comparator.comparingDouble(Point::x)).toList();
         double most = points.stream().mapToDouble(Point::y).max().orElseThrow();
         Fit best = null;
         for (int below = 1; below <= sorted.size() - 2; below++) {
-            double bound = sorted.stream().skip(below).mapToDouble(Point::y).average().orElseThrow();
-            double slope = sorted.stream().limit(below).mapToDouble(p -> p.y / p.x).average().orElseThrow();
+            double bound =
+                    sorted.stream().skip(below).mapToDouble(Point::y).average().orElseThrow();
+            double slope = sorted.stream()
+                    .limit(below)
+                    .mapToDouble(p -> p.y / p.x)
+                    .average()
+                    .orElseThrow();
             Fit fit = new Fit(Form.BOUNDED, bound, slope, 0);
-            double off = points.stream().mapToDouble(p -> Math.abs(fit.at(p.x) - p.y)).max()
-                    .orElseThrow() / most;
+            double off = points.stream()
+                            .mapToDouble(p -> Math.abs(fit.at(p.x) - p.y))
+                            .max()
+                            .orElseThrow()
+                    / most;
             best = best == null || off < best.worst ? new Fit(Form.BOUNDED, bound, slope, off) : best;
         }
         return best;
@@ -133,10 +142,16 @@
 
     /** In one line: the form, its two numbers and how far the farthest point is. */
     public String text() {
-        String line = form == Form.CONSTANT ? ""
-                : form == Form.BOUNDED ? ", " + Page.number(slope) + " x n, " + Page.number(base)
-                + " at most" : String.format(Locale.ROOT, ", %s + %s x %s",
-                Page.number(base), Page.number(slope), form == Form.AFFINE ? "n" : form.word());
+        String line = form == Form.CONSTANT
+                ? ""
+                : form == Form.BOUNDED
+                        ? ", " + Page.number(slope) + " x n, " + Page.number(base) + " at most"
+                        : String.format(
+                                Locale.ROOT,
+                                ", %s + %s x %s",
+                                Page.number(base),
+                                Page.number(slope),
+                                form == Form.AFFINE ? "n" : form.word());
         return form.word() + line + String.format(Locale.ROOT, "; worst point %.0f%% off", 100 * worst);
     }
 }
--- a/src/main/java/mulleinfront/capacity/Page.java
+++ b/src/main/java/mulleinfront/capacity/Page.java
@@ -55,9 +55,17 @@
             String[] words = name.substring(of + 2).split(", ", 2);
             return rows(words[0], words.length > 1 ? words[1] : "");
         }
-        Map<String, Supplier<String>> tables = Map.of("size", this::size, "slopes", this::slopes, "order",
+        Map<String, Supplier<String>> tables = Map.of(
+                "size",
+                this::size,
+                "slopes",
+                this::slopes,
+                "order",
                 this::order,
-                "mechanisms", this::mechanisms, "depth", this::depth);
+                "mechanisms",
+                this::mechanisms,
+                "depth",
+                this::depth);
         Supplier<String> table = tables.get(name);
         if (table == null) {
             throw new IllegalArgumentException("there is no table " + name);
@@ -69,9 +77,15 @@
         Size s = all.size();
         StringBuilder out = new StringBuilder("| what | figure |\n| --- | --- |\n");
         s.given().forEach((name, value) -> line(out, name, number(value)));
-        for (String name : List.of("calls-per-proxy", "calls-per-proxy-deep", "hosts-per-service",
+        for (String name : List.of(
+                "calls-per-proxy",
+                "calls-per-proxy-deep",
+                "hosts-per-service",
                 "proxies-per-machine",
-                "proxies-per-machine-one-gone", "zone-hosts", "zone-hosts-least", "region-hosts")) {
+                "proxies-per-machine-one-gone",
+                "zone-hosts",
+                "zone-hosts-least",
+                "region-hosts")) {
             line(out, name + " (follows)", number(s.of(name)));
         }
         return out.toString();
@@ -79,7 +93,8 @@
 
     /** The rows of one role's part, a measure a column. */
     String rows(String role, String part) {
-        List<Row> rows = all.rows().stream().filter(r -> r.role().equals(role) && r.part().equals(part))
+        List<Row> rows = all.rows().stream()
+                .filter(r -> r.role().equals(role) && r.part().equals(part))
                 .toList();
         if (rows.isEmpty()) {
             throw new IllegalArgumentException("there are no rows of " + role + ", " + part);
@@ -88,7 +103,8 @@
         for (Measure m : Measure.values()) {
             out.append(' ').append(m.word()).append(", ").append(m.unit()).append(" |");
         }
-        out.append(" carried by |\n| --- |").append(" --- |".repeat(Measure.values().length))
+        out.append(" carried by |\n| --- |")
+                .append(" --- |".repeat(Measure.values().length))
                 .append(" --- |\n");
         for (Row row : rows) {
             Map<Measure, Figure> by = new EnumMap<>(Measure.class);
@@ -114,26 +130,34 @@
     }
 
     private String slopes() {
-        StringBuilder out = new StringBuilder("| slope | what | measured | fit | at the size |\n"
-                + "| --- | --- | --- | --- | --- |\n");
+        StringBuilder out = new StringBuilder(
+                "| slope | what | measured | fit | at the size |\n" + "| --- | --- | --- | --- | --- |\n");
         for (Slope s : all.slopes()) {
             Fit fit = all.fit(s.id());
             if (fit == null) {
-                line(out, "`" + s.id() + "`", s.what() + ", " + s.unit() + ", by " + s.per(), "not measured",
-                        "-", "-");
+                line(out, "`" + s.id() + "`", s.what() + ", " + s.unit() + ", by " + s.per(), "not measured", "-", "-");
                 continue;
             }
             StringBuilder points = new StringBuilder();
-            s.points().forEach(p -> points.append(points.isEmpty() ? "" : ", ").append(number(p.x()))
-                    .append(": ")
-                    .append(number(p.y())));
-            String at = s.per().equals("services") ? number(fit.at(all.size().of("services"))) + " (services)"
-                    : s.per().equals("calls a second") ? number(fit.at(all.size().of("calls-per-proxy")))
-                    + "; "
-                    + number(fit.at(all.size().of("calls-per-proxy-deep"))) + " (calls)"
-                    : number(fit.at(all.size().of("hosts")));
-            line(out, "`" + s.id() + "`", s.what() + ", " + s.unit() + ", by " + s.per(), points.toString(),
-                    fit.text(), at);
+            s.points()
+                    .forEach(p -> points.append(points.isEmpty() ? "" : ", ")
+                            .append(number(p.x()))
+                            .append(": ")
+                            .append(number(p.y())));
+            String at = s.per().equals("services")
+                    ? number(fit.at(all.size().of("services"))) + " (services)"
+                    : s.per().equals("calls a second")
+                            ? number(fit.at(all.size().of("calls-per-proxy")))
+                                    + "; "
+                                    + number(fit.at(all.size().of("calls-per-proxy-deep"))) + " (calls)"
+                            : number(fit.at(all.size().of("hosts")));
+            line(
+                    out,
+                    "`" + s.id() + "`",
+                    s.what() + ", " + s.unit() + ", by " + s.per(),
+                    points.toString(),
+                    fit.text(),
+                    at);
         }
         return out.toString();
     }
@@ -143,10 +167,13 @@
                 + " |\n| --- | --- | --- | --- | --- | --- |\n");
         int shown = 0;
         Map<String, List<String>> none = new LinkedHashMap<>();
-        all.order().stream().map(Figure::row).filter(Row::none).forEach(r -> none
-                .computeIfAbsent(r.role() + ", " + r.part(), p -> new ArrayList<>()).add(r.when()));
-        none.forEach((part, when) -> line(out, part, String.join("; ", when), "nothing to measure", "-",
-                "none carries it", "**none**"));
+        all.order().stream()
+                .map(Figure::row)
+                .filter(Row::none)
+                .forEach(r -> none.computeIfAbsent(r.role() + ", " + r.part(), p -> new ArrayList<>())
+                        .add(r.when()));
+        none.forEach((part, when) ->
+                line(out, part, String.join("; ", when), "nothing to measure", "-", "none carries it", "**none**"));
         for (Figure f : all.order()) {
             Row row = f.row();
             if (row.none()) {
@@ -156,9 +183,14 @@
                 break;
             }
             Measure m = f.cell().measure();
-            line(out, row.role() + ", " + row.part(), row.when(), m.word() + " " + number(f.value()) + " "
-                    + m.unit(),
-                    number(f.budget()), percent(f.margin()), row.mechanism());
+            line(
+                    out,
+                    row.role() + ", " + row.part(),
+                    row.when(),
+                    m.word() + " " + number(f.value()) + " " + m.unit(),
+                    number(f.budget()),
+                    percent(f.margin()),
+                    row.mechanism());
         }
         return out.toString();
     }
@@ -170,9 +202,14 @@
         int place = 0;
         for (Need n : all.neededFirst()) {
             double worst = all.worst(n);
-            line(out, "" + ++place, n.name(), Double.isInfinite(worst) ? "none carries it" : percent(worst),
+            line(
+                    out,
+                    "" + ++place,
+                    n.name(),
+                    Double.isInfinite(worst) ? "none carries it" : percent(worst),
                     all.kinds(n) + ": " + (n.faults().isEmpty() ? "-" : String.join(", ", n.faults())),
-                    number(all.daily(n)), n.why());
+                    number(all.daily(n)),
+                    n.why());
         }
         return out.toString();
     }
@@ -183,8 +220,7 @@
                 + " all hops must keep for 99 in 100 calls |\n| --- | --- | --- |\n");
         int deepest = (int) all.size().of("depth");
         for (int hops = 1; hops <= deepest; hops++) {
-            line(out, "" + hops, percent(1 - Math.pow(0.99, hops)), "p" + number(100 * Math.pow(0.99,
-                    1.0 / hops), 5));
+            line(out, "" + hops, percent(1 - Math.pow(0.99, hops)), "p" + number(100 * Math.pow(0.99, 1.0 / hops), 5));
         }
         return out.toString();
     }
--- a/src/main/java/mulleinfront/capacity/Row.java
+++ b/src/main/java/mulleinfront/capacity/Row.java
@@ -58,8 +58,12 @@
 
     /** What is measured. */
     public enum Measure {
-        STATE("state", "bytes"), MESSAGES("messages", "/s"), BYTES("bytes", "bytes/s"),
-        PROCESSOR("processor", "of a core"), MEMORY("memory", "bytes"), TIME("time", "s");
+        STATE("state", "bytes"),
+        MESSAGES("messages", "/s"),
+        BYTES("bytes", "bytes/s"),
+        PROCESSOR("processor", "of a core"),
+        MEMORY("memory", "bytes"),
+        TIME("time", "s");
 
         private final String word;
         private final String unit;
--- a/src/main/java/mulleinfront/capacity/Size.java
+++ b/src/main/java/mulleinfront/capacity/Size.java
@@ -11,8 +11,19 @@
  */
 public record Size(Map<String, Double> given) {
     /** Names without which nothing can be worked out. */
-    private static final String[] NEEDED = {"hosts", "services", "calls-per-s", "depth", "regions", "zones",
-        "rack-hosts", "machines", "changes-per-day", "failures-per-day", "restarts-per-day"};
+    private static final String[] NEEDED = {
+        "hosts",
+        "services",
+        "calls-per-s",
+        "depth",
+        "regions",
+        "zones",
+        "rack-hosts",
+        "machines",
+        "changes-per-day",
+        "failures-per-day",
+        "restarts-per-day"
+    };
 
     /** @throws IllegalArgumentException if one is missing or not above 0 */
     public Size {
--- a/src/main/java/mulleinfront/cli/Bench.java
+++ b/src/main/java/mulleinfront/cli/Bench.java
@@ -11,9 +11,9 @@
 import mulleinfront.bench.Decisions;
 import mulleinfront.bench.Throughput;
 import mulleinfront.emulator.Scenario;
-import mulleinfront.settings.BadFileException;
 import mulleinfront.emulator.ScenarioReader;
 import mulleinfront.emulator.World;
+import mulleinfront.settings.BadFileException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -21,8 +21,10 @@
 import picocli.CommandLine.Spec;
 
 /** {@code bench}: measurements that anyone can repeat; no test depends on them. */
-@Command(name = "bench", mixinStandardHelpOptions = true, subcommands = {Bench.Emulator.class, Bench.Module.class,
-        Bench.OnSockets.class, CapacityCommand.class},
+@Command(
+        name = "bench",
+        mixinStandardHelpOptions = true,
+        subcommands = {Bench.Emulator.class, Bench.Module.class, Bench.OnSockets.class, CapacityCommand.class},
         description = "Measures this program on this machine.")
 final class Bench implements Runnable {
     @Spec
@@ -34,30 +36,49 @@
     }
 
     /** Speed and memory of the emulator, on one thread, as client proxies become more. */
-    @Command(name = "emulator", mixinStandardHelpOptions = true,
+    @Command(
+            name = "emulator",
+            mixinStandardHelpOptions = true,
             description = "Virtual seconds a second of wall time on one thread, as client proxies become more. For"
                     + " steady figures give the JVM one collector thread: java -XX:+UseSerialGC -jar ...")
     static final class Emulator implements Runnable {
         @Spec
         private CommandSpec spec;
 
-        @Parameters(paramLabel = "SCENARIO", defaultValue = "scenarios/calm.toml",
+        @Parameters(
+                paramLabel = "SCENARIO",
+                defaultValue = "scenarios/calm.toml",
                 description = "the world; its count of client proxies is replaced (default ${DEFAULT-VALUE})")
         private Path file;
 
-        @Option(names = "--instances", split = ",", paramLabel = "N", defaultValue = "5,50,500,5000",
+        @Option(
+                names = "--instances",
+                split = ",",
+                paramLabel = "N",
+                defaultValue = "5,50,500,5000",
                 description = "counts of client proxies (default ${DEFAULT-VALUE})")
         private int[] instances;
 
-        @Option(names = "--rounds", paramLabel = "N", defaultValue = "5",
+        @Option(
+                names = "--rounds",
+                paramLabel = "N",
+                defaultValue = "5",
                 description = "counted rounds of each, after one that is not (default ${DEFAULT-VALUE})")
         private int rounds;
 
         @Override
         public void run() {
             PrintWriter out = spec.commandLine().getOut();
-            out.printf(Locale.ROOT, "%9s %9s %9s %9s %12s %14s %10s%n", "instances", "requests", "events",
-                    "decisions", "virtual s/s", "us a request", "MB held");
+            out.printf(
+                    Locale.ROOT,
+                    "%9s %9s %9s %9s %12s %14s %10s%n",
+                    "instances",
+                    "requests",
+                    "events",
+                    "decisions",
+                    "virtual s/s",
+                    "us a request",
+                    "MB held");
             for (int count : instances) {
                 measure(out, count);
                 out.flush();
@@ -90,8 +111,15 @@
             }
             Arrays.sort(walls);
             double median = walls[rounds / 2];
-            out.printf(Locale.ROOT, "%9d %9d %9d %9d %12.0f %14.1f %10.1f%n", count, last.service().asks(),
-                    last.events(), last.decisions(), virtual / median, median * 1e6 / last.service().asks(),
+            out.printf(
+                    Locale.ROOT,
+                    "%9d %9d %9d %9d %12.0f %14.1f %10.1f%n",
+                    count,
+                    last.service().asks(),
+                    last.events(),
+                    last.decisions(),
+                    virtual / median,
+                    median * 1e6 / last.service().asks(),
                     held / 1e6);
         }
 
@@ -106,29 +134,47 @@
     }
 
     /** The decision module by itself. */
-    @Command(name = "decisions", mixinStandardHelpOptions = true,
+    @Command(
+            name = "decisions",
+            mixinStandardHelpOptions = true,
             description = "Cost of the decision module by itself as hosts become more: a request with its answer, one"
                     + " host replaced, a whole list that says nothing new.")
     static final class Module implements Runnable {
         @Spec
         private CommandSpec spec;
 
-        @Option(names = "--hosts", split = ",", paramLabel = "N", defaultValue = "12,200,1000,5000",
+        @Option(
+                names = "--hosts",
+                split = ",",
+                paramLabel = "N",
+                defaultValue = "12,200,1000,5000",
                 description = "sizes of the fleet (default ${DEFAULT-VALUE})")
         private int[] hosts;
 
-        @Option(names = "--requests", paramLabel = "N", defaultValue = "400000",
+        @Option(
+                names = "--requests",
+                paramLabel = "N",
+                defaultValue = "400000",
                 description = "counted requests of each size (default ${DEFAULT-VALUE})")
         private int requests;
 
-        @Option(names = "--changes", paramLabel = "N", defaultValue = "2000",
+        @Option(
+                names = "--changes",
+                paramLabel = "N",
+                defaultValue = "2000",
                 description = "counted replacements of a host (default ${DEFAULT-VALUE})")
         private int changes;
 
         @Override
         public void run() {
             PrintWriter out = spec.commandLine().getOut();
-            out.printf(Locale.ROOT, "%8s %12s %12s %14s %14s%n", "hosts", "us a request", "bytes", "us a change",
+            out.printf(
+                    Locale.ROOT,
+                    "%8s %12s %12s %14s %14s%n",
+                    "hosts",
+                    "us a request",
+                    "bytes",
+                    "us a change",
                     "us a list");
             for (int count : hosts) {
                 new Decisions(out, requests, changes).measure(count);
@@ -137,46 +183,71 @@
     }
 
     /** Direct, relay and client proxy under the same load. */
-    @Command(name = "throughput", mixinStandardHelpOptions = true,
+    @Command(
+            name = "throughput",
+            mixinStandardHelpOptions = true,
             description = "Requests a second, latency, CPU and allocation a request: straight to stand-in hosts, over a"
                     + " plain byte relay, and through the client proxy, in turn in one run on loopback.")
     static final class OnSockets implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
-        @Option(names = "--hosts-ms", split = ",", paramLabel = "MS", defaultValue = "0,1,5,20",
+        @Option(
+                names = "--hosts-ms",
+                split = ",",
+                paramLabel = "MS",
+                defaultValue = "0,1,5,20",
                 description = "mean times to a host's answer, drawn plus or minus half (default ${DEFAULT-VALUE})")
         private double[] hostsMs;
 
-        @Option(names = "--connections", split = ",", paramLabel = "N", defaultValue = "1,32,64,256",
+        @Option(
+                names = "--connections",
+                split = ",",
+                paramLabel = "N",
+                defaultValue = "1,32,64,256",
                 description = "connections of clients (default ${DEFAULT-VALUE})")
         private int[] connections;
 
-        @Option(names = "--seconds", paramLabel = "S", defaultValue = "5",
+        @Option(
+                names = "--seconds",
+                paramLabel = "S",
+                defaultValue = "5",
                 description = "measured time of each, after half of it that is not (default ${DEFAULT-VALUE})")
         private double seconds;
 
-        @Option(names = "--open", paramLabel = "PART", defaultValue = "0",
+        @Option(
+                names = "--open",
+                paramLabel = "PART",
+                defaultValue = "0",
                 description = "also an open loop at this part of the slower one's rate, each request measured from when"
                         + " it was due; 0: none (default ${DEFAULT-VALUE})")
         private double open;
 
-        @Option(names = "--cpu", paramLabel = "N[-M]", defaultValue = "",
+        @Option(
+                names = "--cpu",
+                paramLabel = "N[-M]",
+                defaultValue = "",
                 description = "keeps relay and client proxy on these processors, where taskset is installed")
         private String cpu;
 
-        @Option(names = "--loops", split = ",", paramLabel = "N", description = "the client proxy alone, with these"
-                + " numbers of event loops in turn, each against the first")
+        @Option(
+                names = "--loops",
+                split = ",",
+                paramLabel = "N",
+                description = "the client proxy alone, with these"
+                        + " numbers of event loops in turn, each against the first")
         private int[] loops = {};
 
-        @Option(names = "--proxy-jvm", paramLabel = "FLAG", description = "a further flag of the client proxy's JVM; may"
-                + " be given more than once")
+        @Option(
+                names = "--proxy-jvm",
+                paramLabel = "FLAG",
+                description = "a further flag of the client proxy's JVM; may" + " be given more than once")
         private List<String> proxyJvm = List.of();
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            Throughput bench = new Throughput(spec.commandLine().getOut(), (long) (500 * seconds),
-                    (long) (1000 * seconds), cpu, proxyJvm);
+            Throughput bench = new Throughput(
+                    spec.commandLine().getOut(), (long) (500 * seconds), (long) (1000 * seconds), cpu, proxyJvm);
             for (double ms : hostsMs) {
                 for (int count : loops.length == 0 ? new int[0] : connections) {
                     bench.measureLoops((long) (ms * 1000), count, loops);
--- a/src/main/java/mulleinfront/cli/CapacityCommand.java
+++ b/src/main/java/mulleinfront/cli/CapacityCommand.java
@@ -35,59 +35,95 @@
  * {@code bench capacity}: measures the slopes of docs/CAPACITY.md and holds the figures at the size against
  * budgets.
  */
-@Command(name = "capacity", mixinStandardHelpOptions = true,
+@Command(
+        name = "capacity",
+        mixinStandardHelpOptions = true,
         description = "Measures each slope at four sizes or more, fits it, works the figure out at the size,"
-            + " and prints budget and margin.",
-        footer = {"", "Exit codes: 0 all figures are within budget, 2 bad input (one line on standard error),"
-            + " 3 one is over, or nothing carries a row."})
+                + " and prints budget and margin.",
+        footer = {
+            "",
+            "Exit codes: 0 all figures are within budget, 2 bad input (one line on standard error),"
+                    + " 3 one is over, or nothing carries a row."
+        })
 final class CapacityCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--role", paramLabel = "R",
+    @Option(
+            names = "--role",
+            paramLabel = "R",
             description = "this role's rows and slopes only: the words of a role, or"
-            + " of a part of it, as the page has them")
+                    + " of a part of it, as the page has them")
     private String role;
 
-    @Option(names = "--from", paramLabel = "FILE", defaultValue = "docs/capacity.json",
+    @Option(
+            names = "--from",
+            paramLabel = "FILE",
+            defaultValue = "docs/capacity.json",
             description = "size, slopes, rows and mechanisms (default ${DEFAULT-VALUE})")
     private Path from;
 
-    @Option(names = "--json", paramLabel = "F",
-            description = "writes all of it with what was measured in place of what"
-            + " was held; may be the same file")
+    @Option(
+            names = "--json",
+            paramLabel = "F",
+            description =
+                    "writes all of it with what was measured in place of what" + " was held; may be the same file")
     private Path json;
 
-    @Option(names = "--page", paramLabel = "FILE",
-            description = "writes the tables of a page anew, as the slopes give"
-            + " them")
+    @Option(
+            names = "--page",
+            paramLabel = "FILE",
+            description = "writes the tables of a page anew, as the slopes give" + " them")
     private Path page;
 
-    @Option(names = "--size", paramLabel = "N",
+    @Option(
+            names = "--size",
+            paramLabel = "N",
             description = "so many hosts in place of the file's, calls in proportion")
     private Integer hosts;
 
-    @Option(names = "--at", split = ",", paramLabel = "N", defaultValue = "50,167,335,670,1340",
+    @Option(
+            names = "--at",
+            split = ",",
+            paramLabel = "N",
+            defaultValue = "50,167,335,670,1340",
             description = "sizes to measure at (default ${DEFAULT-VALUE})")
     private int[] at;
 
-    @Option(names = "--rates", split = ",", paramLabel = "N", defaultValue = "60,150,300,600",
+    @Option(
+            names = "--rates",
+            split = ",",
+            paramLabel = "N",
+            defaultValue = "60,150,300,600",
             description = "calls a second to measure the data path at (default ${DEFAULT-VALUE})")
     private int[] rates;
 
-    @Option(names = "--services", split = ",", paramLabel = "N", defaultValue = "10,20,40,77,154",
+    @Option(
+            names = "--services",
+            split = ",",
+            paramLabel = "N",
+            defaultValue = "10,20,40,77,154",
             description = "numbers of services to measure a configuration at (default ${DEFAULT-VALUE})")
     private int[] services;
 
-    @Option(names = "--sample", paramLabel = "FILE", defaultValue = "deploy/sample-config.json",
+    @Option(
+            names = "--sample",
+            paramLabel = "FILE",
+            defaultValue = "deploy/sample-config.json",
             description = "whose settings stand for each service's (default ${DEFAULT-VALUE})")
     private Path sample;
 
-    @Option(names = "--requests", paramLabel = "N", defaultValue = "1000",
+    @Option(
+            names = "--requests",
+            paramLabel = "N",
+            defaultValue = "1000",
             description = "calls measured at each rate, at the least (default ${DEFAULT-VALUE})")
     private int requests;
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1",
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
             description = "the one source of chance on virtual time (default ${DEFAULT-VALUE})")
     private long seed;
 
@@ -97,15 +133,17 @@
     @Override
     public Integer call() throws BadFileException, IOException, InterruptedException {
         for (int[] sizes : List.of(at, rates, services)) {
-            if (Arrays.stream(sizes).distinct().count() < Fit.LEAST_POINTS || Arrays.stream(sizes)
-                    .anyMatch(n -> n < 10)) {
-                throw new ParameterException(spec.commandLine(), "a slope needs " + Fit.LEAST_POINTS
-                        + " sizes or more, each of 10 at least");
+            if (Arrays.stream(sizes).distinct().count() < Fit.LEAST_POINTS
+                    || Arrays.stream(sizes).anyMatch(n -> n < 10)) {
+                throw new ParameterException(
+                        spec.commandLine(),
+                        "a slope needs " + Fit.LEAST_POINTS + " sizes or more, each of 10 at least");
             }
         }
         if (requests < 1 || hosts != null && hosts < 10) {
-            throw new ParameterException(spec.commandLine(), hosts != null && hosts < 10
-                    ? "--size must be 10 at least" : "--requests must be 1 at least");
+            throw new ParameterException(
+                    spec.commandLine(),
+                    hosts != null && hosts < 10 ? "--size must be 10 at least" : "--requests must be 1 at least");
         }
         Capacity all = CapacityFile.read(from);
         List<Row> rows = rows(all);
@@ -129,28 +167,36 @@
     }
 
     private List<Row> rows(Capacity all) {
-        List<Row> rows = all.rows().stream().filter(r -> role == null || r.role().equals(role) || r.part()
-                .equals(role))
+        List<Row> rows = all.rows().stream()
+                .filter(r -> role == null || r.role().equals(role) || r.part().equals(role))
                 .toList();
         if (rows.isEmpty()) {
-            throw new ParameterException(spec.commandLine(), "there is no role " + role + "; there are "
-                    + all.rows().stream().map(Row::role).distinct().collect(Collectors.joining(", ")));
+            throw new ParameterException(
+                    spec.commandLine(),
+                    "there is no role " + role + "; there are "
+                            + all.rows().stream().map(Row::role).distinct().collect(Collectors.joining(", ")));
         }
         return rows;
     }
 
     /** Only what these rows stand on is measured; what each group measures begins with its name. */
-    private List<Slope> measure(Capacity all, List<Row> rows, PrintWriter out) throws IOException,
-            InterruptedException {
-        Set<String> groups = rows.stream().flatMap(r -> r.cells().stream()).flatMap(c -> c.terms().stream())
+    private List<Slope> measure(Capacity all, List<Row> rows, PrintWriter out)
+            throws IOException, InterruptedException {
+        Set<String> groups = rows.stream()
+                .flatMap(r -> r.cells().stream())
+                .flatMap(c -> c.terms().stream())
                 .map(t -> t.slope().substring(0, Math.max(0, t.slope().indexOf('.'))))
                 .collect(Collectors.toSet());
         String again = "bench capacity --role ";
         List<Slope> measured = new ArrayList<>();
         if (groups.contains("membership")) {
-            measured.addAll(MembershipCost.measure(out, at, seed, all.size().of("rack-hosts") / all.size()
-                    .of("hosts"),
-                    (int) all.size().of("zones"), again + "membership"));
+            measured.addAll(MembershipCost.measure(
+                    out,
+                    at,
+                    seed,
+                    all.size().of("rack-hosts") / all.size().of("hosts"),
+                    (int) all.size().of("zones"),
+                    again + "membership"));
         }
         if (groups.contains("lists")) {
             measured.addAll(ListCost.measure(at, again + "lists"));
@@ -168,28 +214,44 @@
     }
 
     private Integer print(Capacity all, List<Row> rows, PrintWriter out) {
-        Set<String> used = rows.stream().flatMap(r -> r.cells().stream()).flatMap(c -> c.terms().stream())
-                .map(Row.Term::slope).collect(Collectors.toSet());
+        Set<String> used = rows.stream()
+                .flatMap(r -> r.cells().stream())
+                .flatMap(c -> c.terms().stream())
+                .map(Row.Term::slope)
+                .collect(Collectors.toSet());
         for (Slope s : all.slopes()) {
             if (used.contains(s.id()) && all.fit(s.id()) != null) {
-                out.printf(Locale.ROOT, "%-28s %s, by %s: %s%n", s.id(), s.unit(), s.per(), all.fit(s.id())
-                        .text());
+                out.printf(
+                        Locale.ROOT,
+                        "%-28s %s, by %s: %s%n",
+                        s.id(),
+                        s.unit(),
+                        s.per(),
+                        all.fit(s.id()).text());
             }
         }
         Set<Row> mine = Set.copyOf(rows);
-        List<Figure> figures = all.figures().stream().filter(f -> mine.contains(f.row()))
-                .sorted(Comparator.comparingDouble(Figure::share).reversed()).toList();
-        out.printf(Locale.ROOT, "%n%-64s %-10s %12s %12s %8s%n", "row", "measure", "figure", "budget",
-                "margin");
+        List<Figure> figures = all.figures().stream()
+                .filter(f -> mine.contains(f.row()))
+                .sorted(Comparator.comparingDouble(Figure::share).reversed())
+                .toList();
+        out.printf(Locale.ROOT, "%n%-64s %-10s %12s %12s %8s%n", "row", "measure", "figure", "budget", "margin");
         for (Figure f : figures) {
             Row r = f.row();
             boolean bounded = !Double.isNaN(f.budget());
-            out.printf(Locale.ROOT, "%-64s %-10s %12s %12s %8s%s%n", r.role() + ", " + r.part() + ", "
-                    + r.when(),
-                    f.cell().measure().word(), Double.isNaN(f.value()) ? "-" : Page.number(f.value()),
-                    bounded ? Page.number(f.budget()) : "-", r.none() ? "none" : bounded
-                            && !Double.isNaN(f.value())
-                    ? String.format(Locale.ROOT, "%.0f%%", 100 * f.margin()) : "-", f.over() ? "  over" : "");
+            out.printf(
+                    Locale.ROOT,
+                    "%-64s %-10s %12s %12s %8s%s%n",
+                    r.role() + ", " + r.part() + ", " + r.when(),
+                    f.cell().measure().word(),
+                    Double.isNaN(f.value()) ? "-" : Page.number(f.value()),
+                    bounded ? Page.number(f.budget()) : "-",
+                    r.none()
+                            ? "none"
+                            : bounded && !Double.isNaN(f.value())
+                                    ? String.format(Locale.ROOT, "%.0f%%", 100 * f.margin())
+                                    : "-",
+                    f.over() ? "  over" : "");
         }
         boolean over = figures.stream().anyMatch(Figure::over);
         out.println(over ? "over budget, or carried by nothing" : "all within budget");
--- a/src/main/java/mulleinfront/cli/CommandLine.java
+++ b/src/main/java/mulleinfront/cli/CommandLine.java
@@ -9,12 +9,26 @@
 import picocli.CommandLine.Spec;
 
 /** The words of the command line and what is common to them: exit codes, and errors in one line. */
-@Command(name = "mulleinfront", subcommands = {Emulate.class, Kit.class, Bench.class, FleetCommand.class,
-        KeepCommand.class, ConfigCommand.class, HollowCommand.class},
-        mixinStandardHelpOptions = true, versionProvider = CommandLine.Own.class,
+@Command(
+        name = "mulleinfront",
+        subcommands = {
+            Emulate.class,
+            Kit.class,
+            Bench.class,
+            FleetCommand.class,
+            KeepCommand.class,
+            ConfigCommand.class,
+            HollowCommand.class
+        },
+        mixinStandardHelpOptions = true,
+        versionProvider = CommandLine.Own.class,
         description = "A client proxy, and a world to rehearse it in.",
-        footer = {"", "serve      a client proxy on sockets, as NODE_CONFIG says",
-            "benchlink  the same decisions on the simulator's wire", "rehearse   for the build"})
+        footer = {
+            "",
+            "serve      a client proxy on sockets, as NODE_CONFIG says",
+            "benchlink  the same decisions on the simulator's wire",
+            "rehearse   for the build"
+        })
 public final class CommandLine implements Runnable {
     /** All is well and the rules were kept. */
     public static final int KEPT = 0;
@@ -38,8 +52,9 @@
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "a word is missing: emulate, kit, bench,"
-                + " fleet, keep, config, serve or benchlink");
+        throw new ParameterException(
+                spec.commandLine(),
+                "a word is missing: emulate, kit, bench," + " fleet, keep, config, serve or benchlink");
     }
 
     /** Runs a command line; gives the exit code. */
@@ -49,7 +64,8 @@
 
     /** The same with its output elsewhere. */
     public static int run(PrintWriter out, PrintWriter err, String... args) {
-        picocli.CommandLine line = new picocli.CommandLine(new CommandLine()).setOut(out).setErr(err);
+        picocli.CommandLine line =
+                new picocli.CommandLine(new CommandLine()).setOut(out).setErr(err);
         line.setParameterExceptionHandler((wrong, words) -> {
             wrong.getCommandLine().getErr().println("mulleinfront: " + plain(wrong));
             return BAD_INPUT;
--- a/src/main/java/mulleinfront/cli/ConfigCommand.java
+++ b/src/main/java/mulleinfront/cli/ConfigCommand.java
@@ -35,9 +35,15 @@
 import picocli.CommandLine.Spec;
 
 /** {@code config}: the fleet's configuration: looked at, proposed, and who is at what. */
-@Command(name = "config", mixinStandardHelpOptions = true,
-        subcommands = {ConfigCommand.Check.class, ConfigCommand.Propose.class, ConfigCommand.Status.class,
-            ConfigCommand.History.class},
+@Command(
+        name = "config",
+        mixinStandardHelpOptions = true,
+        subcommands = {
+            ConfigCommand.Check.class,
+            ConfigCommand.Propose.class,
+            ConfigCommand.Status.class,
+            ConfigCommand.History.class
+        },
         description = "The configuration of the whole fleet, which the control machines decide and hand out.")
 final class ConfigCommand implements Runnable {
     /** Somebody is behind, or a control machine is not there. */
@@ -46,6 +52,7 @@
     static final int REFUSED = 7;
     /** Nobody can say whether it was decided. */
     static final int UNKNOWN = 8;
+
     private static final JsonFactory JSON = new JsonFactory();
 
     @Spec
@@ -57,10 +64,11 @@
     }
 
     /** {@code config check}. */
-    @Command(name = "check", mixinStandardHelpOptions = true,
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
             description = "Reads a file of the fleet's configuration as a proposal would.",
-            footer = {"",
-            "Exit codes: 0 it can be proposed, 2 it can't (one line with file, line and reason)."})
+            footer = {"", "Exit codes: 0 it can be proposed, 2 it can't (one line with file, line and reason)."})
     static final class Check implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -72,9 +80,14 @@
         public Integer call() throws BadFileException {
             SortedMap<String, String> entries = FleetConfiguration.load(file);
             int bytes = DifferenceLine.write(Difference.whole(new Version(1, entries, "", 0))).length;
-            spec.commandLine().getOut().printf(Locale.ROOT,
-                    "%s: %d keys; the whole is %d bytes on the way to one that"
-                    + " starts with nothing%n", file, entries.size(), bytes);
+            spec.commandLine()
+                    .getOut()
+                    .printf(
+                            Locale.ROOT,
+                            "%s: %d keys; the whole is %d bytes on the way to one that" + " starts with nothing%n",
+                            file,
+                            entries.size(),
+                            bytes);
             spec.commandLine().getOut().flush();
             return CommandLine.KEPT;
         }
@@ -85,7 +98,10 @@
         @Spec
         CommandSpec spec;
 
-        @Option(names = "--config", paramLabel = "FILE", defaultValue = "deploy/control.toml",
+        @Option(
+                names = "--config",
+                paramLabel = "FILE",
+                defaultValue = "deploy/control.toml",
                 description = "where the control machines are (default ${DEFAULT-VALUE})")
         Path config;
 
@@ -98,9 +114,8 @@
                 throws IOException {
             InetSocketAddress door = machine.door();
             String host = door.getAddress().getHostAddress();
-            URI at = URI.create("http://" + (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":"
-                    + door.getPort()
-                    + call);
+            URI at = URI.create(
+                    "http://" + (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + door.getPort() + call);
             HttpURLConnection http = (HttpURLConnection) at.toURL().openConnection(Proxy.NO_PROXY);
             try {
                 http.setConnectTimeout(1_000);
@@ -111,8 +126,7 @@
                     http.getOutputStream().write(body);
                 }
                 boolean well = http.getResponseCode() == 200;
-                try (JsonParser in = JSON.createParser(well ? http.getInputStream()
-                        : http.getErrorStream())) {
+                try (JsonParser in = JSON.createParser(well ? http.getInputStream() : http.getErrorStream())) {
                     in.nextToken();
                     return object(in);
                 }
@@ -152,11 +166,15 @@
     }
 
     /** {@code config propose}. */
-    @Command(name = "propose", mixinStandardHelpOptions = true,
+    @Command(
+            name = "propose",
+            mixinStandardHelpOptions = true,
             description = "Has a file decided as the next version, in force at all client proxies.",
-            footer = {"",
-            "Exit codes: 0 decided; 2 bad input; 7 refused; 8 unknown (ask again with the --id that it"
-                + " says); 1 no control machine answers."})
+            footer = {
+                "",
+                "Exit codes: 0 decided; 2 bad input; 7 refused; 8 unknown (ask again with the --id that it"
+                        + " says); 1 no control machine answers."
+            })
     static final class Propose extends Asking {
         private static final int PATIENCE_MS = 4_000;
         private static final long GIVE_UP_MS = 12_000;
@@ -168,12 +186,14 @@
         @Option(names = "--why", required = true, paramLabel = "TEXT", description = "one line for people")
         private String why;
 
-        @Option(names = "--based-on", paramLabel = "N", defaultValue = "-1",
+        @Option(
+                names = "--based-on",
+                paramLabel = "N",
+                defaultValue = "-1",
                 description = "refused if another version than this is the newest")
         private long basedOn;
 
-        @Option(names = "--id", paramLabel = "ID", description =
-                "of a proposal that may have been decided already")
+        @Option(names = "--id", paramLabel = "ID", description = "of a proposal that may have been decided already")
         private String id;
 
         @Override
@@ -181,13 +201,13 @@
             SortedMap<String, String> entries = FleetConfiguration.load(file);
             ControlFile control = ControlFile.load(config);
             String own = id == null ? UUID.randomUUID().toString() : id;
-            byte[] body = WatchLine.proposal(new Proposal(own, basedOn, entries, why,
-                    System.currentTimeMillis()));
+            byte[] body = WatchLine.proposal(new Proposal(own, basedOn, entries, why, System.currentTimeMillis()));
             long end = System.nanoTime() + GIVE_UP_MS * 1_000_000;
             boolean maybe = false;
             String last = "";
             for (int turn = 0; turn == 0 || System.nanoTime() < end; turn++) {
-                ControlFile.Machine machine = control.machines().get(turn % control.machines().size());
+                ControlFile.Machine machine =
+                        control.machines().get(turn % control.machines().size());
                 try {
                     Map<String, Object> answer = ask(machine, "/config/propose", body, PATIENCE_MS);
                     String reason = String.valueOf(answer.getOrDefault("reason", ""));
@@ -215,29 +235,35 @@
                 }
                 Thread.sleep(AGAIN_MS);
             }
-            spec.commandLine().getErr().println("mulleinfront: " + (maybe
-                    ? "nobody can say whether it is decided; ask again with --id " + own
-                    : "no control machine answers") + " (" + last + ")");
+            spec.commandLine()
+                    .getErr()
+                    .println("mulleinfront: "
+                            + (maybe
+                                    ? "nobody can say whether it is decided; ask again with --id " + own
+                                    : "no control machine answers")
+                            + " (" + last + ")");
             return maybe ? UNKNOWN : CommandLine.FAILED;
         }
     }
 
     /** {@code config status}. */
-    @Command(name = "status", mixinStandardHelpOptions = true,
+    @Command(
+            name = "status",
+            mixinStandardHelpOptions = true,
             description = "Which version is the newest, and who is at what.",
-            footer = {"",
-            "Exit codes: 0 all that are there have the newest; 6 somebody is behind or a control machine is"
-                + " not there; 1 no control machine answers; 2 bad input."})
+            footer = {
+                "",
+                "Exit codes: 0 all that are there have the newest; 6 somebody is behind or a control machine is"
+                        + " not there; 1 no control machine answers; 2 bad input."
+            })
     static final class Status extends Asking {
         private static final int PATIENCE_MS = 2_000;
 
-        @Option(names = "--all", description =
-                "a line for each client proxy, also for those that have the newest")
+        @Option(names = "--all", description = "a line for each client proxy, also for those that have the newest")
         private boolean all;
 
         /** One client proxy by the word of the machine that last heard it. */
-        private record Row(String name, long at, boolean same, boolean watching, long heardMs,
-                String machine) {
+        private record Row(String name, long at, boolean same, boolean watching, long heardMs, String machine) {
             boolean laterThan(Row other) {
                 return watching != other.watching ? watching : heardMs < other.heardMs;
             }
@@ -260,17 +286,26 @@
                     well &= inTouch;
                     int watching = 0;
                     for (Map<String, Object> r : list(said, "readers")) {
-                        Row row = new Row(String.valueOf(r.get("name")), number(r, "at"),
+                        Row row = new Row(
+                                String.valueOf(r.get("name")),
+                                number(r, "at"),
                                 "true".equals(r.get("same")),
-                                "true".equals(r.get("watching")), number(r, "heard_ms"), machine.name());
+                                "true".equals(r.get("watching")),
+                                number(r, "heard_ms"),
+                                machine.name());
                         watching += row.watching() ? 1 : 0;
                         Row before = rows.get(row.name());
                         if (before == null || row.laterThan(before)) {
                             rows.put(row.name(), row);
                         }
                     }
-                    out().printf(Locale.ROOT, "%-16s version %d, %s, %d watching%n", machine.name(), its,
-                            inTouch ? "in touch with a majority" : "in touch with no majority", watching);
+                    out().printf(
+                                    Locale.ROOT,
+                                    "%-16s version %d, %s, %d watching%n",
+                                    machine.name(),
+                                    its,
+                                    inTouch ? "in touch with a majority" : "in touch with no majority",
+                                    watching);
                 } catch (IOException e) {
                     well = false;
                     out().printf(Locale.ROOT, "%-16s does not answer: %s%n", machine.name(), e.getMessage());
@@ -284,22 +319,27 @@
                 boolean has = row.watching() && row.same() && row.at() == newest;
                 at += has ? 1 : 0;
                 if (all || !has) {
-                    out().printf(Locale.ROOT, "  %-20s version %d%s, %s by %s, heard %.1f s ago%n",
-                            row.name(), row.at(),
-                            row.same() ? "" : " of another history",
-                            row.watching() ? "watched" : "last watched",
-                            row.machine(), row.heardMs() / 1e3);
+                    out().printf(
+                                    Locale.ROOT,
+                                    "  %-20s version %d%s, %s by %s, heard %.1f s ago%n",
+                                    row.name(),
+                                    row.at(),
+                                    row.same() ? "" : " of another history",
+                                    row.watching() ? "watched" : "last watched",
+                                    row.machine(),
+                                    row.heardMs() / 1e3);
                 }
             }
-            out().printf(Locale.ROOT, "version %d is in force at %d of %d client proxies%n", newest, at,
-                    rows.size());
+            out().printf(Locale.ROOT, "version %d is in force at %d of %d client proxies%n", newest, at, rows.size());
             out().flush();
             return well && at == rows.size() ? CommandLine.KEPT : BEHIND;
         }
     }
 
     /** {@code config history}. */
-    @Command(name = "history", mixinStandardHelpOptions = true,
+    @Command(
+            name = "history",
+            mixinStandardHelpOptions = true,
             description = "The versions that are still held.",
             footer = {"", "Exit codes: 0; 1 no control machine answers; 2 bad input."})
     static final class History extends Asking {
@@ -312,9 +352,8 @@
             List<Map<String, Object>> longest = null;
             for (ControlFile.Machine machine : control.machines()) {
                 try {
-                    List<Map<String, Object>> versions = list(ask(machine, "/config/history", null,
-                            PATIENCE_MS),
-                            "versions");
+                    List<Map<String, Object>> versions =
+                            list(ask(machine, "/config/history", null, PATIENCE_MS), "versions");
                     if (longest == null || newest(versions) > newest(longest)) {
                         longest = versions;
                     }
@@ -326,10 +365,15 @@
                 throw last;
             }
             for (Map<String, Object> v : longest) {
-                out().printf(Locale.ROOT, "%6s  %s  %5s keys, %s changed, %s removed  %s%n", v.get("version"),
-                        Instant.ofEpochMilli(number(v, "proposed_ms")), v.get("keys"),
-                        v.getOrDefault("changed", "?"),
-                        v.getOrDefault("removed", "?"), v.get("why"));
+                out().printf(
+                                Locale.ROOT,
+                                "%6s  %s  %5s keys, %s changed, %s removed  %s%n",
+                                v.get("version"),
+                                Instant.ofEpochMilli(number(v, "proposed_ms")),
+                                v.get("keys"),
+                                v.getOrDefault("changed", "?"),
+                                v.getOrDefault("removed", "?"),
+                                v.get("why"));
             }
             out().flush();
             return CommandLine.KEPT;
--- a/src/main/java/mulleinfront/cli/DrawCommand.java
+++ b/src/main/java/mulleinfront/cli/DrawCommand.java
@@ -12,7 +12,9 @@
 import picocli.CommandLine.Spec;
 
 /** {@code emulate draw}: a scenario file drawn from ranges. */
-@Command(name = "draw", mixinStandardHelpOptions = true,
+@Command(
+        name = "draw",
+        mixinStandardHelpOptions = true,
         description = "Writes a scenario file of a family, drawn by seed, to standard output.")
 final class DrawCommand implements Callable<Integer> {
     @Spec
@@ -24,20 +26,29 @@
     @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "default ${DEFAULT-VALUE}")
     private long seed;
 
-    @Option(names = "--instances", paramLabel = "N", defaultValue = "100",
+    @Option(
+            names = "--instances",
+            paramLabel = "N",
+            defaultValue = "100",
             description = "client proxies (default ${DEFAULT-VALUE})")
     private int instances;
 
-    @Option(names = "--start-ms", paramLabel = "MS", defaultValue = "-1",
+    @Option(
+            names = "--start-ms",
+            paramLabel = "MS",
+            defaultValue = "-1",
             description = "from a client proxy's start until it is ready (default: drawn)")
     private long startMs;
 
     static Drawn.Family family(CommandSpec spec, String word) {
         Drawn.Family f = Drawn.Family.of(word);
         if (f == null) {
-            throw new ParameterException(spec.commandLine(), "there is no family '" + word + "'; there are "
-                    + Arrays.stream(Drawn.Family.values()).map(Drawn.Family::word)
-                    .collect(Collectors.joining(", ")));
+            throw new ParameterException(
+                    spec.commandLine(),
+                    "there is no family '" + word + "'; there are "
+                            + Arrays.stream(Drawn.Family.values())
+                                    .map(Drawn.Family::word)
+                                    .collect(Collectors.joining(", ")));
         }
         return f;
     }
@@ -51,8 +62,10 @@
 
     @Override
     public Integer call() {
-        spec.commandLine().getOut().print(Drawn.of(family(spec, family), seed, atLeastOne(spec, instances),
-                startMs < 0 ? -1 : startMs * 1000));
+        spec.commandLine()
+                .getOut()
+                .print(Drawn.of(
+                        family(spec, family), seed, atLeastOne(spec, instances), startMs < 0 ? -1 : startMs * 1000));
         spec.commandLine().getOut().flush();
         return CommandLine.KEPT;
     }
--- a/src/main/java/mulleinfront/cli/Emulate.java
+++ b/src/main/java/mulleinfront/cli/Emulate.java
@@ -27,64 +27,76 @@
 import picocli.CommandLine.Spec;
 
 /** {@code emulate}: plays a scenario on virtual time, under one seed or many. */
-@Command(name = "emulate", mixinStandardHelpOptions = true, subcommands = {ExplainCommand.class,
-        DrawCommand.class, GraphCommand.class},
+@Command(
+        name = "emulate",
+        mixinStandardHelpOptions = true,
+        subcommands = {ExplainCommand.class, DrawCommand.class, GraphCommand.class},
         description = "Plays a scenario on virtual time and prints what clients had of it.",
-        footer = {"", "Exit codes: 0 the rules were kept, 2 bad input (one line on standard error),"
-            + " 3 a rule was broken."})
+        footer = {
+            "",
+            "Exit codes: 0 the rules were kept, 2 bad input (one line on standard error)," + " 3 a rule was broken."
+        })
 final class Emulate implements Callable<Integer> {
     private static final int WORST = 5;
 
     @Spec
     private CommandSpec spec;
 
-    @Parameters(arity = "0..1", paramLabel = "SCENARIO",
-            description = "a scenario file, such as scenarios/calm.toml")
+    @Parameters(arity = "0..1", paramLabel = "SCENARIO", description = "a scenario file, such as scenarios/calm.toml")
     private Path file;
 
-    @Option(names = "--seed", paramLabel = "N",
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
             description = "the one source of chance (default ${DEFAULT-VALUE})",
             defaultValue = "1")
     private long seed;
 
-    @Option(names = "--trace", paramLabel = "FILE",
-            description = "writes down each event and decision, a line each")
+    @Option(names = "--trace", paramLabel = "FILE", description = "writes down each event and decision, a line each")
     private Path trace;
 
     @Option(names = "--json", paramLabel = "FILE", description = "writes the report as JSON too")
     private Path json;
 
-    @Option(names = "--seeds", paramLabel = "A..B",
+    @Option(
+            names = "--seeds",
+            paramLabel = "A..B",
             description = "plays all these seeds and prints the mean, the"
-            + " worst, and how to replay the first broken rule")
+                    + " worst, and how to replay the first broken rule")
     private String seeds;
 
-    @Option(names = "--balancer", paramLabel = "NAME",
+    @Option(
+            names = "--balancer",
+            paramLabel = "NAME",
             description = "plays a reference balancer in place of the"
-            + " product: random, round-robin, two-choices, ring, late, oracle")
+                    + " product: random, round-robin, two-choices, ring, late, oracle")
     private String balancer;
 
-    @Option(names = "--balancers", paramLabel = "all",
-            description = "plays the product and every reference balancer,"
-            + " and prints one table")
+    @Option(
+            names = "--balancers",
+            paramLabel = "all",
+            description = "plays the product and every reference balancer," + " and prints one table")
     private String balancers;
 
-    @Option(names = "--drawn", paramLabel = "FAMILY",
-            description = "in place of a file: each seed draws its own"
-            + " deployment (see emulate draw)")
+    @Option(
+            names = "--drawn",
+            paramLabel = "FAMILY",
+            description = "in place of a file: each seed draws its own" + " deployment (see emulate draw)")
     private String drawn;
 
-    @Option(names = "--instances", paramLabel = "N", description = "with --drawn: client proxies (default"
-            + " ${DEFAULT-VALUE})")
+    @Option(
+            names = "--instances",
+            paramLabel = "N",
+            description = "with --drawn: client proxies (default" + " ${DEFAULT-VALUE})")
     private int instances = 100;
 
-    @Option(names = "--start-ms", paramLabel = "MS",
-            description = "with --drawn: from a client proxy's start until"
-            + " it is ready (default: drawn)")
+    @Option(
+            names = "--start-ms",
+            paramLabel = "MS",
+            description = "with --drawn: from a client proxy's start until" + " it is ready (default: drawn)")
     private long startMs = -1;
 
-    @Option(names = "--jobs", paramLabel = "N",
-            description = "worlds at once with --seeds (default: one a core)")
+    @Option(names = "--jobs", paramLabel = "N", description = "worlds at once with --seeds (default: one a core)")
     private int jobs = Runtime.getRuntime().availableProcessors();
 
     @Override
@@ -107,8 +119,7 @@
         if (seeds == null) {
             return one(scenario);
         }
-        throw new ParameterException(spec.commandLine(),
-                "--trace and --json are for one seed, not for --seeds");
+        throw new ParameterException(spec.commandLine(), "--trace and --json are for one seed, not for --seeds");
     }
 
     private Sweep.Source source() throws BadFileException {
@@ -117,20 +128,24 @@
             return any -> read;
         }
         if (balancers != null) {
-            throw new ParameterException(spec.commandLine(),
-                    "--balancers compares on a file, not with --drawn");
+            throw new ParameterException(spec.commandLine(), "--balancers compares on a file, not with --drawn");
         }
-        return Sweep.Source.drawn(DrawCommand.family(spec, drawn), DrawCommand.atLeastOne(spec, instances),
+        return Sweep.Source.drawn(
+                DrawCommand.family(spec, drawn),
+                DrawCommand.atLeastOne(spec, instances),
                 startMs < 0 ? -1 : startMs * 1000);
     }
 
     private Reference reference() {
         Reference reference = balancer == null ? null : Reference.of(balancer);
         if (balancer != null && reference == null) {
-            throw new ParameterException(spec.commandLine(), "--balancer: there is no '" + balancer
-                    + "'; there are "
-                    + Arrays.stream(Reference.values()).map(Reference::word)
-                            .collect(Collectors.joining(", ")));
+            throw new ParameterException(
+                    spec.commandLine(),
+                    "--balancer: there is no '" + balancer
+                            + "'; there are "
+                            + Arrays.stream(Reference.values())
+                                    .map(Reference::word)
+                                    .collect(Collectors.joining(", ")));
         }
         return reference;
     }
@@ -138,8 +153,8 @@
     /** The product and all references on the same seeds, one line each. */
     private int compare(Scenario scenario) throws InterruptedException {
         if (!balancers.equals("all") || balancer != null || trace != null || json != null) {
-            throw new ParameterException(spec.commandLine(),
-                    "--balancers takes the word all, and no --balancer, --trace or --json");
+            throw new ParameterException(
+                    spec.commandLine(), "--balancers takes the word all, and no --balancer, --trace or --json");
         }
         long[] range = seeds == null ? new long[] {seed, seed} : range();
         List<Compared> all = Compared.play(scenario, range[0], range[1], jobs);
@@ -156,8 +171,7 @@
             throw new ParameterException(spec.commandLine(), "--trace is for the product's decisions alone");
         }
         try (OutputStream to = trace == null ? null : open(trace)) {
-            result = (reference == null ? World.of(scenario, seed, to) : World.under(reference, scenario,
-                    seed)).play();
+            result = (reference == null ? World.of(scenario, seed, to) : World.under(reference, scenario, seed)).play();
         }
         if (json != null) {
             try (OutputStream to = open(json)) {
@@ -192,8 +206,7 @@
             done[0]++;
             done[1] += played.breaches() > 0 ? 1 : 0;
             if (terminal) {
-                err.printf(Locale.ROOT, "\r%s: %d of %d seeds, %d with a broken rule ", name, done[0], count,
-                        done[1]);
+                err.printf(Locale.ROOT, "\r%s: %d of %d seeds, %d with a broken rule ", name, done[0], count, done[1]);
                 err.flush();
             }
         });
@@ -201,14 +214,15 @@
             err.println();
         }
         PrintWriter out = spec.commandLine().getOut();
-        out.printf(Locale.ROOT, "%s, seeds %d..%d: mean service %.4f%n", name, range[0], range[1],
-                Sweep.mean(all));
+        out.printf(Locale.ROOT, "%s, seeds %d..%d: mean service %.4f%n", name, range[0], range[1], Sweep.mean(all));
         StringBuilder worst = new StringBuilder();
         for (Sweep.Played p : Sweep.worst(all, WORST)) {
             worst.append(String.format(Locale.ROOT, " %d (%.4f)", p.seed(), p.service()));
         }
         out.printf(Locale.ROOT, "worst seeds:%s%n", worst);
-        out.printf(Locale.ROOT, "goodput: mean %.3f, least %.3f; servers that fell over: %d%n",
+        out.printf(
+                Locale.ROOT,
+                "goodput: mean %.3f, least %.3f; servers that fell over: %d%n",
                 all.stream().mapToDouble(Sweep.Played::goodput).average().orElse(0),
                 all.stream().mapToDouble(Sweep.Played::goodput).min().orElse(0),
                 all.stream().mapToInt(Sweep.Played::fell).sum());
@@ -217,9 +231,12 @@
         if (broken.isEmpty()) {
             out.println("rules: all four kept under every seed");
         } else {
-            out.printf(Locale.ROOT,
-                    "rules: broken under %d of %d seeds; the first:%n  %s%n  replay: emulate %s"
-                    + " --seed %d%n", broken.size(), count, broken.get(0).breach(),
+            out.printf(
+                    Locale.ROOT,
+                    "rules: broken under %d of %d seeds; the first:%n  %s%n  replay: emulate %s" + " --seed %d%n",
+                    broken.size(),
+                    count,
+                    broken.get(0).breach(),
                     file != null ? file : "--drawn " + drawn + " --instances " + instances,
                     broken.get(0).seed());
         }
@@ -238,7 +255,8 @@
         } catch (NumberFormatException | StringIndexOutOfBoundsException e) {
             // said below
         }
-        throw new ParameterException(spec.commandLine(), "--seeds: '" + seeds
-                + "' is no range of seeds: A..B with A no more than B, as 1..500");
+        throw new ParameterException(
+                spec.commandLine(),
+                "--seeds: '" + seeds + "' is no range of seeds: A..B with A no more than B, as 1..500");
     }
 }
--- a/src/main/java/mulleinfront/cli/FleetCommand.java
+++ b/src/main/java/mulleinfront/cli/FleetCommand.java
@@ -26,13 +26,20 @@
 import picocli.CommandLine.Spec;
 
 /** {@code fleet}: asks a client proxy, at its operators' door, what it knows of the others. */
-@Command(name = "fleet", mixinStandardHelpOptions = true,
-        subcommands = {FleetCommand.Members.class, FleetCommand.Watch.class, FleetCommand.Leave.class,
-            FleetCommand.Check.class},
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        subcommands = {
+            FleetCommand.Members.class,
+            FleetCommand.Watch.class,
+            FleetCommand.Leave.class,
+            FleetCommand.Check.class
+        },
         description = "Who is there, by the word of one client proxy; and the file that makes it a member.")
 final class FleetCommand implements Runnable {
     /** The view is not settled, or only a minority of the fleet is in reach. */
     static final int UNSETTLED = 6;
+
     private static final int PATIENCE_MS = 5_000;
 
     @Spec
@@ -48,7 +55,10 @@
         @Spec
         CommandSpec spec;
 
-        @Option(names = "--door", required = true, paramLabel = "ADDRESS:PORT",
+        @Option(
+                names = "--door",
+                required = true,
+                paramLabel = "ADDRESS:PORT",
                 description = "the client proxy's management address")
         private String door;
 
@@ -80,8 +90,8 @@
         static String yes(BufferedReader in) throws IOException {
             String answer = in.readLine();
             if (answer == null || !answer.startsWith("+OK ")) {
-                throw new IOException(answer == null ? "the door closed without an answer"
-                        : answer.replaceFirst("^-ERR ", ""));
+                throw new IOException(
+                        answer == null ? "the door closed without an answer" : answer.replaceFirst("^-ERR ", ""));
             }
             return answer.substring("+OK ".length());
         }
@@ -92,10 +102,15 @@
     }
 
     /** {@code fleet members}. */
-    @Command(name = "members", mixinStandardHelpOptions = true,
+    @Command(
+            name = "members",
+            mixinStandardHelpOptions = true,
             description = "Who is there, since when and by whose word.",
-            footer = {"", "Exit codes: 0 settled, with all or most in reach; 6 not settled, or a minority in reach;",
-                "1 nobody answers; 2 bad input."})
+            footer = {
+                "",
+                "Exit codes: 0 settled, with all or most in reach; 6 not settled, or a minority in reach;",
+                "1 nobody answers; 2 bad input."
+            })
     static final class Members extends Asking {
         @Option(names = "--json", description = "as one JSON object")
         private boolean json;
@@ -114,14 +129,21 @@
                     out().print(table);
                 }
                 out().flush();
-                boolean well = "true".equals(head.get("settled")) && !"minority".equals(head.get("reach"))
+                boolean well = "true".equals(head.get("settled"))
+                        && !"minority".equals(head.get("reach"))
                         && !"alone".equals(head.get("reach"));
                 return well ? CommandLine.KEPT : UNSETTLED;
             }
         }
 
         private static void read(String answer, Map<String, String> head, StringBuilder table) throws IOException {
-            table.append(String.format(Locale.ROOT, "%n%-8s %-20s %-10s %10s  %s%n", "member", "name", "state", "since",
+            table.append(String.format(
+                    Locale.ROOT,
+                    "%n%-8s %-20s %-10s %10s  %s%n",
+                    "member",
+                    "name",
+                    "state",
+                    "since",
                     "by the word of"));
             try (JsonParser in = new JsonFactory().createParser(answer)) {
                 in.nextToken();
@@ -131,8 +153,13 @@
                     if (field.equals("members")) {
                         while (in.nextToken() == JsonToken.START_OBJECT) {
                             Map<String, String> m = flat(in);
-                            table.append(String.format(Locale.ROOT, "%-8s %-20s %-10s %8.1f s  %s%n", m.get("member"),
-                                    m.get("name"), m.get("state"), Long.parseLong(m.get("since_ms")) / 1e3,
+                            table.append(String.format(
+                                    Locale.ROOT,
+                                    "%-8s %-20s %-10s %8.1f s  %s%n",
+                                    m.get("member"),
+                                    m.get("name"),
+                                    m.get("state"),
+                                    Long.parseLong(m.get("since_ms")) / 1e3,
                                     m.get("word")));
                         }
                     } else if (in.currentToken() == JsonToken.START_OBJECT) {
@@ -157,7 +184,9 @@
     }
 
     /** {@code fleet watch}. */
-    @Command(name = "watch", mixinStandardHelpOptions = true,
+    @Command(
+            name = "watch",
+            mixinStandardHelpOptions = true,
             description = "Prints each change as a line of JSON, until it is ended or the client proxy is gone.")
     static final class Watch extends Asking {
         @Override
@@ -166,7 +195,7 @@
                 BufferedReader in = reader(socket);
                 spec.commandLine().getErr().println(yes(in));
                 socket.setSoTimeout(0);
-                for (String line; (line = in.readLine()) != null;) {
+                for (String line; (line = in.readLine()) != null; ) {
                     out().println(line);
                     out().flush();
                 }
@@ -176,7 +205,9 @@
     }
 
     /** {@code fleet leave}. */
-    @Command(name = "leave", mixinStandardHelpOptions = true,
+    @Command(
+            name = "leave",
+            mixinStandardHelpOptions = true,
             description = "Has a quiesced client proxy say to the others that it leaves; resume brings it back.")
     static final class Leave extends Asking {
         @Override
@@ -190,7 +221,9 @@
     }
 
     /** {@code fleet check}. */
-    @Command(name = "check", mixinStandardHelpOptions = true,
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
             description = "Reads a fleet file, and a configuration beside it, as a start would.",
             footer = {"", "Exit codes: 0 it can be taken, 2 it can't (one line with file, line and reason)."})
     static final class Check implements Callable<Integer> {
@@ -216,10 +249,16 @@
                 }
             }
             int members = config == null ? 100 : read.peers().size();
-            spec.commandLine().getOut().printf(Locale.ROOT, "fleet %s: one that dies is suspected after %.1f s on the"
-                    + " average, and known to have failed by all within %.0f s at the most among %d members%n",
-                    read.figures().fleet(), 1.5 * read.figures().periodUs() / 1e6,
-                    read.figures().agreeWithinUs(members) / 1e6, members);
+            spec.commandLine()
+                    .getOut()
+                    .printf(
+                            Locale.ROOT,
+                            "fleet %s: one that dies is suspected after %.1f s on the"
+                                    + " average, and known to have failed by all within %.0f s at the most among %d members%n",
+                            read.figures().fleet(),
+                            1.5 * read.figures().periodUs() / 1e6,
+                            read.figures().agreeWithinUs(members) / 1e6,
+                            members);
             spec.commandLine().getOut().flush();
             return CommandLine.KEPT;
         }
--- a/src/main/java/mulleinfront/cli/HollowCommand.java
+++ b/src/main/java/mulleinfront/cli/HollowCommand.java
@@ -11,7 +11,10 @@
 import picocli.CommandLine.Option;
 
 /** {@code hollow}: many client proxies in one process, for {@code kit scale}. */
-@Command(name = "hollow", mixinStandardHelpOptions = true, hidden = true,
+@Command(
+        name = "hollow",
+        mixinStandardHelpOptions = true,
+        hidden = true,
         description = "Runs many client proxies that nobody calls in one process; NODE_CONFIG names a file that names"
                 + " the configuration of each, one a line.")
 final class HollowCommand implements Callable<Integer> {
@@ -27,7 +30,10 @@
         if (list == null) {
             throw new IOException("NODE_CONFIG is not set");
         }
-        List<Path> files = Files.readAllLines(Path.of(list)).stream().filter(l -> !l.isBlank()).map(Path::of).toList();
+        List<Path> files = Files.readAllLines(Path.of(list)).stream()
+                .filter(l -> !l.isBlank())
+                .map(Path::of)
+                .toList();
         Hollow all = Hollow.start(files, loops, control == null ? null : ControlFile.load(control));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
--- a/src/main/java/mulleinfront/cli/KeepCommand.java
+++ b/src/main/java/mulleinfront/cli/KeepCommand.java
@@ -25,9 +25,10 @@
 import picocli.CommandLine.Spec;
 
 /** {@code keep}: one of three control machines, until it is ended. */
-@Command(name = "keep", mixinStandardHelpOptions = true,
-        description =
-                "One of three control machines: decides versions of the fleet's configuration with the"
+@Command(
+        name = "keep",
+        mixinStandardHelpOptions = true,
+        description = "One of three control machines: decides versions of the fleet's configuration with the"
                 + " others,"
                 + " keeps them and hands them out.",
         footer = {"", "Exit codes: 0 ended by SIGTERM; 1 it can't go on; 2 bad input."})
@@ -38,15 +39,16 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--config", required = true, paramLabel = "FILE",
-            description = "such as deploy/control.toml")
+    @Option(names = "--config", required = true, paramLabel = "FILE", description = "such as deploy/control.toml")
     private Path config;
 
-    @Option(names = "--me", required = true, paramLabel = "N",
-            description = "which [[machine]] it is, from 1")
+    @Option(names = "--me", required = true, paramLabel = "N", description = "which [[machine]] it is, from 1")
     private int me;
 
-    @Option(names = "--dir", required = true, paramLabel = "DIR",
+    @Option(
+            names = "--dir",
+            required = true,
+            paramLabel = "DIR",
             description = "its own folder: the log of what was decided")
     private Path folder;
 
@@ -54,7 +56,8 @@
     public Integer call() throws BadFileException, IOException, InterruptedException {
         ControlFile file = ControlFile.load(config);
         if (me < 1 || me > file.machines().size()) {
-            throw new BadFileException("--me: must be from 1 to " + file.machines().size());
+            throw new BadFileException(
+                    "--me: must be from 1 to " + file.machines().size());
         }
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         ControlFile.Machine own = file.machines().get(me - 1);
@@ -71,7 +74,12 @@
         KeeperNode node = new KeeperNode(settings, loop);
         HandoutServer server;
         try {
-            server = HandoutServer.start(own.name(), loop, own.door(), node, file.handout(),
+            server = HandoutServer.start(
+                    own.name(),
+                    loop,
+                    own.door(),
+                    node,
+                    file.handout(),
                     file.events() == null ? null : Path.of(file.events().replace("%n", own.name())));
         } catch (IOException e) {
             loop.submit(node::close).await();
@@ -80,11 +88,15 @@
         }
         loop.execute(node::start);
         CountDownLatch ended = new CountDownLatch(1);
-        loop.scheduleWithFixedDelay(() -> {
-            if (node.status().fault() != null) {
-                ended.countDown();
-            }
-        }, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> {
+                    if (node.status().fault() != null) {
+                        ended.countDown();
+                    }
+                },
+                LOOK_MS,
+                LOOK_MS,
+                TimeUnit.MILLISECONDS);
         AtomicBoolean told = new AtomicBoolean();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             told.set(true);
@@ -96,13 +108,16 @@
             }
             ended.countDown();
         }));
-        spec.commandLine().getErr().println("mulleinfront: control machine " + own.name() + " hands out on "
-                + NetUtil.toSocketAddressString(server.address()));
+        spec.commandLine()
+                .getErr()
+                .println("mulleinfront: control machine " + own.name() + " hands out on "
+                        + NetUtil.toSocketAddressString(server.address()));
         ended.await();
         if (told.get()) {
             return CommandLine.KEPT;
         }
         // Whoever watches it finds another; it takes no part until somebody has looked at its folder.
-        throw new IOException("control machine " + own.name() + " ends: " + node.status().fault());
+        throw new IOException(
+                "control machine " + own.name() + " ends: " + node.status().fault());
     }
 }
--- a/src/main/java/mulleinfront/cli/Kit.java
+++ b/src/main/java/mulleinfront/cli/Kit.java
@@ -32,8 +32,10 @@
 import picocli.CommandLine.Spec;
 
 /** {@code kit}: rehearsals on real sockets. */
-@Command(name = "kit", mixinStandardHelpOptions = true, subcommands = {Kit.Run.class, Kit.Suite.class, Kit.Show.class,
-        ScaleCommand.class, SoakCommand.class},
+@Command(
+        name = "kit",
+        mixinStandardHelpOptions = true,
+        subcommands = {Kit.Run.class, Kit.Suite.class, Kit.Show.class, ScaleCommand.class, SoakCommand.class},
         description = "Rehearses on real sockets, on loopback, against client proxies that run as processes.")
 final class Kit implements Runnable {
     /** Kit and daemon are of different versions. */
@@ -56,16 +58,26 @@
         @Spec
         CommandSpec spec;
 
-        @Option(names = "--daemon", paramLabel = "CMD", description = "the shell command that starts one client proxy"
-                + " (default: the run line of deploy/balancer.toml, if there is one here, else this program's serve)")
+        @Option(
+                names = "--daemon",
+                paramLabel = "CMD",
+                description =
+                        "the shell command that starts one client proxy"
+                                + " (default: the run line of deploy/balancer.toml, if there is one here, else this program's serve)")
         private String daemon;
 
-        @Option(names = "--seed", paramLabel = "N", defaultValue = "1",
+        @Option(
+                names = "--seed",
+                paramLabel = "N",
+                defaultValue = "1",
                 description = "the one source of chance (default ${DEFAULT-VALUE})")
         private long seed;
 
-        @Option(names = "--report", paramLabel = "DIR", description = "for the reports, and the client proxies'"
-                + " configurations and logs (default: a new folder for temporary files)")
+        @Option(
+                names = "--report",
+                paramLabel = "DIR",
+                description = "for the reports, and the client proxies'"
+                        + " configurations and logs (default: a new folder for temporary files)")
         private Path report;
 
         @Option(names = "--any-version", description = "judges also a daemon of another version")
@@ -74,9 +86,15 @@
         int play(Scenario scenario) throws BadFileException, IOException, InterruptedException {
             PrintWriter out = spec.commandLine().getOut();
             PrintWriter err = spec.commandLine().getErr();
-            Path folder = report != null ? report.resolve(scenario.name())
+            Path folder = report != null
+                    ? report.resolve(scenario.name())
                     : Files.createTempDirectory("rehearsal-" + scenario.name());
-            RealRun run = new RealRun(scenario, seed, command(daemon), Path.of("").toAbsolutePath(), folder,
+            RealRun run = new RealRun(
+                    scenario,
+                    seed,
+                    command(daemon),
+                    Path.of("").toAbsolutePath(),
+                    folder,
                     line -> err.println(scenario.name() + ": " + line));
             if (anyVersion) {
                 run.anyVersion();
@@ -92,7 +110,9 @@
             });
             Runtime.getRuntime().addShutdownHook(hook);
             Rehearsal on = run.play();
-            Rehearsal both = on.sockets() == null ? on : on.beside(World.of(scenario, seed, null).play());
+            Rehearsal both = on.sockets() == null
+                    ? on
+                    : on.beside(World.of(scenario, seed, null).play());
             String text = Report.text(both, anyVersion);
             synchronized (out) {
                 out.print(text);
@@ -145,10 +165,15 @@
     }
 
     /** One scenario. */
-    @Command(name = "run", mixinStandardHelpOptions = true,
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
             description = "Plays a scenario on sockets, and on virtual time beside it, and judges the four rules.",
-            footer = {"", "Exit codes: 0 kept, 2 bad input, 3 a rule broken or a client proxy failed, 4 daemon and kit"
-                + " of different versions, 5 the machine was too busy."})
+            footer = {
+                "",
+                "Exit codes: 0 kept, 2 bad input, 3 a rule broken or a client proxy failed, 4 daemon and kit"
+                        + " of different versions, 5 the machine was too busy."
+            })
     static final class Run extends Playing {
         @Parameters(paramLabel = "SCENARIO", description = "a scenario file, such as scenarios/calm.toml")
         private Path file;
@@ -164,14 +189,19 @@
     }
 
     /** All shipped scenarios. */
-    @Command(name = "suite", mixinStandardHelpOptions = true,
+    @Command(
+            name = "suite",
+            mixinStandardHelpOptions = true,
             description = "Plays every scenario of a folder, some at once; the worst exit code is its own.")
     static final class Suite extends Playing {
         @Parameters(paramLabel = "DIR", defaultValue = "scenarios", description = "default ${DEFAULT-VALUE}")
         private Path folder;
 
-        @Option(names = "--jobs", paramLabel = "N", description = "rehearsals at once, each of which wants four cores"
-                + " (default: what this machine has, here ${DEFAULT-VALUE})")
+        @Option(
+                names = "--jobs",
+                paramLabel = "N",
+                description = "rehearsals at once, each of which wants four cores"
+                        + " (default: what this machine has, here ${DEFAULT-VALUE})")
         private int jobs = Math.max(1, Runtime.getRuntime().availableProcessors() / 4);
 
         @Override
--- a/src/main/java/mulleinfront/config/Checksum.java
+++ b/src/main/java/mulleinfront/config/Checksum.java
@@ -5,7 +5,7 @@
 
 /** One number for all that a version holds: against damage and mixed-up histories, not against forgers. */
 public final class Checksum {
-    private Checksum() { }
+    private Checksum() {}
 
     /** XXH3 with 64 bits over number, time, reason, and each key and value with its length. */
     public static long of(Version version) {
--- a/src/main/java/mulleinfront/config/Difference.java
+++ b/src/main/java/mulleinfront/config/Difference.java
@@ -19,9 +19,14 @@
  * @param decidedAtMillis of the new version, for people
  * @param checksum the new version's, whole
  */
-public record Difference(long from, long to, SortedMap<String, String> changed, SortedSet<String> removed,
+public record Difference(
+        long from,
+        long to,
+        SortedMap<String, String> changed,
+        SortedSet<String> removed,
         String why,
-        long decidedAtMillis, long checksum) {
+        long decidedAtMillis,
+        long checksum) {
 
     public Difference {
         changed = Collections.unmodifiableSortedMap(new TreeMap<>(changed));
@@ -38,8 +43,8 @@
         }
         TreeSet<String> removed = new TreeSet<>(from.entries().keySet());
         removed.removeAll(to.entries().keySet());
-        return new Difference(from.number(), to.number(), changed, removed, to.why(), to.decidedAtMillis(),
-                Checksum.of(to));
+        return new Difference(
+                from.number(), to.number(), changed, removed, to.why(), to.decidedAtMillis(), Checksum.of(to));
     }
 
     /** A version as a difference that stands on nothing. */
@@ -73,8 +78,8 @@
     public Version on(Version held) throws MisfitException {
         Version base = isWhole() ? Version.NONE : held;
         if (base.number() != from) {
-            throw new MisfitException("a difference from version " + from + " to " + to + " on version "
-                    + base.number());
+            throw new MisfitException(
+                    "a difference from version " + from + " to " + to + " on version " + base.number());
         }
         TreeMap<String, String> entries = new TreeMap<>(base.entries());
         entries.keySet().removeAll(removed);
--- a/src/main/java/mulleinfront/config/Follower.java
+++ b/src/main/java/mulleinfront/config/Follower.java
@@ -53,12 +53,14 @@
     private final Actions actions;
     /** Machines in the order in which this one tries them: those who lose one spread over the others. */
     private final int[] order;
+
     private Version inForce;
     private long checksum;
     private State state = State.WAITING;
     private int turn;
     /** Tries that came to nothing, one after the other. */
     private int failures;
+
     private boolean wantsWhole;
     private long heardUs;
     private long askedUs;
@@ -68,6 +70,7 @@
     private long behindSinceUs = -1;
     /** Machines left for being behind, one after the other. */
     private int leftBehind;
+
     private long wakeUs = Long.MAX_VALUE;
 
     /** @param kept the last good version, or {@link Version#NONE}; it is in force at once */
@@ -201,7 +204,7 @@
                 }
             }
             case WATCHING -> watch(now);
-            case ENDED -> { }
+            case ENDED -> {}
         }
         wake(now);
     }
@@ -243,8 +246,7 @@
         } else if (failures < order.length) {
             spread = settings.spreadUs() / 4;
         } else {
-            spread = Math.min(settings.mostRetryUs(), settings.retryUs() << Math.min(10,
-                    failures - order.length));
+            spread = Math.min(settings.mostRetryUs(), settings.retryUs() << Math.min(10, failures - order.length));
         }
         nextTryUs = now + random.nextLong(spread);
         wake(now);
@@ -254,8 +256,10 @@
         long at = switch (state) {
             case WAITING -> nextTryUs;
             case ASKING -> askedUs + settings.connectUs();
-            case WATCHING -> Math.min(Math.min(heardUs + settings.silenceUs(), nextReportUs),
-                    behindSinceUs < 0 ? Long.MAX_VALUE : behindSinceUs + behindPatience());
+            case WATCHING ->
+                Math.min(
+                        Math.min(heardUs + settings.silenceUs(), nextReportUs),
+                        behindSinceUs < 0 ? Long.MAX_VALUE : behindSinceUs + behindPatience());
             case ENDED -> Long.MAX_VALUE;
         };
         // Each piece heard puts the instant off: the timer that stands comes early and looks again.
--- a/src/main/java/mulleinfront/config/FollowerSettings.java
+++ b/src/main/java/mulleinfront/config/FollowerSettings.java
@@ -12,12 +12,18 @@
  * @param behindUs a machine that says of itself that it is behind is left after this
  * @param reportUs how often it is said again which version is in force
  */
-public record FollowerSettings(int machines, long silenceUs, long connectUs, long spreadUs, long retryUs,
-        long mostRetryUs, long behindUs, long reportUs) {
+public record FollowerSettings(
+        int machines,
+        long silenceUs,
+        long connectUs,
+        long spreadUs,
+        long retryUs,
+        long mostRetryUs,
+        long behindUs,
+        long reportUs) {
 
     /** Times that keep the bound of 6 s; see the design note for the sum. */
     public static FollowerSettings usual(int machines) {
-        return new FollowerSettings(machines, 1_500_000, 500_000, 1_000_000, 500_000, 2_000_000, 1_000_000,
-                2_000_000);
+        return new FollowerSettings(machines, 1_500_000, 500_000, 1_000_000, 500_000, 2_000_000, 1_000_000, 2_000_000);
     }
 }
--- a/src/main/java/mulleinfront/config/Handout.java
+++ b/src/main/java/mulleinfront/config/Handout.java
@@ -68,6 +68,7 @@
         long sent;
         /** The line that it is being sent, if any, and how far. */
         byte[] line;
+
         int offset;
         long leadsTo;
         long begunUs;
@@ -93,14 +94,17 @@
     private final Map<String, Reader> known = new LinkedHashMap<>();
     /** Lines to the newest version, by the version that they stand on. */
     private final Map<Long, byte[]> lines = new HashMap<>();
+
     private long linesTo = -1;
     /** Of versions that readers said they have: each says so again every other second. */
     private final Map<Long, Long> checksums = new HashMap<>();
+
     private byte[] heartbeat;
     private long heartbeatOf = -1;
     private boolean heartbeatInTouch;
     /** Asked for once a tick, and not for each reader. */
     private boolean inTouch;
+
     private boolean ticking;
 
     public Handout(HandoutSettings settings, Ledger ledger, Wire wire) {
@@ -228,8 +232,8 @@
         if (!readers.containsKey(reader.id)) {
             return;
         }
-        reader.allowance = Math.min(settings.burst(),
-                reader.allowance + (now - reader.countedUs) * 1e-6 * settings.bytesPerS());
+        reader.allowance =
+                Math.min(settings.burst(), reader.allowance + (now - reader.countedUs) * 1e-6 * settings.bytesPerS());
         reader.countedUs = now;
         while (reader.writable && (reader.line != null || begin(now, reader))) {
             int left = reader.line.length - reader.offset;
--- a/src/main/java/mulleinfront/core/Core.java
+++ b/src/main/java/mulleinfront/core/Core.java
@@ -44,11 +44,13 @@
     private final RuleGuard guard;
     /** Until when attempts may be made by the list that is held. */
     private long listValidUntil = Long.MAX_VALUE;
+
     private final Map<String, Exchange<Q, A>> open = new HashMap<>();
     /** Hosts that the lists told so far say are ready, whether or not the module has taken note of it. */
     private final Map<String, Endpoint> ready = new HashMap<>();
     /** Events for the module and its actions, in order; see {@link #run}. */
     private final ArrayDeque<Runnable> work = new ArrayDeque<>();
+
     private boolean working;
     private Footprint footprint;
     private Balancer balancer;
@@ -78,6 +80,7 @@
         private boolean mayHaveRun;
         /** Where that was, for the group that drops repeats. */
         private Endpoint ranAt;
+
         private Endpoint outAt;
         /** A final answer after this is lost, microseconds. */
         private long overdueAt = Long.MAX_VALUE;
@@ -85,12 +88,15 @@
         private Outcome lastOutcome = Outcome.IGNORED;
         /** When the first attempt that may have run was sent; the window for repeats counts from then. */
         private long mayHaveRunAt;
+
         private boolean answered;
         /** The request is still being read; what it may take from its last byte on, microseconds. */
         private boolean reading;
+
         private long patience;
         /** How long its client waits. */
         private long deadlineUs;
+
         private long budget;
         private long outTimeout;
         /** Its answer has begun. */
@@ -170,7 +176,7 @@
         }
         working = true;
         try {
-            for (Runnable next; (next = work.poll()) != null;) {
+            for (Runnable next; (next = work.poll()) != null; ) {
                 perform(next);
             }
         } finally {
@@ -311,8 +317,17 @@
      * @param tenant position in the settings' tenants; ignored when there are none
      * @param repeat whether the client marks it as a repeat
      */
-    public void take(Caller<Q, A> caller, String id, int classIndex, String key, long deadlineMs, long at,
-            long expectedUs, int tenant, boolean repeat, Q call) {
+    public void take(
+            Caller<Q, A> caller,
+            String id,
+            int classIndex,
+            String key,
+            long deadlineMs,
+            long at,
+            long expectedUs,
+            int tenant,
+            boolean repeat,
+            Q call) {
         take(caller, id, classIndex, key, deadlineMs, at, expectedUs, tenant, repeat, call, false);
     }
 
@@ -322,8 +337,18 @@
      *
      * @param reading whether it is
      */
-    public void take(Caller<Q, A> caller, String id, int classIndex, String key, long deadlineMs, long at,
-            long expectedUs, int tenant, boolean repeat, Q call, boolean reading) {
+    public void take(
+            Caller<Q, A> caller,
+            String id,
+            int classIndex,
+            String key,
+            long deadlineMs,
+            long at,
+            long expectedUs,
+            int tenant,
+            boolean repeat,
+            Q call,
+            boolean reading) {
         RequestClass type = settings.classes().get(classIndex);
         // Nobody waits longer than the class's own patience, so neither does a drain.
         long deadlineUs = Math.min(deadlineMs, type.deadlineUs() / 1000 + 1) * 1000;
@@ -390,8 +415,16 @@
             metrics.answers.add(Metrics.Answer.TIME_UP);
             over(x);
             if (observer != null) {
-                observer.ended(time.now(), new Refusal(x.request.id(), Refusal.Cause.TIME,
-                        x.request.classIndex(), x.type.worth(), time.now() - bornAt, Double.NaN, "the guard"));
+                observer.ended(
+                        time.now(),
+                        new Refusal(
+                                x.request.id(),
+                                Refusal.Cause.TIME,
+                                x.request.classIndex(),
+                                x.type.worth(),
+                                time.now() - bornAt,
+                                Double.NaN,
+                                "the guard"));
             }
             answering(x);
             if (mayRefuse(x)) {
@@ -405,7 +438,8 @@
 
     /** Whether another try is harmless: nothing has run or may yet, or it may run any number of times. */
     private static boolean mayRefuse(Exchange<?, ?> x) {
-        return x.type.effect() == Effect.RETRYABLE || !x.mayHaveRun && x.out == null
+        return x.type.effect() == Effect.RETRYABLE
+                || !x.mayHaveRun && x.out == null
                 || x.type.effect() == Effect.DEDUP && x.type.scope() == DedupScope.ALL;
     }
 
@@ -458,28 +492,32 @@
         long sentAt = time.now();
         long left = x.endAt - sentAt;
         Endpoint host = ready.get(hostId);
-        boolean vain = timeoutUs < 0 || !guard.allows(RuleGuard.Check.SEND_AFTER_ANSWER, !x.answered)
+        boolean vain = timeoutUs < 0
+                || !guard.allows(RuleGuard.Check.SEND_AFTER_ANSWER, !x.answered)
                 || !guard.allows(RuleGuard.Check.SEND_AFTER_DEADLINE, left > 0 || x.reading)
-                || !guard.allows(RuleGuard.Check.SEND_BESIDE_ANOTHER,
+                || !guard.allows(
+                        RuleGuard.Check.SEND_BESIDE_ANOTHER,
                         x.out == null && number < settings.limits().maxAttempts());
         long within = x.reading ? Wire.OPEN : timeoutUs == 0 ? left : Math.min(left, timeoutUs);
-        Wire.Attempt made = vain ? null : wire.attempt(x.request.id(), number, hostId, x.call, within,
-                () -> maySend(x, hostId), new Wire.End<>() {
-                    @Override
-                    public void ended(Outcome outcome, A answer) {
-                        attemptEnded(x, number, sentAt, outcome, answer);
-                    }
-
-                    @Override
-                    public void reported(double held) {
-                        Core.this.reported(hostId, held);
-                    }
-
-                    @Override
-                    public boolean begun(A answer) {
-                        return attemptBegun(x, number, answer);
-                    }
-                });
+        Wire.Attempt made = vain
+                ? null
+                : wire.attempt(
+                        x.request.id(), number, hostId, x.call, within, () -> maySend(x, hostId), new Wire.End<>() {
+                            @Override
+                            public void ended(Outcome outcome, A answer) {
+                                attemptEnded(x, number, sentAt, outcome, answer);
+                            }
+
+                            @Override
+                            public void reported(double held) {
+                                Core.this.reported(hostId, held);
+                            }
+
+                            @Override
+                            public boolean begun(A answer) {
+                                return attemptBegun(x, number, answer);
+                            }
+                        });
         if (made == null) {
             ended(x, number, sentAt, Outcome.IGNORED);
             return;
@@ -518,8 +556,8 @@
             return guard.allows(RuleGuard.Check.REPEAT_UNSAFE, false);
         }
         return guard.allows(RuleGuard.Check.REPEAT_OUTSIDE_GROUP, inGroup(x, host))
-                && guard.allows(RuleGuard.Check.REPEAT_AFTER_WINDOW,
-                        time.now() < x.mayHaveRunAt + x.type.dedupWindowUs());
+                && guard.allows(
+                        RuleGuard.Check.REPEAT_AFTER_WINDOW, time.now() < x.mayHaveRunAt + x.type.dedupWindowUs());
     }
 
     private static boolean inGroup(Exchange<?, ?> x, Endpoint host) {
@@ -584,8 +622,8 @@
         boolean done = x.answered;
         x.lastOutcome = outcome;
         metrics.attempts.add(outcome);
-        run(() -> balancer.onAttemptEnded(time.now(),
-                new AttemptEnd(x.request.id(), number, outcome, done, time.now() - sentAt)));
+        run(() -> balancer.onAttemptEnded(
+                time.now(), new AttemptEnd(x.request.id(), number, outcome, done, time.now() - sentAt)));
     }
 
     @Override
@@ -604,8 +642,8 @@
             Exchange<Q, A> x = conclude(requestId);
             if (x != null) {
                 boolean harmless = mayRefuse(x);
-                metrics.answers.add(x.attempts == 0 ? Metrics.Answer.REFUSED_UNSENT
-                        : Metrics.Answer.REFUSED_AFTER_ATTEMPT);
+                metrics.answers.add(
+                        x.attempts == 0 ? Metrics.Answer.REFUSED_UNSENT : Metrics.Answer.REFUSED_AFTER_ATTEMPT);
                 if (guard.allows(RuleGuard.Check.REFUSE_AFTER_EFFECT, harmless)) {
                     x.caller.refused(retryAfterUs);
                 } else {
--- a/src/main/java/mulleinfront/core/EnumCounts.java
+++ b/src/main/java/mulleinfront/core/EnumCounts.java
@@ -37,8 +37,12 @@
     void appendTo(StringBuilder out, String prefix) {
         for (int i = 0; i < counts.length; i++) {
             if (counts[i] > 0) {
-                out.append(' ').append(prefix).append('.').append(constants[i].name().toLowerCase(Locale.ROOT))
-                        .append('=').append(counts[i]);
+                out.append(' ')
+                        .append(prefix)
+                        .append('.')
+                        .append(constants[i].name().toLowerCase(Locale.ROOT))
+                        .append('=')
+                        .append(counts[i]);
             }
         }
     }
--- a/src/main/java/mulleinfront/core/Footprint.java
+++ b/src/main/java/mulleinfront/core/Footprint.java
@@ -49,8 +49,7 @@
 
     /** Idle connections to keep, to all hosts together. */
     public int mostIdle(int hosts) {
-        return few ? Integer.MAX_VALUE
-                : (int) Math.max(LEAST_IDLE, (long) IDLE_PER_HOST * hosts / instances);
+        return few ? Integer.MAX_VALUE : (int) Math.max(LEAST_IDLE, (long) IDLE_PER_HOST * hosts / instances);
     }
 
     /**
--- a/src/main/java/mulleinfront/core/Metrics.java
+++ b/src/main/java/mulleinfront/core/Metrics.java
@@ -50,11 +50,13 @@
 
     /** Checks of the rules: what was prevented, and what was broken all the same. */
     public final RuleGuard guard = new RuleGuard();
+
     public final EnumCounts<Answer> answers = new EnumCounts<>(Answer.class);
     /** Attempts, by how they ended. */
     public final EnumCounts<Outcome> attempts = new EnumCounts<>(Outcome.class);
     /** Further attempts, by how the one before had ended. */
     public final EnumCounts<Outcome> retries = new EnumCounts<>(Outcome.class);
+
     public final EnumCounts<Close> clientCloses = new EnumCounts<>(Close.class);
     public final EnumCounts<Close> endpointCloses = new EnumCounts<>(Close.class);
     public final EnumCounts<Discovery> discovery = new EnumCounts<>(Discovery.class);
--- a/src/main/java/mulleinfront/core/Refusals.java
+++ b/src/main/java/mulleinfront/core/Refusals.java
@@ -56,11 +56,18 @@
         StringBuilder out = new StringBuilder();
         for (Cause c : Cause.values()) {
             if (of(c) > 0) {
-                out.append(out.length() == 0 ? "" : ", ").append(c.word()).append(' ').append(of(c))
-                        .append(" (young ").append(young(c));
+                out.append(out.length() == 0 ? "" : ", ")
+                        .append(c.word())
+                        .append(' ')
+                        .append(of(c))
+                        .append(" (young ")
+                        .append(young(c));
                 for (int k = 0; k < classes.size(); k++) {
                     if (counts[c.ordinal()][k] > 0) {
-                        out.append("; ").append(classes.get(k).name()).append(' ').append(counts[c.ordinal()][k]);
+                        out.append("; ")
+                                .append(classes.get(k).name())
+                                .append(' ')
+                                .append(counts[c.ordinal()][k]);
                     }
                 }
                 out.append(')');
