--- a/src/main/java/mulleinfront/core/RuleGuard.java
+++ b/src/main/java/mulleinfront/core/RuleGuard.java
@@ -43,7 +43,7 @@
 
     private final EnumCounts<Check> prevented = new EnumCounts<>(Check.class);
     private final EnumCounts<Check> violations = new EnumCounts<>(Check.class);
-    private Listener listener = (check, requestId) -> { };
+    private Listener listener = (check, requestId) -> {};
 
     /** Whom to tell of violations from now on. */
     public void listen(Listener who) {
--- a/src/main/java/mulleinfront/core/Standing.java
+++ b/src/main/java/mulleinfront/core/Standing.java
@@ -14,12 +14,13 @@
     private String word = "starting";
     /** Written by the owner alone; where a process has several, the one that operators ask reads the others'. */
     private volatile boolean listening;
+
     private volatile boolean listed;
     private volatile boolean quiesced;
     private volatile boolean ending;
 
     public Standing() {
-        this((from, to) -> { });
+        this((from, to) -> {});
     }
 
     /** @param listener told of changes on the thread that makes them */
--- a/src/main/java/mulleinfront/core/Wire.java
+++ b/src/main/java/mulleinfront/core/Wire.java
@@ -59,7 +59,7 @@
          *
          * @param held that many, all clients' together
          */
-        default void reported(double held) { }
+        default void reported(double held) {}
 
         /**
          * The host's answer has begun, and is passed on from here as it comes; the attempt goes on until
@@ -82,7 +82,7 @@
         void cancel();
 
         /** The request has come in whole: from now on the attempt has this long, microseconds. */
-        default void endWithin(long timeoutUs) { }
+        default void endWithin(long timeoutUs) {}
     }
 
     /**
@@ -99,8 +99,8 @@
      * @param end told once
      * @return the attempt, or null if the wire knows no such host
      */
-    Attempt attempt(String requestId, int number, String hostId, Q request, long timeoutUs,
-            BooleanSupplier wanted, End<A> end);
+    Attempt attempt(
+            String requestId, int number, String hostId, Q request, long timeoutUs, BooleanSupplier wanted, End<A> end);
 
     /** Asks a host how it is; the end is told once, as {@link Outcome#IGNORED} if there is no such host. */
     void probe(String hostId, End<A> end);
@@ -113,5 +113,5 @@
     void subscribe(long patienceUs);
 
     /** The list that is held was not renewed in time: for the log alone. */
-    default void listOverdue(ListBound bound) { }
+    default void listOverdue(ListBound bound) {}
 }
--- a/src/main/java/mulleinfront/emulator/Account.java
+++ b/src/main/java/mulleinfront/emulator/Account.java
@@ -31,6 +31,7 @@
     private final List<Map<String, Map<Cause, Double>>> parts = new ArrayList<>();
     /** Requests whose clients still wait for them. */
     private final Set<Clients.Ask> open = new LinkedHashSet<>();
+
     private double lost;
     /** Told of each request that is over, with the cause if it lost something; null: nobody asks. */
     private BiConsumer<Clients.Ask, Cause> listener;
@@ -42,6 +43,7 @@
         private long takenAt = -1;
         /** What there was to a refusal before any attempt. */
         private Cause refusal;
+
         private long endedAt;
 
         private Story(Clients.Try t) {
@@ -139,8 +141,9 @@
         if (h.life.troubled()) {
             return Cause.BAD;
         }
-        return h.life.warmth() < 1 ? Cause.COLD : h.life.held() >= h.life.machine().cores() ? Cause.CROWDED
-                : Cause.LONG_WORK;
+        return h.life.warmth() < 1
+                ? Cause.COLD
+                : h.life.held() >= h.life.machine().cores() ? Cause.CROWDED : Cause.LONG_WORK;
     }
 
     /** Whether somebody could have had a request at once that was refused. */
@@ -150,7 +153,9 @@
         }
         boolean cold = false;
         for (Host h : world.hosts) {
-            if (!h.alive() || h.life.draining() || h.life.hung()
+            if (!h.alive()
+                    || h.life.draining()
+                    || h.life.hung()
                     || !world.network.passes(t.ask.proxy, world.zoneOf(t.ask.proxy), h)) {
                 continue;
             }
@@ -175,7 +180,8 @@
             lost += worthLost;
             byCause.computeIfAbsent(cause, c -> new LossReport.Loss()).add(worthLost);
             for (LossReport.Part part : LossReport.Part.values()) {
-                parts.get(part.ordinal()).computeIfAbsent(name(part, a), n -> new TreeMap<>())
+                parts.get(part.ordinal())
+                        .computeIfAbsent(name(part, a), n -> new TreeMap<>())
                         .merge(cause, worthLost, Double::sum);
             }
         }
@@ -187,10 +193,11 @@
             case INSTANCE -> String.format(Locale.ROOT, "%5d", a.proxy);
             case ZONE -> world.scenario.zones().get(world.zoneOf(a.proxy));
             case CLASS -> a.type.name();
-            case TENANT -> world.scenario.tenants().isEmpty() ? "-"
-                    : world.scenario.tenants().get(a.tenant).name();
-            case WINDOW -> String.format(Locale.ROOT, "%4d s",
-                    a.bornAt / WINDOW_US * (WINDOW_US / 1_000_000));
+            case TENANT ->
+                world.scenario.tenants().isEmpty()
+                        ? "-"
+                        : world.scenario.tenants().get(a.tenant).name();
+            case WINDOW -> String.format(Locale.ROOT, "%4d s", a.bornAt / WINDOW_US * (WINDOW_US / 1_000_000));
         };
     }
 
@@ -252,30 +259,53 @@
     /** What happened to a request, try by try; while it is being told that the request is over. */
     List<String> tell(Clients.Ask a) {
         List<String> lines = new ArrayList<>();
-        lines.add(String.format(Locale.ROOT,
+        lines.add(String.format(
+                Locale.ROOT,
                 "%s, key %s, %s, client proxy %d in %s, wanted within %.0f ms, asked at %.3f s",
-                a.type.name(), a.key, world.scenario.tenants().isEmpty() ? "no tenant"
-                        : world.scenario.tenants().get(a.tenant).name(), a.proxy,
-                world.scenario.zones().get(world.zoneOf(a.proxy)), a.type.aimUs() / 1e3, a.bornAt / 1e6));
+                a.type.name(),
+                a.key,
+                world.scenario.tenants().isEmpty()
+                        ? "no tenant"
+                        : world.scenario.tenants().get(a.tenant).name(),
+                a.proxy,
+                world.scenario.zones().get(world.zoneOf(a.proxy)),
+                a.type.aimUs() / 1e3,
+                a.bornAt / 1e6));
         for (String id : a.tried) {
             Story s = stories.get(id);
             if (s == null) {
                 continue;
             }
-            line(lines, a, s.t.sentAt, "%s: sent to its client proxy, which has %.0f ms", id,
+            line(
+                    lines,
+                    a,
+                    s.t.sentAt,
+                    "%s: sent to its client proxy, which has %.0f ms",
+                    id,
                     (s.t.deadlineAt - s.t.sentAt) / 1e3);
             for (Step step : s.steps) {
-                line(lines, a, step.at, "  attempt %d to %s in %s, which holds %d (%s)", step.number,
+                line(
+                        lines,
+                        a,
+                        step.at,
+                        "  attempt %d to %s in %s, which holds %d (%s)",
+                        step.number,
                         step.host == null ? "an address without a server" : step.host.id,
-                        step.host == null ? "no zone" : world.scenario.zones().get(step.host.zone), step.held,
+                        step.host == null ? "no zone" : world.scenario.zones().get(step.host.zone),
+                        step.held,
                         step.how.word());
                 if (step.outcome != null) {
-                    line(lines, a, step.endedAt, "  attempt %d ended: %s", step.number,
-                            Section.form(step.outcome));
+                    line(lines, a, step.endedAt, "  attempt %d ended: %s", step.number, Section.form(step.outcome));
                 }
             }
             if (s.t.how != null) {
-                line(lines, a, s.endedAt, "%s: %s%s", id, Section.form(s.t.how),
+                line(
+                        lines,
+                        a,
+                        s.endedAt,
+                        "%s: %s%s",
+                        id,
+                        Section.form(s.t.how),
                         s.refusal == null ? "" : " (" + s.refusal.words() + ")");
             }
         }
--- a/src/main/java/mulleinfront/emulator/Answer.java
+++ b/src/main/java/mulleinfront/emulator/Answer.java
@@ -6,4 +6,4 @@
  * @param requestId the request that it was made for
  * @param host the server
  */
-record Answer(String requestId, String host) { }
+record Answer(String requestId, String host) {}
--- a/src/main/java/mulleinfront/emulator/Auditor.java
+++ b/src/main/java/mulleinfront/emulator/Auditor.java
@@ -30,6 +30,7 @@
     private final Map<String, Taken> requests = new HashMap<>();
     /** By the time after which nothing more can be said of them. */
     private final ArrayDeque<Taken> oldest = new ArrayDeque<>();
+
     private final Map<Integer, Told> proxies = new HashMap<>();
     private final ToldDeadlines deadlines;
     private final Set<Integer> standing = new HashSet<>();
@@ -39,11 +40,14 @@
     private int breachCount;
     /** Entries of all lists and changes told to client proxies. */
     long entriesTold;
+
     private long leaveSlackUs;
 
     /** The four rules, by the names that the operators use. */
     public enum Rule {
-        LOST("no request is lost"), TWICE("no effect happens twice"), DRAINS("drains are kept"),
+        LOST("no request is lost"),
+        TWICE("no effect happens twice"),
+        DRAINS("drains are kept"),
         COLD("a cold host is not pushed over");
 
         private final String words;
@@ -76,7 +80,7 @@
     }
 
     /** Where a server stands: what decides who drops repeats. */
-    private record Place(int zone, int cell) { }
+    private record Place(int zone, int cell) {}
 
     private static final class Taken {
         final String id;
@@ -87,6 +91,7 @@
         boolean ended;
         /** Its client proxy stood still while it was open: nobody can answer then. */
         boolean excused;
+
         long endedAt;
         int ran;
 
@@ -233,8 +238,13 @@
         }
         for (Sent a : t.attempts) {
             if (a.mayHaveRun()) {
-                breach(Rule.TWICE, now, proxy, id, "refused though attempt " + a.number + " at " + a.host
-                        + " may have run (" + (a.outcome == null ? "still out" : a.outcome) + ")");
+                breach(
+                        Rule.TWICE,
+                        now,
+                        proxy,
+                        id,
+                        "refused though attempt " + a.number + " at " + a.host + " may have run ("
+                                + (a.outcome == null ? "still out" : a.outcome) + ")");
                 return;
             }
         }
@@ -283,16 +293,28 @@
             bond = bond == null && a.mayHaveRun() ? a : bond;
         }
         if (bond != null && t.type.effect() == Effect.FRAGILE) {
-            breach(Rule.TWICE, now, proxy, id, "sent again though attempt " + bond.number + " at " + bond.host
-                    + " may have run");
+            breach(
+                    Rule.TWICE,
+                    now,
+                    proxy,
+                    id,
+                    "sent again though attempt " + bond.number + " at " + bond.host + " may have run");
         } else if (bond != null && t.type.effect() == Effect.DEDUP) {
             if (!sameGroup(t.type.scope(), bond.host, host)) {
-                breach(Rule.TWICE, now, proxy, id, "sent again to " + host + ", outside the group of "
-                        + bond.host + ", which may have run it");
+                breach(
+                        Rule.TWICE,
+                        now,
+                        proxy,
+                        id,
+                        "sent again to " + host + ", outside the group of " + bond.host + ", which may have run it");
             }
             if (now > bond.at + t.type.dedupWindowUs()) {
-                breach(Rule.TWICE, now, proxy, id, "sent again " + (now - bond.at)
-                        + " us after an attempt that may have run");
+                breach(
+                        Rule.TWICE,
+                        now,
+                        proxy,
+                        id,
+                        "sent again " + (now - bond.at) + " us after an attempt that may have run");
             }
         }
         if (t.attempts.isEmpty() || t.attempts.get(t.attempts.size() - 1).number != number) {
@@ -314,8 +336,8 @@
     private boolean sameGroup(DedupScope scope, String a, String b) {
         Place p = places.get(a);
         Place q = places.get(b);
-        return scope == DedupScope.ALL || p != null && q != null
-                && (scope == DedupScope.ZONE ? p.zone() == q.zone() : p.cell() == q.cell());
+        return scope == DedupScope.ALL
+                || p != null && q != null && (scope == DedupScope.ZONE ? p.zone() == q.zone() : p.cell() == q.cell());
     }
 
     /** A server begins to run a request; {@code dropped} if it knows that effect and does nothing. */
@@ -431,17 +453,27 @@
         }
         long grace = scenario.rules().drainUs();
         if (h.drainedAt >= 0 && now > h.drainedAt + grace) {
-            breach(Rule.DRAINS, now, proxy, id, "sent to " + host + " " + (now - h.drainedAt)
-                    + " us after being told that it drains or is gone");
+            breach(
+                    Rule.DRAINS,
+                    now,
+                    proxy,
+                    id,
+                    "sent to " + host + " " + (now - h.drainedAt) + " us after being told that it drains or is gone");
             return;
         }
         Long listed = drainListedAt.get(host);
         if (scenario.discovery().asked() && listed != null) {
             long toldAt = deadlines.toldAt(proxy, listed);
             if (toldAt < now - grace) {
-                breach(Rule.DRAINS, now, proxy, id, "sent to " + host + " " + (now - toldAt) + " us after it counts as"
-                        + " told to be gone: discovery has it for " + (now - listed) + " us, and was last asked "
-                        + (now - deadlines.calledAt(proxy)) + " us ago");
+                breach(
+                        Rule.DRAINS,
+                        now,
+                        proxy,
+                        id,
+                        "sent to " + host + " " + (now - toldAt) + " us after it counts as"
+                                + " told to be gone: discovery has it for " + (now - listed)
+                                + " us, and was last asked "
+                                + (now - deadlines.calledAt(proxy)) + " us ago");
             }
         }
     }
@@ -450,8 +482,12 @@
 
     /** A server's process has started, cold. */
     void started(String host, long now) {
-        cold.put(host, new Cold(now,
-                new Host.Budget(scenario.rules().coldForUs(), scenario.rules().coldMultiple())));
+        cold.put(
+                host,
+                new Cold(
+                        now,
+                        new Host.Budget(
+                                scenario.rules().coldForUs(), scenario.rules().coldMultiple())));
     }
 
     /** Work has come to a cold server that can do {@code capacity} in a microsecond now. */
@@ -467,9 +503,14 @@
         }
         c.fell = true;
         if (c.budget.markedPart() >= 2.0 / 3) {
-            breach(Rule.COLD, now, proxy, id, host + " was sent more than "
-                    + scenario.rules().coldMultiple() + " times what it can do while cold, "
-                    + Math.round(100 * c.budget.markedPart()) + "% of it by those who were told of its start");
+            breach(
+                    Rule.COLD,
+                    now,
+                    proxy,
+                    id,
+                    host + " was sent more than "
+                            + scenario.rules().coldMultiple() + " times what it can do while cold, "
+                            + Math.round(100 * c.budget.markedPart()) + "% of it by those who were told of its start");
         }
     }
 
--- a/src/main/java/mulleinfront/emulator/Call.java
+++ b/src/main/java/mulleinfront/emulator/Call.java
@@ -11,4 +11,4 @@
  * @param windowUs how long repeats of it are dropped; 0: they are not
  * @param hop the call of a graph that it is; null: none
  */
-record Call(String id, int classIndex, double work, String key, String effect, long windowUs, Hop hop) { }
+record Call(String id, int classIndex, double work, String key, String effect, long windowUs, Hop hop) {}
--- a/src/main/java/mulleinfront/emulator/CallGraph.java
+++ b/src/main/java/mulleinfront/emulator/CallGraph.java
@@ -23,7 +23,7 @@
      * @param optional whether it answers all the same where this fails
      * @param reads whether the call is safe, whatever the request is
      */
-    record Edge(int number, int from, int to, double chance, boolean optional, boolean reads) { }
+    record Edge(int number, int from, int to, double chance, boolean optional, boolean reads) {}
 
     /**
      * One service.
@@ -34,12 +34,18 @@
      * @param visits calls of it by one request from outside, on the mean
      * @param hosts how many machines run it
      */
-    record Node(int number, String name, int level, boolean inTurn, double work, double visits, int hosts,
-            List<Edge> calls) { }
+    record Node(
+            int number,
+            String name,
+            int level,
+            boolean inTurn,
+            double work,
+            double visits,
+            int hosts,
+            List<Edge> calls) {}
 
     /** A call that is not weighted yet. */
-    private record Draft(int from, int to, double chance, boolean chained, boolean optional,
-            boolean reads) { }
+    private record Draft(int from, int to, double chance, boolean chained, boolean optional, boolean reads) {}
 
     private static final int ROUNDS = 60;
 
@@ -48,6 +54,7 @@
     private final int[] level;
     /** Which service of each level the chain goes through. */
     private final int[] chain;
+
     private final List<Draft> drafts = new ArrayList<>();
     private final List<Node> nodes = new ArrayList<>();
 
@@ -66,8 +73,8 @@
      */
     static CallGraph draw(GraphSpec spec, long seed) {
         if (spec.services() < spec.fronts() + spec.depth()) {
-            throw new IllegalArgumentException("fewer services than fronts and levels: " + spec.services()
-                    + " for " + spec.fronts() + " and " + spec.depth());
+            throw new IllegalArgumentException("fewer services than fronts and levels: " + spec.services() + " for "
+                    + spec.fronts() + " and " + spec.depth());
         }
         CallGraph g = new CallGraph(spec, Chance.of(seed, "graph"));
         g.levels();
@@ -148,7 +155,12 @@
     private void add(boolean[][] called, int from, int to) {
         if (!called[from][to]) {
             called[from][to] = true;
-            drafts.add(new Draft(from, to, chance.between(0.1, 0.6), false, chance.happens(spec.optional()),
+            drafts.add(new Draft(
+                    from,
+                    to,
+                    chance.between(0.1, 0.6),
+                    false,
+                    chance.happens(spec.optional()),
                     chance.happens(spec.reads())));
         }
     }
@@ -184,9 +196,11 @@
 
     private void weigh() {
         if (calls(0) > spec.callsPerRequest()) {
-            throw new IllegalArgumentException(String.format(Locale.ROOT,
-                    "calls-per-request: the chain alone makes"
-                    + " %.2f calls, more than %.2f", calls(0), spec.callsPerRequest()));
+            throw new IllegalArgumentException(String.format(
+                    Locale.ROOT,
+                    "calls-per-request: the chain alone makes" + " %.2f calls, more than %.2f",
+                    calls(0),
+                    spec.callsPerRequest()));
         }
         double low = 0;
         double high = 1_000;
@@ -207,12 +221,19 @@
         TreeMap<Integer, List<Edge>> edges = new TreeMap<>();
         int number = 0;
         for (Draft d : drafts) {
-            edges.computeIfAbsent(d.from, f -> new ArrayList<>()).add(new Edge(number++, d.from, d.to,
-                    chance(d, low), d.optional, d.reads));
+            edges.computeIfAbsent(d.from, f -> new ArrayList<>())
+                    .add(new Edge(number++, d.from, d.to, chance(d, low), d.optional, d.reads));
         }
         for (int s = 0; s < work.length; s++) {
             String name = level[s] == 0 ? "front" + s : level[s] == 1 && s == chain[1] ? "hub" : "s" + s;
-            nodes.add(new Node(s, name, level[s], chance.happens(spec.inTurn()), work[s], visits[s], hosts[s],
+            nodes.add(new Node(
+                    s,
+                    name,
+                    level[s],
+                    chance.happens(spec.inTurn()),
+                    work[s],
+                    visits[s],
+                    hosts[s],
                     List.copyOf(edges.getOrDefault(s, List.of()))));
         }
     }
@@ -220,8 +241,8 @@
     /** Machines for each service: its least, and the others by the work that it is sent. */
     private int[] hosts(double[] visits, double[] work) {
         int[] hosts = new int[work.length];
-        int atFront = (int) Math.max(spec.fronts() * (long) spec.leastHosts(),
-                Math.round(spec.frontPart() * spec.hosts()));
+        int atFront =
+                (int) Math.max(spec.fronts() * (long) spec.leastHosts(), Math.round(spec.frontPart() * spec.hosts()));
         for (int s = 0; s < spec.fronts(); s++) {
             hosts[s] = atFront * (s + 1) / spec.fronts() - atFront * s / spec.fronts();
         }
--- a/src/main/java/mulleinfront/emulator/Clients.java
+++ b/src/main/java/mulleinfront/emulator/Clients.java
@@ -32,7 +32,15 @@
     private long ids;
 
     /** How a try ended, as its client sees it. */
-    enum How { SERVED, REFUSED, FAILED, BROKEN, UNREACHABLE, TIMED_OUT, LEFT }
+    enum How {
+        SERVED,
+        REFUSED,
+        FAILED,
+        BROKEN,
+        UNREACHABLE,
+        TIMED_OUT,
+        LEFT
+    }
 
     /** What a client wants: one request with all its tries. */
     static final class Ask {
@@ -49,14 +57,26 @@
         final boolean honours;
         /** Ids of its tries so far. */
         final List<String> tried = new ArrayList<>(1);
+
         int tries;
         /** What it counts for beside all; null: nothing. */
         Tally.Sum start;
         /** The call of a graph that it is; null: none. */
         final Hop hop;
 
-        private Ask(int classIndex, RequestClass type, int tenant, String key, String effect, double work,
-                boolean overShare, long bornAt, int proxy, double patience, boolean honours, Hop hop) {
+        private Ask(
+                int classIndex,
+                RequestClass type,
+                int tenant,
+                String key,
+                String effect,
+                double work,
+                boolean overShare,
+                long bornAt,
+                int proxy,
+                double patience,
+                boolean honours,
+                Hop hop) {
             this.classIndex = classIndex;
             this.type = type;
             this.tenant = tenant;
@@ -100,11 +120,14 @@
         this.scenario = world.scenario;
         this.arrivals = world.chance("arrivals");
         this.habits = world.chance("habits");
-        double[] weights = Chance.zipf(scenario.proxies().count(), scenario.proxies().spread());
+        double[] weights =
+                Chance.zipf(scenario.proxies().count(), scenario.proxies().spread());
         this.proxies = Chance.sum(weights);
-        this.classes = Chance.sum(scenario.classes().stream().mapToDouble(Scenario.ClassSpec::share)
+        this.classes = Chance.sum(scenario.classes().stream()
+                .mapToDouble(Scenario.ClassSpec::share)
                 .toArray());
-        this.keys = scenario.load().keys() == 0 ? null
+        this.keys = scenario.load().keys() == 0
+                ? null
                 : Chance.sum(Chance.zipf(scenario.load().keys(), scenario.load().zipf()));
         int count = Math.max(1, scenario.tenants().size());
         this.tenantWeight = new double[count];
@@ -161,8 +184,10 @@
         double rate = switch (load.shape()) {
             case STEADY -> load.perSecond();
             case BURSTY -> load.perSecond() * (burst ? 1 + load.swing() : 1 - load.swing());
-            case RAMP -> load.perSecond() + (load.endPerSecond() - load.perSecond())
-                    * Math.min(1.0, (double) world.queue.now() / scenario.lengthUs());
+            case RAMP ->
+                load.perSecond()
+                        + (load.endPerSecond() - load.perSecond())
+                                * Math.min(1.0, (double) world.queue.now() / scenario.lengthUs());
         };
         return rate * surged;
     }
@@ -190,9 +215,19 @@
         String key = keys == null ? null : "k" + arrivals.place(keys);
         double work = spec.drawUs(arrivals);
         int proxy = arrivals.place(proxies);
-        Ask ask = new Ask(c, spec.type(), tenant, key, "e" + ids, Math.max(1, work), overShare(tenant),
-                world.queue.now(), proxy, scenario.clients().patience().draw(habits::between),
-                habits.happens(scenario.clients().honour()), null);
+        Ask ask = new Ask(
+                c,
+                spec.type(),
+                tenant,
+                key,
+                "e" + ids,
+                Math.max(1, work),
+                overShare(tenant),
+                world.queue.now(),
+                proxy,
+                scenario.clients().patience().draw(habits::between),
+                habits.happens(scenario.clients().honour()),
+                null);
         world.tally.asked(ask, world.proxies.get(proxy));
         world.account.asked(ask);
         attempt(ask);
@@ -200,8 +235,19 @@
 
     /** A call that a larger world makes in place of the clients. */
     void call(Hop hop, int proxy, int tenant, String key, double work) {
-        Ask ask = new Ask(hop.classIndex, scenario.classes().get(hop.classIndex).type(), tenant, key, hop.effect,
-                Math.max(1, work), overShare(tenant), world.queue.now(), proxy, 1, false, hop);
+        Ask ask = new Ask(
+                hop.classIndex,
+                scenario.classes().get(hop.classIndex).type(),
+                tenant,
+                key,
+                hop.effect,
+                Math.max(1, work),
+                overShare(tenant),
+                world.queue.now(),
+                proxy,
+                1,
+                false,
+                hop);
         world.tally.asked(ask, world.proxies.get(proxy));
         world.account.asked(ask);
         attempt(ask);
@@ -215,8 +261,7 @@
     private boolean overShare(int tenant) {
         long now = world.queue.now();
         double most = SAVED_S * 1e6 * allowancePerUs[tenant];
-        allowance[tenant] = Math.min(most,
-                allowance[tenant] + (now - allowedAt[tenant]) * allowancePerUs[tenant]);
+        allowance[tenant] = Math.min(most, allowance[tenant] + (now - allowedAt[tenant]) * allowancePerUs[tenant]);
         allowedAt[tenant] = now;
         if (allowance[tenant] < 1) {
             return true;
@@ -227,8 +272,8 @@
 
     private void attempt(Ask ask) {
         long now = world.queue.now();
-        long deadline = Math.min(now + (long) (ask.patience * ask.type.deadlineUs()),
-                ask.bornAt + ask.type.deadlineUs());
+        long deadline =
+                Math.min(now + (long) (ask.patience * ask.type.deadlineUs()), ask.bornAt + ask.type.deadlineUs());
         if (ask.hop != null) {
             deadline = Math.min(deadline, ask.hop.endAt);
         }
@@ -238,8 +283,11 @@
         }
         ask.tries++;
         String id = "q" + ids++;
-        Try t = new Try(ask, new Call(id, ask.classIndex, ask.work, ask.key, ask.effect,
-                ask.type.dedupWindowUs(), ask.hop), now, deadline);
+        Try t = new Try(
+                ask,
+                new Call(id, ask.classIndex, ask.work, ask.key, ask.effect, ask.type.dedupWindowUs(), ask.hop),
+                now,
+                deadline);
         if (ask.hop != null) {
             ask.hop.tried(t, now);
         }
@@ -256,8 +304,8 @@
             }
             proxy.take(t);
         });
-        t.patience = world.queue.after(deadline + scenario.rules().answerSlackUs() - now, () ->
-                leave(t, How.TIMED_OUT));
+        t.patience =
+                world.queue.after(deadline + scenario.rules().answerSlackUs() - now, () -> leave(t, How.TIMED_OUT));
         if (habits.happens(scenario.clients().leave())) {
             world.queue.after((long) ((deadline - now) * habits.unit()), () -> leave(t, How.LEFT));
         }
@@ -304,7 +352,8 @@
         if (ask.honours) {
             wait = Math.max(wait, retryAfterUs);
         }
-        if (!harmless || ask.tries > (ask.hop == null ? scenario.clients().retries() : ask.hop.retries())
+        if (!harmless
+                || ask.tries > (ask.hop == null ? scenario.clients().retries() : ask.hop.retries())
                 || now + wait >= ask.bornAt + ask.type.deadlineUs()) {
             over(ask, how);
             return;
--- a/src/main/java/mulleinfront/emulator/Compared.java
+++ b/src/main/java/mulleinfront/emulator/Compared.java
@@ -15,12 +15,11 @@
 public record Compared(String name, Reference reference, List<Sweep.Played> worlds) {
 
     /** The product first, then each reference in the order of what it sees. */
-    public static List<Compared> play(Scenario scenario, long from, long to, int jobs)
-            throws InterruptedException {
+    public static List<Compared> play(Scenario scenario, long from, long to, int jobs) throws InterruptedException {
         List<Compared> all = new ArrayList<>();
-        all.add(new Compared("mulleinfront", null, Sweep.play(scenario, from, to, jobs, null, p -> { })));
+        all.add(new Compared("mulleinfront", null, Sweep.play(scenario, from, to, jobs, null, p -> {})));
         for (Reference r : Reference.values()) {
-            all.add(new Compared(r.word(), r, Sweep.play(scenario, from, to, jobs, r, p -> { })));
+            all.add(new Compared(r.word(), r, Sweep.play(scenario, from, to, jobs, r, p -> {})));
         }
         return all;
     }
@@ -42,7 +41,9 @@
     double leastPartOf(Compared other) {
         double least = Double.POSITIVE_INFINITY;
         for (int i = 0; i < worlds.size(); i++) {
-            least = Math.min(least, worlds.get(i).service() / Math.max(1e-9, other.worlds.get(i).service()));
+            least = Math.min(
+                    least,
+                    worlds.get(i).service() / Math.max(1e-9, other.worlds.get(i).service()));
         }
         return least;
     }
@@ -50,19 +51,41 @@
     /** One line each, and the product's part of the two that see more than anybody can. */
     public static String table(Scenario scenario, long from, long to, List<Compared> all) {
         StringBuilder out = new StringBuilder();
-        out.append(String.format(Locale.ROOT, "%s, seeds %d..%d%n%-14s %8s %8s %8s %8s  %s%n", scenario.name(),
-                from, to, "balancer", "service", "worst", "goodput", "broken", ""));
+        out.append(String.format(
+                Locale.ROOT,
+                "%s, seeds %d..%d%n%-14s %8s %8s %8s %8s  %s%n",
+                scenario.name(),
+                from,
+                to,
+                "balancer",
+                "service",
+                "worst",
+                "goodput",
+                "broken",
+                ""));
         for (Compared c : all) {
-            out.append(String.format(Locale.ROOT, "%-14s %8.4f %8.4f %8.3f %8d  %s%n", c.name, c.mean(),
-                    c.worst(), c.worlds.stream().mapToDouble(Sweep.Played::goodput).average().orElse(0), c.broken(),
+            out.append(String.format(
+                    Locale.ROOT,
+                    "%-14s %8.4f %8.4f %8.3f %8d  %s%n",
+                    c.name,
+                    c.mean(),
+                    c.worst(),
+                    c.worlds.stream()
+                            .mapToDouble(Sweep.Played::goodput)
+                            .average()
+                            .orElse(0),
+                    c.broken(),
                     c.reference == null ? "the product" : c.reference.words()));
         }
         Compared product = all.get(0);
         for (Compared c : all) {
             if (c.reference != null && c.reference.seesLateUs() >= 0) {
-                out.append(String.format(Locale.ROOT, "of %s: %.3f of its mean service, on the worst seed %.3f%n",
+                out.append(String.format(
+                        Locale.ROOT,
+                        "of %s: %.3f of its mean service, on the worst seed %.3f%n",
                         c.name,
-                        product.mean() / Math.max(1e-9, c.mean()), product.leastPartOf(c)));
+                        product.mean() / Math.max(1e-9, c.mean()),
+                        product.leastPartOf(c)));
             }
         }
         return out.toString();
--- a/src/main/java/mulleinfront/emulator/DiscoveryClient.java
+++ b/src/main/java/mulleinfront/emulator/DiscoveryClient.java
@@ -80,11 +80,13 @@
         version = whole ? news.version() : Math.max(version, news.version());
         Set<String> left = whole ? new HashSet<>(addresses.keySet()) : new HashSet<>();
         List<Endpoint> endpoints = new ArrayList<>();
-        for (Registry.Entry e : order.news(news.version(), whole, news.entries(), e -> e.endpoint().id())) {
+        for (Registry.Entry e : order.news(
+                news.version(), whole, news.entries(), e -> e.endpoint().id())) {
             Endpoint endpoint = e.endpoint();
             endpoints.add(endpoint);
             left.remove(endpoint.id());
-            Integer before = endpoint.availability() == Availability.GONE ? addresses.remove(endpoint.id())
+            Integer before = endpoint.availability() == Availability.GONE
+                    ? addresses.remove(endpoint.id())
                     : addresses.put(endpoint.id(), e.address());
             if (before != null && (before != e.address() || endpoint.availability() != Availability.READY)) {
                 wire.hangUp(before);
@@ -100,6 +102,7 @@
         private boolean over;
         /** This side has given it up. */
         private boolean givenUp;
+
         private boolean heard;
         private boolean listed;
         /** When it was last heard of, heartbeats too, if it has fallen silent since. */
@@ -197,7 +200,8 @@
             world.registry.leave(this);
             world.audit.watchFailed(proxy, time.now(), !reset && !givenUp);
             if (!world.scenario.discovery().asked()) {
-                time.after(heard ? agent.afterWatch() : agent.afterCall(),
+                time.after(
+                        heard ? agent.afterWatch() : agent.afterCall(),
                         () -> DiscoveryClient.this.watch(Wire.CALL_SILENCE_US));
             } else if (!heard) {
                 boolean silent = givenUp && time.now() - calledAt >= 1_000 * Wire.LONGEST_WAIT_MS;
--- a/src/main/java/mulleinfront/emulator/Drawn.java
+++ b/src/main/java/mulleinfront/emulator/Drawn.java
@@ -32,7 +32,10 @@
 
         /** The family of that name; null if there is none. */
         public static Family of(String word) {
-            return Arrays.stream(values()).filter(f -> f.word().equals(word)).findFirst().orElse(null);
+            return Arrays.stream(values())
+                    .filter(f -> f.word().equals(word))
+                    .findFirst()
+                    .orElse(null);
         }
     }
 
@@ -108,6 +111,7 @@
 
     /** Length of a soak where none is asked for, and the least, seconds. */
     public static final int SOAK_S = 60;
+
     public static final int LEAST_SOAK_S = 12;
     /** What discovery takes for a call of each client proxy, least and most: the operators' sites state 2 to 8 s. */
     static final double[] ALL_CALL_US = {2e5, 8e6};
@@ -115,6 +119,7 @@
     static final double[] CALL_TIMEOUT_US = {2e6, 3e6};
     /** By how much more an answer of discovery may come later, and for how long a list may stop halfway. */
     static final double MOST_LATE_US = 2.9e6;
+
     static final double[] LIST_PAUSE_US = {1e6, 4e6};
     /** How long discovery may be down or silent. */
     static final double MOST_OUTAGE_US = 1.2e7;
@@ -124,6 +129,7 @@
     private static final int CROWDED_OF = 3;
     /** Troubles of a soak begin this far from its start and its end, and its list's troubles this far from each other. */
     private static final double SOAK_EDGE_S = 4;
+
     private static final double LISTS_APART_S = 8;
     /** Calls that are still to be spoilt are let go after this. */
     private static final double SPOILT_S = 7;
@@ -215,27 +221,38 @@
         int hosts = Math.max(12, Math.min(200, (int) (instances * between(0.5, 0.75))));
         out.append("\n[network]\nzones = [");
         for (int i = 0; i < zones; i++) {
-            out.append(i == 0 ? "" : ", ").append("\"zone-").append((char) ('a' + i)).append('"');
+            out.append(i == 0 ? "" : ", ")
+                    .append("\"zone-")
+                    .append((char) ('a' + i))
+                    .append('"');
         }
         line("]");
         line("%n[discovery]%ncall = \"%s\"%ntimeout = \"2s\"", time(between(2e6, 8e6) / instances));
-        line("%n[proxies]%ncount = %d%nspread = %.2f%nstart-within = \"%s\"%nstart = \"%s\"%nknown = \"%s\"",
-                instances, between(0.3, 0.8), time(between(1e5, 1e6)),
-                time(startUs >= 0 ? startUs : between(5e5, 4e6)), known);
+        line(
+                "%n[proxies]%ncount = %d%nspread = %.2f%nstart-within = \"%s\"%nstart = \"%s\"%nknown = \"%s\"",
+                instances,
+                between(0.3, 0.8),
+                time(between(1e5, 1e6)),
+                time(startUs >= 0 ? startUs : between(5e5, 4e6)),
+                known);
         line("known-age = \"%s\"%nconnections = 64", time(between(8e6, 14e6)));
-        line("core = %.2f%ncold-request = \"%s\"%nwarm-request = \"%s\"", between(0.4, 0.6),
-                time(between(6e3, 1e4)), time(between(8e2, 1.4e3)));
+        line(
+                "core = %.2f%ncold-request = \"%s\"%nwarm-request = \"%s\"",
+                between(0.4, 0.6), time(between(6e3, 1e4)), time(between(8e2, 1.4e3)));
         line("warm-after = %d", 150 + chance.below(150));
         for (String group : new String[] {"new", "old"}) {
             boolean fresh = group.equals("new");
-            line("%n[[servers]]%nname = \"%s\"%ncount = %d%ncores = 2%nweight = 2%nspeed = [%s]", group,
-                    fresh ? hosts - hosts / 2 : hosts / 2, fresh ? "1.5, 2.1" : "0.77, 1");
+            line(
+                    "%n[[servers]]%nname = \"%s\"%ncount = %d%ncores = 2%nweight = 2%nspeed = [%s]",
+                    group, fresh ? hosts - hosts / 2 : hosts / 2, fresh ? "1.5, 2.1" : "0.77, 1");
             line("queue-per-core = 20");
-            line("connections-per-core = %d%nhandshake-work = [\"650us\", \"1.5ms\"]%nerrors = \"0.1%%\"",
+            line(
+                    "connections-per-core = %d%nhandshake-work = [\"650us\", \"1.5ms\"]%nerrors = \"0.1%%\"",
                     (int) Math.max(100, 2.0 * instances));
             line("report-every = [\"340ms\", \"1.3s\"]%npause-every = \"6s\"%npause-for = [\"0ms\", \"170ms\"]");
             line("cold-from = [\"13%%\", \"34%%\"]%ncold-for = [\"10s\", \"24s\"]");
-            line("crowd-at = 6%ncrowd-loss = \"%.0f%%\"%nkey-memory = \"%s\"%nkey-saving = \"%.0f%%\"",
+            line(
+                    "crowd-at = 6%ncrowd-loss = \"%.0f%%\"%nkey-memory = \"%s\"%nkey-saving = \"%.0f%%\"",
                     between(30, 50), time(between(3.2e6, 8.8e6)), between(32, 69));
         }
         out.append(CLASSES);
@@ -247,15 +264,19 @@
         line("%n[scenario]%ntitle = \"seven in ten of %d client proxies are killed in a release\"", instances);
         line("length = \"30s\"");
         int hosts = world(instances, startUs, "stale");
-        line("%n[load]%nof-capacity = \"%.0f%%\"%nshape = \"steady\"%nkeys = %d%nzipf = %.2f",
+        line(
+                "%n[load]%nof-capacity = \"%.0f%%\"%nshape = \"steady\"%nkeys = %d%nzipf = %.2f",
                 between(45, 60), 30 * hosts, between(0.86, 1.1));
         double kill = between(1e7, 1.2e7);
-        line("%n[[fault]]%ndo = \"deploy\"%nat = \"%s\"%nfor = \"%s\"%npart = \"%.0f%%\"%nbatch = \"%.0f%%\"",
+        line(
+                "%n[[fault]]%ndo = \"deploy\"%nat = \"%s\"%nfor = \"%s\"%npart = \"%.0f%%\"%nbatch = \"%.0f%%\"",
                 time(kill - between(1.5e6, 4e6)), time(between(6e6, 1e7)), between(40, 60), between(10, 20));
         line("drain = \"%s\"", time(between(2e6, 5e6)));
-        line("%n[[fault]]%ndo = \"kill-proxy\"%nat = \"%s\"%npart = \"70%%\"%nwithin = [\"0s\", \"100ms\"]",
+        line(
+                "%n[[fault]]%ndo = \"kill-proxy\"%nat = \"%s\"%npart = \"70%%\"%nwithin = [\"0s\", \"100ms\"]",
                 time(kill));
-        line("%n[[fault]]%ndo = \"discovery-crowd\"%nat = \"%s\"%nfor = \"%s\"%ncalls = \"%.1f/s\"",
+        line(
+                "%n[[fault]]%ndo = \"discovery-crowd\"%nat = \"%s\"%nfor = \"%s\"%ncalls = \"%.1f/s\"",
                 time(kill - between(0, 8e6)), time(between(1e7, 2e7)), between(0.2, 0.5) * instances / 5);
         String[] bad = {"do = \"errors\"%nrate = \"50%%\"", "do = \"hang\"", "do = \"slow\"%nfactor = 6"};
         line("%n[[fault]]%n" + bad[chance.below(bad.length)] + "%nat = \"2s\"%npart = \"%.1f%%\"", 12.5);
@@ -263,26 +284,38 @@
     }
 
     private String soakDay(long seed, int instances, int lengthS, int alsoListed) {
-        line("# Drawn: kit soak --seeds %d --instances %d --length %d --also-listed %d", seed, instances, lengthS,
-                alsoListed);
-        line("%n[scenario]%ntitle = \"faults of all kinds over %d client proxies\"%nlength = \"%ds\"%nsettle = \"9s\"",
+        line(
+                "# Drawn: kit soak --seeds %d --instances %d --length %d --also-listed %d",
+                seed, instances, lengthS, alsoListed);
+        line(
+                "%n[scenario]%ntitle = \"faults of all kinds over %d client proxies\"%nlength = \"%ds\"%nsettle = \"9s\"",
                 instances, lengthS);
         line("%n[network]%nzones = [\"zone-a\", \"zone-b\", \"zone-c\"]");
-        line("%n[discovery]%ncall = \"%s\"%ntimeout = \"%s\"%nalso-listed = %d", time(between(ALL_CALL_US) / instances),
-                time(between(CALL_TIMEOUT_US)), alsoListed);
+        line(
+                "%n[discovery]%ncall = \"%s\"%ntimeout = \"%s\"%nalso-listed = %d",
+                time(between(ALL_CALL_US) / instances), time(between(CALL_TIMEOUT_US)), alsoListed);
         line("notice = [\"100ms\", \"1.5s\"]%nsilent-notice = [\"3s\", \"6s\"]");
         line("%n[rules]%nask-within = \"%s\"", time(chance.below(2) == 0 ? 1e7 : between(1.8e6, 6e6)));
-        line("%n[proxies]%ncount = %d%nspread = %.2f%nstart-within = \"%s\"%nknown = \"%s\"%nknown-age = \"5s\"%nkill-after = \"%s\"",
-                instances, between(0, 0.8), time(between(1e5, 2e6)), chance.below(2) == 0 ? "current" : "stale", KILL_AFTER);
-        line("%n[clients]%nretries = %d%nbackoff = [\"12ms\", \"150ms\"]%nleave = \"%.1f%%\"", chance.below(3),
-                between(0, 6));
+        line(
+                "%n[proxies]%ncount = %d%nspread = %.2f%nstart-within = \"%s\"%nknown = \"%s\"%nknown-age = \"5s\"%nkill-after = \"%s\"",
+                instances,
+                between(0, 0.8),
+                time(between(1e5, 2e6)),
+                chance.below(2) == 0 ? "current" : "stale",
+                KILL_AFTER);
+        line(
+                "%n[clients]%nretries = %d%nbackoff = [\"12ms\", \"150ms\"]%nleave = \"%.1f%%\"",
+                chance.below(3), between(0, 6));
         int hosts = 8 + chance.below(9);
         line("%n[[servers]]%nname = \"host\"%ncount = %d%ncores = 2%nspeed = [0.8, 1.6]%nerrors = \"0.2%%\"", hosts);
-        line("cold-from = [\"20%%\", \"40%%\"]%ncold-for = [\"5s\", \"20s\"]%nconnections-per-core = %d", 20 * instances);
+        line(
+                "cold-from = [\"20%%\", \"40%%\"]%ncold-for = [\"5s\", \"20s\"]%nconnections-per-core = %d",
+                20 * instances);
         line("idle-close = \"%s\"", time(between(1e6, 5e6)));
         out.append(SOAK_CLASSES);
-        line("%n[load]%nrate = \"%.0f/s\"%nshape = \"bursty\"%nkeys = %d", instances * between(4, 9),
-                chance.below(2) * 300);
+        line(
+                "%n[load]%nrate = \"%.0f/s\"%nshape = \"bursty\"%nkeys = %d",
+                instances * between(4, 9), chance.below(2) * 300);
         double last = lengthS - SOAK_EDGE_S;
         if (chance.below(CROWDED_OF) == 0) {
             crowd(last, instances);
@@ -299,10 +332,12 @@
     /** Callers of discovery beside the client proxies, and clients that connect and say nothing. */
     private void crowd(double lastS, int instances) {
         double at = between(SOAK_EDGE_S, lastS / 2);
-        fault("discovery-crowd", at).line("for = \"%s\"%ncalls = \"%.1f/s\"", time(between(3e6, 1e7)),
-                instances * between(0.1, 0.6));
-        fault("crowd-proxy", between(SOAK_EDGE_S, lastS / 2)).line("count = %d%nconnections = %d%nfor = \"%s\"",
-                1 + chance.below(Math.max(1, instances / 3)), 30 + chance.below(300), time(between(2e6, 1e7)));
+        fault("discovery-crowd", at)
+                .line("for = \"%s\"%ncalls = \"%.1f/s\"", time(between(3e6, 1e7)), instances * between(0.1, 0.6));
+        fault("crowd-proxy", between(SOAK_EDGE_S, lastS / 2))
+                .line(
+                        "count = %d%nconnections = %d%nfor = \"%s\"",
+                        1 + chance.below(Math.max(1, instances / 3)), 30 + chance.below(300), time(between(2e6, 1e7)));
     }
 
     /** SIGHUP and SIGTERM to one process, one soon after the other, and more than once. */
@@ -332,8 +367,17 @@
         if (chance.below(4) > 0) {
             fault("drain", atS).line("count = %d", 1 + chance.below(2));
         }
-        String[] kinds = {"discovery-down", "discovery-silent", "discovery-late", "discovery-refuses", "discovery-cuts",
-            "discovery-pauses", "discovery-ends", "watches-silent", "watches-reset"};
+        String[] kinds = {
+            "discovery-down",
+            "discovery-silent",
+            "discovery-late",
+            "discovery-refuses",
+            "discovery-cuts",
+            "discovery-pauses",
+            "discovery-ends",
+            "watches-silent",
+            "watches-reset"
+        };
         String kind = kinds[chance.below(kinds.length)];
         fault(kind, atS);
         switch (kind) {
@@ -347,11 +391,13 @@
                     fault("discovery-ends", atS + 0.1).line("of-each = 1%nfor = \"%s\"", time(SPOILT_S * 1e6));
                 }
             }
-            case "discovery-pauses" -> line("of-each = %d%nby = [\"%s\", \"%s\"]%nfor = \"%s\"", 1 + chance.below(2),
-                    time(LIST_PAUSE_US[0]), time(LIST_PAUSE_US[1]), time(SPOILT_S * 1e6));
-            case "discovery-refuses", "discovery-cuts", "discovery-ends" -> line("of-each = %d%nfor = \"%s\"", 1 + chance.below(2),
-                    time(SPOILT_S * 1e6));
-            default -> { }
+            case "discovery-pauses" ->
+                line(
+                        "of-each = %d%nby = [\"%s\", \"%s\"]%nfor = \"%s\"",
+                        1 + chance.below(2), time(LIST_PAUSE_US[0]), time(LIST_PAUSE_US[1]), time(SPOILT_S * 1e6));
+            case "discovery-refuses", "discovery-cuts", "discovery-ends" ->
+                line("of-each = %d%nfor = \"%s\"", 1 + chance.below(2), time(SPOILT_S * 1e6));
+            default -> {}
         }
     }
 
@@ -360,22 +406,35 @@
         int some = 1 + chance.below(Math.max(1, instances / 3));
         double lasts = Math.min(leftS, between(0.5, 5));
         switch (chance.below(14)) {
-            case 0 -> fault("kill-proxy", atS).line("count = %d%nwithin = [\"0s\", \"%s\"]%ndown = \"%s\"", some,
-                    time(between(1e4, 1e6)), time(between(0, 2e6)));
+            case 0 ->
+                fault("kill-proxy", atS)
+                        .line(
+                                "count = %d%nwithin = [\"0s\", \"%s\"]%ndown = \"%s\"",
+                                some, time(between(1e4, 1e6)), time(between(0, 2e6)));
             case 1 -> fault("pause-proxy", atS).line("count = %d%nfor = \"%s\"", some, time(between(2e4, 1.2e6)));
-            case 2 -> fault("end-proxy", atS).line("count = %d%nwithin = [\"0s\", \"%s\"]", some, time(between(1e4, 2e6)));
-            case 3 -> fault("reload-proxy", atS).line("count = %d%nwithin = [\"0s\", \"%s\"]", some,
-                    time(between(1e4, 1e6)));
+            case 2 ->
+                fault("end-proxy", atS).line("count = %d%nwithin = [\"0s\", \"%s\"]", some, time(between(1e4, 2e6)));
+            case 3 ->
+                fault("reload-proxy", atS).line("count = %d%nwithin = [\"0s\", \"%s\"]", some, time(between(1e4, 1e6)));
             case 4 -> fault("hang", atS).line("count = 1%nfor = \"%s\"", time(lasts * 1e6));
-            case 5 -> fault("slow", atS).line("count = 1%nfactor = %.1f%nfor = \"%s\"", between(2, 10), time(lasts * 1e6));
-            case 6 -> fault("errors", atS).line("count = 2%nrate = \"%.0f%%\"%nfor = \"%s\"", between(5, 60),
-                    time(lasts * 1e6));
-            case 7 -> fault("reset-before", atS).line("count = %d%nrate = \"%.0f%%\"%nfor = \"%s\"", hosts / 2,
-                    between(5, 40), time(lasts * 1e6));
-            case 8 -> fault("reset-after", atS).line("count = %d%nrate = \"%.0f%%\"%nfor = \"%s\"", hosts / 2,
-                    between(5, 40), time(lasts * 1e6));
-            case 9 -> fault("restart", atS).line("count = 1%ndrain = \"%s\"%nmoved = %b", time(between(0, 2e6)),
-                    chance.below(2) == 0);
+            case 5 ->
+                fault("slow", atS).line("count = 1%nfactor = %.1f%nfor = \"%s\"", between(2, 10), time(lasts * 1e6));
+            case 6 ->
+                fault("errors", atS)
+                        .line("count = 2%nrate = \"%.0f%%\"%nfor = \"%s\"", between(5, 60), time(lasts * 1e6));
+            case 7 ->
+                fault("reset-before", atS)
+                        .line(
+                                "count = %d%nrate = \"%.0f%%\"%nfor = \"%s\"",
+                                hosts / 2, between(5, 40), time(lasts * 1e6));
+            case 8 ->
+                fault("reset-after", atS)
+                        .line(
+                                "count = %d%nrate = \"%.0f%%\"%nfor = \"%s\"",
+                                hosts / 2, between(5, 40), time(lasts * 1e6));
+            case 9 ->
+                fault("restart", atS)
+                        .line("count = 1%ndrain = \"%s\"%nmoved = %b", time(between(0, 2e6)), chance.below(2) == 0);
             case 10 -> fault("vanish", atS).line("count = 1%nfor = \"%s\"", time(lasts * 1e6));
             case 12 -> signals(atS, instances);
             case 11 -> fault("pause", atS).line("count = 1%nfor = \"%s\"", time(between(5e4, 8e5)));
@@ -390,32 +449,47 @@
         int hosts = Math.max(12, Math.min(200, (int) (instances * between(0.5, 0.75))));
         line("%n[network]%nzones = [\"zone-a\", \"zone-b\", \"zone-c\"]%ncross = [\"5ms\", \"10ms\"]");
         line("%n[discovery]%ncall = \"%s\"", time(2e6 / instances));
-        line("%n[proxies]%ncount = %d%nspread = %.2f%nstart-within = \"%s\"%nstart = \"%s\"", instances,
-                between(0.3, 0.8), time(between(1e5, 1e6)), time(startUs >= 0 ? startUs : between(5e5, 2e6)));
-        line("%n[clients]%nretries = %d%nbackoff = [\"12ms\", \"100ms\"]%nhonour = \"%.0f%%\"",
+        line(
+                "%n[proxies]%ncount = %d%nspread = %.2f%nstart-within = \"%s\"%nstart = \"%s\"",
+                instances,
+                between(0.3, 0.8),
+                time(between(1e5, 1e6)),
+                time(startUs >= 0 ? startUs : between(5e5, 2e6)));
+        line(
+                "%n[clients]%nretries = %d%nbackoff = [\"12ms\", \"100ms\"]%nhonour = \"%.0f%%\"",
                 1 + chance.below(2), between(30, 90));
         line("patience = [\"%.0f%%\", \"100%%\"]", between(50, 90));
         line("%n[limits]%nattempts = 5%nprobes = false%nretry-after = \"1.5s\"");
         String stops = chance.below(2) == 0 ? "none" : "queued";
-        String linger = String.format(Locale.ROOT, "linger-at = %.1f%nlinger-after = \"%s\"%nlinger-slower = %.2f%n"
-                + "linger-below = \"%.0f%%\"%nlinger-rest = \"%s\"%nlinger-most = \"%s\"", between(4, 7),
-                time(between(1.5e6, 2.5e6)), between(2.3, 3.4), between(25, 40), time(between(2.3e6, 4.6e6)),
+        String linger = String.format(
+                Locale.ROOT,
+                "linger-at = %.1f%nlinger-after = \"%s\"%nlinger-slower = %.2f%n"
+                        + "linger-below = \"%.0f%%\"%nlinger-rest = \"%s\"%nlinger-most = \"%s\"",
+                between(4, 7),
+                time(between(1.5e6, 2.5e6)),
+                between(2.3, 3.4),
+                between(25, 40),
+                time(between(2.3e6, 4.6e6)),
                 time(between(1.8e7, 3.1e7)));
         for (String group : new String[] {"new", "old"}) {
             boolean fresh = group.equals("new");
-            line("%n[[servers]]%nname = \"%s\"%ncount = %d%ncores = 2%nweight = 2%nspeed = [%s]", group,
-                    fresh ? hosts * 3 / 8 : hosts - hosts * 3 / 8, fresh ? "1.5, 2.1" : "0.77, 1");
-            line("slots-per-core = %d%nqueue-per-core = %d%nstops = \"%s\"%ndrops-expired = false",
+            line(
+                    "%n[[servers]]%nname = \"%s\"%ncount = %d%ncores = 2%nweight = 2%nspeed = [%s]",
+                    group, fresh ? hosts * 3 / 8 : hosts - hosts * 3 / 8, fresh ? "1.5, 2.1" : "0.77, 1");
+            line(
+                    "slots-per-core = %d%nqueue-per-core = %d%nstops = \"%s\"%ndrops-expired = false",
                     8 + chance.below(17), 230 + chance.below(500), stops);
             line("connections-per-core = 750%nhandshake-work = [\"770us\", \"2ms\"]%nidle-close = \"30s\"");
             line("report-every = [\"48ms\", \"450ms\"]");
             line("crowd-at = %.1f%ncrowd-loss = \"%.0f%%\"%n%s", between(3.8, 8.3), between(17, 30), linger);
         }
         out.append(JAM_CLASSES);
-        line("%n[load]%nof-capacity = \"%.0f%%\"%nshape = \"bursty\"%nswing = \"%.0f%%\"%nkeys = 0",
+        line(
+                "%n[load]%nof-capacity = \"%.0f%%\"%nshape = \"bursty\"%nswing = \"%.0f%%\"%nkeys = 0",
                 between(65, 82), between(18, 33));
-        line("%n[[fault]]%ndo = \"surge\"%nat = \"%s\"%nfor = \"%s\"%nfactor = 1.5", time(between(6e6, 1.2e7)),
-                time(between(5e6, 1e7)));
+        line(
+                "%n[[fault]]%ndo = \"surge\"%nat = \"%s\"%nfor = \"%s\"%nfactor = 1.5",
+                time(between(6e6, 1.2e7)), time(between(5e6, 1e7)));
         return out.toString();
     }
 }
--- a/src/main/java/mulleinfront/emulator/EmulatedWire.java
+++ b/src/main/java/mulleinfront/emulator/EmulatedWire.java
@@ -30,6 +30,7 @@
     private final Map<Integer, ArrayDeque<Link>> idleAt = new HashMap<>();
     /** Idle connections, the longest idle first. */
     private final LinkedHashSet<Link> idle = new LinkedHashSet<>();
+
     private final LinkedHashSet<Link> all = new LinkedHashSet<>();
     private final IntSupplier mostIdle;
     private boolean sweeping;
@@ -44,7 +45,14 @@
      * @param process when it reads what comes
      * @param mostIdle idle connections to keep at most
      */
-    EmulatedWire(World world, Time time, Reader process, int proxy, int zone, DiscoveryClient discovery, IntSupplier mostIdle) {
+    EmulatedWire(
+            World world,
+            Time time,
+            Reader process,
+            int proxy,
+            int zone,
+            DiscoveryClient discovery,
+            IntSupplier mostIdle) {
         this.mostIdle = mostIdle;
         this.world = world;
         this.time = time;
@@ -68,8 +76,14 @@
     }
 
     @Override
-    public Wire.Attempt attempt(String requestId, int number, String hostId, Call call, long timeoutUs,
-            BooleanSupplier wanted, End<Answer> end) {
+    public Wire.Attempt attempt(
+            String requestId,
+            int number,
+            String hostId,
+            Call call,
+            long timeoutUs,
+            BooleanSupplier wanted,
+            End<Answer> end) {
         Integer address = discovery.address(hostId);
         return address == null ? null : new Attempt(requestId, number, address, call, timeoutUs, wanted, end);
     }
@@ -190,7 +204,7 @@
             sweeping = true;
             time.after(idle.iterator().next().idleAt + idleUs - time.now(), () -> {
                 sweeping = false;
-                for (Link l; !idle.isEmpty() && (l = idle.iterator().next()).idleAt + idleUs <= time.now();) {
+                for (Link l; !idle.isEmpty() && (l = idle.iterator().next()).idleAt + idleUs <= time.now(); ) {
                     close(l);
                 }
                 sweep();
@@ -206,6 +220,7 @@
         private final Call call;
         /** The call of a graph that it is for; null: none. */
         private final Hop hop;
+
         private final BooleanSupplier wanted;
         private final End<Answer> end;
         private final long endsAt;
@@ -217,11 +232,18 @@
         private Handling handling;
         /** The server knows that nobody waits for it. */
         private boolean unwanted;
+
         private int fresh;
         private boolean written;
         private boolean over;
 
-        Attempt(String requestId, int number, int address, Call call, long timeoutUs, BooleanSupplier wanted,
+        Attempt(
+                String requestId,
+                int number,
+                int address,
+                Call call,
+                long timeoutUs,
+                BooleanSupplier wanted,
                 End<Answer> end) {
             this.requestId = requestId;
             this.number = number;
@@ -342,8 +364,14 @@
             }
             double work = call.work() + (to.fresh ? to.life.handshakeWork() : 0);
             to.fresh = false;
-            ServerModel.Job made = new ServerModel.Job(requestId, work, call.key(), call.effect(),
-                    call.windowUs(), endsAt, (how, inflight) -> worked(to, how, inflight));
+            ServerModel.Job made = new ServerModel.Job(
+                    requestId,
+                    work,
+                    call.key(),
+                    call.effect(),
+                    call.windowUs(),
+                    endsAt,
+                    (how, inflight) -> worked(to, how, inflight));
             if (hop != null) {
                 hop.arrived(number, world.queue.now());
             }
--- a/src/main/java/mulleinfront/emulator/EventQueue.java
+++ b/src/main/java/mulleinfront/emulator/EventQueue.java
@@ -15,6 +15,7 @@
 
     /** A heap by instant and order; what decides is kept beside the events, since it is read far more often. */
     private long[] at = new long[1024];
+
     private long[] order = new long[1024];
     private Event[] events = new Event[1024];
     private int size;
@@ -117,7 +118,7 @@
     }
 
     private void down(int place, long when, long number, Event e) {
-        for (int first; (first = WAYS * place + 1) < size;) {
+        for (int first; (first = WAYS * place + 1) < size; ) {
             int least = first;
             int end = Math.min(first + WAYS, size);
             for (int c = first + 1; c < end; c++) {
--- a/src/main/java/mulleinfront/emulator/Explain.java
+++ b/src/main/java/mulleinfront/emulator/Explain.java
@@ -6,7 +6,7 @@
 
 /** What happened to single requests of a world: one by its id, or the first that were lost by a cause. */
 public final class Explain {
-    private Explain() { }
+    private Explain() {}
 
     /**
      * Plays a world and tells of a request.
--- a/src/main/java/mulleinfront/emulator/FaultReader.java
+++ b/src/main/java/mulleinfront/emulator/FaultReader.java
@@ -98,8 +98,17 @@
                 drain = s.time("of", 1_000_000L);
             }
             case CLOCK -> factor = (s.time("ahead", 0L) - s.time("back", 0L)) / 1_000.0;
-            case DRAIN, HANG, VANISH, CUT, DISCOVERY_DOWN, DISCOVERY_SILENT, WATCHES_SILENT, WATCHES_RESET, CUT_PEERS, DATAGRAMS,
-                    BURST -> { }
+            case DRAIN,
+                    HANG,
+                    VANISH,
+                    CUT,
+                    DISCOVERY_DOWN,
+                    DISCOVERY_SILENT,
+                    WATCHES_SILENT,
+                    WATCHES_RESET,
+                    CUT_PEERS,
+                    DATAGRAMS,
+                    BURST -> {}
         }
         List<String> named = List.of();
         int count = -1;
@@ -126,13 +135,15 @@
             }
         } else if (aimsAtProxies(kind)) {
             proxy = s.has("proxy") ? s.count("proxy", null, 0) : -1;
-            count = s.has("count") ? s.count("count", null, 1)
+            count = s.has("count")
+                    ? s.count("count", null, 1)
                     : s.has("part") ? part(s, world.proxies().count()) : -1;
             if (proxy < 0 == count < 0) {
                 throw s.wrong("names nobody: it needs either proxy (its number), count or part");
             }
             if (proxy >= world.proxies().count() || count > world.proxies().count()) {
-                throw s.wrong(proxy >= 0 ? "proxy" : "count",
+                throw s.wrong(
+                        proxy >= 0 ? "proxy" : "count",
                         "there are only " + world.proxies().count() + " client proxies, from 0 on");
             }
             if (kind == Kind.CUT_PROXY && s.has("zone")) {
@@ -144,13 +155,30 @@
         } else if (kind == Kind.BURST) {
             count = s.count("requests", null, 1);
         } else if (kind == Kind.SURGE && s.has("tenant")) {
-            tenant = place(s, "tenant", world.tenants().stream().map(Scenario.Tenant::name).toList());
+            tenant = place(
+                    s,
+                    "tenant",
+                    world.tenants().stream().map(Scenario.Tenant::name).toList());
         }
         if (amongPeers(kind) && world.peers() == null) {
             throw s.wrong("do", "client proxies do not speak to each other here: there is no [peers]");
         }
-        return new Fault(kind, at, forUs, named, count, zone, proxy, tenant, factor, share, on, off, drain,
-                moved, between(kind, s));
+        return new Fault(
+                kind,
+                at,
+                forUs,
+                named,
+                count,
+                zone,
+                proxy,
+                tenant,
+                factor,
+                share,
+                on,
+                off,
+                drain,
+                moved,
+                between(kind, s));
     }
 
     private Scenario.Between between(Kind kind, Section s) throws BadFileException {
@@ -163,9 +191,15 @@
         if (cut && from.isEmpty()) {
             throw s.wrong("from", "a cut needs the numbers of one side, as \"0-4, 7\"");
         }
-        return new Scenario.Between(from, to, cut && s.flag("one-way", false), cut ? 1 : s.share("lose", 0.0, 1),
-                cut ? 0 : s.share("twice", 0.0, 1), cut ? 0 : s.share("overtaken", 0.0, 1),
-                cut ? 0 : s.share("change", 0.0, 1), cut ? NONE : s.times("late", NONE));
+        return new Scenario.Between(
+                from,
+                to,
+                cut && s.flag("one-way", false),
+                cut ? 1 : s.share("lose", 0.0, 1),
+                cut ? 0 : s.share("twice", 0.0, 1),
+                cut ? 0 : s.share("overtaken", 0.0, 1),
+                cut ? 0 : s.share("change", 0.0, 1),
+                cut ? NONE : s.times("late", NONE));
     }
 
     /** Numbers of client proxies: "0-4, 7"; none if the key is absent. */
@@ -178,8 +212,10 @@
                 int low = Integer.parseInt(ends[0]);
                 int high = Integer.parseInt(ends[ends.length - 1]);
                 if (low > high || high >= world.proxies().count()) {
-                    throw s.wrong(key, "'" + part.strip() + "' is no range of the " + world.proxies().count()
-                            + " client proxies, from 0 on");
+                    throw s.wrong(
+                            key,
+                            "'" + part.strip() + "' is no range of the "
+                                    + world.proxies().count() + " client proxies, from 0 on");
                 }
                 for (int i = low; i <= high; i++) {
                     all.add(i);
@@ -235,8 +271,8 @@
 
     private static boolean aimsAtServers(Kind kind) {
         return switch (kind) {
-            case SLOW, HANG, NEIGHBOUR, ERRORS, PAUSE, DRAIN, RESTART, DEPLOY, VANISH, CUT, RESET_BEFORE,
-                    RESET_AFTER -> true;
+            case SLOW, HANG, NEIGHBOUR, ERRORS, PAUSE, DRAIN, RESTART, DEPLOY, VANISH, CUT, RESET_BEFORE, RESET_AFTER ->
+                true;
             default -> false;
         };
     }
--- a/src/main/java/mulleinfront/emulator/Fitting.java
+++ b/src/main/java/mulleinfront/emulator/Fitting.java
@@ -13,7 +13,7 @@
  * purpose shows that the auditor can fail.
  */
 interface Fitting {
-    Fitting PLAIN = new Fitting() { };
+    Fitting PLAIN = new Fitting() {};
 
     /** What the core sends by. */
     default Wire<Call, Answer> wire(Wire<Call, Answer> wire, Time time) {
--- a/src/main/java/mulleinfront/emulator/FleetJudge.java
+++ b/src/main/java/mulleinfront/emulator/FleetJudge.java
@@ -156,8 +156,12 @@
     public void changed(int observer, Change c) {
         View v = views[observer];
         if (c.number() != v.changes + 1) {
-            breach(Rule.OUT_OF_ORDER, c.atUs(), observer, c.member(), "member " + observer + " gave change "
-                    + c.number() + " after " + v.changes);
+            breach(
+                    Rule.OUT_OF_ORDER,
+                    c.atUs(),
+                    observer,
+                    c.member(),
+                    "member " + observer + " gave change " + c.number() + " after " + v.changes);
         }
         v.changes = c.number();
         v.digest = c.digest();
@@ -165,12 +169,16 @@
             return;
         }
         long held = v.incarnation[c.member()];
-        boolean back = c.incarnation() < held
-                || c.incarnation() == held && c.to().ordinal() < v.state[c.member()];
+        boolean back = c.incarnation() < held || c.incarnation() == held && c.to().ordinal() < v.state[c.member()];
         if (back) {
-            breach(Rule.WENT_BACK, c.atUs(), observer, c.member(), "member " + observer + " believed "
-                    + MemberState.values()[v.state[c.member()]].word() + " of " + c.member()
-                    + " and now believes " + c.to().word() + " of the same life or an earlier one");
+            breach(
+                    Rule.WENT_BACK,
+                    c.atUs(),
+                    observer,
+                    c.member(),
+                    "member " + observer + " believed "
+                            + MemberState.values()[v.state[c.member()]].word() + " of " + c.member()
+                            + " and now believes " + c.to().word() + " of the same life or an earlier one");
         }
         v.incarnation[c.member()] = c.incarnation();
         v.state[c.member()] = (byte) c.to().ordinal();
@@ -192,14 +200,22 @@
                 if (now - since[m] <= boundUs) {
                     continue;
                 }
-                boolean there = state[m] == MemberState.ALIVE.ordinal()
-                        || state[m] == MemberState.SUSPECTED.ordinal();
+                boolean there = state[m] == MemberState.ALIVE.ordinal() || state[m] == MemberState.SUSPECTED.ordinal();
                 if (group[o] == group[m] && up[m] && !still[m] && !left[m] && !there) {
-                    breach(Rule.CALLED_FAILED, now, o, m, "member " + o + " calls " + m + " "
-                            + MemberState.values()[state[m]].word());
+                    breach(
+                            Rule.CALLED_FAILED,
+                            now,
+                            o,
+                            m,
+                            "member " + o + " calls " + m + " " + MemberState.values()[state[m]].word());
                 } else if (!up[m] && there) {
-                    breach(Rule.CALLED_ALIVE, now, o, m, "member " + o + " calls " + m + " "
-                            + MemberState.values()[state[m]].word() + ", which is dead");
+                    breach(
+                            Rule.CALLED_ALIVE,
+                            now,
+                            o,
+                            m,
+                            "member " + o + " calls " + m + " " + MemberState.values()[state[m]].word()
+                                    + ", which is dead");
                 }
             }
         }
@@ -221,8 +237,12 @@
             if (first[g] < 0) {
                 first[g] = m;
             } else if (views[m].digest != views[first[g]].digest) {
-                breach(Rule.VIEWS_DIFFER, now, first[g], m, "members " + first[g] + " and " + m
-                        + " hold different views");
+                breach(
+                        Rule.VIEWS_DIFFER,
+                        now,
+                        first[g],
+                        m,
+                        "members " + first[g] + " and " + m + " hold different views");
             }
         }
     }
--- a/src/main/java/mulleinfront/emulator/FleetRun.java
+++ b/src/main/java/mulleinfront/emulator/FleetRun.java
@@ -29,7 +29,7 @@
         void changed(int observer, Change change);
 
         /** What an observer has in reach, or whether it finds its view settled, is not as it was. */
-        default void reach(int observer, long now, Reach reach, boolean settled) { }
+        default void reach(int observer, long now, Reach reach, boolean settled) {}
     }
 
     private final EventQueue queue;
@@ -55,8 +55,12 @@
     public record Figures(long datagrams, long bytes, long read, long dropped, long withheld) {
         private Figures plus(Fleet f) {
             long lost = f.drops().values().stream().mapToLong(Long::longValue).sum();
-            return new Figures(datagrams + f.sentDatagrams(), bytes + f.sentBytes(), read + f.received(),
-                    dropped + lost, withheld + f.withheld());
+            return new Figures(
+                    datagrams + f.sentDatagrams(),
+                    bytes + f.sentBytes(),
+                    read + f.received(),
+                    dropped + lost,
+                    withheld + f.withheld());
         }
     }
 
@@ -69,14 +73,19 @@
     public static FleetRun alone(int members, long seed, IntFunction<FleetSettings> settings, Maker maker) {
         EventQueue queue = new EventQueue();
         Chance way = Chance.of(seed, "way");
-        return new FleetRun(queue, Chance.of(seed, "fleet"), members, settings,
-                maker, (from, to) -> (long) way.between(100, 2_000));
+        return new FleetRun(queue, Chance.of(seed, "fleet"), members, settings, maker, (from, to) ->
+                (long) way.between(100, 2_000));
     }
 
     /**
      * @param settings those of each member, by its number
      */
-    FleetRun(EventQueue queue, Chance chance, int members, IntFunction<FleetSettings> settings, Maker maker,
+    FleetRun(
+            EventQueue queue,
+            Chance chance,
+            int members,
+            IntFunction<FleetSettings> settings,
+            Maker maker,
             PeerNetwork.Way way) {
         this.queue = queue;
         this.chance = chance;
@@ -151,8 +160,16 @@
     /** The same of another make. */
     public void start(int number, Maker its) {
         RandomGenerator random = new SplittableRandom(chance.nextLong());
-        Peer peer = new Peer(queue, network, number, out -> its.make(settings.apply(number), random, queue.now(),
-                EPOCH_MS + queue.now() / 1000 + clockMs[number], out));
+        Peer peer = new Peer(
+                queue,
+                network,
+                number,
+                out -> its.make(
+                        settings.apply(number),
+                        random,
+                        queue.now(),
+                        EPOCH_MS + queue.now() / 1000 + clockMs[number],
+                        out));
         if (peers[number] != null) {
             ended = ended.plus(peers[number].fleet());
         }
@@ -222,8 +239,7 @@
     // ---- what happens on the way -----------------------------------------------------------------------
 
     @Override
-    public End trouble(BitSet from, BitSet to, double lose, double twice, double overtaken, double change,
-            Range late) {
+    public End trouble(BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late) {
         Troubles.Trouble t = new Troubles.Trouble(from, to, lose, twice, overtaken, change, late);
         network.troubles().begin(t);
         links(t.cut() ? 1 : 0);
@@ -256,8 +272,14 @@
 
     @Override
     public void strangers(double perSecond, long us) {
-        every(perSecond, us, () -> network.deliver(PeerNetwork.STRANGER,
-                network.troubles().anybody(peers.length), network.troubles().strange(), 0));
+        every(
+                perSecond,
+                us,
+                () -> network.deliver(
+                        PeerNetwork.STRANGER,
+                        network.troubles().anybody(peers.length),
+                        network.troubles().strange(),
+                        0));
     }
 
     /** A datagram comes to a member from a peer's address, or from nobody's: -1. */
--- a/src/main/java/mulleinfront/emulator/GraphApplication.java
+++ b/src/main/java/mulleinfront/emulator/GraphApplication.java
@@ -5,7 +5,7 @@
  * worth.
  */
 interface GraphApplication {
-    GraphApplication PLAIN = new GraphApplication() { };
+    GraphApplication PLAIN = new GraphApplication() {};
 
     /**
      * When nobody waits for a call any more: what is left of the request's own time, less the way of the
--- a/src/main/java/mulleinfront/emulator/GraphAuditor.java
+++ b/src/main/java/mulleinfront/emulator/GraphAuditor.java
@@ -20,7 +20,8 @@
 
     /** What is judged, by the name of what is broken. */
     public enum Rule {
-        DEADLINE("the deadline is passed on"), CANCEL("what is cancelled above is cancelled below"),
+        DEADLINE("the deadline is passed on"),
+        CANCEL("what is cancelled above is cancelled below"),
         EFFECT("no call has more of an effect than its request"),
         TWICE("no effect happens twice along a path");
 
@@ -78,19 +79,23 @@
     private void breach(Rule rule, Hop hop, String what) {
         breachCount++;
         if (breaches.size() < MOST_KEPT) {
-            breaches.add(new Breach(rule, graph.queue.now(), graph.nodes().get(hop.edge.to()).name(), what));
+            breaches.add(new Breach(
+                    rule, graph.queue.now(), graph.nodes().get(hop.edge.to()).name(), what));
         }
     }
 
     /** An application makes a call. */
     void called(Hop hop) {
         if (hop.endAt > hop.above.endsAt) {
-            breach(Rule.DEADLINE, hop, "it may take " + (hop.endAt - hop.above.endsAt)
-                    + " us longer than the request that it is made for");
+            breach(
+                    Rule.DEADLINE,
+                    hop,
+                    "it may take " + (hop.endAt - hop.above.endsAt)
+                            + " us longer than the request that it is made for");
         }
         Effect effect = effect(hop.classIndex);
-        Effect most = hop.above.above == null ? effect(hop.above.request.classIndex)
-                : effect(hop.above.above.classIndex);
+        Effect most =
+                hop.above.above == null ? effect(hop.above.request.classIndex) : effect(hop.above.above.classIndex);
         if (strength(effect) > strength(most)) {
             breach(Rule.EFFECT, hop, "a " + most + " request makes a " + effect + " call");
         }
@@ -111,8 +116,10 @@
     /** An attempt's first byte leaves a client proxy. */
     void sent(Hop hop, long now) {
         if (hop.above.overAt() >= 0 && now > hop.above.overAt()) {
-            breach(Rule.CANCEL, hop, "sent " + (now - hop.above.overAt())
-                    + " us after the request that it is made for was over");
+            breach(
+                    Rule.CANCEL,
+                    hop,
+                    "sent " + (now - hop.above.overAt()) + " us after the request that it is made for was over");
         }
         if (now > hop.endAt) {
             breach(Rule.DEADLINE, hop, "sent " + (now - hop.endAt) + " us after its time");
@@ -140,8 +147,7 @@
         } else {
             breachCount++;
             if (breaches.size() < MOST_KEPT) {
-                breaches.add(new Breach(Rule.TWICE, now, "any", "the effect " + effect + " ran " + times
-                        + " times"));
+                breaches.add(new Breach(Rule.TWICE, now, "any", "the effect " + effect + " ran " + times + " times"));
             }
         }
     }
--- a/src/main/java/mulleinfront/emulator/GraphMachine.java
+++ b/src/main/java/mulleinfront/emulator/GraphMachine.java
@@ -16,6 +16,7 @@
     Host host;
     /** The client proxy's part for each service that it calls, in the order of its service's calls. */
     final List<Upstream> upstreams = new ArrayList<>();
+
     final Set<Handling> handlings = new LinkedHashSet<>();
     /** Requests from outside go elsewhere. */
     boolean down;
@@ -43,8 +44,7 @@
                 return u;
             }
         }
-        throw new IllegalStateException("machine " + number + " of " + node.name() + " does not call "
-                + service);
+        throw new IllegalStateException("machine " + number + " of " + node.name() + " does not call " + service);
     }
 
     /** Its process is gone, and what it was at with it. */
--- a/src/main/java/mulleinfront/emulator/GraphReader.java
+++ b/src/main/java/mulleinfront/emulator/GraphReader.java
@@ -18,9 +18,12 @@
  * {@code [[failure]]}. The keys stand on the page {@code docs/emulator.md}.
  */
 public final class GraphReader {
-    private enum RateOf { CALLS, REQUESTS }
+    private enum RateOf {
+        CALLS,
+        REQUESTS
+    }
 
-    private GraphReader() { }
+    private GraphReader() {}
 
     /**
      * Reads a file, and the file of the world that it stands on, if it names one.
@@ -29,7 +32,8 @@
      */
     public static GraphSpec read(Path file) throws BadFileException {
         String text = ScenarioReader.text(file);
-        String world = Section.root(file.toString(), text, null).table("scenario").text("world", "");
+        String world =
+                Section.root(file.toString(), text, null).table("scenario").text("world", "");
         Section base = null;
         if (!world.isEmpty()) {
             Path beside = file.resolveSibling(world);
@@ -67,14 +71,30 @@
         if (work.low() <= 0) {
             throw graph.wrong("work-factor", "must be more than nothing");
         }
-        GraphSpec spec = new GraphSpec(world, names, regionOf, graph.times("between-regions", Range.of(0)),
-                services, depth, fronts, graph.share("front-hosts", 0.1, 1), graph.count("least-hosts", 3, 1),
-                graph.count("fan-out", 4, 0), graph.number("skew", 0.8, 0), graph.share("chain", 0.75, 1),
-                graph.number("calls-per-request", null, 1), graph.word("rate-of", RateOf.CALLS, RateOf.class)
-                == RateOf.CALLS, work, graph.share("in-turn", 0.5, 1), graph.share("optional", 0.3, 1),
-                graph.share("reads", 0.6, 1), graph.word("told", GraphSpec.Told.ATTEMPT,
-                GraphSpec.Told.class), graph.time("reserve", 2_000L), graph.count("rack", 20, 1),
-                graph.time("added-budget", 660L), List.of());
+        GraphSpec spec = new GraphSpec(
+                world,
+                names,
+                regionOf,
+                graph.times("between-regions", Range.of(0)),
+                services,
+                depth,
+                fronts,
+                graph.share("front-hosts", 0.1, 1),
+                graph.count("least-hosts", 3, 1),
+                graph.count("fan-out", 4, 0),
+                graph.number("skew", 0.8, 0),
+                graph.share("chain", 0.75, 1),
+                graph.number("calls-per-request", null, 1),
+                graph.word("rate-of", RateOf.CALLS, RateOf.class) == RateOf.CALLS,
+                work,
+                graph.share("in-turn", 0.5, 1),
+                graph.share("optional", 0.3, 1),
+                graph.share("reads", 0.6, 1),
+                graph.word("told", GraphSpec.Told.ATTEMPT, GraphSpec.Told.class),
+                graph.time("reserve", 2_000L),
+                graph.count("rack", 20, 1),
+                graph.time("added-budget", 660L),
+                List.of());
         graph.done();
         try {
             CallGraph.draw(spec, 1);
@@ -89,8 +109,7 @@
         return spec.failing(all);
     }
 
-    private static List<String> regions(Section root, List<Section> regions, List<String> zones,
-            int[] regionOf)
+    private static List<String> regions(Section root, List<Section> regions, List<String> zones, int[] regionOf)
             throws BadFileException {
         Arrays.fill(regionOf, -1);
         List<String> names = new ArrayList<>();
@@ -143,8 +162,16 @@
             throw s.wrong("batch", "batches need the time within which all of them come");
         }
         boolean restart = kind == Kind.RESTART;
-        return new Failure(kind, at, s.time("for", restart ? (Long) 0L : null), within,
-                s.has("count") ? s.count("count", null, 1) : -1, zone, s.flag("rack", false), batch,
-                restart ? s.time("drain", 3_000_000L) : 0, restart && s.flag("proxies", false));
+        return new Failure(
+                kind,
+                at,
+                s.time("for", restart ? (Long) 0L : null),
+                within,
+                s.has("count") ? s.count("count", null, 1) : -1,
+                zone,
+                s.flag("rack", false),
+                batch,
+                restart ? s.time("drain", 3_000_000L) : 0,
+                restart && s.flag("proxies", false));
     }
 }
--- a/src/main/java/mulleinfront/emulator/GraphReport.java
+++ b/src/main/java/mulleinfront/emulator/GraphReport.java
@@ -164,8 +164,13 @@
         StringBuilder out = new StringBuilder();
         for (Cause c : Cause.values()) {
             if (s.causes[c.ordinal()] > 0) {
-                out.append(out.length() == 0 ? "" : ", ").append(c.word()).append(' ')
-                        .append(s.causes[c.ordinal()]).append(" (young ").append(s.young[c.ordinal()]).append(')');
+                out.append(out.length() == 0 ? "" : ", ")
+                        .append(c.word())
+                        .append(' ')
+                        .append(s.causes[c.ordinal()])
+                        .append(" (young ")
+                        .append(s.young[c.ordinal()])
+                        .append(')');
             }
         }
         return out.length() == 0 ? "none" : out.toString();
@@ -181,23 +186,53 @@
     public String text() {
         StringBuilder out = new StringBuilder();
         Scenario w = spec.world();
-        line(out, "%s (%s), seed %d: %.0f s, %d machines, %d services, %d regions, %d zones", w.name(),
-                w.title(), seed,
-                w.lengthUs() / 1e6, spec.hosts(), spec.services(), spec.regions().size(), w.zones().size());
-        line(out, "graph: %d edges, depth %d, %.2f calls a request by what was drawn, %.2f made; a client"
-                + " proxy calls %.1f services on the mean, %d at most", graph.nodes().stream().mapToInt(n ->
-                n.calls().size()).sum(), spec.depth(), graph.nodes().stream().filter(n -> n.level() > 0)
-                .mapToDouble(CallGraph.Node::visits).sum(), (double) tally.all.calls / Math.max(1,
-                tally.requests), (double) upstreams() / graph.machines.size(), mostUpstreams());
-        line(out, "load: %.0f requests/s from outside, %.0f calls/s in all",
-                tally.requests / (w.lengthUs() / 1e6), tally.all.calls / (w.lengthUs() / 1e6));
+        line(
+                out,
+                "%s (%s), seed %d: %.0f s, %d machines, %d services, %d regions, %d zones",
+                w.name(),
+                w.title(),
+                seed,
+                w.lengthUs() / 1e6,
+                spec.hosts(),
+                spec.services(),
+                spec.regions().size(),
+                w.zones().size());
+        line(
+                out,
+                "graph: %d edges, depth %d, %.2f calls a request by what was drawn, %.2f made; a client"
+                        + " proxy calls %.1f services on the mean, %d at most",
+                graph.nodes().stream().mapToInt(n -> n.calls().size()).sum(),
+                spec.depth(),
+                graph.nodes().stream()
+                        .filter(n -> n.level() > 0)
+                        .mapToDouble(CallGraph.Node::visits)
+                        .sum(),
+                (double) tally.all.calls / Math.max(1, tally.requests),
+                (double) upstreams() / graph.machines.size(),
+                mostUpstreams());
+        line(
+                out,
+                "load: %.0f requests/s from outside, %.0f calls/s in all",
+                tally.requests / (w.lengthUs() / 1e6),
+                tally.all.calls / (w.lengthUs() / 1e6));
         line(out, "");
-        line(out, "service %.4f of the worth of %d requests (%d left by their clients): first %d s %.4f, "
-                + "after %.4f; p50 %.1f ms, p99 %.1f ms", service(), tally.requests, tally.requestsLeft,
-                EARLY_SECONDS, service(0, EARLY_SECONDS), service(EARLY_SECONDS, Integer.MAX_VALUE),
-                tally.requestTimes.at(0.5) / 1e3, tally.requestTimes.at(0.99) / 1e3);
+        line(
+                out,
+                "service %.4f of the worth of %d requests (%d left by their clients): first %d s %.4f, "
+                        + "after %.4f; p50 %.1f ms, p99 %.1f ms",
+                service(),
+                tally.requests,
+                tally.requestsLeft,
+                EARLY_SECONDS,
+                service(0, EARLY_SECONDS),
+                service(EARLY_SECONDS, Integer.MAX_VALUE),
+                tally.requestTimes.at(0.5) / 1e3,
+                tally.requestTimes.at(0.99) / 1e3);
         for (int c = 0; c < tally.classAsked.length; c++) {
-            line(out, "  %-16s %.4f", w.classes().get(c).type().name(),
+            line(
+                    out,
+                    "  %-16s %.4f",
+                    w.classes().get(c).type().name(),
                     tally.classEarned[c] / Math.max(1e-9, tally.classAsked[c]));
         }
         depths(out);
@@ -205,15 +240,28 @@
         deepest(out);
         seconds(out);
         line(out, "");
-        line(out, "attempts %d: across zones %.1f%%, across regions %.1f%%, on a new connection %.1f%%",
-                tally.all.attempts, percent(tally.all.acrossZones), percent(tally.all.acrossRegions),
+        line(
+                out,
+                "attempts %d: across zones %.1f%%, across regions %.1f%%, on a new connection %.1f%%",
+                tally.all.attempts,
+                percent(tally.all.acrossZones),
+                percent(tally.all.acrossRegions),
                 percent(tally.all.connected));
-        line(out, "probes %d, discovery calls %d (failed %d), entries of lists told %d; connections of a"
-                + " client proxy: mean %.1f, most %d", counted("probes"), counted("discovery calls"),
-                counted("discovery calls failed"), entriesTold(), tally.meanConnections,
+        line(
+                out,
+                "probes %d, discovery calls %d (failed %d), entries of lists told %d; connections of a"
+                        + " client proxy: mean %.1f, most %d",
+                counted("probes"),
+                counted("discovery calls"),
+                counted("discovery calls failed"),
+                entriesTold(),
+                tally.meanConnections,
                 tally.mostConnections);
-        line(out, "cold servers: most sent to one %.0f%% of what pushes it over; fell over: %d",
-                100 * coldMost(), fell());
+        line(
+                out,
+                "cold servers: most sent to one %.0f%% of what pushes it over; fell over: %d",
+                100 * coldMost(),
+                fell());
         line(out, "keyed effects run again in another group by a repeat above: %d", graph.audit.keyedAgain());
         line(out, "");
         if (brokenCount() == 0) {
@@ -232,8 +280,19 @@
 
     private void depths(StringBuilder out) {
         line(out, "");
-        line(out, "%5s %9s %8s %8s %8s %8s %8s %8s %8s  %s", "depth", "calls", "service", "served", "refused",
-                "failed", "timedout", "noproxy", "left", "added p50/p99/p99.9 ms");
+        line(
+                out,
+                "%5s %9s %8s %8s %8s %8s %8s %8s %8s  %s",
+                "depth",
+                "calls",
+                "service",
+                "served",
+                "refused",
+                "failed",
+                "timedout",
+                "noproxy",
+                "left",
+                "added p50/p99/p99.9 ms");
         for (int d = 1; d <= spec.depth(); d++) {
             row(out, String.valueOf(d), tally.depths[d]);
         }
@@ -245,11 +304,21 @@
 
     private static void row(StringBuilder out, String name, Group g) {
         Histogram h = g.of(Span.ADDED);
-        line(out, "%5s %9d %8.4f %8d %8d %8d %8d %8d %8d  %.3f / %.3f / %.3f", name, g.calls, g.service(),
-                g.ended(Clients.How.SERVED), g.ended(Clients.How.REFUSED), g.ended(Clients.How.FAILED),
-                g.ended(Clients.How.TIMED_OUT), g.ended(Clients.How.UNREACHABLE)
-                + g.ended(Clients.How.BROKEN),
-                g.ended(Clients.How.LEFT), h.at(0.5) / 1e3, h.at(0.99) / 1e3, h.at(0.999) / 1e3);
+        line(
+                out,
+                "%5s %9d %8.4f %8d %8d %8d %8d %8d %8d  %.3f / %.3f / %.3f",
+                name,
+                g.calls,
+                g.service(),
+                g.ended(Clients.How.SERVED),
+                g.ended(Clients.How.REFUSED),
+                g.ended(Clients.How.FAILED),
+                g.ended(Clients.How.TIMED_OUT),
+                g.ended(Clients.How.UNREACHABLE) + g.ended(Clients.How.BROKEN),
+                g.ended(Clients.How.LEFT),
+                h.at(0.5) / 1e3,
+                h.at(0.99) / 1e3,
+                h.at(0.999) / 1e3);
     }
 
     private void spans(StringBuilder out) {
@@ -261,25 +330,49 @@
 
     private void spans(StringBuilder out, String which, Group g) {
         line(out, "");
-        line(out, "%-11s %9s %9s %9s %9s %9s   of an answered call, ms (%s); over %.2f ms added: %.2f%%; on a"
-                + " new connection: %.1f%%", "time", "mean", "p50", "p99", "p99.9", "most", which,
+        line(
+                out,
+                "%-11s %9s %9s %9s %9s %9s   of an answered call, ms (%s); over %.2f ms added: %.2f%%; on a"
+                        + " new connection: %.1f%%",
+                "time",
+                "mean",
+                "p50",
+                "p99",
+                "p99.9",
+                "most",
+                which,
                 spec.budgetUs() / 1e3,
-                100 * g.of(Span.ADDED).above(spec.budgetUs()), 100.0 * g.connected / Math.max(1, g.attempts));
+                100 * g.of(Span.ADDED).above(spec.budgetUs()),
+                100.0 * g.connected / Math.max(1, g.attempts));
         for (Span span : Span.values()) {
             Histogram h = g.of(span);
-            line(out, "%-11s %9.3f %9.3f %9.3f %9.3f %9.3f", Section.form(span),
-                    h.mean() / 1e3, h.at(0.5) / 1e3, h.at(0.99) / 1e3, h.at(0.999) / 1e3, h.most() / 1e3);
+            line(
+                    out,
+                    "%-11s %9.3f %9.3f %9.3f %9.3f %9.3f",
+                    Section.form(span),
+                    h.mean() / 1e3,
+                    h.at(0.5) / 1e3,
+                    h.at(0.99) / 1e3,
+                    h.at(0.999) / 1e3,
+                    h.most() / 1e3);
         }
     }
 
     private void deepest(StringBuilder out) {
         line(out, "");
-        line(out, "requests by their deepest call, and those with a call of more than %.2f ms added:",
+        line(
+                out,
+                "requests by their deepest call, and those with a call of more than %.2f ms added:",
                 spec.budgetUs() / 1e3);
         StringBuilder row = new StringBuilder();
         for (int d = 1; d <= spec.depth(); d++) {
             Deepest g = tally.deepest[d];
-            row.append(String.format(Locale.ROOT, "%s %d: %d (%.1f%%)", d == 1 ? " " : ",", d, g.requests,
+            row.append(String.format(
+                    Locale.ROOT,
+                    "%s %d: %d (%.1f%%)",
+                    d == 1 ? " " : ",",
+                    d,
+                    g.requests,
                     100.0 * g.withOneBeyond / Math.max(1, g.requests)));
         }
         line(out, "%s", row);
@@ -287,15 +380,27 @@
 
     private void seconds(StringBuilder out) {
         line(out, "");
-        line(out, "%6s %8s %8s %8s %8s %8s %6s  %s", "second", "requests", "service", "unserved", "calls",
-                "refused", "busy", "given up by client proxies");
+        line(
+                out,
+                "%6s %8s %8s %8s %8s %8s %6s  %s",
+                "second",
+                "requests",
+                "service",
+                "unserved",
+                "calls",
+                "refused",
+                "busy",
+                "given up by client proxies");
         for (int i = 0; i < Math.min(FIRST_SECONDS, tally.seconds.size()); i++) {
             row(out, String.valueOf(i), sum(i, i + 1), tally.seconds.get(i).busy);
         }
         int worst = -1;
         int last = (int) (spec.world().lengthUs() / 1_000_000);
         for (int i = FIRST_SECONDS; i < Math.min(last, tally.seconds.size()); i++) {
-            worst = worst < 0 || tally.seconds.get(i).service() < tally.seconds.get(worst).service() ? i
+            worst = worst < 0
+                            || tally.seconds.get(i).service()
+                                    < tally.seconds.get(worst).service()
+                    ? i
                     : worst;
         }
         if (worst >= 0) {
@@ -307,8 +412,17 @@
     }
 
     private static void row(StringBuilder out, String name, Second s, double busy) {
-        line(out, "%6s %8d %8.4f %8d %8d %8d %5.1f%%  %s", name, s.requests, s.service(), s.notServed,
-                s.calls, s.refused, 100 * busy, causes(s));
+        line(
+                out,
+                "%6s %8d %8.4f %8d %8d %8d %5.1f%%  %s",
+                name,
+                s.requests,
+                s.service(),
+                s.notServed,
+                s.calls,
+                s.refused,
+                100 * busy,
+                causes(s));
     }
 
     // ---- as JSON -------------------------------------------------------------------------------------
@@ -409,7 +523,9 @@
             out.writeStringField("name", n.name());
             out.writeNumberField("level", n.level());
             out.writeNumberField("hosts", n.hosts());
-            out.writeNumberField("callers", n.level() == 0 ? 0 : graph.part(n.number()).proxies.size());
+            out.writeNumberField(
+                    "callers",
+                    n.level() == 0 ? 0 : graph.part(n.number()).proxies.size());
             out.writeNumberField("visits", n.visits());
             out.writeNumberField("calls", g.calls);
             out.writeNumberField("served", g.ended(Clients.How.SERVED));
--- a/src/main/java/mulleinfront/emulator/GraphRequest.java
+++ b/src/main/java/mulleinfront/emulator/GraphRequest.java
@@ -14,10 +14,10 @@
     int deepest;
     /** Answered calls with more than the budget added to them. */
     int beyond;
+
     boolean over;
 
-    GraphRequest(String id, int classIndex, int tenant, String key, double worth, long bornAt, long aimAt,
-            long endAt) {
+    GraphRequest(String id, int classIndex, int tenant, String key, double worth, long bornAt, long aimAt, long endAt) {
         this.id = id;
         this.classIndex = classIndex;
         this.tenant = tenant;
--- a/src/main/java/mulleinfront/emulator/GraphScript.java
+++ b/src/main/java/mulleinfront/emulator/GraphScript.java
@@ -55,8 +55,7 @@
         for (GraphMachine m : drawn(f)) {
             int nth = told.merge(m.node, 1, Integer::sum) - 1;
             // A service of few does not have its first machine in every first batch.
-            int batch = batches == 0 ? 0 : (nth * Math.max(1, batches / m.node.hosts())
-                    + m.node.number()) % batches;
+            int batch = batches == 0 ? 0 : (nth * Math.max(1, batches / m.node.hosts()) + m.node.number()) % batches;
             long after = batches > 0 ? f.withinUs() * batch / batches : (long) (f.withinUs() * chance.unit());
             graph.queue.after(after, () -> {
                 if (!m.down && !m.away) {
@@ -124,7 +123,8 @@
     /** Off the net and back as it was: its server reaches nobody, and neither does its client proxy. */
     private void vanish(Failure f, GraphMachine m) {
         away(m, true);
-        boolean noticed = f.forUs() > graph.spec.world().discovery().silentNotice().high();
+        boolean noticed =
+                f.forUs() > graph.spec.world().discovery().silentNotice().high();
         World part = m.host == null ? null : graph.part(m.node.number());
         if (part != null && noticed) {
             part.registry.happened(m.host, Availability.GONE, true);
--- a/src/main/java/mulleinfront/emulator/GraphSpec.java
+++ b/src/main/java/mulleinfront/emulator/GraphSpec.java
@@ -33,11 +33,30 @@
  * @param budgetUs time that may be added to a call
  * @param failures what happens
  */
-public record GraphSpec(Scenario world, List<String> regions, int[] regionOf, Range betweenRegions,
+public record GraphSpec(
+        Scenario world,
+        List<String> regions,
+        int[] regionOf,
+        Range betweenRegions,
         int services,
-        int depth, int fronts, double frontPart, int leastHosts, int fanOut, double skew, double chain,
-        double callsPerRequest, boolean rateOfCalls, Range workFactor, double inTurn, double optional,
-        double reads, Told told, long reserveUs, int rack, long budgetUs, List<Failure> failures) {
+        int depth,
+        int fronts,
+        double frontPart,
+        int leastHosts,
+        int fanOut,
+        double skew,
+        double chain,
+        double callsPerRequest,
+        boolean rateOfCalls,
+        Range workFactor,
+        double inTurn,
+        double optional,
+        double reads,
+        Told told,
+        long reserveUs,
+        int rack,
+        long budgetUs,
+        List<Failure> failures) {
 
     /** The time that a server is told, and divides among its own calls. */
     public enum Told {
@@ -74,8 +93,17 @@
      * @param drainUs how long a server drains before it ends
      * @param proxies whether client proxies are restarted too
      */
-    public record Failure(Kind kind, long at, long forUs, long withinUs, int count, int zone, boolean rack,
-            double batch, long drainUs, boolean proxies) { }
+    public record Failure(
+            Kind kind,
+            long at,
+            long forUs,
+            long withinUs,
+            int count,
+            int zone,
+            boolean rack,
+            double batch,
+            long drainUs,
+            boolean proxies) {}
 
     /** How many machines there are. */
     public int hosts() {
@@ -84,14 +112,37 @@
 
     /** The same with other failures. */
     GraphSpec failing(List<Failure> others) {
-        return new GraphSpec(world, regions, regionOf, betweenRegions, services, depth, fronts, frontPart,
-                leastHosts, fanOut, skew, chain, callsPerRequest, rateOfCalls, workFactor, inTurn, optional,
-                reads, told, reserveUs, rack, budgetUs, others);
+        return new GraphSpec(
+                world,
+                regions,
+                regionOf,
+                betweenRegions,
+                services,
+                depth,
+                fronts,
+                frontPart,
+                leastHosts,
+                fanOut,
+                skew,
+                chain,
+                callsPerRequest,
+                rateOfCalls,
+                workFactor,
+                inTurn,
+                optional,
+                reads,
+                told,
+                reserveUs,
+                rack,
+                budgetUs,
+                others);
     }
 
     /** Requests from outside a second. */
     public double requestsPerSecond() {
-        return rateOfCalls ? world.load().perSecond() / callsPerRequest : world.load().perSecond();
+        return rateOfCalls
+                ? world.load().perSecond() / callsPerRequest
+                : world.load().perSecond();
     }
 
     /**
@@ -108,23 +159,48 @@
         double scale = lengthUs > 0 ? (double) lengthUs / w.lengthUs() : 1;
         Scenario.Load l = w.load();
         double rate = perSecond > 0 ? perSecond : l.perSecond();
-        Scenario.Load load = new Scenario.Load(rate, l.shape(), rate, l.swing(), l.burstUs(), l.keys(),
-                l.zipf());
-        Scenario.Servers group = w.servers().get(0).named(w.servers().get(0).name(), hosts > 0 ? hosts
-                : hosts());
-        Scenario sized = w.asService(w.name(), lengthUs > 0 ? lengthUs : w.lengthUs(), w.proxies(),
-                w.clients(), load, group, w.classes());
+        Scenario.Load load = new Scenario.Load(rate, l.shape(), rate, l.swing(), l.burstUs(), l.keys(), l.zipf());
+        Scenario.Servers group = w.servers().get(0).named(w.servers().get(0).name(), hosts > 0 ? hosts : hosts());
+        Scenario sized = w.asService(
+                w.name(), lengthUs > 0 ? lengthUs : w.lengthUs(), w.proxies(), w.clients(), load, group, w.classes());
         List<Failure> scaled = new ArrayList<>();
         for (Failure f : failures) {
-            scaled.add(new Failure(f.kind(), (long) (f.at() * scale), (long) (f.forUs() * scale),
-                    (long) (f.withinUs() * scale), hosts > 0 && f.count() > 0
-                    ? Math.max(1, f.count() * hosts / hosts()) : f.count(), f.zone(), f.rack(), f.batch(),
-                    (long) (f.drainUs() * scale), f.proxies()));
+            scaled.add(new Failure(
+                    f.kind(),
+                    (long) (f.at() * scale),
+                    (long) (f.forUs() * scale),
+                    (long) (f.withinUs() * scale),
+                    hosts > 0 && f.count() > 0 ? Math.max(1, f.count() * hosts / hosts()) : f.count(),
+                    f.zone(),
+                    f.rack(),
+                    f.batch(),
+                    (long) (f.drainUs() * scale),
+                    f.proxies()));
         }
         int smallRack = hosts > 0 ? Math.max(1, rack * hosts / hosts()) : rack;
-        return new GraphSpec(sized, regions, regionOf, betweenRegions, itsServices > 0 ? itsServices
-                : services,
-                depth, fronts, frontPart, leastHosts, fanOut, skew, chain, callsPerRequest, rateOfCalls,
-                workFactor, inTurn, optional, reads, told, reserveUs, smallRack, budgetUs, scaled);
+        return new GraphSpec(
+                sized,
+                regions,
+                regionOf,
+                betweenRegions,
+                itsServices > 0 ? itsServices : services,
+                depth,
+                fronts,
+                frontPart,
+                leastHosts,
+                fanOut,
+                skew,
+                chain,
+                callsPerRequest,
+                rateOfCalls,
+                workFactor,
+                inTurn,
+                optional,
+                reads,
+                told,
+                reserveUs,
+                smallRack,
+                budgetUs,
+                scaled);
     }
 }
--- a/src/main/java/mulleinfront/emulator/GraphTally.java
+++ b/src/main/java/mulleinfront/emulator/GraphTally.java
@@ -93,6 +93,7 @@
     final Group all = new Group();
     /** Calls made when all have been up for a while. */
     final Group later = new Group();
+
     final Group[] depths;
     final Group[] services;
     final Deepest[] deepest;
@@ -110,6 +111,7 @@
      * mean.
      */
     int mostConnections;
+
     double meanConnections;
 
     GraphTally(GraphSpec spec) {
@@ -160,8 +162,10 @@
         }
         requestsServed++;
         requestTimes.add(now - r.bornAt);
-        double worth = r.worth * (now <= r.aimAt ? 1
-                : spec.world().classes().get(r.classIndex).type().lateWorth());
+        double worth = r.worth
+                * (now <= r.aimAt
+                        ? 1
+                        : spec.world().classes().get(r.classIndex).type().lateWorth());
         earned += worth;
         classEarned[r.classIndex] += worth;
         s.earned += worth;
--- a/src/main/java/mulleinfront/emulator/GraphWorld.java
+++ b/src/main/java/mulleinfront/emulator/GraphWorld.java
@@ -22,6 +22,7 @@
 public final class GraphWorld {
     /** First letters of effects, by what repeating them does. */
     static final char SAFE = 's';
+
     static final char KEYED = 'k';
     static final char UNSAFE = 'u';
     private static final long SECOND_US = 1_000_000;
@@ -40,6 +41,7 @@
     private final long[][] oneWay;
     /** By the number of their service; null at the front. */
     private final World[] parts;
+
     private final int[] firstMachine;
     private final Map<Host, GraphMachine> byHost = new HashMap<>();
     private final double[] classes;
@@ -56,8 +58,8 @@
      * @param fitting joins each core with its parts
      * @param application what applications do with their calls
      */
-    GraphWorld(GraphSpec spec, long seed, Trace trace, Core.Maker maker, Fitting fitting,
-            GraphApplication application) {
+    GraphWorld(
+            GraphSpec spec, long seed, Trace trace, Core.Maker maker, Fitting fitting, GraphApplication application) {
         this.spec = spec;
         this.seed = seed;
         this.trace = trace;
@@ -71,15 +73,22 @@
         this.parts = new World[spec.services()];
         this.firstMachine = new int[spec.services()];
         Scenario w = spec.world();
-        this.classes = Chance.sum(w.classes().stream().mapToDouble(Scenario.ClassSpec::share).toArray());
-        this.tenants = w.tenants().isEmpty() ? new double[] {1}
-                : Chance.sum(w.tenants().stream().mapToDouble(t -> t.share() * t.usage()).toArray());
-        this.keys = w.load().keys() == 0 ? null : Chance.sum(Chance.zipf(w.load().keys(), w.load().zipf()));
+        this.classes = Chance.sum(
+                w.classes().stream().mapToDouble(Scenario.ClassSpec::share).toArray());
+        this.tenants = w.tenants().isEmpty()
+                ? new double[] {1}
+                : Chance.sum(w.tenants().stream()
+                        .mapToDouble(t -> t.share() * t.usage())
+                        .toArray());
+        this.keys = w.load().keys() == 0
+                ? null
+                : Chance.sum(Chance.zipf(w.load().keys(), w.load().zipf()));
         this.reading = safest();
         buildMachines();
         this.fronts = new double[spec.fronts()][];
         for (int f = 0; f < fronts.length; f++) {
-            fronts[f] = Chance.sum(Chance.zipf(nodes().get(f).hosts(), w.proxies().spread()));
+            fronts[f] =
+                    Chance.sum(Chance.zipf(nodes().get(f).hosts(), w.proxies().spread()));
         }
         for (CallGraph.Node node : nodes()) {
             if (node.level() > 0) {
@@ -95,8 +104,8 @@
 
     /** As it is shipped: with the real module. */
     public static GraphWorld of(GraphSpec spec, long seed, OutputStream traceFile) {
-        return new GraphWorld(spec, seed, new Trace(traceFile), Balancer::create, Fitting.PLAIN,
-                GraphApplication.PLAIN);
+        return new GraphWorld(
+                spec, seed, new Trace(traceFile), Balancer::create, Fitting.PLAIN, GraphApplication.PLAIN);
     }
 
     // ---- building ------------------------------------------------------------------------------------
@@ -118,8 +127,8 @@
         for (int a = 0; a < zones; a++) {
             for (int b = a; b < zones; b++) {
                 boolean far = spec.regionOf()[a] != spec.regionOf()[b];
-                ways[a][b] = Math.max(1, (long) (a == b ? n.same() : far ? spec.betweenRegions() : n.cross())
-                        .draw(chance::between));
+                ways[a][b] = Math.max(
+                        1, (long) (a == b ? n.same() : far ? spec.betweenRegions() : n.cross()).draw(chance::between));
                 ways[b][a] = ways[a][b];
             }
         }
@@ -134,8 +143,8 @@
         for (CallGraph.Node node : nodes()) {
             firstMachine[node.number()] = number;
             for (int i = 0; i < node.hosts(); i++, number++) {
-                machines.add(new GraphMachine(number, node, number % zones, chance.below(racks),
-                        (long) (spec.world().proxies().startWithinUs() * chance.unit())));
+                machines.add(new GraphMachine(number, node, number % zones, chance.below(racks), (long)
+                        (spec.world().proxies().startWithinUs() * chance.unit())));
             }
         }
     }
@@ -149,21 +158,36 @@
         }
         Scenario w = spec.world();
         Scenario.Proxies p = w.withProxies(callers.size()).proxies();
-        Scenario.Clients c = new Scenario.Clients(w.clients().retries(), w.clients().backoff(),
-                w.clients().doubling(), 0, mulleinfront.settings.Range.of(1), 0);
+        Scenario.Clients c = new Scenario.Clients(
+                w.clients().retries(),
+                w.clients().backoff(),
+                w.clients().doubling(),
+                0,
+                mulleinfront.settings.Range.of(1),
+                0);
         List<Scenario.ClassSpec> types = new ArrayList<>();
         for (Scenario.ClassSpec t : w.classes()) {
-            types.add(new Scenario.ClassSpec(t.type(), t.share(), t.workUs() * node.work(), t.dist(),
-                    t.cv()));
+            types.add(new Scenario.ClassSpec(t.type(), t.share(), t.workUs() * node.work(), t.dist(), t.cv()));
         }
-        Scenario.Load load = new Scenario.Load(spec.requestsPerSecond() * node.visits(),
+        Scenario.Load load = new Scenario.Load(
+                spec.requestsPerSecond() * node.visits(),
                 Scenario.Shape.STEADY,
-                spec.requestsPerSecond() * node.visits(), 0, SECOND_US, w.load().keys(), w.load().zipf());
-        Scenario scenario = w.asService(node.name(), w.lengthUs(), p, c, load,
-                w.servers().get(0).named(node.name(), node.hosts()), types);
+                spec.requestsPerSecond() * node.visits(),
+                0,
+                SECOND_US,
+                w.load().keys(),
+                w.load().zipf());
+        Scenario scenario = w.asService(
+                node.name(), w.lengthUs(), p, c, load, w.servers().get(0).named(node.name(), node.hosts()), types);
         int first = firstMachine[node.number()];
-        World part = new World(scenario, Chance.of(seed, "service " + node.number()).nextLong(), trace,
-                (world, zone) -> maker, fitting, null, new Service(node, first, callers));
+        World part = new World(
+                scenario,
+                Chance.of(seed, "service " + node.number()).nextLong(),
+                trace,
+                (world, zone) -> maker,
+                fitting,
+                null,
+                new Service(node, first, callers));
         parts[node.number()] = part;
         for (int i = 0; i < node.hosts(); i++) {
             GraphMachine m = machines.get(first + i);
@@ -282,16 +306,23 @@
             m = machines.get(firstMachine[front] + (place + i) % count);
         }
         Balancer.RequestClass type = spec.world().classes().get(c).type();
-        GraphRequest r = new GraphRequest(kind(c) + Long.toString(ids++), c, tenant, key, type.worth(), now,
-                now + type.aimUs(), now + (long) (patience * type.deadlineUs()));
+        GraphRequest r = new GraphRequest(
+                kind(c) + Long.toString(ids++),
+                c,
+                tenant,
+                key,
+                type.worth(),
+                now,
+                now + type.aimUs(),
+                now + (long) (patience * type.deadlineUs()));
         tally.asked(r);
         if (m.down || m.away) {
             over(r, false, false);
             return;
         }
         GraphMachine at = m;
-        Handling h = new Handling(this, r, null, m, r.endAt,
-                end -> over(r, end == ServerModel.End.SERVED && !at.away, false));
+        Handling h = new Handling(
+                this, r, null, m, r.endAt, end -> over(r, end == ServerModel.End.SERVED && !at.away, false));
         h.begin();
         if (!r.over) {
             Time.Timer patienceEnds = queue.after(r.endAt - now, () -> giveUp(r, h, false));
@@ -351,10 +382,10 @@
     Hop hop(Handling above, CallGraph.Edge e) {
         int ofRequest = above.above == null ? above.request.classIndex : above.above.classIndex;
         int c = application.classOf(kind(ofRequest) == SAFE ? ofRequest : reading, ofRequest, e.reads());
-        String effect = application.effect(kind(c), above.above == null ? above.request.id
-                : above.above.effect, e.number());
-        long endAt = application.endOf(above.endsAt, queue.now(),
-                spec.world().classes().get(c).type().deadlineUs(), spec.reserveUs());
+        String effect =
+                application.effect(kind(c), above.above == null ? above.request.id : above.above.effect, e.number());
+        long endAt = application.endOf(
+                above.endsAt, queue.now(), spec.world().classes().get(c).type().deadlineUs(), spec.reserveUs());
         Hop hop = new Hop(this, e, above, c, effect, endAt);
         audit.called(hop);
         tally.called(hop, queue.now());
@@ -415,8 +446,9 @@
         graph.audit.breaches().forEach(b -> all.add(b.toString()));
         for (World.Result r : results) {
             if (r != null) {
-                r.breaches().forEach(b -> all.add(String.format(Locale.ROOT, "%s: %s", r.scenario().name(),
-                        b)));
+                r.breaches()
+                        .forEach(b -> all.add(String.format(
+                                Locale.ROOT, "%s: %s", r.scenario().name(), b)));
             }
         }
         return all;
--- a/src/main/java/mulleinfront/emulator/Handling.java
+++ b/src/main/java/mulleinfront/emulator/Handling.java
@@ -13,9 +13,11 @@
     final GraphRequest request;
     /** The call that brought it; null: it came from outside. */
     final Hop above;
+
     final GraphMachine machine;
     /** When nobody waits for its answer any more. */
     final long endsAt;
+
     final int depth;
     private final GraphWorld graph;
     private final Done done;
@@ -32,8 +34,7 @@
         void done(ServerModel.End end);
     }
 
-    Handling(GraphWorld graph, GraphRequest request, Hop above, GraphMachine machine, long endsAt,
-            Done done) {
+    Handling(GraphWorld graph, GraphRequest request, Hop above, GraphMachine machine, long endsAt, Done done) {
         this.graph = graph;
         this.request = request;
         this.above = above;
--- a/src/main/java/mulleinfront/emulator/Hop.java
+++ b/src/main/java/mulleinfront/emulator/Hop.java
@@ -8,11 +8,13 @@
     final CallGraph.Edge edge;
     /** The request on whose behalf it is made. */
     final Handling above;
+
     final int classIndex;
     /** What its effect goes by: the same for every repeat of the request above. */
     final String effect;
     /** When nobody waits for it any more. */
     final long endAt;
+
     private final GraphWorld graph;
     private Clients.Try current;
     private long bornAt = -1;
--- a/src/main/java/mulleinfront/emulator/Host.java
+++ b/src/main/java/mulleinfront/emulator/Host.java
@@ -24,13 +24,22 @@
     long startedAt;
     /** The machine is off the net and says nothing. */
     boolean vanished;
+
     double resetBefore;
     double resetAfter;
     /** Work sent within the last moments while cold: what pushes it over. */
     final Budget budget;
+
     final Chance chance;
 
-    Host(String id, int zone, int kind, int cell, double weight, ServerModel.Machine machine, Budget budget,
+    Host(
+            String id,
+            int zone,
+            int kind,
+            int cell,
+            double weight,
+            ServerModel.Machine machine,
+            Budget budget,
             Chance chance) {
         this.id = id;
         this.zone = zone;
--- a/src/main/java/mulleinfront/emulator/Instance.java
+++ b/src/main/java/mulleinfront/emulator/Instance.java
@@ -32,7 +32,7 @@
     abstract void reload();
 
     /** So many clients connect and say nothing, for so long; where connections are not counted that is nothing. */
-    void crowd(int connections, long forUs) { }
+    void crowd(int connections, long forUs) {}
 
     /** A try's last byte has come. */
     abstract void take(Clients.Try t);
--- a/src/main/java/mulleinfront/emulator/Link.java
+++ b/src/main/java/mulleinfront/emulator/Link.java
@@ -12,6 +12,7 @@
     boolean open = true;
     /** Whether the server's end is open: it counts it against what it takes. */
     boolean accepted = true;
+
     boolean fresh = true;
     long idleAt;
     /** When the server last answered on it: it closes what stood idle for longer than it likes. */
--- a/src/main/java/mulleinfront/emulator/LossReport.java
+++ b/src/main/java/mulleinfront/emulator/LossReport.java
@@ -10,12 +10,15 @@
  * @param causes that by cause
  * @param parts that by cause for each instance, zone, class, tenant and window of 10 s, by name
  */
-public record LossReport(double lost, Map<Cause, Loss> causes,
-        Map<Part, Map<String, Map<Cause, Double>>> parts) {
+public record LossReport(double lost, Map<Cause, Loss> causes, Map<Part, Map<String, Map<Cause, Double>>> parts) {
 
     /** What losses are told apart by beside their causes. */
     public enum Part {
-        INSTANCE, ZONE, CLASS, TENANT, WINDOW;
+        INSTANCE,
+        ZONE,
+        CLASS,
+        TENANT,
+        WINDOW;
 
         /** The name in files. */
         public String word() {
--- a/src/main/java/mulleinfront/emulator/Network.java
+++ b/src/main/java/mulleinfront/emulator/Network.java
@@ -54,15 +54,19 @@
 
     /** Whether a message between a client proxy's zone and a server would arrive now. */
     boolean passes(int zone, Host host) {
-        return !host.vanished && !cutHosts.contains(host)
+        return !host.vanished
+                && !cutHosts.contains(host)
                 && (zone == host.zone || cutZones[zone] == 0 && cutZones[host.zone] == 0)
                 && (cutPairs == null || cutPairs[zone][host.zone] == 0);
     }
 
     /** The same for a client proxy, which may be cut off by itself. */
     boolean passes(int proxy, int zone, Host host) {
-        return passes(zone, host) && !away.get(proxy) && (cutProxies == null || !cutProxies.containsKey(proxy)
-                || cutProxies.get(proxy)[host.zone] == 0);
+        return passes(zone, host)
+                && !away.get(proxy)
+                && (cutProxies == null
+                        || !cutProxies.containsKey(proxy)
+                        || cutProxies.get(proxy)[host.zone] == 0);
     }
 
     /** One client proxy and the servers of a zone. */
--- a/src/main/java/mulleinfront/emulator/Peer.java
+++ b/src/main/java/mulleinfront/emulator/Peer.java
@@ -14,7 +14,7 @@
     private static final int SOCKET = 256;
 
     /** One that waits in the socket. */
-    private record Waiting(int from, byte[] bytes, int length) { }
+    private record Waiting(int from, byte[] bytes, int length) {}
 
     private final EventQueue queue;
     private final PeerNetwork network;
--- a/src/main/java/mulleinfront/emulator/PeerFaults.java
+++ b/src/main/java/mulleinfront/emulator/PeerFaults.java
@@ -36,7 +36,7 @@
     default End cut(BitSet some, BitSet others, boolean oneWay) {
         Range none = Range.of(0);
         End there = trouble(some, others, 1, 0, 0, 0, none);
-        End back = oneWay ? () -> { } : trouble(others, some, 1, 0, 0, 0, none);
+        End back = oneWay ? () -> {} : trouble(others, some, 1, 0, 0, 0, none);
         return () -> {
             there.end();
             back.end();
--- a/src/main/java/mulleinfront/emulator/Proxy.java
+++ b/src/main/java/mulleinfront/emulator/Proxy.java
@@ -166,20 +166,24 @@
     /** One process. */
     private final class Life implements Time, EmulatedWire.Reader, Fleet.Listener {
         private final DiscoveryClient discovery = new DiscoveryClient(world, this, number, zone);
-        private final EmulatedWire wire = new EmulatedWire(world, this, this, number, zone,
-                discovery, this::mostIdle);
-        private final Core<Call, Answer> core =
-                new Core<>(world.settings.of(number, world.settings.instances()), this, world.fitting.wire(wire, this), world.audit::defect);
+        private final EmulatedWire wire = new EmulatedWire(world, this, this, number, zone, discovery, this::mostIdle);
+        private final Core<Call, Answer> core = new Core<>(
+                world.settings.of(number, world.settings.instances()),
+                this,
+                world.fitting.wire(wire, this),
+                world.audit::defect);
         private final Map<Clients.Try, Core.Exchange<Call, Answer>> open = new LinkedHashMap<>();
         /** Tries that wait for the CPU before the core hears of them. */
         private final Set<Clients.Try> waiting = new LinkedHashSet<>();
         /** Tries whose answers wait for it. */
         private final Set<Clients.Try> answering = new LinkedHashSet<>();
+
         private final Scenario.Cpu cpu = world.scenario.proxies().cpu();
         private long cpuFreeAt;
         private long requests;
         /** What comes while it stands still. */
         private final ArrayDeque<Runnable> unread = new ArrayDeque<>();
+
         private boolean still;
         private boolean alive = true;
         private boolean listening = true;
@@ -217,11 +221,13 @@
             }
             // One that is due while it stands still may be cancelled by what is read first when it goes on.
             boolean[] cancelled = {false};
-            Timer timer = world.queue.after(delayUs, () -> reads(() -> {
-                if (!cancelled[0]) {
-                    task.run();
-                }
-            }));
+            Timer timer = world.queue.after(
+                    delayUs,
+                    () -> reads(() -> {
+                        if (!cancelled[0]) {
+                            task.run();
+                        }
+                    }));
             return () -> {
                 cancelled[0] = true;
                 timer.cancel();
@@ -285,42 +291,52 @@
         }
 
         private void toCore(Clients.Try t, long now) {
-            core.take(world.fitting.caller(new Caller<Call, Answer>() {
-                @Override
-                public void opened(Core.Exchange<Call, Answer> exchange) {
-                    open.put(t, exchange);
-                }
-
-                @Override
-                public void served(Answer answer) {
-                    open.remove(t);
-                    answering.add(t);
-                    onCpu(cpu.halfUs(requests), () -> {
-                        if (answering.remove(t)) {
-                            world.audit.served(number, t.call.id(), answer.requestId(), now());
-                            if (t.call.hop() != null) {
-                                t.call.hop().answered(now());
-                            }
-                            over(t, Clients.How.SERVED, 0);
-                        }
-                    });
-                }
-
-                @Override
-                public void refused(long retryAfterUs) {
-                    world.audit.refused(number, t.call.id(), now());
-                    world.account.refused(t.call.id());
-                    over(t, Clients.How.REFUSED, retryAfterUs);
-                }
-
-                @Override
-                public void failed(boolean timeUp) {
-                    world.audit.failed(number, t.call.id(), now());
-                    over(t, Clients.How.FAILED, 0);
-                }
-            }, this), t.call.id(), t.call.classIndex(), t.call.key(),
-                    Math.max(1, (t.deadlineAt - t.sentAt) / 1000), now,
-                    0, t.ask.tenant, false, t.call);
+            core.take(
+                    world.fitting.caller(
+                            new Caller<Call, Answer>() {
+                                @Override
+                                public void opened(Core.Exchange<Call, Answer> exchange) {
+                                    open.put(t, exchange);
+                                }
+
+                                @Override
+                                public void served(Answer answer) {
+                                    open.remove(t);
+                                    answering.add(t);
+                                    onCpu(cpu.halfUs(requests), () -> {
+                                        if (answering.remove(t)) {
+                                            world.audit.served(number, t.call.id(), answer.requestId(), now());
+                                            if (t.call.hop() != null) {
+                                                t.call.hop().answered(now());
+                                            }
+                                            over(t, Clients.How.SERVED, 0);
+                                        }
+                                    });
+                                }
+
+                                @Override
+                                public void refused(long retryAfterUs) {
+                                    world.audit.refused(number, t.call.id(), now());
+                                    world.account.refused(t.call.id());
+                                    over(t, Clients.How.REFUSED, retryAfterUs);
+                                }
+
+                                @Override
+                                public void failed(boolean timeUp) {
+                                    world.audit.failed(number, t.call.id(), now());
+                                    over(t, Clients.How.FAILED, 0);
+                                }
+                            },
+                            this),
+                    t.call.id(),
+                    t.call.classIndex(),
+                    t.call.key(),
+                    Math.max(1, (t.deadlineAt - t.sentAt) / 1000),
+                    now,
+                    0,
+                    t.ask.tenant,
+                    false,
+                    t.call);
         }
 
         private void over(Clients.Try t, Clients.How how, long retryAfterUs) {
@@ -349,7 +365,12 @@
         }
 
         private void endIfDone() {
-            if (alive && ending && !listening && open.isEmpty() && waiting.isEmpty() && answering.isEmpty()
+            if (alive
+                    && ending
+                    && !listening
+                    && open.isEmpty()
+                    && waiting.isEmpty()
+                    && answering.isEmpty()
                     && life == this) {
                 life = null;
                 world.audit.proxyEnded(number, now());
--- a/src/main/java/mulleinfront/emulator/Registry.java
+++ b/src/main/java/mulleinfront/emulator/Registry.java
@@ -19,10 +19,10 @@
  */
 final class Registry {
     /** A server as listed. */
-    record Entry(Endpoint endpoint, int address) { }
+    record Entry(Endpoint endpoint, int address) {}
 
     /** A list on its way: all of it, or what changed. */
-    record News(long version, boolean full, List<Entry> entries) { }
+    record News(long version, boolean full, List<Entry> entries) {}
 
     /** Heartbeats on a watch come this often. */
     static final long HEARTBEAT_US = 2_000_000;
@@ -32,10 +32,12 @@
     private final Chance chance;
     /** Every change, in order; an entry's place is its version less one. */
     private final List<Entry> log = new ArrayList<>();
+
     private final List<Long> loggedAt = new ArrayList<>();
     private final Map<String, Entry> present = new LinkedHashMap<>();
     /** All of that as it is told, made when first asked for after a change: thousands may ask. */
     private News whole;
+
     private final Set<Watcher> watches = new LinkedHashSet<>();
     private boolean announcing;
     private long busyUntil;
@@ -46,10 +48,12 @@
     private final Set<Integer> cut = new HashSet<>();
     /** Calls that are still to be refused, lists to be cut short, and watches to end instead of telling. */
     private final Map<Integer, Integer> refusals = new HashMap<>();
+
     private final Map<Integer, Integer> cutShort = new HashMap<>();
     private final Map<Integer, Integer> endings = new HashMap<>();
     /** Lists that are still to stop halfway, and for how long. */
     private final Map<Integer, Integer> pauses = new HashMap<>();
+
     private Range pause = Range.of(0);
     private Range late = Range.of(0);
     private int shuffle;
@@ -66,8 +70,8 @@
     /** Something happened to a server; discovery will know after a while. */
     void happened(Host host, Availability availability, boolean silently) {
         Entry entry = new Entry(host.listed(availability), host.address);
-        Range notice = silently ? spec.silentNotice() : availability == Availability.READY ? spec.period()
-                : spec.notice();
+        Range notice =
+                silently ? spec.silentNotice() : availability == Availability.READY ? spec.period() : spec.notice();
         world.queue.after((long) notice.draw(chance::between), () -> know(entry));
     }
 
@@ -142,7 +146,8 @@
             return;
         }
         News news = from < 0 || version() - from > 2L * present.size() + 16
-                ? whole() : new News(version(), false, List.copyOf(log.subList((int) from, log.size())));
+                ? whole()
+                : new News(version(), false, List.copyOf(log.subList((int) from, log.size())));
         w.toldTo = version();
         if (due(cutShort, w.proxy())) {
             watches.remove(w);
--- a/src/main/java/mulleinfront/emulator/ReportWriter.java
+++ b/src/main/java/mulleinfront/emulator/ReportWriter.java
@@ -13,27 +13,43 @@
 
 /** A world's result as a page of text, and as JSON with the same figures. */
 public final class ReportWriter {
-    private ReportWriter() { }
+    private ReportWriter() {}
 
     /** The page; ends with the digest's line, if the decisions were made here. */
     public static String text(World.Result r) {
         StringBuilder out = new StringBuilder();
         ServiceReport s = r.service();
-        line(out, "%s (%s), seed %d: %.0f s, %d client proxies, %d servers, %d requests", r.scenario().name(),
-                r.scenario().title(), r.seed(), r.scenario().lengthUs() / 1e6, r.scenario().proxies().count(),
-                r.scenario().fleet(), s.asks());
+        line(
+                out,
+                "%s (%s), seed %d: %.0f s, %d client proxies, %d servers, %d requests",
+                r.scenario().name(),
+                r.scenario().title(),
+                r.seed(),
+                r.scenario().lengthUs() / 1e6,
+                r.scenario().proxies().count(),
+                r.scenario().fleet(),
+                s.asks());
         line(out, "");
-        line(out,
+        line(
+                out,
                 "service %.3f: whole %.3f, worst %.0f s %.3f, worst class %.3f, worst branch %.3f; prices%s",
-                s.service(), s.whole(), r.scenario().service().windowUs() / 1e6, s.worstWindow(),
-                        s.worstClass(),
-                s.worstTenant(), prices(s.prices()));
+                s.service(),
+                s.whole(),
+                r.scenario().service().windowUs() / 1e6,
+                s.worstWindow(),
+                s.worstClass(),
+                s.worstTenant(),
+                prices(s.prices()));
         line(out, "goodput %.3f of what the servers can do", r.goodput());
         if (!s.faults().isEmpty()) {
             line(out, "");
             line(out, "what happened");
             for (ServiceReport.Happened h : s.faults()) {
-                line(out, "  %8.3f s  %s%s", h.atUs() / 1e6, h.what(),
+                line(
+                        out,
+                        "  %8.3f s  %s%s",
+                        h.atUs() / 1e6,
+                        h.what(),
                         h.forUs() > 0 ? String.format(Locale.ROOT, " for %.3f s", h.forUs() / 1e6) : "");
             }
         }
@@ -47,7 +63,11 @@
             line(out, "%8.0f s %8d %8.3f", w.atUs() / 1e6, w.asked(), w.share());
         }
         for (ServiceReport.Starts st : s.starts()) {
-            line(out, "%-14s %8d asked, service %.3f, %.3f of tries refused", st.name(), st.asked(),
+            line(
+                    out,
+                    "%-14s %8d asked, service %.3f, %.3f of tries refused",
+                    st.name(),
+                    st.asked(),
                     st.share(),
                     (double) st.refused() / Math.max(1, st.tries()));
         }
@@ -58,13 +78,37 @@
         line(out, "attempts ended:%s", counts(s.outcomes()));
         line(out, "counts:%s", counts(s.counts()));
         line(out, "");
-        line(out, "%-18s %5s %8s %8s %6s %7s %7s %6s %8s %8s %6s  %s", "server", "lives", "offered", "served",
-                "errors", "turned", "stopped", "held", "wait ms", "busy s", "conns", "notes");
+        line(
+                out,
+                "%-18s %5s %8s %8s %6s %7s %7s %6s %8s %8s %6s  %s",
+                "server",
+                "lives",
+                "offered",
+                "served",
+                "errors",
+                "turned",
+                "stopped",
+                "held",
+                "wait ms",
+                "busy s",
+                "conns",
+                "notes");
         for (ServiceReport.Server v : s.servers()) {
             ServerModel.Figures f = v.figures();
-            line(out, "%-18s %5d %8d %8d %6d %7d %7d %6d %8.1f %8.1f %6d  %s", v.name(), v.lives(), f.offered,
-                    f.served, f.errors, f.turnedAway + f.expired, f.cancelled, f.mostHeld,
-                    f.begun == 0 ? 0 : f.waitSumUs / f.begun / 1e3, f.busyCoreUs / 1e6, f.mostConnections,
+            line(
+                    out,
+                    "%-18s %5d %8d %8d %6d %7d %7d %6d %8.1f %8.1f %6d  %s",
+                    v.name(),
+                    v.lives(),
+                    f.offered,
+                    f.served,
+                    f.errors,
+                    f.turnedAway + f.expired,
+                    f.cancelled,
+                    f.mostHeld,
+                    f.begun == 0 ? 0 : f.waitSumUs / f.begun / 1e3,
+                    f.busyCoreUs / 1e6,
+                    f.mostConnections,
                     notes(f));
         }
         line(out, "");
@@ -92,8 +136,13 @@
         line(out, "");
         line(out, "%-44s %8s %9s", "lost by its first cause", "requests", "of worth");
         s.losses().causes().entrySet().stream()
-                .sorted((a, b) -> Double.compare(b.getValue().worth(), a.getValue().worth()))
-                .forEach(e -> line(out, "%-44s %8d %8.2f%%", e.getKey().words(), e.getValue().requests(),
+                .sorted((a, b) ->
+                        Double.compare(b.getValue().worth(), a.getValue().worth()))
+                .forEach(e -> line(
+                        out,
+                        "%-44s %8d %8.2f%%",
+                        e.getKey().words(),
+                        e.getValue().requests(),
                         100 * e.getValue().worth() / asked));
     }
 
@@ -106,7 +155,12 @@
         line(out, "%-30s %9s %9s  %s", "given up by client proxies", "requests", "young", "by window");
         for (Refusal.Cause c : Refusal.Cause.values()) {
             if (s.unserved().of(c) > 0) {
-                line(out, "%-30s %9d %9d  %s", c.words(), s.unserved().of(c), s.unserved().young(c),
+                line(
+                        out,
+                        "%-30s %9d %9d  %s",
+                        c.words(),
+                        s.unserved().of(c),
+                        s.unserved().young(c),
                         s.unservedIn().stream().map(w -> "" + w.of(c)).collect(Collectors.joining(" ")));
             }
         }
@@ -121,11 +175,17 @@
         line(out, "%-20s %10s  %s", "lost by " + part.word(), "worth", "causes");
         losses.parts().get(part).forEach((name, causes) -> {
             StringBuilder all = new StringBuilder();
-            causes.entrySet().stream().sorted((a, b) -> Double.compare(b.getValue(), a.getValue()))
-                    .forEach(c -> all
-                    .append(all.length() == 0 ? "" : ", ").append(c.getKey().word())
-                    .append(String.format(Locale.ROOT, " %.1f", c.getValue())));
-            line(out, "%-20s %10.1f  %s", name, causes.values().stream().mapToDouble(d -> d).sum(), all);
+            causes.entrySet().stream()
+                    .sorted((a, b) -> Double.compare(b.getValue(), a.getValue()))
+                    .forEach(c -> all.append(all.length() == 0 ? "" : ", ")
+                            .append(c.getKey().word())
+                            .append(String.format(Locale.ROOT, " %.1f", c.getValue())));
+            line(
+                    out,
+                    "%-20s %10.1f  %s",
+                    name,
+                    causes.values().stream().mapToDouble(d -> d).sum(),
+                    all);
         });
         return out.toString();
     }
@@ -152,12 +212,18 @@
 
     private static void table(StringBuilder out, String title, Iterable<Part> parts) {
         line(out, "");
-        line(out, "%-26s %8s %8s %8s %8s %9s %9s", title, "asked", "in time", "served", "service", "p50 ms",
-                "p99 ms");
+        line(out, "%-26s %8s %8s %8s %8s %9s %9s", title, "asked", "in time", "served", "service", "p50 ms", "p99 ms");
         for (Part p : parts) {
-            line(out, "%-26s %8d %8d %8d %8.3f %9.1f %9.1f", p.name(), p.asked(), p.onTime(), p.served(),
+            line(
+                    out,
+                    "%-26s %8d %8d %8d %8.3f %9.1f %9.1f",
+                    p.name(),
+                    p.asked(),
+                    p.onTime(),
+                    p.served(),
                     p.share(),
-                    p.p50Us() / 1e3, p.p99Us() / 1e3);
+                    p.p50Us() / 1e3,
+                    p.p99Us() / 1e3);
         }
     }
 
@@ -169,7 +235,9 @@
 
     private static String counts(Map<String, Long> counts) {
         StringBuilder all = new StringBuilder();
-        counts.forEach((name, count) -> all.append(all.length() == 0 ? " " : ", ").append(name).append(' ')
+        counts.forEach((name, count) -> all.append(all.length() == 0 ? " " : ", ")
+                .append(name)
+                .append(' ')
                 .append(count));
         return all.toString();
     }
--- a/src/main/java/mulleinfront/emulator/Scenario.java
+++ b/src/main/java/mulleinfront/emulator/Scenario.java
@@ -32,10 +32,26 @@
  * @param peers how client proxies know each other; null: not at all
  * @param faults what happens, in the order of the file
  */
-public record Scenario(String name, String title, long lengthUs, long settleUs, List<String> zones,
-        Network network, Discovery discovery, Proxies proxies, Clients clients, Load load,
-        List<Servers> servers, List<ClassSpec> classes, List<Tenant> tenants, double overShareWorth,
-        Limits limits, Rules rules, Service service, Peers peers, List<Fault> faults) {
+public record Scenario(
+        String name,
+        String title,
+        long lengthUs,
+        long settleUs,
+        List<String> zones,
+        Network network,
+        Discovery discovery,
+        Proxies proxies,
+        Clients clients,
+        Load load,
+        List<Servers> servers,
+        List<ClassSpec> classes,
+        List<Tenant> tenants,
+        double overShareWorth,
+        Limits limits,
+        Rules rules,
+        Service service,
+        Peers peers,
+        List<Fault> faults) {
 
     /**
      * One-way delays, microseconds.
@@ -45,7 +61,7 @@
      * @param client between an application and its own client proxy
      * @param jitter part by which a message may be later than its path's delay
      */
-    public record Network(Range same, Range cross, Range client, double jitter) { }
+    public record Network(Range same, Range cross, Range client, double jitter) {}
 
     /**
      * @param asked whether lists must be asked for; else an agent pushes them
@@ -56,11 +72,21 @@
      * @param timeoutUs a call that is not answered by then has failed
      * @param alsoListed servers that whole lists name besides, all of them draining; on real sockets only
      */
-    public record Discovery(boolean asked, Range notice, Range silentNotice, Range period, long callUs,
-            long timeoutUs, int alsoListed) { }
+    public record Discovery(
+            boolean asked,
+            Range notice,
+            Range silentNotice,
+            Range period,
+            long callUs,
+            long timeoutUs,
+            int alsoListed) {}
 
     /** The list that a client proxy starts with. */
-    public enum Known { CURRENT, STALE, EMPTY }
+    public enum Known {
+        CURRENT,
+        STALE,
+        EMPTY
+    }
 
     /**
      * @param count how many
@@ -75,8 +101,18 @@
      * @param connections connections to servers at most, each
      * @param cpu what their own code costs
      */
-    public record Proxies(int count, double spread, long startWithinUs, Known known, long knownAgeUs,
-            int ghosts, long startUs, long lateCallsUs, long killAfterUs, int connections, Cpu cpu) { }
+    public record Proxies(
+            int count,
+            double spread,
+            long startWithinUs,
+            Known known,
+            long knownAgeUs,
+            int ghosts,
+            long startUs,
+            long lateCallsUs,
+            long killAfterUs,
+            int connections,
+            Cpu cpu) {}
 
     /**
      * A client proxy's own code: half of a request's CPU is spent when it comes, half when its answer goes, one after
@@ -103,11 +139,14 @@
      * @param patience part of the class's deadline after which a try is given up
      * @param leave share of tries whose client leaves before it has its answer
      */
-    public record Clients(int retries, Range backoff, boolean doubling, double honour, Range patience,
-            double leave) { }
+    public record Clients(int retries, Range backoff, boolean doubling, double honour, Range patience, double leave) {}
 
     /** How the rate of requests goes over time. */
-    public enum Shape { STEADY, BURSTY, RAMP }
+    public enum Shape {
+        STEADY,
+        BURSTY,
+        RAMP
+    }
 
     /**
      * @param perSecond requests a second, at the start
@@ -118,11 +157,15 @@
      * @param keys distinct keys; 0: requests have none
      * @param zipf exponent of their popularity
      */
-    public record Load(double perSecond, Shape shape, double endPerSecond, double swing, long burstUs, int keys,
-            double zipf) { }
+    public record Load(
+            double perSecond, Shape shape, double endPerSecond, double swing, long burstUs, int keys, double zipf) {}
 
     /** How service times vary. */
-    public enum Dist { FIXED, EXPONENTIAL, LOGNORMAL }
+    public enum Dist {
+        FIXED,
+        EXPONENTIAL,
+        LOGNORMAL
+    }
 
     /**
      * A group of servers alike; the figures are those of {@link ServerModel.Machine}.
@@ -131,17 +174,67 @@
      * @param cell servers of a cell, numbered through all groups
      * @param weight size as discovery lists it
      */
-    public record Servers(String name, int count, int cell, double weight, int cores, Range speed, int slots,
-            int room, int connections, Range handshakeWork, long idleCloseUs, double errors, Range reportEvery,
-            double probeWork, int probes, boolean deepProbes, Range coldFrom, Range coldFor, double coldWork,
-            long pauseEveryUs, Range pause, double crowdAt, double crowdLoss, ServerModel.Linger linger,
-            ServerModel.Stops stops, boolean dropsExpired, long keyMemoryUs, double keySaving,
+    public record Servers(
+            String name,
+            int count,
+            int cell,
+            double weight,
+            int cores,
+            Range speed,
+            int slots,
+            int room,
+            int connections,
+            Range handshakeWork,
+            long idleCloseUs,
+            double errors,
+            Range reportEvery,
+            double probeWork,
+            int probes,
+            boolean deepProbes,
+            Range coldFrom,
+            Range coldFor,
+            double coldWork,
+            long pauseEveryUs,
+            Range pause,
+            double crowdAt,
+            double crowdLoss,
+            ServerModel.Linger linger,
+            ServerModel.Stops stops,
+            boolean dropsExpired,
+            long keyMemoryUs,
+            double keySaving,
             int keysKept) {
         /** So many of the same under another name. */
         Servers named(String other, int many) {
-            return new Servers(other, many, cell, weight, cores, speed, slots, room, connections, handshakeWork,
-                    idleCloseUs, errors, reportEvery, probeWork, probes, deepProbes, coldFrom, coldFor, coldWork,
-                    pauseEveryUs, pause, crowdAt, crowdLoss, linger, stops, dropsExpired, keyMemoryUs, keySaving,
+            return new Servers(
+                    other,
+                    many,
+                    cell,
+                    weight,
+                    cores,
+                    speed,
+                    slots,
+                    room,
+                    connections,
+                    handshakeWork,
+                    idleCloseUs,
+                    errors,
+                    reportEvery,
+                    probeWork,
+                    probes,
+                    deepProbes,
+                    coldFrom,
+                    coldFor,
+                    coldWork,
+                    pauseEveryUs,
+                    pause,
+                    crowdAt,
+                    crowdLoss,
+                    linger,
+                    stops,
+                    dropsExpired,
+                    keyMemoryUs,
+                    keySaving,
                     keysKept);
         }
     }
@@ -162,15 +255,21 @@
      * @param share of the service that it has a right to
      * @param usage what it asks for, as a part of that
      */
-    public record Tenant(String name, double share, double usage) { }
+    public record Tenant(String name, double share, double usage) {}
 
     /**
      * What a client proxy may do, and the figures it works by.
      *
      * @param reports part of the answers that say how many requests their server holds
      */
-    public record Limits(int attempts, boolean cancel, boolean probes, long retryAfterUs, long dialTimeoutUs,
-            long connIdleUs, double reports) { }
+    public record Limits(
+            int attempts,
+            boolean cancel,
+            boolean probes,
+            long retryAfterUs,
+            long dialTimeoutUs,
+            long connIdleUs,
+            double reports) {}
 
     /**
      * @param answerSlackUs time after the deadline in which a final answer still counts
@@ -181,13 +280,28 @@
      * @param coldUs time after which one is warm, as told to them
      * @param askWithinUs who watches nothing and has not asked for this long counts as told
      */
-    public record Rules(long answerSlackUs, long drainUs, double coldMultiple, long coldForUs, double coldFrom,
-            long coldUs, long askWithinUs) { }
+    public record Rules(
+            long answerSlackUs,
+            long drainUs,
+            double coldMultiple,
+            long coldForUs,
+            double coldFrom,
+            long coldUs,
+            long askWithinUs) {}
 
     /** Weights of service, and prices in parts of it. */
-    public record Service(double whole, double window, double worstClass, double worstTenant, long windowUs,
-            double waste, double lateFail, double probe, double crossZone, double linger,
-            double shareOfCapacity) { }
+    public record Service(
+            double whole,
+            double window,
+            double worstClass,
+            double worstTenant,
+            long windowUs,
+            double waste,
+            double lateFail,
+            double probe,
+            double crossZone,
+            double linger,
+            double shareOfCapacity) {}
 
     /**
      * The client proxies as a fleet.
@@ -197,15 +311,47 @@
      * @param plain whether the detector has neither suspicion nor doubt of itself
      * @param loss part of all datagrams that is lost, at all times
      */
-    public record Peers(long periodUs, long goneUs, boolean plain, double loss) { }
+    public record Peers(long periodUs, long goneUs, boolean plain, double loss) {}
 
     /** What can go wrong. */
     public enum Kind {
-        SLOW, HANG, NEIGHBOUR, ERRORS, PAUSE, DRAIN, RESTART, DEPLOY, VANISH, CUT, RESET_BEFORE, RESET_AFTER,
-        DISCOVERY_DOWN, DISCOVERY_REFUSES, DISCOVERY_CUTS, DISCOVERY_PAUSES, DISCOVERY_ENDS, DISCOVERY_SILENT,
-        DISCOVERY_LATE, DISCOVERY_SHUFFLE, DISCOVERY_CROWD, WATCHES_SILENT, WATCHES_RESET, KILL_PROXY, END_PROXY,
-        ROLL_PROXIES, PAUSE_PROXY, RELOAD_PROXY, CUT_PROXY, CROWD_PROXY, CUT_PEERS, DATAGRAMS, REPEAT_DATAGRAMS,
-        STRANGERS, CLOCK, SURGE, BURST
+        SLOW,
+        HANG,
+        NEIGHBOUR,
+        ERRORS,
+        PAUSE,
+        DRAIN,
+        RESTART,
+        DEPLOY,
+        VANISH,
+        CUT,
+        RESET_BEFORE,
+        RESET_AFTER,
+        DISCOVERY_DOWN,
+        DISCOVERY_REFUSES,
+        DISCOVERY_CUTS,
+        DISCOVERY_PAUSES,
+        DISCOVERY_ENDS,
+        DISCOVERY_SILENT,
+        DISCOVERY_LATE,
+        DISCOVERY_SHUFFLE,
+        DISCOVERY_CROWD,
+        WATCHES_SILENT,
+        WATCHES_RESET,
+        KILL_PROXY,
+        END_PROXY,
+        ROLL_PROXIES,
+        PAUSE_PROXY,
+        RELOAD_PROXY,
+        CUT_PROXY,
+        CROWD_PROXY,
+        CUT_PEERS,
+        DATAGRAMS,
+        REPEAT_DATAGRAMS,
+        STRANGERS,
+        CLOCK,
+        SURGE,
+        BURST
     }
 
     /**
@@ -220,8 +366,15 @@
      * @param change part that has bytes changed
      * @param late how much later they come
      */
-    public record Between(List<Integer> from, List<Integer> to, boolean oneWay, double lose, double twice,
-            double overtaken, double change, Range late) { }
+    public record Between(
+            List<Integer> from,
+            List<Integer> to,
+            boolean oneWay,
+            double lose,
+            double twice,
+            double overtaken,
+            double change,
+            Range late) {}
 
     /**
      * One thing that goes wrong; which fields count depends on its kind.
@@ -243,9 +396,22 @@
      * @param moved whether a restarted server has another address; whether discovery is what a client proxy is cut from
      * @param between what happens to datagrams; null: nothing
      */
-    public record Fault(Kind kind, long at, long forUs, List<String> servers, int count, int zone, int proxy,
-            int tenant, double factor, double share, Range on, Range off, long drainUs, boolean moved,
-            Between between) { }
+    public record Fault(
+            Kind kind,
+            long at,
+            long forUs,
+            List<String> servers,
+            int count,
+            int zone,
+            int proxy,
+            int tenant,
+            double factor,
+            double share,
+            Range on,
+            Range off,
+            long drainUs,
+            boolean moved,
+            Between between) {}
 
     /** What a client proxy is told of all this. */
     public Balancer.Settings settings() {
@@ -253,18 +419,28 @@
         classes.forEach(c -> types.add(c.type()));
         List<Double> shares = new ArrayList<>();
         tenants.forEach(t -> shares.add(t.share()));
-        double worth = classes.stream().mapToDouble(c -> c.share() * c.type().worth()).sum();
-        return new Balancer.Settings(types, shares, overShareWorth, proxies.count(),
-                service.probe() / Math.max(1e-9, worth), discovery.asked(), false,
-                new Balancer.Limits(limits.attempts(), limits.cancel(), limits.probes(), limits.retryAfterUs(),
+        double worth =
+                classes.stream().mapToDouble(c -> c.share() * c.type().worth()).sum();
+        return new Balancer.Settings(
+                types,
+                shares,
+                overShareWorth,
+                proxies.count(),
+                service.probe() / Math.max(1e-9, worth),
+                discovery.asked(),
+                false,
+                new Balancer.Limits(
+                        limits.attempts(),
+                        limits.cancel(),
+                        limits.probes(),
+                        limits.retryAfterUs(),
                         limits.connIdleUs()),
                 new Balancer.Contract(rules.askWithinUs(), rules.coldFrom(), rules.coldUs(), rules.coldMultiple()));
     }
 
     /** Whether a refusal of this class is harmless after an attempt that may have run. */
     public static boolean refusable(Balancer.RequestClass type) {
-        return type.effect() == Effect.RETRYABLE
-                || type.effect() == Effect.DEDUP && type.scope() == DedupScope.ALL;
+        return type.effect() == Effect.RETRYABLE || type.effect() == Effect.DEDUP && type.scope() == DedupScope.ALL;
     }
 
     /** The same world with another script. */
@@ -274,30 +450,86 @@
 
     /** The same world with another number of client proxies; the requests are spread over them. */
     public Scenario withProxies(int count) {
-        Proxies p = new Proxies(count, proxies.spread(), proxies.startWithinUs(), proxies.known(),
-                proxies.knownAgeUs(), proxies.ghosts(), proxies.startUs(), proxies.lateCallsUs(),
-                proxies.killAfterUs(), proxies.connections(), proxies.cpu());
+        Proxies p = new Proxies(
+                count,
+                proxies.spread(),
+                proxies.startWithinUs(),
+                proxies.known(),
+                proxies.knownAgeUs(),
+                proxies.ghosts(),
+                proxies.startUs(),
+                proxies.lateCallsUs(),
+                proxies.killAfterUs(),
+                proxies.connections(),
+                proxies.cpu());
         return with(p, rules, faults);
     }
 
     /** The same world as one service of many, without faults: these servers, and so many client proxies that call it. */
-    Scenario asService(String itsName, long itsLengthUs, Proxies itsProxies, Clients itsClients, Load itsLoad,
-            Servers itsServers, List<ClassSpec> itsClasses) {
-        return new Scenario(itsName, title, itsLengthUs, settleUs, zones, network, discovery, itsProxies, itsClients,
-                itsLoad, List.of(itsServers), itsClasses, tenants, overShareWorth, limits, rules, service, null,
+    Scenario asService(
+            String itsName,
+            long itsLengthUs,
+            Proxies itsProxies,
+            Clients itsClients,
+            Load itsLoad,
+            Servers itsServers,
+            List<ClassSpec> itsClasses) {
+        return new Scenario(
+                itsName,
+                title,
+                itsLengthUs,
+                settleUs,
+                zones,
+                network,
+                discovery,
+                itsProxies,
+                itsClients,
+                itsLoad,
+                List.of(itsServers),
+                itsClasses,
+                tenants,
+                overShareWorth,
+                limits,
+                rules,
+                service,
+                null,
                 List.of());
     }
 
     /** The same world with each time limit of its rules so much longer. */
     Scenario withSlack(long us) {
-        Rules r = new Rules(rules.answerSlackUs() + us, rules.drainUs() + us, rules.coldMultiple(), rules.coldForUs(),
-                rules.coldFrom(), rules.coldUs(), rules.askWithinUs() + us);
+        Rules r = new Rules(
+                rules.answerSlackUs() + us,
+                rules.drainUs() + us,
+                rules.coldMultiple(),
+                rules.coldForUs(),
+                rules.coldFrom(),
+                rules.coldUs(),
+                rules.askWithinUs() + us);
         return with(proxies, r, faults);
     }
 
     private Scenario with(Proxies itsProxies, Rules itsRules, List<Fault> itsFaults) {
-        return new Scenario(name, title, lengthUs, settleUs, zones, network, discovery, itsProxies, clients, load,
-                servers, classes, tenants, overShareWorth, limits, itsRules, service, peers, itsFaults);
+        return new Scenario(
+                name,
+                title,
+                lengthUs,
+                settleUs,
+                zones,
+                network,
+                discovery,
+                itsProxies,
+                clients,
+                load,
+                servers,
+                classes,
+                tenants,
+                overShareWorth,
+                limits,
+                itsRules,
+                service,
+                peers,
+                itsFaults);
     }
 
     /** How many servers there are. */
@@ -326,7 +558,9 @@
     }
 
     private static double capacity(List<Servers> servers) {
-        return servers.stream().mapToDouble(
-                s -> s.count() * s.cores() * (s.speed().low() + s.speed().high()) / 2).sum();
+        return servers.stream()
+                .mapToDouble(s ->
+                        s.count() * s.cores() * (s.speed().low() + s.speed().high()) / 2)
+                .sum();
     }
 }
--- a/src/main/java/mulleinfront/emulator/ScenarioReader.java
+++ b/src/main/java/mulleinfront/emulator/ScenarioReader.java
@@ -37,17 +37,34 @@
  * operators' page {@code docs/emulator.md}; what is absent there has the value given there.
  */
 public final class ScenarioReader {
-    private enum Effects { SAFE, KEYED, UNSAFE }
+    private enum Effects {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
-    private enum Groups { ALL, ZONE, CELL }
+    private enum Groups {
+        ALL,
+        ZONE,
+        CELL
+    }
 
-    private enum Mode { ASK, PUSH }
+    private enum Mode {
+        ASK,
+        PUSH
+    }
 
-    private enum WarmBy { TIME, WORK }
+    private enum WarmBy {
+        TIME,
+        WORK
+    }
 
-    private enum Detector { FULL, PLAIN }
+    private enum Detector {
+        FULL,
+        PLAIN
+    }
 
-    private ScenarioReader() { }
+    private ScenarioReader() {}
 
     /**
      * Reads a file, and the file of the world that it stands on, if it names one.
@@ -109,8 +126,10 @@
         if (zones.isEmpty() || new HashSet<>(zones).size() < zones.size()) {
             throw network.wrong("zones must name one zone or more, each once");
         }
-        Network delays = new Network(network.times("same", new Range(85, 320)),
-                network.times("cross", new Range(1_400, 2_600)), network.times("client", new Range(20, 90)),
+        Network delays = new Network(
+                network.times("same", new Range(85, 320)),
+                network.times("cross", new Range(1_400, 2_600)),
+                network.times("client", new Range(20, 90)),
                 network.share("jitter", 0.2, 10));
         network.done();
         List<Servers> servers = servers(root);
@@ -123,9 +142,26 @@
         double overShareWorth = priced.share("over-share-worth", 0.1, 1);
         Service service = service(priced);
         Load load = load(root.table("load"), servers, classes);
-        Scenario world = new Scenario(name(file), title, length, settle, zones, delays,
-                discovery(root.table("discovery")), proxies, clients(root.table("clients")), load, servers,
-                classes, tenants, overShareWorth, limits, rules, service, peers(root), List.of());
+        Scenario world = new Scenario(
+                name(file),
+                title,
+                length,
+                settle,
+                zones,
+                delays,
+                discovery(root.table("discovery")),
+                proxies,
+                clients(root.table("clients")),
+                load,
+                servers,
+                classes,
+                tenants,
+                overShareWorth,
+                limits,
+                rules,
+                service,
+                peers(root),
+                List.of());
         List<Scenario.Fault> faults = new FaultReader(world).read(root.ownTables("fault"));
         root.done();
         return world.withFaults(faults);
@@ -145,22 +181,35 @@
     }
 
     private static Discovery discovery(Section s) throws BadFileException {
-        Discovery d = new Discovery(s.word("mode", Mode.ASK, Mode.class) == Mode.ASK,
+        Discovery d = new Discovery(
+                s.word("mode", Mode.ASK, Mode.class) == Mode.ASK,
                 s.times("notice", new Range(640_000, 4_200_000)),
                 s.times("silent-notice", new Range(6_200_000, 12_000_000)),
-                s.times("period", new Range(160_000, 720_000)), s.time("call", 4_000L),
-                positive(s, "timeout", 3_000_000L), s.count("also-listed", 0, 0));
+                s.times("period", new Range(160_000, 720_000)),
+                s.time("call", 4_000L),
+                positive(s, "timeout", 3_000_000L),
+                s.count("also-listed", 0, 0));
         s.done();
         return d;
     }
 
     private static Proxies proxies(Section s) throws BadFileException {
-        Proxies p = new Proxies(s.count("count", 5, 1), s.number("spread", 0.8, 0),
-                s.time("start-within", 1_000_000L), s.word("known", Known.CURRENT, Known.class),
-                s.time("known-age", 30_000_000L), s.count("ghosts", 0, 0), s.time("start", 2_000_000L),
-                s.time("late-calls", 600_000L), s.time("kill-after", 4_700_000L),
-                s.count("connections", 400, 1), new Scenario.Cpu(s.number("core", 0.0, 0), s.time("cold-request", 0L),
-                s.time("warm-request", 0L), s.count("warm-after", 200, 1)));
+        Proxies p = new Proxies(
+                s.count("count", 5, 1),
+                s.number("spread", 0.8, 0),
+                s.time("start-within", 1_000_000L),
+                s.word("known", Known.CURRENT, Known.class),
+                s.time("known-age", 30_000_000L),
+                s.count("ghosts", 0, 0),
+                s.time("start", 2_000_000L),
+                s.time("late-calls", 600_000L),
+                s.time("kill-after", 4_700_000L),
+                s.count("connections", 400, 1),
+                new Scenario.Cpu(
+                        s.number("core", 0.0, 0),
+                        s.time("cold-request", 0L),
+                        s.time("warm-request", 0L),
+                        s.count("warm-after", 200, 1)));
         if (p.cpu().core() == 0 && p.cpu().coldUs() + p.cpu().warmUs() > 0) {
             throw s.wrong("core", "requests that take CPU need a share of a core: core = 0.5");
         }
@@ -176,16 +225,23 @@
             return null;
         }
         Section s = root.table("peers");
-        Scenario.Peers p = new Scenario.Peers(positive(s, "period", 1_000_000L), positive(s, "gone-after", 600_000_000L),
-                s.word("detector", Detector.FULL, Detector.class) == Detector.PLAIN, s.share("loss", 0.0, 1));
+        Scenario.Peers p = new Scenario.Peers(
+                positive(s, "period", 1_000_000L),
+                positive(s, "gone-after", 600_000_000L),
+                s.word("detector", Detector.FULL, Detector.class) == Detector.PLAIN,
+                s.share("loss", 0.0, 1));
         s.done();
         return p;
     }
 
     private static Clients clients(Section s) throws BadFileException {
-        Clients c = new Clients(s.count("retries", 1, 0), s.times("backoff", new Range(25_000, 200_000)),
-                s.flag("doubling", true), s.share("honour", 0.9, 1),
-                s.shares("patience", new Range(0.7, 1), 1), s.share("leave", 0.0, 1));
+        Clients c = new Clients(
+                s.count("retries", 1, 0),
+                s.times("backoff", new Range(25_000, 200_000)),
+                s.flag("doubling", true),
+                s.share("honour", 0.9, 1),
+                s.shares("patience", new Range(0.7, 1), 1),
+                s.share("leave", 0.0, 1));
         if (c.patience().low() <= 0) {
             throw s.wrong("patience", "must be more than nothing");
         }
@@ -193,8 +249,7 @@
         return c;
     }
 
-    private static Load load(Section s, List<Servers> servers, List<ClassSpec> classes)
-            throws BadFileException {
+    private static Load load(Section s, List<Servers> servers, List<ClassSpec> classes) throws BadFileException {
         double full = Scenario.fullRate(servers, classes);
         boolean byShare = s.says("of-capacity") || !s.says("rate") && s.has("of-capacity");
         if (byShare && s.says("rate")) {
@@ -203,14 +258,20 @@
         s.pass(byShare ? "rate" : "of-capacity");
         double rate = byShare ? full * s.share("of-capacity", null, 100) : s.rate("rate", null);
         Shape shape = s.word("shape", Shape.STEADY, Shape.class);
-        double end = shape != Shape.RAMP && !s.says("end-rate") && !s.says("end-of-capacity") ? rate
-                : s.has("end-of-capacity") ? full * s.share("end-of-capacity", null, 100)
-                : s.rate("end-rate", rate);
+        double end = shape != Shape.RAMP && !s.says("end-rate") && !s.says("end-of-capacity")
+                ? rate
+                : s.has("end-of-capacity") ? full * s.share("end-of-capacity", null, 100) : s.rate("end-rate", rate);
         if (shape != Shape.RAMP && end != rate) {
             throw s.wrong(s.has("end-rate") ? "end-rate" : "end-of-capacity", "only a ramp has an end of its own");
         }
-        Load load = new Load(rate, shape, end, s.share("swing", 0.2, 1), positive(s, "burst", 3_000_000L),
-                s.count("keys", 1_200, 0), s.number("zipf", 1.0, 0));
+        Load load = new Load(
+                rate,
+                shape,
+                end,
+                s.share("swing", 0.2, 1),
+                positive(s, "burst", 3_000_000L),
+                s.count("keys", 1_200, 0),
+                s.number("zipf", 1.0, 0));
         s.done();
         return load;
     }
@@ -230,25 +291,45 @@
             if (byWork != s.has("warm-work")) {
                 throw s.wrong(byWork ? "warm-by" : "warm-work", "warm-by = \"work\" and warm-work go together");
             }
-            ServerModel.Linger linger = !s.has("linger-at") ? null : new ServerModel.Linger(
-                    s.number("linger-at", null, 0), positive(s, "linger-after", 2_000_000L),
-                    s.number("linger-slower", 2.5, 1), s.share("linger-below", 0.33, 1),
-                    positive(s, "linger-rest", 3_500_000L), positive(s, "linger-most", 25_000_000L));
+            ServerModel.Linger linger = !s.has("linger-at")
+                    ? null
+                    : new ServerModel.Linger(
+                            s.number("linger-at", null, 0), positive(s, "linger-after", 2_000_000L),
+                            s.number("linger-slower", 2.5, 1), s.share("linger-below", 0.33, 1),
+                            positive(s, "linger-rest", 3_500_000L), positive(s, "linger-most", 25_000_000L));
             Range speed = s.numbers("speed", Range.of(1), 0);
             if (speed.low() <= 0) {
                 throw s.wrong("speed", "must be more than nothing");
             }
-            all.add(new Servers(name, s.count("count", null, 1), s.count("cell", 8, 1),
-                    s.number("weight", 1.0, 0), cores, speed, cores * s.count("slots-per-core", 1, 1),
-                    cores * s.count("queue-per-core", 20, 0), cores * s.count("connections-per-core", 200, 1),
-                    s.times("handshake-work", Range.of(0)), s.time("idle-close", 5_000_000L),
-                    s.share("errors", 0.0, 1), s.times("report-every", Range.of(800_000)),
-                    s.time("probe-work", 60L), cores * s.count("probes-per-core", 6, 0),
-                    s.flag("deep-probes", false), coldFrom, coldFor, byWork ? s.time("warm-work", null) : 0,
-                    s.time("pause-every", 0L), s.times("pause-for", Range.of(0)),
-                    s.number("crowd-at", 0.0, 0), s.share("crowd-loss", 0.0, 0.95), linger,
+            all.add(new Servers(
+                    name,
+                    s.count("count", null, 1),
+                    s.count("cell", 8, 1),
+                    s.number("weight", 1.0, 0),
+                    cores,
+                    speed,
+                    cores * s.count("slots-per-core", 1, 1),
+                    cores * s.count("queue-per-core", 20, 0),
+                    cores * s.count("connections-per-core", 200, 1),
+                    s.times("handshake-work", Range.of(0)),
+                    s.time("idle-close", 5_000_000L),
+                    s.share("errors", 0.0, 1),
+                    s.times("report-every", Range.of(800_000)),
+                    s.time("probe-work", 60L),
+                    cores * s.count("probes-per-core", 6, 0),
+                    s.flag("deep-probes", false),
+                    coldFrom,
+                    coldFor,
+                    byWork ? s.time("warm-work", null) : 0,
+                    s.time("pause-every", 0L),
+                    s.times("pause-for", Range.of(0)),
+                    s.number("crowd-at", 0.0, 0),
+                    s.share("crowd-loss", 0.0, 0.95),
+                    linger,
                     s.word("stops", ServerModel.Stops.ALL, ServerModel.Stops.class),
-                    s.flag("drops-expired", true), s.time("key-memory", 0L), s.share("key-saving", 0.0, 1),
+                    s.flag("drops-expired", true),
+                    s.time("key-memory", 0L),
+                    s.share("key-saving", 0.0, 1),
                     cores * s.count("keys-per-core", 27, 1)));
             s.done();
         }
@@ -269,8 +350,10 @@
             if (!keyed && (s.has("group") || s.has("window"))) {
                 throw s.wrong(s.has("group") ? "group" : "window", "only a keyed class has one");
             }
-            DedupScope scope = !keyed ? null
-                    : DedupScope.valueOf(s.word("group", Groups.ZONE, Groups.class).name());
+            DedupScope scope = !keyed
+                    ? null
+                    : DedupScope.valueOf(
+                            s.word("group", Groups.ZONE, Groups.class).name());
             long window = keyed ? s.time("window", null) : 0;
             long aim = positive(s, "aim", null);
             long deadline = positive(s, "deadline", null);
@@ -284,9 +367,21 @@
                 case KEYED -> Effect.DEDUP;
                 case UNSAFE -> Effect.FRAGILE;
             };
-            all.add(new ClassSpec(new RequestClass(name, known, scope, window, s.number("worth", 1.0, 0),
-                    s.share("late-worth", 0.0, 1), aim, 0, deadline), share, positive(s, "work", null),
-                    s.word("dist", Dist.LOGNORMAL, Dist.class), s.number("cv", 0.45, 0)));
+            all.add(new ClassSpec(
+                    new RequestClass(
+                            name,
+                            known,
+                            scope,
+                            window,
+                            s.number("worth", 1.0, 0),
+                            s.share("late-worth", 0.0, 1),
+                            aim,
+                            0,
+                            deadline),
+                    share,
+                    positive(s, "work", null),
+                    s.word("dist", Dist.LOGNORMAL, Dist.class),
+                    s.number("cv", 0.45, 0)));
             s.done();
         }
         if (!makeAll(sum)) {
@@ -327,21 +422,32 @@
     }
 
     private static String percent(double part) {
-        return BigDecimal.valueOf(Math.round(part * 1000), 1).stripTrailingZeros().toPlainString() + "%";
+        return BigDecimal.valueOf(Math.round(part * 1000), 1)
+                        .stripTrailingZeros()
+                        .toPlainString() + "%";
     }
 
     private static Limits limits(Section s) throws BadFileException {
-        Limits l = new Limits(s.count("attempts", 4, 1), s.flag("cancel", true), s.flag("probes", true),
-                s.time("retry-after", 2_000_000L), positive(s, "dial-timeout", 250_000L),
-                positive(s, "idle-close", 5_000_000L), s.share("reports", 0.35, 1));
+        Limits l = new Limits(
+                s.count("attempts", 4, 1),
+                s.flag("cancel", true),
+                s.flag("probes", true),
+                s.time("retry-after", 2_000_000L),
+                positive(s, "dial-timeout", 250_000L),
+                positive(s, "idle-close", 5_000_000L),
+                s.share("reports", 0.35, 1));
         s.done();
         return l;
     }
 
     private static Rules rules(Section s) throws BadFileException {
-        Rules r = new Rules(s.time("answer-slack", 70_000L), s.time("drain", 250_000L),
-                s.number("cold-multiple", 4.0, 1), positive(s, "cold-for", 3_000_000L),
-                s.share("cold-from", 0.13, 1), s.time("cold-warm", 24_000_000L),
+        Rules r = new Rules(
+                s.time("answer-slack", 70_000L),
+                s.time("drain", 250_000L),
+                s.number("cold-multiple", 4.0, 1),
+                positive(s, "cold-for", 3_000_000L),
+                s.share("cold-from", 0.13, 1),
+                s.time("cold-warm", 24_000_000L),
                 positive(s, "ask-within", 10_000_000L));
         if (r.coldFrom() <= 0) {
             throw s.wrong("cold-from", "must be more than nothing");
@@ -351,11 +457,17 @@
     }
 
     private static Service service(Section s) throws BadFileException {
-        Service v = new Service(s.share("whole", 0.4, 1), s.share("worst-window", 0.15, 1),
-                s.share("worst-class", 0.2, 1), s.share("worst-tenant", 0.25, 1),
-                positive(s, "window", 10_000_000L), s.share("price-waste", 0.05, 1),
-                s.share("price-late-fail", 0.05, 1), s.share("price-probe", 0.03, 1),
-                s.share("price-cross-zone", 0.03, 1), s.share("price-linger", 0.04, 1),
+        Service v = new Service(
+                s.share("whole", 0.4, 1),
+                s.share("worst-window", 0.15, 1),
+                s.share("worst-class", 0.2, 1),
+                s.share("worst-tenant", 0.25, 1),
+                positive(s, "window", 10_000_000L),
+                s.share("price-waste", 0.05, 1),
+                s.share("price-late-fail", 0.05, 1),
+                s.share("price-probe", 0.03, 1),
+                s.share("price-cross-zone", 0.03, 1),
+                s.share("price-linger", 0.04, 1),
                 s.share("tenants-of-capacity", 0.85, 100));
         double sum = v.whole() + v.window() + v.worstClass() + v.worstTenant();
         if (!makeAll(sum)) {
--- a/src/main/java/mulleinfront/emulator/Script.java
+++ b/src/main/java/mulleinfront/emulator/Script.java
@@ -41,22 +41,26 @@
             case RESET_BEFORE -> eachHost(f, h -> h.resetBefore = f.share(), h -> h.resetBefore = 0);
             case RESET_AFTER -> eachHost(f, h -> h.resetAfter = f.share(), h -> h.resetAfter = 0);
             case DISCOVERY_DOWN -> both(f, () -> world.registry.down(true), () -> world.registry.down(false));
-            case DISCOVERY_SILENT ->
-                    both(f, () -> world.registry.silent(true), () -> world.registry.silent(false));
-            case DISCOVERY_LATE ->
-                    both(f, () -> world.registry.late(f.on()), () -> world.registry.late(Range.of(0)));
+            case DISCOVERY_SILENT -> both(f, () -> world.registry.silent(true), () -> world.registry.silent(false));
+            case DISCOVERY_LATE -> both(f, () -> world.registry.late(f.on()), () -> world.registry.late(Range.of(0)));
             case DISCOVERY_SHUFFLE ->
-                    both(f, () -> world.registry.shuffle((int) f.factor()), () -> world.registry.shuffle(0));
+                both(f, () -> world.registry.shuffle((int) f.factor()), () -> world.registry.shuffle(0));
             case DISCOVERY_CROWD -> both(f, () -> world.registry.crowd(f.factor()), () -> world.registry.crowd(0));
-            case DISCOVERY_REFUSES -> both(f, () -> world.registry.refuseCalls((int) f.factor()),
-                    () -> world.registry.refuseCalls(0));
-            case DISCOVERY_CUTS -> both(f, () -> world.registry.cutLists((int) f.factor()),
-                    () -> world.registry.cutLists(0));
-            case DISCOVERY_PAUSES -> both(f, () -> world.registry.pauseLists((int) f.factor(), f.on()),
-                    () -> world.registry.pauseLists(0, Range.of(0)));
+            case DISCOVERY_REFUSES ->
+                both(f, () -> world.registry.refuseCalls((int) f.factor()), () -> world.registry.refuseCalls(0));
+            case DISCOVERY_CUTS ->
+                both(f, () -> world.registry.cutLists((int) f.factor()), () -> world.registry.cutLists(0));
+            case DISCOVERY_PAUSES ->
+                both(
+                        f,
+                        () -> world.registry.pauseLists((int) f.factor(), f.on()),
+                        () -> world.registry.pauseLists(0, Range.of(0)));
             case CROWD_PROXY -> proxies(f).forEach(p -> p.crowd((int) f.factor(), lasts(f)));
-            case DISCOVERY_ENDS -> both(f, () -> world.registry.endInsteadOfTelling((int) f.factor()),
-                    () -> world.registry.endInsteadOfTelling(0));
+            case DISCOVERY_ENDS ->
+                both(
+                        f,
+                        () -> world.registry.endInsteadOfTelling((int) f.factor()),
+                        () -> world.registry.endInsteadOfTelling(0));
             case WATCHES_SILENT -> world.registry.watchesFallSilent();
             case WATCHES_RESET -> world.registry.watchesEnd();
             case KILL_PROXY -> proxies(f).forEach(p -> within(f, () -> p.kill(f.drainUs())));
@@ -68,10 +72,10 @@
             case CUT_PEERS, DATAGRAMS -> datagrams(f);
             case REPEAT_DATAGRAMS -> world.peerFaults().repeat(f.drainUs(), f.factor(), lasts(f));
             case STRANGERS -> world.peerFaults().strangers(f.factor(), lasts(f));
-            case CLOCK -> proxies(f).forEach(p -> world.peerFaults().clockJumps(world.proxies.indexOf(p),
-                    (long) f.factor()));
-            case SURGE -> both(f, () -> world.clients.surge(f.tenant(), f.factor()),
-                    () -> world.clients.surge(f.tenant(), 1));
+            case CLOCK ->
+                proxies(f).forEach(p -> world.peerFaults().clockJumps(world.proxies.indexOf(p), (long) f.factor()));
+            case SURGE ->
+                both(f, () -> world.clients.surge(f.tenant(), f.factor()), () -> world.clients.surge(f.tenant(), 1));
             case BURST -> {
                 for (int i = 0; i < f.count(); i++) {
                     world.clients.ask();
@@ -120,7 +124,8 @@
     private List<Host> drawn(Fault f) {
         List<Host> there = new ArrayList<>();
         for (Host h : world.hosts) {
-            boolean meant = f.servers().isEmpty() ? f.zone() < 0 || h.zone == f.zone()
+            boolean meant = f.servers().isEmpty()
+                    ? f.zone() < 0 || h.zone == f.zone()
                     : f.servers().contains(h.id);
             if (meant && h.alive() && !h.life.draining()) {
                 there.add(h);
@@ -219,7 +224,9 @@
     /** Client proxies are cut from discovery, or from the servers of a zone, each for itself. */
     private void cutProxies(Fault f) {
         List<Instance> those = proxies(f);
-        both(f, () -> those.forEach(p -> cut(f, world.proxies.indexOf(p), true)),
+        both(
+                f,
+                () -> those.forEach(p -> cut(f, world.proxies.indexOf(p), true)),
                 () -> those.forEach(p -> cut(f, world.proxies.indexOf(p), false)));
     }
 
@@ -246,12 +253,12 @@
                 to.flip(0, world.proxies.size());
             }
             PeerFaults.End end = world.peerFaults().cut(from, to, b.oneWay());
-            both(f, () -> { }, end::end);
+            both(f, () -> {}, end::end);
             return;
         }
-        PeerFaults.End end = world.peerFaults().trouble(from, to, b.lose(), b.twice(), b.overtaken(), b.change(),
-                b.late());
-        both(f, () -> { }, end::end);
+        PeerFaults.End end =
+                world.peerFaults().trouble(from, to, b.lose(), b.twice(), b.overtaken(), b.change(), b.late());
+        both(f, () -> {}, end::end);
     }
 
     private static BitSet set(List<Integer> numbers) {
@@ -262,23 +269,29 @@
 
     private void cut(Fault f) {
         if (f.zone() >= 0 && f.count() < 0) {
-            both(f, () -> {
-                world.network.cut(f.zone(), true);
-                world.hosts.forEach(world::changed);
-            }, () -> {
-                world.network.cut(f.zone(), false);
-                world.hosts.forEach(world::changed);
-                heal(link -> link.owner.zone() != link.host.zone);
-            });
+            both(
+                    f,
+                    () -> {
+                        world.network.cut(f.zone(), true);
+                        world.hosts.forEach(world::changed);
+                    },
+                    () -> {
+                        world.network.cut(f.zone(), false);
+                        world.hosts.forEach(world::changed);
+                        heal(link -> link.owner.zone() != link.host.zone);
+                    });
         } else {
-            eachHost(f, h -> {
-                world.network.cut(h, true);
-                world.changed(h);
-            }, h -> {
-                world.network.cut(h, false);
-                world.changed(h);
-                world.resetAll(h);
-            });
+            eachHost(
+                    f,
+                    h -> {
+                        world.network.cut(h, true);
+                        world.changed(h);
+                    },
+                    h -> {
+                        world.network.cut(h, false);
+                        world.changed(h);
+                        world.resetAll(h);
+                    });
         }
     }
 
--- a/src/main/java/mulleinfront/emulator/ServerModel.java
+++ b/src/main/java/mulleinfront/emulator/ServerModel.java
@@ -28,10 +28,18 @@
     private static final int MANY_KEPT = 1024;
 
     /** How a request ended at the server. */
-    public enum End { SERVED, ERROR, NOT_RUN }
+    public enum End {
+        SERVED,
+        ERROR,
+        NOT_RUN
+    }
 
     /** When work that nobody waits for stops. */
-    public enum Stops { NONE, QUEUED, ALL }
+    public enum Stops {
+        NONE,
+        QUEUED,
+        ALL
+    }
 
     /**
      * One machine, as drawn.
@@ -62,11 +70,32 @@
      * @param keySaving part of the work that it is spared by a key it remembers
      * @param keysKept keys that it remembers at most
      */
-    public record Machine(int cores, double speed, int slots, int room, int mostConnections,
-            double handshakeWork, long idleCloseUs, double errors, long reportEveryUs, double probeWork,
-            int mostProbes, boolean deepProbes, double coldFrom, long coldForUs, double coldWork,
-            long pauseEveryUs, Range pauseUs, double crowdAt, double crowdLoss, Linger linger, Stops stops,
-            boolean dropsExpired, long keyMemoryUs, double keySaving, int keysKept) {
+    public record Machine(
+            int cores,
+            double speed,
+            int slots,
+            int room,
+            int mostConnections,
+            double handshakeWork,
+            long idleCloseUs,
+            double errors,
+            long reportEveryUs,
+            double probeWork,
+            int mostProbes,
+            boolean deepProbes,
+            double coldFrom,
+            long coldForUs,
+            double coldWork,
+            long pauseEveryUs,
+            Range pauseUs,
+            double crowdAt,
+            double crowdLoss,
+            Linger linger,
+            Stops stops,
+            boolean dropsExpired,
+            long keyMemoryUs,
+            double keySaving,
+            int keysKept) {
         /** Work that it can do in a microsecond when warm and undisturbed. */
         public double capacity() {
             return cores * speed;
@@ -83,7 +112,7 @@
      * @param restUs ... in the mean of this time,
      * @param mostUs or after this time
      */
-    public record Linger(double at, long afterUs, double slower, double below, long restUs, long mostUs) { }
+    public record Linger(double at, long afterUs, double slower, double below, long restUs, long mostUs) {}
 
     /** A request at the server. */
     public static final class Job {
@@ -108,8 +137,7 @@
          * @param expiresAt when nobody will wait for it any more
          * @param done told once how it ended, unless it was cancelled or the process died
          */
-        public Job(String requestId, double work, String key, String effect, long windowUs, long expiresAt,
-                Done done) {
+        public Job(String requestId, double work, String key, String effect, long windowUs, long expiresAt, Done done) {
             this.requestId = requestId;
             this.work = work;
             this.key = key;
@@ -222,8 +250,8 @@
     private final Figures figures = new Figures();
     private final long startedAt;
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    private final PriorityQueue<Job> running = new PriorityQueue<>(
-            Comparator.comparingDouble((Job j) -> j.mark).thenComparing(j -> j.requestId));
+    private final PriorityQueue<Job> running =
+            new PriorityQueue<>(Comparator.comparingDouble((Job j) -> j.mark).thenComparing(j -> j.requestId));
     private final LinkedHashMap<String, Long> keys = new LinkedHashMap<>();
     private int held;
     private int connections;
@@ -256,8 +284,7 @@
      *
      * @param startsCold whether it has just been started, rather than long ago
      */
-    public ServerModel(Machine machine, Time time, Chance chance, Group group, Effects effects,
-            boolean startsCold) {
+    public ServerModel(Machine machine, Time time, Chance chance, Group group, Effects effects, boolean startsCold) {
         this.machine = machine;
         this.time = time;
         this.chance = chance;
@@ -266,8 +293,7 @@
         this.errors = machine.errors();
         this.at = time.now();
         this.startedAt = at;
-        this.cold = startsCold && machine.coldFrom() < 1
-                && (machine.coldForUs() > 0 || machine.coldWork() > 0);
+        this.cold = startsCold && machine.coldFrom() < 1 && (machine.coldForUs() > 0 || machine.coldWork() > 0);
         if (machine.pauseEveryUs() > 0) {
             schedulePause();
         }
@@ -301,7 +327,8 @@
         if (!cold) {
             return 1;
         }
-        double part = machine.coldWork() > 0 ? warmed / machine.coldWork()
+        double part = machine.coldWork() > 0
+                ? warmed / machine.coldWork()
                 : (double) (time.now() - startedAt) / machine.coldForUs();
         return Math.min(1, machine.coldFrom() + (1 - machine.coldFrom()) * part);
     }
@@ -323,8 +350,14 @@
 
     /** Work that a core does in a microsecond at this moment; 0 while it answers nothing. */
     double coreSpeed() {
-        return hung || pauses > 0 || stopped ? 0 : machine.speed() * warmth() * efficiency() * (1 - taken) / slow
-                / (lingering ? machine.linger().slower() : 1);
+        return hung || pauses > 0 || stopped
+                ? 0
+                : machine.speed()
+                        * warmth()
+                        * efficiency()
+                        * (1 - taken)
+                        / slow
+                        / (lingering ? machine.linger().slower() : 1);
     }
 
     /** Part of a request's work that is left where its key was met lately; 1 where not. */
@@ -414,7 +447,10 @@
 
     /** Nobody waits for it any more; unknown or ended requests are ignored. */
     public void cancel(Job job) {
-        if (stopped || job.state == NEW || job.state == OVER || machine.stops() == Stops.NONE
+        if (stopped
+                || job.state == NEW
+                || job.state == OVER
+                || machine.stops() == Stops.NONE
                 || job.state == RUNNING && machine.stops() == Stops.QUEUED) {
             return;
         }
--- a/src/main/java/mulleinfront/emulator/ServiceReport.java
+++ b/src/main/java/mulleinfront/emulator/ServiceReport.java
@@ -29,11 +29,25 @@
  * @param starts requests to client proxies that were started again, in their first 10 s of taking requests,
  *        and to those that were not, from the first of these starts to 10 s after the last
  */
-public record ServiceReport(double service, double whole, double worstWindow, double worstClass,
-        double worstTenant, Map<String, Double> prices, long asks, List<Part> classes, List<Part> tenants,
-        List<Window> windows, Map<String, Long> tries, Map<String, Long> outcomes, Map<String, Long> counts,
-        List<Server> servers, List<Happened> faults, LossReport losses, Refusals unserved,
-                List<Refusals> unservedIn,
+public record ServiceReport(
+        double service,
+        double whole,
+        double worstWindow,
+        double worstClass,
+        double worstTenant,
+        Map<String, Double> prices,
+        long asks,
+        List<Part> classes,
+        List<Part> tenants,
+        List<Window> windows,
+        Map<String, Long> tries,
+        Map<String, Long> outcomes,
+        Map<String, Long> counts,
+        List<Server> servers,
+        List<Happened> faults,
+        LossReport losses,
+        Refusals unserved,
+        List<Refusals> unservedIn,
         List<Starts> starts) {
 
     /**
@@ -46,18 +60,17 @@
      * @param p50Us median time to the answer, of those that were answered; -1 without any
      * @param p99Us the same that all but one in a hundred keep
      */
-    public record Part(String name, long asked, long onTime, long served, double share, long p50Us,
-            long p99Us) { }
+    public record Part(String name, long asked, long onTime, long served, double share, long p50Us, long p99Us) {}
 
     /** Requests, those served in time, worth earned over worth asked for, tries and those refused. */
-    public record Starts(String name, long asked, long onTime, double share, long tries, long refused) { }
+    public record Starts(String name, long asked, long onTime, double share, long tries, long refused) {}
 
     /** A window of time: when it begins, first tries in it, and worth earned over worth asked for. */
-    public record Window(long atUs, long asked, double share) { }
+    public record Window(long atUs, long asked, double share) {}
 
     /** A server over all its lives. */
-    public record Server(String name, int lives, ServerModel.Figures figures) { }
+    public record Server(String name, int lives, ServerModel.Figures figures) {}
 
     /** A fault as it began. */
-    public record Happened(long atUs, long forUs, String what) { }
+    public record Happened(long atUs, long forUs, String what) {}
 }
