--- a/src/main/java/mulleinfront/emulator/Stage.java
+++ b/src/main/java/mulleinfront/emulator/Stage.java
@@ -66,17 +66,21 @@
     }
 
     /** What a new connection to a server meets. */
-    public enum Door { OPEN, REFUSED, SILENT }
+    public enum Door {
+        OPEN,
+        REFUSED,
+        SILENT
+    }
 
     /** A server as a list names it; the address is a number of the world's, and times are the world's. */
-    public record Listed(Endpoint endpoint, int address) { }
+    public record Listed(Endpoint endpoint, int address) {}
 
     /** A list, or what changed. */
-    public record Told(long version, boolean full, List<Listed> servers) { }
+    public record Told(long version, boolean full, List<Listed> servers) {}
 
     /** A try on its way to a client proxy. */
-    public record Outgoing(int proxy, String id, int classIndex, String key, String effect, int tenant,
-            long deadlineUs) { }
+    public record Outgoing(
+            int proxy, String id, int classIndex, String key, String effect, int tenant, long deadlineUs) {}
 
     private final World world;
     private final Outside outside;
@@ -115,8 +119,8 @@
     public Stage(Scenario scenario, long seed, long slackUs, Outside outside) {
         this.outside = outside;
         this.ancient = new boolean[scenario.proxies().count()];
-        this.world = new World(scenario.withSlack(slackUs), seed, new Trace(null), (w, zone) -> Balancer::create, Fitting.PLAIN,
-                this);
+        this.world = new World(
+                scenario.withSlack(slackUs), seed, new Trace(null), (w, zone) -> Balancer::create, Fitting.PLAIN, this);
         this.world.audit.leaveSlack(slackUs);
     }
 
@@ -222,8 +226,14 @@
             void take(Clients.Try t) {
                 tries.put(t.call.id(), new Sent(t, number));
                 world.queue.after(REMEMBERED_US, () -> tries.remove(t.call.id()));
-                outside.send(new Outgoing(number, t.call.id(), t.call.classIndex(), t.call.key(), t.call.effect(),
-                        t.ask.tenant, t.deadlineAt - t.sentAt));
+                outside.send(new Outgoing(
+                        number,
+                        t.call.id(),
+                        t.call.classIndex(),
+                        t.call.key(),
+                        t.call.effect(),
+                        t.ask.tenant,
+                        t.deadlineAt - t.sentAt));
             }
 
             @Override
@@ -427,7 +437,7 @@
         void answer(int status, boolean notRun);
 
         /** Nothing is answered and the connection is reset. */
-        default void reset() { }
+        default void reset() {}
     }
 
     /** An attempt at a server. */
@@ -456,8 +466,14 @@
             Call call = sent.t.call;
             double work = call.work() + (c.fresh ? c.life.handshakeWork() : 0);
             c.fresh = false;
-            job = new ServerModel.Job(call.id(), work, call.key(), call.effect(), call.windowUs(),
-                    sent.t.deadlineAt, (end, inflight) -> done(end));
+            job = new ServerModel.Job(
+                    call.id(),
+                    work,
+                    call.key(),
+                    call.effect(),
+                    call.windowUs(),
+                    sent.t.deadlineAt,
+                    (end, inflight) -> done(end));
             world.arrived(c.host, c.proxy, call.id(), work);
             if (c.life.stopped()) {
                 return;
@@ -511,8 +527,10 @@
         private void ended(Outcome outcome) {
             if (!over) {
                 over = true;
-                at(judgedAt, () -> world.audit.attemptEnded(connection.proxy, sent.t.call.id(), number, outcome,
-                        world.queue.now()));
+                at(
+                        judgedAt,
+                        () -> world.audit.attemptEnded(
+                                connection.proxy, sent.t.call.id(), number, outcome, world.queue.now()));
                 world.account.attemptEnded(sent.t.call.id(), number, connection.host, outcome);
                 world.tally.outcome(outcome);
             }
@@ -592,7 +610,11 @@
         void hear(Registry.News news) {
             if (!over) {
                 lines.told(Stage.told(news));
-                world.audit.told(proxy, news.version(), news.full() ? Source.FULL : Source.DELTA, news.entries(),
+                world.audit.told(
+                        proxy,
+                        news.version(),
+                        news.full() ? Source.FULL : Source.DELTA,
+                        news.entries(),
                         world.queue.now());
                 world.audit.watching(proxy);
             }
--- a/src/main/java/mulleinfront/emulator/Sweep.java
+++ b/src/main/java/mulleinfront/emulator/Sweep.java
@@ -17,7 +17,7 @@
  * and what is said of them goes by their seeds, so nothing depends on how many are played at once.
  */
 public final class Sweep {
-    private Sweep() { }
+    private Sweep() {}
 
     /**
      * What is kept of one world.
@@ -27,8 +27,15 @@
      * @param breach its first broken rule in words, or null
      * @param starts see {@link ServiceReport#starts}
      */
-    public record Played(long seed, double service, double goodput, int fell, int breaches, String breach,
-            String sha256, List<ServiceReport.Starts> starts) { }
+    public record Played(
+            long seed,
+            double service,
+            double goodput,
+            int fell,
+            int breaches,
+            String breach,
+            String sha256,
+            List<ServiceReport.Starts> starts) {}
 
     /** What is played under a seed: one scenario under all of them, or one that the seed draws. */
     public interface Source {
@@ -38,8 +45,9 @@
         static Source drawn(Drawn.Family family, int instances, long startUs) {
             return seed -> {
                 try {
-                    return ScenarioReader.read(family.word() + "-" + seed, Drawn.of(family, seed, instances,
-                            startUs), world -> new String[] {world, ""});
+                    return ScenarioReader.read(
+                            family.word() + "-" + seed, Drawn.of(family, seed, instances, startUs), world ->
+                                    new String[] {world, ""});
                 } catch (BadFileException e) {
                     throw new IllegalStateException(e);
                 }
@@ -54,14 +62,16 @@
      * @param jobs worlds at once, at least 1
      * @param progress told of each world when it is done, in the order of the seeds
      */
-    public static List<Played> play(Scenario scenario, long from, long to, int jobs, Reference balancer,
-            Consumer<Played> progress) throws InterruptedException {
+    public static List<Played> play(
+            Scenario scenario, long from, long to, int jobs, Reference balancer, Consumer<Played> progress)
+            throws InterruptedException {
         return play(seed -> scenario, from, to, jobs, balancer, progress);
     }
 
     /** The same of scenarios that may differ by seed. */
-    public static List<Played> play(Source source, long from, long to, int jobs, Reference balancer,
-            Consumer<Played> progress) throws InterruptedException {
+    public static List<Played> play(
+            Source source, long from, long to, int jobs, Reference balancer, Consumer<Played> progress)
+            throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(jobs, task -> {
             Thread thread = new Thread(task, "world");
             thread.setDaemon(true);
@@ -88,19 +98,25 @@
     }
 
     private static Played play(Scenario scenario, long seed, Reference balancer) {
-        World world = balancer == null ? World.of(scenario, seed, null)
-                : World.under(balancer, scenario, seed);
+        World world = balancer == null ? World.of(scenario, seed, null) : World.under(balancer, scenario, seed);
         World.Result r = world.play();
-        return new Played(seed, r.service().service(), r.goodput(), r.fell(), r.broken(),
-                r.firstBroken(), r.sha256(),
+        return new Played(
+                seed,
+                r.service().service(),
+                r.goodput(),
+                r.fell(),
+                r.broken(),
+                r.firstBroken(),
+                r.sha256(),
                 r.service().starts());
     }
 
     /** The seeds of least service, the worst first. */
     public static List<Played> worst(List<Played> all, int count) {
-        return all.stream().sorted(Comparator.comparingDouble(Played::service)
-                .thenComparingLong(Played::seed))
-                .limit(count).toList();
+        return all.stream()
+                .sorted(Comparator.comparingDouble(Played::service).thenComparingLong(Played::seed))
+                .limit(count)
+                .toList();
     }
 
     /**
@@ -111,13 +127,24 @@
         List<String> lines = new ArrayList<>();
         for (int i = 0; !all.isEmpty() && i < all.get(0).starts().size(); i++) {
             int place = i;
-            List<ServiceReport.Starts> each = all.stream().filter(p -> p.starts().size() > place)
-                    .map(p -> p.starts().get(place)).toList();
-            lines.add(String.format(Locale.ROOT, "%s: service %.4f, refused %.4f of tries", each.get(0)
-                    .name(),
-                    each.stream().mapToDouble(ServiceReport.Starts::share).average().orElse(0),
+            List<ServiceReport.Starts> each = all.stream()
+                    .filter(p -> p.starts().size() > place)
+                    .map(p -> p.starts().get(place))
+                    .toList();
+            lines.add(String.format(
+                    Locale.ROOT,
+                    "%s: service %.4f, refused %.4f of tries",
+                    each.get(0).name(),
+                    each.stream()
+                            .mapToDouble(ServiceReport.Starts::share)
+                            .average()
+                            .orElse(0),
                     each.stream().mapToLong(ServiceReport.Starts::refused).sum()
-                            / Math.max(1.0, each.stream().mapToLong(ServiceReport.Starts::tries).sum())));
+                            / Math.max(
+                                    1.0,
+                                    each.stream()
+                                            .mapToLong(ServiceReport.Starts::tries)
+                                            .sum())));
         }
         return lines;
     }
--- a/src/main/java/mulleinfront/emulator/Tally.java
+++ b/src/main/java/mulleinfront/emulator/Tally.java
@@ -36,11 +36,13 @@
      * Requests to client proxies that were started again, in their first seconds, and to others at that time.
      */
     private final Sum restarted = new Sum();
+
     private final Sum stayed = new Sum();
     private long startsFrom = Long.MAX_VALUE;
     private long startsTo;
     /** Why client proxies gave requests up, in all and by window. */
     private final Refusals unserved;
+
     private final List<Refusals> unservedIn = new ArrayList<>();
 
     /** Worth asked for and earned, and times to the answer. */
@@ -83,13 +85,11 @@
         private ServiceReport.Part part(String name, double share) {
             long[] sorted = Arrays.copyOf(times, (int) served);
             Arrays.sort(sorted);
-            return new ServiceReport.Part(name, count, onTime, served, share, at(sorted, 0.5),
-                    at(sorted, 0.99));
+            return new ServiceReport.Part(name, count, onTime, served, share, at(sorted, 0.5), at(sorted, 0.99));
         }
 
         private static long at(long[] sorted, double quantile) {
-            return sorted.length == 0 ? -1 : sorted[(int) Math.min(sorted.length - 1,
-                    quantile * sorted.length)];
+            return sorted.length == 0 ? -1 : sorted[(int) Math.min(sorted.length - 1, quantile * sorted.length)];
         }
     }
 
@@ -105,7 +105,8 @@
     // ---- what happens --------------------------------------------------------------------------------
 
     void happened(Scenario.Fault f, long now) {
-        String whom = !f.servers().isEmpty() ? " " + String.join(", ", f.servers())
+        String whom = !f.servers().isEmpty()
+                ? " " + String.join(", ", f.servers())
                 : f.proxy() >= 0 ? " " + f.proxy() : f.count() >= 0 ? " x" + f.count() : "";
         happened.add(new ServiceReport.Happened(now, f.forUs(), Section.form(f.kind()) + whom));
     }
@@ -210,7 +211,8 @@
     }
 
     private Refusals refusals() {
-        return new Refusals(scenario.classes().stream().map(Scenario.ClassSpec::type).toList());
+        return new Refusals(
+                scenario.classes().stream().map(Scenario.ClassSpec::type).toList());
     }
 
     void unserved(long now, Refusal why) {
@@ -242,23 +244,44 @@
         prices.put("probe", s.probe() * probes / firsts);
         prices.put("cross-zone", s.crossZone() * crossed / firsts);
         prices.put("linger", s.linger() * lingered / Math.max(1, servers.size()));
-        double worstClass = Arrays.stream(classes).filter(c -> c.count > 0).mapToDouble(Sum::share).min()
+        double worstClass = Arrays.stream(classes)
+                .filter(c -> c.count > 0)
+                .mapToDouble(Sum::share)
+                .min()
                 .orElse(1);
-        double worstTenant = Arrays.stream(tenants).filter(t -> t.askedWithin > 0)
-                .mapToDouble(Sum::shareWithin).min().orElse(whole.shareWithin());
+        double worstTenant = Arrays.stream(tenants)
+                .filter(t -> t.askedWithin > 0)
+                .mapToDouble(Sum::shareWithin)
+                .min()
+                .orElse(whole.shareWithin());
         double worstWindow = worstWindow(s.windowUs());
-        double service = s.whole() * whole.share() + s.window() * worstWindow + s.worstClass() * worstClass
+        double service = s.whole() * whole.share()
+                + s.window() * worstWindow
+                + s.worstClass() * worstClass
                 + s.worstTenant() * worstTenant
                 - prices.values().stream().mapToDouble(Double::doubleValue).sum();
-        return new ServiceReport(service, whole.share(), worstWindow, worstClass, worstTenant, prices,
+        return new ServiceReport(
+                service,
+                whole.share(),
+                worstWindow,
+                worstClass,
+                worstTenant,
+                prices,
                 whole.count,
                 parts(classes, i -> scenario.classes().get(i).type().name(), false),
-                parts(tenants, i -> scenario.tenants().get(i).name(), true), windowParts(),
+                parts(tenants, i -> scenario.tenants().get(i).name(), true),
+                windowParts(),
                 names(tries, i -> Section.form(Clients.How.values()[i])),
-                names(outcomes, i -> Section.form(Outcome.values()[i])), counts(world), servers,
-                List.copyOf(happened), world.account.report(), unserved, List.copyOf(unservedIn),
-                restarted.count == 0 ? List.of() : List.of(starts("started again", restarted),
-                        starts("never killed", stayed)));
+                names(outcomes, i -> Section.form(Outcome.values()[i])),
+                counts(world),
+                servers,
+                List.copyOf(happened),
+                world.account.report(),
+                unserved,
+                List.copyOf(unservedIn),
+                restarted.count == 0
+                        ? List.of()
+                        : List.of(starts("started again", restarted), starts("never killed", stayed)));
     }
 
     private static ServiceReport.Starts starts(String name, Sum s) {
@@ -297,7 +320,8 @@
     private List<ServiceReport.Window> windowParts() {
         List<ServiceReport.Window> all = new ArrayList<>();
         for (int i = 0; i < windows.size(); i++) {
-            all.add(new ServiceReport.Window(i * WINDOW_US, windows.get(i).count, windows.get(i).share()));
+            all.add(new ServiceReport.Window(
+                    i * WINDOW_US, windows.get(i).count, windows.get(i).share()));
         }
         return all;
     }
@@ -321,7 +345,9 @@
         counts.put("most connections of a client proxy", (long) mostConnections);
         counts.put("discovery calls", world.registry.calls);
         counts.put("discovery calls failed", world.registry.failedCalls);
-        counts.put("client proxy starts", world.proxies.stream().mapToLong(p -> p.starts).sum());
+        counts.put(
+                "client proxy starts",
+                world.proxies.stream().mapToLong(p -> p.starts).sum());
         return counts;
     }
 
--- a/src/main/java/mulleinfront/emulator/ToldDeadlines.java
+++ b/src/main/java/mulleinfront/emulator/ToldDeadlines.java
@@ -23,6 +23,7 @@
     static final long WATCH_ENDED_US = 2_000_000;
     /** A call that failed binds for this many times as long. */
     private static final int AFTER_FAILURE = 4;
+
     private static final long NEVER = Long.MAX_VALUE;
 
     private final long askWithinUs;
@@ -38,9 +39,11 @@
         private long silentSince = NEVER;
         /** When its last watch was over, and when discovery ended it in order; {@link #NEVER} if it did not. */
         private long lostAt = -NEVER;
+
         private long endedAt = NEVER;
         /** It can reach discovery itself, and runs. */
         private boolean reaches = true;
+
         private long reachesSince;
     }
 
@@ -119,7 +122,8 @@
         if (told.watching) {
             return Math.max(since, told.silentSince) + REACHABLE_US;
         }
-        long asked = Math.max(since, Math.max(told.calledAt, told.lostAt)) + askWithinUs * (told.failed ? AFTER_FAILURE : 1);
+        long asked =
+                Math.max(since, Math.max(told.calledAt, told.lostAt)) + askWithinUs * (told.failed ? AFTER_FAILURE : 1);
         boolean endedInReach = told.endedAt != NEVER && told.endedAt >= reachedSince;
         long ended = endedInReach ? Math.max(listedAt, told.endedAt) + WATCH_ENDED_US : NEVER;
         return Math.min(since + REACHABLE_US, Math.min(asked, ended));
--- a/src/main/java/mulleinfront/emulator/Trace.java
+++ b/src/main/java/mulleinfront/emulator/Trace.java
@@ -92,8 +92,16 @@
 
     /** What one client proxy believes of another, and did not before. */
     void fleet(int proxy, Change c) {
-        begin(c.atUs(), proxy, "fleet").word(c.number()).word(c.member()).word(c.from().word()).word(c.to().word())
-                .word(c.incarnation()).word(c.word()).word(c.cause().word()).word(c.digest()).end();
+        begin(c.atUs(), proxy, "fleet")
+                .word(c.number())
+                .word(c.member())
+                .word(c.from().word())
+                .word(c.to().word())
+                .word(c.incarnation())
+                .word(c.word())
+                .word(c.cause().word())
+                .word(c.digest())
+                .end();
     }
 
     private void end() {
@@ -163,8 +171,17 @@
         }
         flush();
         try {
-            file.write(String.format(Locale.ROOT, "%d p%d # %s %s worth=%.2f age=%d bound=%.3f %s%n", now, proxy,
-                    r.requestId(), r.cause().word(), r.worth(), r.ageUs(), r.bound(), r.madeFrom())
+            file.write(String.format(
+                            Locale.ROOT,
+                            "%d p%d # %s %s worth=%.2f age=%d bound=%.3f %s%n",
+                            now,
+                            proxy,
+                            r.requestId(),
+                            r.cause().word(),
+                            r.worth(),
+                            r.ageUs(),
+                            r.bound(),
+                            r.madeFrom())
                     .getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
             throw new UncheckedIOException("the trace: " + e.getMessage(), e);
@@ -207,7 +224,10 @@
 
         @Override
         public void onDiscoveryFailed(long now, long quietUs) {
-            begin(now, proxy, "discovery-failed").used(" quiet=").number(quietUs).end();
+            begin(now, proxy, "discovery-failed")
+                    .used(" quiet=")
+                    .number(quietUs)
+                    .end();
             module.onDiscoveryFailed(now, quietUs);
         }
 
@@ -237,9 +257,17 @@
 
         @Override
         public void onRequest(long now, Request r) {
-            begin(now, proxy, "request").word(r.id()).used(" class=").number(r.classIndex()).used(" key=")
-                    .used(String.valueOf(r.key())).used(" budget=").number(r.budgetUs()).used(" tenant=")
-                    .number(r.tenant()).end();
+            begin(now, proxy, "request")
+                    .word(r.id())
+                    .used(" class=")
+                    .number(r.classIndex())
+                    .used(" key=")
+                    .used(String.valueOf(r.key()))
+                    .used(" budget=")
+                    .number(r.budgetUs())
+                    .used(" tenant=")
+                    .number(r.tenant())
+                    .end();
             module.onRequest(now, r);
         }
 
@@ -257,8 +285,13 @@
 
         @Override
         public void onAttemptEnded(long now, AttemptEnd e) {
-            begin(now, proxy, "ended").word(e.requestId()).word(e.attempt()).word(e.outcome().name())
-                    .word(e.requestDone() ? "done" : "open").word(e.lagUs()).end();
+            begin(now, proxy, "ended")
+                    .word(e.requestId())
+                    .word(e.attempt())
+                    .word(e.outcome().name())
+                    .word(e.requestDone() ? "done" : "open")
+                    .word(e.lagUs())
+                    .end();
             module.onAttemptEnded(now, e);
         }
 
@@ -275,7 +308,11 @@
 
         @Override
         public void onProbeEnded(long now, String endpointId, Outcome outcome, long lagUs) {
-            begin(now, proxy, "probed").word(endpointId).word(outcome.name()).word(lagUs).end();
+            begin(now, proxy, "probed")
+                    .word(endpointId)
+                    .word(outcome.name())
+                    .word(lagUs)
+                    .end();
             module.onProbeEnded(now, endpointId, outcome, lagUs);
         }
 
--- a/src/main/java/mulleinfront/emulator/Troubles.java
+++ b/src/main/java/mulleinfront/emulator/Troubles.java
@@ -19,8 +19,8 @@
     private boolean remembers;
 
     /** One that is on; see {@link PeerFaults#trouble}. */
-    public record Trouble(BitSet from, BitSet to, double lose, double twice, double overtaken, double change,
-            Range late) {
+    public record Trouble(
+            BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late) {
         private boolean about(int sender, int receiver) {
             return (from == null || sender >= 0 && from.get(sender)) && (to == null || to.get(receiver));
         }
@@ -32,10 +32,10 @@
     }
 
     /** What arrives of a datagram: perhaps other bytes, perhaps later, microseconds. */
-    public record Copy(byte[] bytes, long lateUs) { }
+    public record Copy(byte[] bytes, long lateUs) {}
 
     /** One that came by. */
-    public record Past(int from, int to, byte[] bytes) { }
+    public record Past(int from, int to, byte[] bytes) {}
 
     public Troubles(Chance chance) {
         this.chance = chance;
--- a/src/main/java/mulleinfront/emulator/TrueState.java
+++ b/src/main/java/mulleinfront/emulator/TrueState.java
@@ -34,7 +34,7 @@
         }
     }
 
-    private record Look(long at, Map<Host, Seen> servers) { }
+    private record Look(long at, Map<Host, Seen> servers) {}
 
     TrueState(World world, long lateUs) {
         this.world = world;
--- a/src/main/java/mulleinfront/emulator/Watcher.java
+++ b/src/main/java/mulleinfront/emulator/Watcher.java
@@ -22,7 +22,7 @@
     abstract void hear(Registry.News news);
 
     /** The first half of a list comes; all of it is heard later. */
-    void begins(Registry.News news) { }
+    void begins(Registry.News news) {}
 
     abstract void fail();
 
--- a/src/main/java/mulleinfront/emulator/World.java
+++ b/src/main/java/mulleinfront/emulator/World.java
@@ -24,6 +24,7 @@
     final Scenario scenario;
     /** What each client proxy is told of the scenario. */
     final Balancer.Settings settings;
+
     final EventQueue queue;
     final Network network;
     final Registry registry;
@@ -39,9 +40,11 @@
     final FleetRun fleet;
     /** Whether client proxies may stand still. */
     final boolean pauses;
+
     private final Stage outside;
     /** What it takes from the larger world that it is a part of; null: it stands alone. */
     private final Part part;
+
     private final long seed;
     private final List<Host> byAddress = new ArrayList<>();
     private final Map<Object, ServerModel.Group> groups = new LinkedHashMap<>();
@@ -82,7 +85,8 @@
         this.pauses = scenario.faults().stream().anyMatch(f -> f.kind() == Scenario.Kind.PAUSE_PROXY);
         this.seed = seed;
         this.trace = trace;
-        this.network = part == null ? new Network(scenario.network(), scenario.zones().size(), chance("network"))
+        this.network = part == null
+                ? new Network(scenario.network(), scenario.zones().size(), chance("network"))
                 : new Network(part.oneWay(), scenario.network().jitter(), chance("network"));
         this.audit = new Auditor(scenario);
         this.tally = new Tally(scenario);
@@ -135,10 +139,17 @@
     private FleetRun fleet() {
         Scenario.Peers spec = scenario.peers();
         int count = scenario.proxies().count();
-        FleetRun run = new FleetRun(queue, chance("fleet"), count, i -> {
-            FleetSettings s = FleetSettings.usual(scenario.name(), "n" + i, i, count, spec.periodUs(), spec.goneUs());
-            return spec.plain() ? s.plain() : s;
-        }, Fleet::new, (from, to) -> network.delay(zoneOf(Math.max(0, from)), zoneOf(to)));
+        FleetRun run = new FleetRun(
+                queue,
+                chance("fleet"),
+                count,
+                i -> {
+                    FleetSettings s =
+                            FleetSettings.usual(scenario.name(), "n" + i, i, count, spec.periodUs(), spec.goneUs());
+                    return spec.plain() ? s.plain() : s;
+                },
+                Fleet::new,
+                (from, to) -> network.delay(zoneOf(Math.max(0, from)), zoneOf(to)));
         if (spec.loss() > 0) {
             run.trouble(null, null, spec.loss(), 0, 0, 0, Range.of(0));
         }
@@ -157,9 +168,12 @@
         int kind = 0;
         for (Scenario.Servers group : scenario.servers()) {
             for (int i = 0; i < group.count(); i++, number++) {
-                Host host = add(group.name() + "-" + i,
-                        part == null ? number % scenario.zones().size() : part.zoneOfHost(number), kind,
-                        number / group.cell(), group);
+                Host host = add(
+                        group.name() + "-" + i,
+                        part == null ? number % scenario.zones().size() : part.zoneOfHost(number),
+                        kind,
+                        number / group.cell(),
+                        group);
                 host.life = process(host, false);
                 registry.know(new Registry.Entry(host.listed(Availability.READY), host.address));
             }
@@ -170,15 +184,41 @@
     /** A machine of a group, drawn under its name, with an address and no process yet. */
     Host add(String id, int zone, int kind, int cell, Scenario.Servers group) {
         Chance chance = chance("server " + id);
-        ServerModel.Machine machine = new ServerModel.Machine(group.cores(), group.speed().draw(chance::between),
-                group.slots(), group.room(), group.connections(), group.handshakeWork().draw(chance::between),
-                group.idleCloseUs(), group.errors(), (long) group.reportEvery().draw(chance::between),
-                group.probeWork(), group.probes(), group.deepProbes(), group.coldFrom().draw(chance::between),
-                (long) group.coldFor().draw(chance::between), group.coldWork(), group.pauseEveryUs(), group.pause(),
-                group.crowdAt(), group.crowdLoss(), group.linger(), group.stops(), group.dropsExpired(),
-                group.keyMemoryUs(), group.keySaving(), group.keysKept());
-        Host host = new Host(id, zone, kind, cell, group.weight(), machine,
-                new Host.Budget(scenario.rules().coldForUs(), scenario.rules().coldMultiple()), chance);
+        ServerModel.Machine machine = new ServerModel.Machine(
+                group.cores(),
+                group.speed().draw(chance::between),
+                group.slots(),
+                group.room(),
+                group.connections(),
+                group.handshakeWork().draw(chance::between),
+                group.idleCloseUs(),
+                group.errors(),
+                (long) group.reportEvery().draw(chance::between),
+                group.probeWork(),
+                group.probes(),
+                group.deepProbes(),
+                group.coldFrom().draw(chance::between),
+                (long) group.coldFor().draw(chance::between),
+                group.coldWork(),
+                group.pauseEveryUs(),
+                group.pause(),
+                group.crowdAt(),
+                group.crowdLoss(),
+                group.linger(),
+                group.stops(),
+                group.dropsExpired(),
+                group.keyMemoryUs(),
+                group.keySaving(),
+                group.keysKept());
+        Host host = new Host(
+                id,
+                zone,
+                kind,
+                cell,
+                group.weight(),
+                machine,
+                new Host.Budget(scenario.rules().coldForUs(), scenario.rules().coldMultiple()),
+                chance);
         host.address = byAddress.size();
         byAddress.add(host);
         hosts.add(host);
@@ -194,10 +234,14 @@
         Scenario.Proxies spec = scenario.proxies();
         Chance chance = chance("starts");
         for (int i = 0; i < spec.count(); i++) {
-            Proxy p = new Proxy(this, i, zoneOf(i), trace.around(makers.in(this, zoneOf(i)),
-                    part == null ? i : part.traceNumber(i), queue));
+            Proxy p = new Proxy(
+                    this,
+                    i,
+                    zoneOf(i),
+                    trace.around(makers.in(this, zoneOf(i)), part == null ? i : part.traceNumber(i), queue));
             proxies.add(p);
-            queue.after(part == null ? (long) (spec.startWithinUs() * chance.unit()) : part.startAt(i),
+            queue.after(
+                    part == null ? (long) (spec.startWithinUs() * chance.unit()) : part.startAt(i),
                     () -> p.start(known()));
         }
     }
@@ -213,8 +257,10 @@
                 Registry.News old = registry.at(Math.max(0, queue.now() - spec.knownAgeUs()));
                 List<Registry.Entry> entries = new ArrayList<>(old.entries());
                 for (int i = 0; i < spec.ghosts(); i++) {
-                    entries.add(new Registry.Entry(new Balancer.Endpoint("ghost-" + i,
-                            i % scenario.zones().size(), 0, 0, Availability.READY, 1, 0), Integer.MAX_VALUE - i));
+                    entries.add(new Registry.Entry(
+                            new Balancer.Endpoint(
+                                    "ghost-" + i, i % scenario.zones().size(), 0, 0, Availability.READY, 1, 0),
+                            Integer.MAX_VALUE - i));
                 }
                 // Discovery no longer tells of changes that long ago: who has ghosts is sent the whole list.
                 return new Registry.News(spec.ghosts() > 0 ? -1 : old.version(), true, entries);
@@ -235,20 +281,28 @@
     /** Begins a process on a machine. */
     ServerModel process(Host host, boolean cold) {
         host.budget.clear();
-        ServerModel life = new ServerModel(host.machine, queue, host.chance, groupOf(host),
+        ServerModel life = new ServerModel(
+                host.machine,
+                queue,
+                host.chance,
+                groupOf(host),
                 (job, dropped) -> {
                     audit.ran(job.requestId, host.id, dropped, queue.now());
                     if (part != null) {
                         part.ran(job.effect, dropped);
                     }
-                }, cold);
+                },
+                cold);
         tally.began(host, life);
         return life;
     }
 
     private ServerModel.Group groupOf(Host host) {
-        DedupScope scope = scenario.classes().stream().map(c -> c.type().scope()).filter(s -> s != null)
-                .findFirst().orElse(DedupScope.ALL);
+        DedupScope scope = scenario.classes().stream()
+                .map(c -> c.type().scope())
+                .filter(s -> s != null)
+                .findFirst()
+                .orElse(DedupScope.ALL);
         Object group = switch (scope) {
             case ALL -> "all";
             case ZONE -> "zone " + host.zone;
@@ -361,9 +415,20 @@
 
     Result finish() {
         audit.finish(queue.now());
-        return new Result(scenario, seed, tally.report(this), audit.breaches(), audit.breachCount(),
-                trace.sha256(), trace.lines(), queue.ran(), hosts.stream().limit(scenario.fleet())
-                .mapToDouble(h -> h.machine.capacity()).sum(), fleet == null ? null : fleet.report());
+        return new Result(
+                scenario,
+                seed,
+                tally.report(this),
+                audit.breaches(),
+                audit.breachCount(),
+                trace.sha256(),
+                trace.lines(),
+                queue.ran(),
+                hosts.stream()
+                        .limit(scenario.fleet())
+                        .mapToDouble(h -> h.machine.capacity())
+                        .sum(),
+                fleet == null ? null : fleet.report());
     }
 
     /**
@@ -378,19 +443,31 @@
      * @param capacity work that the servers of the start can do in a microsecond, warm and undisturbed
      * @param fleet how the client proxies knew each other; null: not at all
      */
-    public record Result(Scenario scenario, long seed, ServiceReport service, List<Auditor.Breach> breaches,
-            int breachCount, String sha256, long decisions, long events, double capacity, FleetReport fleet) {
+    public record Result(
+            Scenario scenario,
+            long seed,
+            ServiceReport service,
+            List<Auditor.Breach> breaches,
+            int breachCount,
+            String sha256,
+            long decisions,
+            long events,
+            double capacity,
+            FleetReport fleet) {
 
         /** The same with what a judge found of the fleet where the client proxies are elsewhere. */
         public Result withFleet(FleetReport found) {
-            return new Result(scenario, seed, service, breaches, breachCount, sha256, decisions, events, capacity,
-                    found);
+            return new Result(
+                    scenario, seed, service, breaches, breachCount, sha256, decisions, events, capacity, found);
         }
 
         /** The first broken rule, in words; null if there is none. */
         public String firstBroken() {
-            return !breaches.isEmpty() ? breaches.get(0).toString()
-                    : fleet != null && fleet.breachCount() > 0 ? fleet.breaches().get(0).toString() : null;
+            return !breaches.isEmpty()
+                    ? breaches.get(0).toString()
+                    : fleet != null && fleet.breachCount() > 0
+                            ? fleet.breaches().get(0).toString()
+                            : null;
         }
 
         /** Broken rules of requests and of the fleet. */
@@ -405,14 +482,16 @@
         public double goodput() {
             double work = 0;
             for (int i = 0; i < scenario.classes().size(); i++) {
-                work += service.classes().get(i).served() * scenario.classes().get(i).workUs();
+                work += service.classes().get(i).served()
+                        * scenario.classes().get(i).workUs();
             }
             return work / (capacity * scenario.lengthUs());
         }
 
         /** Servers that fell over. */
         public int fell() {
-            return (int) service.servers().stream().filter(s -> s.figures().fell).count();
+            return (int)
+                    service.servers().stream().filter(s -> s.figures().fell).count();
         }
     }
 }
--- a/src/main/java/mulleinfront/emulator/reference/Plain.java
+++ b/src/main/java/mulleinfront/emulator/reference/Plain.java
@@ -22,6 +22,7 @@
     final SplittableRandom random;
     /** Servers that the lists told so far say are ready, in the order in which they were told. */
     final Servers servers = new Servers();
+
     private final Actions out;
     private final Map<String, Open> open = new HashMap<>();
     private long askAt = Long.MAX_VALUE;
@@ -36,6 +37,7 @@
         int attempts;
         /** The first attempt that may have run: where, and when it was sent. */
         Endpoint bond;
+
         long bondAt;
         Endpoint last;
         long lastAt;
@@ -65,7 +67,7 @@
     abstract Endpoint pick(Open r, long now);
 
     /** Told of each attempt that is sent and of each that ends, for those that count. */
-    void counted(Endpoint server, int change) { }
+    void counted(Endpoint server, int change) {}
 
     /** Whether what has been sent of a request allows it at a server that it has not been to. */
     final boolean allowed(Open r, Endpoint e) {
@@ -117,13 +119,15 @@
         r.attempts++;
         counted(e, 1);
         long left = Math.max(1, r.aimAt - now);
-        boolean more = r.type.effect() != Effect.FRAGILE && r.attempts < settings.limits().maxAttempts();
+        boolean more = r.type.effect() != Effect.FRAGILE
+                && r.attempts < settings.limits().maxAttempts();
         out.send(r.request.id(), e.id(), more ? Math.max(1, (long) (ATTEMPT_PART * left)) : left);
     }
 
     private void finish(Open r) {
         open.remove(r.request.id());
-        boolean harmless = r.bond == null || r.type.effect() == Effect.RETRYABLE
+        boolean harmless = r.bond == null
+                || r.type.effect() == Effect.RETRYABLE
                 || r.type.effect() == Effect.DEDUP && r.type.scope() == DedupScope.ALL;
         if (harmless) {
             out.refuse(r.request.id(), 0);
@@ -142,7 +146,7 @@
     }
 
     @Override
-    public void onStreamStarted(long now, String requestId, int attempt) { }
+    public void onStreamStarted(long now, String requestId, int attempt) {}
 
     @Override
     public void onAttemptEnded(long now, AttemptEnd end) {
@@ -160,7 +164,8 @@
             r.bondAt = r.lastAt;
         }
         r.last = null;
-        boolean harmless = r.bond == null || r.type.effect() == Effect.RETRYABLE
+        boolean harmless = r.bond == null
+                || r.type.effect() == Effect.RETRYABLE
                 || r.type.effect() == Effect.DEDUP && now < r.bondAt + r.type.dedupWindowUs();
         if (harmless && r.attempts < settings.limits().maxAttempts() && now < r.aimAt) {
             place(r, now);
@@ -170,5 +175,5 @@
     }
 
     @Override
-    public void onProbeEnded(long now, String endpointId, Outcome outcome, long lagUs) { }
+    public void onProbeEnded(long now, String endpointId, Outcome outcome, long lagUs) {}
 }
--- a/src/main/java/mulleinfront/emulator/reference/Reference.java
+++ b/src/main/java/mulleinfront/emulator/reference/Reference.java
@@ -32,7 +32,11 @@
     public static final long LATE_US = 500_000;
 
     /** What a balancer is shown of the truth. */
-    private enum Sees { NOTHING, LATE, ALL }
+    private enum Sees {
+        NOTHING,
+        LATE,
+        ALL
+    }
 
     private final String words;
     private final Sees sees;
@@ -59,7 +63,10 @@
 
     /** The balancer of that name; null if there is none. */
     public static Reference of(String word) {
-        return Arrays.stream(values()).filter(r -> r.word().equals(word)).findFirst().orElse(null);
+        return Arrays.stream(values())
+                .filter(r -> r.word().equals(word))
+                .findFirst()
+                .orElse(null);
     }
 
     /**
@@ -82,6 +89,7 @@
     private static final class Some extends Plain {
         /** Draws for a server that may have the request, before the whole list is gone through. */
         private static final int DRAWS = 8;
+
         private final int choices;
         private final Map<String, Integer> out = new HashMap<>();
 
@@ -95,8 +103,7 @@
             Endpoint best = null;
             for (int i = 0; i < choices; i++) {
                 Endpoint e = draw(r);
-                if (e != null && (best == null
-                        || out.getOrDefault(e.id(), 0) < out.getOrDefault(best.id(), 0))) {
+                if (e != null && (best == null || out.getOrDefault(e.id(), 0) < out.getOrDefault(best.id(), 0))) {
                     best = e;
                 }
             }
@@ -214,7 +221,8 @@
         }
 
         private double answerUs(Open r, Endpoint e) {
-            return !allowed(r, e) ? Truth.NEVER
+            return !allowed(r, e)
+                    ? Truth.NEVER
                     : truth.answerUs(e.id(), r.request.key(), r.request.classIndex())
                             * (all ? 1 : 1 + out.getOrDefault(e.id(), 0));
         }
--- a/src/main/java/mulleinfront/emulator/reference/Servers.java
+++ b/src/main/java/mulleinfront/emulator/reference/Servers.java
@@ -19,6 +19,7 @@
     private final Map<String, Integer> placeOf = new HashMap<>();
     /** Points in order, the owner's place in {@code ringOf} in the low 16 bits; null after a change. */
     private long[] points;
+
     private List<Endpoint> ringOf;
 
     void take(boolean whole, List<Endpoint> entries) {
--- a/src/main/java/mulleinfront/fleet/Change.java
+++ b/src/main/java/mulleinfront/fleet/Change.java
@@ -15,8 +15,17 @@
  * @param cause how this instance came to it
  * @param digest of the view after it
  */
-public record Change(long number, long atUs, int member, MemberState from, MemberState to, long incarnation,
-        boolean reborn, int word, Cause cause, long digest) {
+public record Change(
+        long number,
+        long atUs,
+        int member,
+        MemberState from,
+        MemberState to,
+        long incarnation,
+        boolean reborn,
+        int word,
+        Cause cause,
+        long digest) {
 
     /** How an instance comes to believe something. */
     public enum Cause {
--- a/src/main/java/mulleinfront/fleet/Datagram.java
+++ b/src/main/java/mulleinfront/fleet/Datagram.java
@@ -33,6 +33,7 @@
 final class Datagram {
     /** Protocol: the most that a datagram between client proxies may hold. */
     static final int MOST = 256;
+
     static final int VERSION = 1;
     static final int HEAD = 22;
     static final int CHECK = 8;
@@ -42,17 +43,25 @@
     static final int RECORD = 9;
     /** The longest name that is told. */
     static final int LONGEST_NAME = 32;
+
     private static final int LEAVING = 0x80;
     private static final Hasher64 HASH = Hashing.xxh3_64();
 
     /** What a datagram is for. */
     enum Kind {
-        PING, ACK, ASK, ACK_FOR, NACK, GOSSIP, NODES, RECORDS;
+        PING,
+        ACK,
+        ASK,
+        ACK_FOR,
+        NACK,
+        GOSSIP,
+        NODES,
+        RECORDS;
 
         private static final Kind[] ALL = values();
     }
 
-    private Datagram() { }
+    private Datagram() {}
 
     /** A fleet's name on the wire. */
     static int fleet(String name) {
@@ -75,8 +84,13 @@
 
         Writer begin(Kind kind, int to, long incarnation, boolean leaving, int view) {
             out.clear().limit(MOST - CHECK);
-            out.put((byte) version).put((byte) (kind.ordinal() | (leaving ? LEAVING : 0))).putInt(fleet)
-                    .putShort((short) from).putShort((short) to).putLong(incarnation).putInt(view);
+            out.put((byte) version)
+                    .put((byte) (kind.ordinal() | (leaving ? LEAVING : 0)))
+                    .putInt(fleet)
+                    .putShort((short) from)
+                    .putShort((short) to)
+                    .putLong(incarnation)
+                    .putInt(view);
             return this;
         }
 
@@ -150,12 +164,14 @@
         boolean want;
         /** Rumours, or records. */
         int entries;
+
         final int[] member = new int[ENTRIES];
         final MemberState[] state = new MemberState[ENTRIES];
         final int[] word = new int[ENTRIES];
         final long[] entryIncarnation = new long[ENTRIES];
         /** Nodes, or leaves of records with a bit for each member that is told. */
         int nodes;
+
         final int[] level = new int[ENTRIES];
         final int[] index = new int[ENTRIES];
         final int[] mask = new int[ENTRIES];
@@ -262,7 +278,8 @@
         private void entry(int code) {
             state[entries] = MemberState.of(code);
             entryIncarnation[entries] = in.getLong();
-            bad |= code <= MemberState.UNKNOWN.ordinal() || state[entries] == null
+            bad |= code <= MemberState.UNKNOWN.ordinal()
+                    || state[entries] == null
                     || !Incarnation.plausible(entryIncarnation[entries]);
             entries++;
         }
@@ -271,8 +288,7 @@
             while (!bad && in.hasRemaining() && need(NODE)) {
                 level[nodes] = in.get() & 0xff;
                 index[nodes] = in.getShort() & 0xffff;
-                bad |= level[nodes] < 1 || level[nodes] > Members.TOP
-                        || index[nodes] >= Members.width(level[nodes]);
+                bad |= level[nodes] < 1 || level[nodes] > Members.TOP || index[nodes] >= Members.width(level[nodes]);
                 for (int i = 0; i < Members.FAN; i++) {
                     sums[nodes][i] = in.getInt();
                 }
--- a/src/main/java/mulleinfront/fleet/Exchange.java
+++ b/src/main/java/mulleinfront/fleet/Exchange.java
@@ -69,7 +69,7 @@
                 }
             }
         }
-        for (int at = 0; at < parts.size() && fleet.mayCompare(now);) {
+        for (int at = 0; at < parts.size() && fleet.mayCompare(now); ) {
             Datagram.Writer w = fleet.begin(Kind.NODES, with);
             for (; at < parts.size() && w.room() >= Datagram.NODE; at++) {
                 node(w, parts.get(at)[0], parts.get(at)[1]);
@@ -81,7 +81,7 @@
 
     /** All that is known of some leaves; whoever gets it sends back what it knows better. */
     private void sendLeaves(long now, int with) {
-        for (int at = 0; at < leaves.size() && fleet.mayCompare(now);) {
+        for (int at = 0; at < leaves.size() && fleet.mayCompare(now); ) {
             Datagram.Writer w = fleet.begin(Kind.RECORDS, with).small(1);
             for (; at < leaves.size() && w.room() >= size(known(leaves.get(at))); at++) {
                 records(w, leaves.get(at), known(leaves.get(at)));
@@ -140,7 +140,7 @@
                 parts.add(new int[] {in.index[n], better});
             }
         }
-        for (int at = 0; at < parts.size() && fleet.mayCompare(now);) {
+        for (int at = 0; at < parts.size() && fleet.mayCompare(now); ) {
             Datagram.Writer w = fleet.begin(Kind.RECORDS, from).small(0);
             for (; at < parts.size() && w.room() >= size(parts.get(at)[1]); at++) {
                 records(w, parts.get(at)[0], parts.get(at)[1]);
--- a/src/main/java/mulleinfront/fleet/Fleet.java
+++ b/src/main/java/mulleinfront/fleet/Fleet.java
@@ -29,6 +29,7 @@
 public class Fleet {
     /** Time between the first pings of one that knows nobody, and the longest, microseconds. */
     private static final long JOIN_US = 500_000;
+
     private static final long MOST_JOIN_US = 5_000_000;
     private static final double JOIN_GROWS = 1.5;
     /** How many listed peers it pings at a time until it knows somebody. */
@@ -62,13 +63,13 @@
         void changed(Change change);
 
         /** Another part of the last settled fleet is in reach, or the view has settled or unsettled. */
-        default void reach(long now, Reach reach, boolean settled, long digest) { }
+        default void reach(long now, Reach reach, boolean settled, long digest) {}
 
         /** Two members have one name: a mistake in somebody's settings. */
-        default void sameName(long now, String name, int one, int other) { }
+        default void sameName(long now, String name, int one, int other) {}
 
         /** This instance stood still for so long. */
-        default void stoodStill(long now, long us) { }
+        default void stoodStill(long now, long us) {}
     }
 
     private final FleetSettings s;
@@ -97,6 +98,7 @@
 
     /** Others in the order in which they are pinged. */
     private int[] order = new int[0];
+
     private int orderSize;
     private int orderAt;
     private Probe probe;
@@ -127,7 +129,7 @@
     }
 
     /** A ping for another. */
-    private record Relay(int origin, int nonce, int target, long endAt) { }
+    private record Relay(int origin, int nonce, int target, long endAt) {}
 
     /**
      * @param settings what to go by
@@ -311,20 +313,36 @@
      * Times are said as they lie before or after now.
      */
     void describe(StringBuilder to, long now) {
-        to.append(incarnation).append(leaving ? 'l' : 'h').append(health.doubt()).append(' ').append(joinWait);
+        to.append(incarnation)
+                .append(leaving ? 'l' : 'h')
+                .append(health.doubt())
+                .append(' ')
+                .append(joinWait);
         for (long at : new long[] {probeAt, newsAt, retryAt, joinAt, wakeAt, suspicions.nextAt()}) {
             to.append(',').append(at == Long.MAX_VALUE ? -1 : Math.max(-1, at - now));
         }
         for (int m = 0; m < members.size(); m++) {
-            to.append(';').append(members.state(m).ordinal()).append('/').append(members.incarnation(m)).append('/')
-                    .append(suspicions.accuser(m)).append('/').append(rumours.times(m));
+            to.append(';')
+                    .append(members.state(m).ordinal())
+                    .append('/')
+                    .append(members.incarnation(m))
+                    .append('/')
+                    .append(suspicions.accuser(m))
+                    .append('/')
+                    .append(rumours.times(m));
         }
         if (probe != null) {
-            to.append('p').append(probe.target).append(probe.asked).append(probe.helpers).append(probe.nacks)
+            to.append('p')
+                    .append(probe.target)
+                    .append(probe.asked)
+                    .append(probe.helpers)
+                    .append(probe.nacks)
                     .append(probe.endAt - now);
         }
-        relays.values().stream().sorted(Comparator.comparingLong(Relay::endAt)).forEach(r -> to.append('r')
-                .append(r.origin()).append(r.target()).append(r.endAt() - now));
+        relays.values().stream()
+                .sorted(Comparator.comparingLong(Relay::endAt))
+                .forEach(r ->
+                        to.append('r').append(r.origin()).append(r.target()).append(r.endAt() - now));
         to.append('o').append(orderAt);
         for (int i = 0; i < orderSize; i++) {
             to.append(order[i]);
@@ -347,7 +365,7 @@
         if (now >= probeAt && !leaving) {
             probe(now);
         }
-        for (int m; (m = suspicions.due(now)) >= 0;) {
+        for (int m; (m = suspicions.due(now)) >= 0; ) {
             set(m, members.incarnation(m), MemberState.FAILED, members.word(m), Cause.TIME, now);
         }
         if (!relays.isEmpty()) {
@@ -416,8 +434,8 @@
         if (target < 0 || !allowance.allows(Use.PROBE, now)) {
             return;
         }
-        probe = new Probe(target, random.nextInt(), now + health.stretched(s.answerUs()),
-                now + health.stretched(s.concludeUs()));
+        probe = new Probe(
+                target, random.nextInt(), now + health.stretched(s.answerUs()), now + health.stretched(s.concludeUs()));
         ping(target, probe.nonce, now);
     }
 
@@ -489,8 +507,13 @@
         }
         MemberState held = members.state(p.target);
         if (held == MemberState.ALIVE || held == MemberState.SUSPECTED) {
-            take(p.target, members.incarnation(p.target),
-                    s.suspicion() ? MemberState.SUSPECTED : MemberState.FAILED, s.number(), Cause.NO_ANSWER, now);
+            take(
+                    p.target,
+                    members.incarnation(p.target),
+                    s.suspicion() ? MemberState.SUSPECTED : MemberState.FAILED,
+                    s.number(),
+                    Cause.NO_ANSWER,
+                    now);
         }
     }
 
@@ -522,8 +545,8 @@
     }
 
     private boolean joins() {
-        return !leaving && (members.present() == 1 || joinWait < MOST_JOIN_US
-                && members.count(MemberState.UNKNOWN) > 0);
+        return !leaving
+                && (members.present() == 1 || joinWait < MOST_JOIN_US && members.count(MemberState.UNKNOWN) > 0);
     }
 
     /** Pings one of those who are not there: it may be back, or a cut between us may have healed. */
@@ -561,9 +584,13 @@
         look(now);
         Drop why = reader.read(bytes, length);
         if (why == null) {
-            why = reader.from == s.number() ? Drop.OUR_NUMBER : from < 0 ? Drop.STRANGER
-                    : reader.from != from ? Drop.NOT_ITS_ADDRESS
-                    : reader.to != s.number() ? Drop.NOT_FOR_US : null;
+            why = reader.from == s.number()
+                    ? Drop.OUR_NUMBER
+                    : from < 0
+                            ? Drop.STRANGER
+                            : reader.from != from
+                                    ? Drop.NOT_ITS_ADDRESS
+                                    : reader.to != s.number() ? Drop.NOT_FOR_US : null;
         }
         if (why != null) {
             drops.merge(why, 1L, Long::sum);
@@ -697,8 +724,7 @@
     private int anyPresent(int but) {
         for (int tries = 0; tries < 2 * s.peers() && members.present() > 1; tries++) {
             // The list of turns holds mostly those who are there; drawing from it is as fair as from all.
-            int m = orderSize > 0 && tries < orderSize ? order[random.nextInt(orderSize)]
-                    : random.nextInt(s.peers());
+            int m = orderSize > 0 && tries < orderSize ? order[random.nextInt(orderSize)] : random.nextInt(s.peers());
             if (m != s.number() && m != but && members.state(m).present()) {
                 return m;
             }
@@ -740,7 +766,10 @@
 
     private void rumour(int member) {
         int accuser = suspicions.accuser(member);
-        writer.rumour(member, members.state(member), accuser >= 0 ? accuser : members.word(member),
+        writer.rumour(
+                member,
+                members.state(member),
+                accuser >= 0 ? accuser : members.word(member),
                 members.incarnation(member));
     }
 
@@ -752,8 +781,10 @@
             ofUs(itsIncarnation, state, now);
         } else if (later(member, itsIncarnation, state)) {
             set(member, itsIncarnation, state, word, cause, now);
-        } else if (state == MemberState.SUSPECTED && cause != Cause.EXCHANGE
-                && itsIncarnation == members.incarnation(member) && suspicions.confirm(member, word)) {
+        } else if (state == MemberState.SUSPECTED
+                && cause != Cause.EXCHANGE
+                && itsIncarnation == members.incarnation(member)
+                && suspicions.confirm(member, word)) {
             rumours.add(member);
         }
     }
@@ -765,15 +796,15 @@
 
     private void set(int member, long itsIncarnation, MemberState state, int word, Cause cause, long now) {
         MemberState before = members.state(member);
-        boolean reborn = before != MemberState.UNKNOWN
-                && !Incarnation.sameLife(itsIncarnation, members.incarnation(member));
+        boolean reborn =
+                before != MemberState.UNKNOWN && !Incarnation.sameLife(itsIncarnation, members.incarnation(member));
         long digest = members.digest();
         members.set(member, itsIncarnation, state, word, now);
         if (state == MemberState.SUSPECTED) {
             long least = s.leastSuspicionUs(members.present());
             int needed = Math.max(0, Math.min(s.accusers(), members.present() - 3));
-            suspicions.begin(member, word, now, least, (long) (needed == 0 ? least : s.suspicionMost() * least),
-                    needed);
+            suspicions.begin(
+                    member, word, now, least, (long) (needed == 0 ? least : s.suspicionMost() * least), needed);
         } else {
             suspicions.end(member);
         }
@@ -793,8 +824,17 @@
     }
 
     private void told(long now, int member, MemberState before, boolean reborn, Cause cause) {
-        Change change = new Change(++changes, now, member, before, members.state(member),
-                members.incarnation(member), reborn, members.word(member), cause, members.digest());
+        Change change = new Change(
+                ++changes,
+                now,
+                member,
+                before,
+                members.state(member),
+                members.incarnation(member),
+                reborn,
+                members.word(member),
+                cause,
+                members.digest());
         listeners.forEach(l -> l.changed(change));
     }
 
--- a/src/main/java/mulleinfront/fleet/FleetSettings.java
+++ b/src/main/java/mulleinfront/fleet/FleetSettings.java
@@ -27,10 +27,29 @@
  * @param suspicion whether who does not answer is suspected first; if not, it has failed at once
  * @param selfDoubt whether this member gives others more time when it seems to be slow itself
  */
-public record FleetSettings(String fleet, String name, int number, int peers, long periodUs, long answerUs,
-        long concludeUs, int helpers, double suspicionFactor, double suspicionMost, int accusers, long newsUs,
-        int newsTo, int newsFactor, long compareUs, long retryUs, long settledUs, long goneUs, int datagramsPerS,
-        int bytesPerS, boolean suspicion, boolean selfDoubt) {
+public record FleetSettings(
+        String fleet,
+        String name,
+        int number,
+        int peers,
+        long periodUs,
+        long answerUs,
+        long concludeUs,
+        int helpers,
+        double suspicionFactor,
+        double suspicionMost,
+        int accusers,
+        long newsUs,
+        int newsTo,
+        int newsFactor,
+        long compareUs,
+        long retryUs,
+        long settledUs,
+        long goneUs,
+        int datagramsPerS,
+        int bytesPerS,
+        boolean suspicion,
+        boolean selfDoubt) {
 
     /** Rejects what can't be gone by. */
     public FleetSettings {
@@ -54,15 +73,56 @@
      * @param goneUs see above
      */
     public static FleetSettings usual(String fleet, String name, int number, int peers, long periodUs, long goneUs) {
-        return new FleetSettings(fleet, name, number, peers, periodUs, periodUs / 4, periodUs * 3 / 5, 3, 4, 6, 2,
-                periodUs / 5, 3, 4, periodUs / 2, 5 * periodUs, 4 * periodUs, goneUs, 64, 12_000, true, true);
+        return new FleetSettings(
+                fleet,
+                name,
+                number,
+                peers,
+                periodUs,
+                periodUs / 4,
+                periodUs * 3 / 5,
+                3,
+                4,
+                6,
+                2,
+                periodUs / 5,
+                3,
+                4,
+                periodUs / 2,
+                5 * periodUs,
+                4 * periodUs,
+                goneUs,
+                64,
+                12_000,
+                true,
+                true);
     }
 
     /** The same detector as it was first published: no suspicion, no doubt of itself. */
     public FleetSettings plain() {
-        return new FleetSettings(fleet, name, number, peers, periodUs, answerUs, concludeUs, helpers,
-                suspicionFactor, suspicionMost, accusers, newsUs, newsTo, newsFactor, compareUs, retryUs, settledUs,
-                goneUs, datagramsPerS, bytesPerS, false, false);
+        return new FleetSettings(
+                fleet,
+                name,
+                number,
+                peers,
+                periodUs,
+                answerUs,
+                concludeUs,
+                helpers,
+                suspicionFactor,
+                suspicionMost,
+                accusers,
+                newsUs,
+                newsTo,
+                newsFactor,
+                compareUs,
+                retryUs,
+                settledUs,
+                goneUs,
+                datagramsPerS,
+                bytesPerS,
+                false,
+                false);
     }
 
     /** How many tenfold sizes a fleet has, at least one. */
@@ -88,7 +148,10 @@
      */
     public long agreeWithinUs(int members) {
         double rounds = StrictMath.log(members + 1) / StrictMath.log(2);
-        return (long) (4 * periodUs + suspicionMost * leastSuspicionUs(members)
-                + 3 * rounds * newsUs + 2 * rounds * compareUs) + 2 * retryUs;
+        return (long) (4 * periodUs
+                        + suspicionMost * leastSuspicionUs(members)
+                        + 3 * rounds * newsUs
+                        + 2 * rounds * compareUs)
+                + 2 * retryUs;
     }
 }
--- a/src/main/java/mulleinfront/fleet/Incarnation.java
+++ b/src/main/java/mulleinfront/fleet/Incarnation.java
@@ -13,7 +13,7 @@
     /** Words beyond this are no member's: half of the range is kept so that refuting can never run over. */
     static final long MOST = Long.MAX_VALUE >> 1;
 
-    private Incarnation() { }
+    private Incarnation() {}
 
     /** That of a process that starts now. */
     static long starting(long wallClockMs) {
--- a/src/main/java/mulleinfront/fleet/Members.java
+++ b/src/main/java/mulleinfront/fleet/Members.java
@@ -95,8 +95,8 @@
     /** Whether such a word is later than what is believed. */
     boolean newer(int member, long itsIncarnation, MemberState itsState) {
         long held = incarnation(member);
-        return itsIncarnation > held || itsIncarnation == held
-                && itsState.ordinal() > state(member).ordinal();
+        return itsIncarnation > held
+                || itsIncarnation == held && itsState.ordinal() > state(member).ordinal();
     }
 
     /** Takes a belief over; the caller has looked whether it is newer. */
--- a/src/main/java/mulleinfront/fleet/Rumours.java
+++ b/src/main/java/mulleinfront/fleet/Rumours.java
@@ -8,6 +8,7 @@
 final class Rumours {
     /** Members by how often the latest word of them has been passed on. */
     private final List<BitSet> byTimes = new ArrayList<>();
+
     private final BitSet pending = new BitSet();
     private int size;
     private int cursor;
@@ -72,7 +73,8 @@
                 into[taken] = m;
                 before[taken++] = times;
             }
-            for (int m = those.nextSetBit(0); m >= 0 && m < cursor && taken < before.length;
+            for (int m = those.nextSetBit(0);
+                    m >= 0 && m < cursor && taken < before.length;
                     m = those.nextSetBit(m + 1)) {
                 into[taken] = m;
                 before[taken++] = times;
--- a/src/main/java/mulleinfront/fleet/Settling.java
+++ b/src/main/java/mulleinfront/fleet/Settling.java
@@ -23,6 +23,7 @@
     private int inReach;
     /** Those whose last message told of a view equal to ours. */
     private final BitSet agreed = new BitSet();
+
     private long quietSince;
     private long forgetAt;
     private boolean settled;
@@ -88,8 +89,10 @@
      */
     boolean look(long now, boolean quiet) {
         int others = members.present() - 1;
-        boolean nowSettled = quiet && now - quietSince >= s.settledUs()
-                && agreed.cardinality() >= Math.min(LEAST, others) && (others > 0 || s.peers() == 1);
+        boolean nowSettled = quiet
+                && now - quietSince >= s.settledUs()
+                && agreed.cardinality() >= Math.min(LEAST, others)
+                && (others > 0 || s.peers() == 1);
         boolean news = nowSettled != settled;
         settled = nowSettled;
         if (news && settled) {
@@ -128,8 +131,9 @@
         if (all == 0) {
             return Reach.UNSETTLED;
         }
-        return inReach == all ? Reach.ALL : inReach <= 1 ? Reach.ALONE
-                : 2 * inReach > all ? Reach.MAJORITY : Reach.MINORITY;
+        return inReach == all
+                ? Reach.ALL
+                : inReach <= 1 ? Reach.ALONE : 2 * inReach > all ? Reach.MAJORITY : Reach.MINORITY;
     }
 
     private boolean majority() {
@@ -147,7 +151,7 @@
                 case ALIVE, SUSPECTED -> n++;
                 case FAILED -> n += majority() && now - members.since(m) >= s.goneUs() ? 0 : 1;
                 case UNKNOWN -> n += m >= s.peers() || majority() && now - bornAt >= s.goneUs() ? 0 : 1;
-                case LEFT -> { }
+                case LEFT -> {}
             }
         }
         return n;
--- a/src/main/java/mulleinfront/fleet/Suspicions.java
+++ b/src/main/java/mulleinfront/fleet/Suspicions.java
@@ -42,8 +42,8 @@
     }
 
     private final Map<Integer, One> byMember = new HashMap<>();
-    private final TreeSet<One> byTime = new TreeSet<>(
-            Comparator.comparingLong((One o) -> o.until).thenComparingInt(o -> o.member));
+    private final TreeSet<One> byTime =
+            new TreeSet<>(Comparator.comparingLong((One o) -> o.until).thenComparingInt(o -> o.member));
     /** Time that this instance did not have: it stood still. */
     private long stood;
 
--- a/src/main/java/mulleinfront/follow/Following.java
+++ b/src/main/java/mulleinfront/follow/Following.java
@@ -69,20 +69,24 @@
      * @param listener told of each version from the moment that it is in force
      * @throws IOException if there can't be a state folder where the file says
      */
-    public Following(EventLoop loop, ByteBufAllocator buffers, ControlFile file, String name, long seed,
-            Listener listener) throws IOException {
+    public Following(
+            EventLoop loop, ByteBufAllocator buffers, ControlFile file, String name, long seed, Listener listener)
+            throws IOException {
         this.loop = loop;
         this.machines = file.machines();
         this.name = name;
         this.listener = listener;
-        this.copy = file.state() == null ? null
-                : new KeptCopy(Path.of(file.state().replace("%n", plain(name))));
+        this.copy =
+                file.state() == null ? null : new KeptCopy(Path.of(file.state().replace("%n", plain(name))));
         Version kept = copy == null ? Version.NONE : copy.load();
         this.follower = new Follower(file.follow(), kept, new SplittableRandom(seed ^ name.hashCode()), this);
-        this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, buffers).option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                        (int) Math.max(1, file.follow().connectUs() / 1_000));
+        this.bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.ALLOCATOR, buffers)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
+                        Math.max(1, file.follow().connectUs() / 1_000));
     }
 
     /** As the name of a folder. */
@@ -127,8 +131,8 @@
     @Override
     public void ask(int machine, long after, long checksum) {
         InetSocketAddress address = machines.get(machine).door();
-        Watch asked = new Watch("POST /config/watch?name=" + URLEncoder.encode(name,
-                StandardCharsets.US_ASCII) + "&after=" + after + "&checksum="
+        Watch asked = new Watch("POST /config/watch?name=" + URLEncoder.encode(name, StandardCharsets.US_ASCII)
+                + "&after=" + after + "&checksum="
                 + Long.toHexString(checksum) + " HTTP/1.1\r\nHost: " + NetUtil.toSocketAddressString(address)
                 + "\r\nTransfer-Encoding: chunked\r\n\r\n");
         watch = asked;
@@ -189,8 +193,12 @@
                 @Override
                 protected void initChannel(SocketChannel ch) {
                     channel = ch;
-                    ch.pipeline().addLast(new HttpResponseDecoder(), new Body(Watch.this),
-                            new JsonObjectDecoder(LONGEST_LINE), Watch.this);
+                    ch.pipeline()
+                            .addLast(
+                                    new HttpResponseDecoder(),
+                                    new Body(Watch.this),
+                                    new JsonObjectDecoder(LONGEST_LINE),
+                                    Watch.this);
                 }
             };
         }
@@ -207,7 +215,8 @@
         void say(byte[] line) {
             if (channel != null && channel.isActive()) {
                 channel.writeAndFlush(Unpooled.wrappedBuffer(
-                        (Integer.toHexString(line.length) + "\r\n").getBytes(StandardCharsets.US_ASCII), line,
+                        (Integer.toHexString(line.length) + "\r\n").getBytes(StandardCharsets.US_ASCII),
+                        line,
                         "\r\n".getBytes(StandardCharsets.US_ASCII)));
             }
         }
@@ -263,7 +272,8 @@
 
         @Override
         protected void decode(ChannelHandlerContext ctx, HttpObject in, List<Object> out) throws IOException {
-            if (in.decoderResult().isFailure() || in instanceof HttpResponse r && r.status().code() != 200) {
+            if (in.decoderResult().isFailure()
+                    || in instanceof HttpResponse r && r.status().code() != 200) {
                 throw new IOException("the control machine refused the watch");
             }
             watch.heard();
--- a/src/main/java/mulleinfront/follow/KeptCopy.java
+++ b/src/main/java/mulleinfront/follow/KeptCopy.java
@@ -55,7 +55,7 @@
     }
 
     private synchronized void writeWaiting() {
-        for (Version version; (version = waiting.get()) != null;) {
+        for (Version version; (version = waiting.get()) != null; ) {
             try {
                 write(version);
                 said = false;
@@ -85,16 +85,15 @@
 
     private void write(Version version) throws IOException {
         Path part = folder.resolve(FILE + ".part");
-        try (FileChannel out = FileChannel.open(part, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel out = FileChannel.open(
+                part, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer bytes = ByteBuffer.wrap(DifferenceLine.write(Difference.whole(version)));
             while (bytes.hasRemaining()) {
                 out.write(bytes);
             }
             out.force(true);
         }
-        Files.move(part, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE,
-                StandardCopyOption.REPLACE_EXISTING);
+        Files.move(part, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
             directory.force(true);
         }
--- a/src/main/java/mulleinfront/gossip/EventLog.java
+++ b/src/main/java/mulleinfront/gossip/EventLog.java
@@ -92,22 +92,32 @@
 
     @Override
     public void changed(Change c) {
-        event().addKeyValue("number", c.number()).addKeyValue("member", c.member())
-                .addKeyValue("from", c.from().word()).addKeyValue("to", c.to().word())
-                .addKeyValue("incarnation", c.incarnation()).addKeyValue("reborn", c.reborn() ? 1 : 0)
-                .addKeyValue("word", c.word()).addKeyValue("cause", c.cause().word())
-                .addKeyValue("digest", c.digest()).log("changed");
+        event().addKeyValue("number", c.number())
+                .addKeyValue("member", c.member())
+                .addKeyValue("from", c.from().word())
+                .addKeyValue("to", c.to().word())
+                .addKeyValue("incarnation", c.incarnation())
+                .addKeyValue("reborn", c.reborn() ? 1 : 0)
+                .addKeyValue("word", c.word())
+                .addKeyValue("cause", c.cause().word())
+                .addKeyValue("digest", c.digest())
+                .log("changed");
     }
 
     @Override
     public void reach(long now, Reach reach, boolean settled, long digest) {
-        event().addKeyValue("reach", reach.word()).addKeyValue("settled", settled ? 1 : 0)
-                .addKeyValue("digest", digest).log("reach");
+        event().addKeyValue("reach", reach.word())
+                .addKeyValue("settled", settled ? 1 : 0)
+                .addKeyValue("digest", digest)
+                .log("reach");
     }
 
     @Override
     public void sameName(long now, String name, int one, int other) {
-        event().addKeyValue("name", name).addKeyValue("one", one).addKeyValue("other", other).log("same-name");
+        event().addKeyValue("name", name)
+                .addKeyValue("one", one)
+                .addKeyValue("other", other)
+                .log("same-name");
     }
 
     @Override
--- a/src/main/java/mulleinfront/gossip/Membership.java
+++ b/src/main/java/mulleinfront/gossip/Membership.java
@@ -51,16 +51,25 @@
      * @param living told how many may be using the hosts
      * @throws IOException if the event log can't be written
      */
-    public Membership(EventLoop loop, ByteBufAllocator buffers, LongSupplier clock, long seed, FleetFile file,
-            IntConsumer living) throws IOException {
+    public Membership(
+            EventLoop loop, ByteBufAllocator buffers, LongSupplier clock, long seed, FleetFile file, IntConsumer living)
+            throws IOException {
         this.loop = loop;
         this.clock = clock;
         this.figures = file.figures();
         this.living = living;
         this.events = file.events() == null ? null : new EventLog(eventFile(file), figures.number());
-        this.fleet = new Fleet(figures, new SplittableRandom(seed ^ figures.number()), clock.getAsLong(),
-                System.currentTimeMillis(), this);
-        this.socket = new PeerSocket(loop, buffers, file.listen(), file.peers(),
+        this.fleet = new Fleet(
+                figures,
+                new SplittableRandom(seed ^ figures.number()),
+                clock.getAsLong(),
+                System.currentTimeMillis(),
+                this);
+        this.socket = new PeerSocket(
+                loop,
+                buffers,
+                file.listen(),
+                file.peers(),
                 (from, bytes, length) -> fleet.onDatagram(clock.getAsLong(), from, bytes, length));
         if (events != null) {
             fleet.listen(events);
@@ -74,7 +83,8 @@
 
             @Override
             public void sameName(long now, String name, int one, int other) {
-                System.err.println("mulleinfront: two client proxies are called " + name + ": " + one + " and " + other);
+                System.err.println(
+                        "mulleinfront: two client proxies are called " + name + ": " + one + " and " + other);
             }
         });
     }
@@ -85,8 +95,9 @@
     }
 
     /** Reads what a fleet needs to know and begins as soon as its address can be had. */
-    public static Membership join(EventLoop loop, ByteBufAllocator buffers, LongSupplier clock, long seed, FleetFile file,
-            IntConsumer living) throws IOException {
+    public static Membership join(
+            EventLoop loop, ByteBufAllocator buffers, LongSupplier clock, long seed, FleetFile file, IntConsumer living)
+            throws IOException {
         Membership m = new Membership(loop, buffers, clock, seed, file, living);
         loop.execute(m::begin);
         return m;
@@ -152,10 +163,13 @@
         if (timer != null) {
             timer.cancel(false);
         }
-        timer = loop.schedule(() -> {
-            timer = null;
-            fleet.onTimer(clock.getAsLong());
-        }, atUs - clock.getAsLong(), TimeUnit.MICROSECONDS);
+        timer = loop.schedule(
+                () -> {
+                    timer = null;
+                    fleet.onTimer(clock.getAsLong());
+                },
+                atUs - clock.getAsLong(),
+                TimeUnit.MICROSECONDS);
     }
 
     // ---- operators -----------------------------------------------------------------------------------
--- a/src/main/java/mulleinfront/gossip/PeerSocket.java
+++ b/src/main/java/mulleinfront/gossip/PeerSocket.java
@@ -46,7 +46,11 @@
     private boolean closed;
     private long unsent;
 
-    PeerSocket(EventLoop loop, ByteBufAllocator buffers, InetSocketAddress listen, List<InetSocketAddress> peers,
+    PeerSocket(
+            EventLoop loop,
+            ByteBufAllocator buffers,
+            InetSocketAddress listen,
+            List<InetSocketAddress> peers,
             Receiver receiver) {
         this.loop = loop;
         this.buffers = buffers;
@@ -60,10 +64,13 @@
 
     /** Binds, however long it takes until the address is free; then runs something, on the event loop. */
     void open(Runnable then) {
-        ChannelFuture bound = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
+        ChannelFuture bound = new Bootstrap()
+                .group(loop)
+                .channel(NioDatagramChannel.class)
                 .option(ChannelOption.ALLOCATOR, buffers)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(ROOM))
-                .handler(new Reader()).bind(listen);
+                .handler(new Reader())
+                .bind(listen);
         bound.addListener(f -> opened(bound, then, true));
     }
 
@@ -76,13 +83,17 @@
         } else {
             if (first) {
                 System.err.println("mulleinfront: can't listen for other client proxies on "
-                        + NetUtil.toSocketAddressString(listen) + ": " + bound.cause().getMessage() + "; trying on");
+                        + NetUtil.toSocketAddressString(listen) + ": "
+                        + bound.cause().getMessage() + "; trying on");
             }
-            loop.schedule(() -> {
-                if (!closed) {
-                    open(then);
-                }
-            }, BIND_AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (!closed) {
+                            open(then);
+                        }
+                    },
+                    BIND_AGAIN_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
@@ -104,7 +115,8 @@
             return;
         }
         ByteBuf copy = buffers.buffer(length).writeBytes(bytes, 0, length);
-        channel.writeAndFlush(new DatagramPacket(copy, peers.get(member))).addListener(f -> unsent += f.isSuccess() ? 0 : 1);
+        channel.writeAndFlush(new DatagramPacket(copy, peers.get(member)))
+                .addListener(f -> unsent += f.isSuccess() ? 0 : 1);
     }
 
     /** Reads what comes. */
--- a/src/main/java/mulleinfront/handout/HandoutLog.java
+++ b/src/main/java/mulleinfront/handout/HandoutLog.java
@@ -22,7 +22,8 @@
     HandoutLog(Path file, String machine) throws IOException {
         this.machine = machine;
         try {
-            out = file == null ? null
+            out = file == null
+                    ? null
                     : Files.newOutputStream(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         } catch (IOException e) {
             throw new IOException("events: can't write to " + file + ": " + e.getMessage(), e);
--- a/src/main/java/mulleinfront/handout/HandoutServer.java
+++ b/src/main/java/mulleinfront/handout/HandoutServer.java
@@ -65,6 +65,7 @@
     private static final WriteBufferWaterMark WAITING = new WriteBufferWaterMark(4 * 1024, 16 * 1024);
     /** A connection on which no call has come to its end within this is closed. */
     private static final long CALL_MS = 10_000;
+
     private static final int HISTORY = 100;
 
     private final String name;
@@ -79,8 +80,7 @@
     private long sentBytes;
     private Channel listener;
 
-    private HandoutServer(String name, EventLoop loop, Ledger ledger, HandoutSettings settings,
-            HandoutLog log) {
+    private HandoutServer(String name, EventLoop loop, Ledger ledger, HandoutSettings settings, HandoutLog log) {
         this.name = name;
         this.loop = loop;
         this.ledger = ledger;
@@ -94,12 +94,21 @@
      * @param events file of the event log, or null
      * @throws IOException one line: the address can't be had, or the event log can't be written
      */
-    public static HandoutServer start(String name, EventLoop loop, InetSocketAddress address, Ledger ledger,
-            HandoutSettings settings, Path events) throws IOException {
+    public static HandoutServer start(
+            String name,
+            EventLoop loop,
+            InetSocketAddress address,
+            Ledger ledger,
+            HandoutSettings settings,
+            Path events)
+            throws IOException {
         HandoutServer server = new HandoutServer(name, loop, ledger, settings, new HandoutLog(events, name));
         loop.submit(() -> ledger.listen(server::decided)).awaitUninterruptibly();
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
@@ -107,11 +116,13 @@
                     protected void initChannel(SocketChannel ch) {
                         ch.pipeline().addLast(new HttpServerCodec(), server.new Call());
                     }
-                }).bind(address).awaitUninterruptibly();
+                })
+                .bind(address)
+                .awaitUninterruptibly();
         if (!bound.isSuccess()) {
             server.log.close();
-            throw new IOException("can't listen on " + address + ": " + bound.cause().getMessage(),
-                    bound.cause());
+            throw new IOException(
+                    "can't listen on " + address + ": " + bound.cause().getMessage(), bound.cause());
         }
         server.listener = bound.channel();
         return server;
@@ -142,11 +153,12 @@
     public void close() throws IOException {
         listener.close();
         loop.submit(() -> {
-            List.copyOf(watches.values()).forEach(Channel::close);
-            if (timer != null) {
-                timer.cancel(false);
-            }
-        }).awaitUninterruptibly();
+                    List.copyOf(watches.values()).forEach(Channel::close);
+                    if (timer != null) {
+                        timer.cancel(false);
+                    }
+                })
+                .awaitUninterruptibly();
         log.close();
     }
 
@@ -207,15 +219,20 @@
         private Future<?> guard;
         /** Its number as a watch; 0: it is none. */
         private long watch;
+
         private String reader;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            guard = ctx.executor().schedule(() -> {
-                if (watch == 0) {
-                    ctx.close();
-                }
-            }, CALL_MS, TimeUnit.MILLISECONDS);
+            guard = ctx.executor()
+                    .schedule(
+                            () -> {
+                                if (watch == 0) {
+                                    ctx.close();
+                                }
+                            },
+                            CALL_MS,
+                            TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -269,12 +286,16 @@
                 checksum = 0;
             }
             if (!request.method().equals(HttpMethod.POST) || !reader.matches("[!-~]{1,64}") || after < 0) {
-                reply(ctx, HttpResponseStatus.BAD_REQUEST, "a watch is a POST with name, after and checksum\n"
-                        .getBytes(StandardCharsets.US_ASCII), true);
+                reply(
+                        ctx,
+                        HttpResponseStatus.BAD_REQUEST,
+                        "a watch is a POST with name, after and checksum\n".getBytes(StandardCharsets.US_ASCII),
+                        true);
                 return;
             }
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED)
+            head.headers()
+                    .set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED)
                     .set(HttpHeaderNames.CONTENT_TYPE, "application/x-ndjson");
             ctx.pipeline().addLast(new JsonObjectDecoder(LONGEST_REPORT), new Reports(this));
             watch = ++calls;
@@ -316,8 +337,12 @@
                 case "GET /config/status" -> reply(ctx, HttpResponseStatus.OK, status(), false);
                 case "GET /config/history" -> reply(ctx, HttpResponseStatus.OK, history(), false);
                 case "POST /config/propose" -> propose(ctx, in);
-                default -> reply(ctx, HttpResponseStatus.NOT_FOUND,
-                        "no such call\n".getBytes(StandardCharsets.US_ASCII), true);
+                default ->
+                    reply(
+                            ctx,
+                            HttpResponseStatus.NOT_FOUND,
+                            "no such call\n".getBytes(StandardCharsets.US_ASCII),
+                            true);
             }
         }
 
@@ -326,10 +351,15 @@
             try {
                 proposal = WatchLine.readProposal(in);
             } catch (IOException e) {
-                reply(ctx, HttpResponseStatus.BAD_REQUEST, WatchLine.object(json -> {
-                    json.writeStringField("what", "bad");
-                    json.writeStringField("reason", String.valueOf(e.getMessage()).replace('\n', ' '));
-                }), true);
+                reply(
+                        ctx,
+                        HttpResponseStatus.BAD_REQUEST,
+                        WatchLine.object(json -> {
+                            json.writeStringField("what", "bad");
+                            json.writeStringField(
+                                    "reason", String.valueOf(e.getMessage()).replace('\n', ' '));
+                        }),
+                        true);
                 return;
             }
             log.write("proposed", json -> {
@@ -337,25 +367,32 @@
                 json.writeStringField("why", proposal.why());
                 json.writeNumberField("based_on", proposal.basedOn());
             });
-            ledger.propose(proposal, answer -> loop.execute(() -> {
-                log.write("answered", json -> {
-                    json.writeStringField("id", proposal.id());
-                    json.writeStringField("what", word(answer.what()));
-                    json.writeNumberField("version", answer.number());
-                    json.writeStringField("reason", answer.reason());
-                });
-                reply(ctx, HttpResponseStatus.OK, WatchLine.object(json -> {
-                    json.writeStringField("what", word(answer.what()));
-                    json.writeNumberField("version", answer.number());
-                    json.writeStringField("reason", answer.reason());
-                }), true);
-            }));
+            ledger.propose(
+                    proposal,
+                    answer -> loop.execute(() -> {
+                        log.write("answered", json -> {
+                            json.writeStringField("id", proposal.id());
+                            json.writeStringField("what", word(answer.what()));
+                            json.writeNumberField("version", answer.number());
+                            json.writeStringField("reason", answer.reason());
+                        });
+                        reply(
+                                ctx,
+                                HttpResponseStatus.OK,
+                                WatchLine.object(json -> {
+                                    json.writeStringField("what", word(answer.what()));
+                                    json.writeNumberField("version", answer.number());
+                                    json.writeStringField("reason", answer.reason());
+                                }),
+                                true);
+                    }));
         }
 
         private void reply(ChannelHandlerContext ctx, HttpResponseStatus status, byte[] text, boolean last) {
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                    Unpooled.wrappedBuffer(text));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, text.length)
+            FullHttpResponse response =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(text));
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, text.length)
                     .set(HttpHeaderNames.CONTENT_TYPE, "application/json");
             if (last) {
                 response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
--- a/src/main/java/mulleinfront/keep/Codec.java
+++ b/src/main/java/mulleinfront/keep/Codec.java
@@ -51,12 +51,24 @@
 
     /** Messages by their number on the wire. */
     private enum Kind {
-        APPEND, APPEND_SUCCESS, APPEND_FAILURE, INSTALL, INSTALL_RESPONSE, PRE_VOTE, PRE_VOTE_RESPONSE, VOTE,
-        VOTE_RESPONSE, TRIGGER_ELECTION
+        APPEND,
+        APPEND_SUCCESS,
+        APPEND_FAILURE,
+        INSTALL,
+        INSTALL_RESPONSE,
+        PRE_VOTE,
+        PRE_VOTE_RESPONSE,
+        VOTE,
+        VOTE_RESPONSE,
+        TRIGGER_ELECTION
     }
 
     /** Operations by their number in the log. */
-    private enum Tag { TERM_START, CHANGE, PART }
+    private enum Tag {
+        TERM_START,
+        CHANGE,
+        PART
+    }
 
     /** Writes without the checked exception, which memory never has. */
     private interface Writer {
@@ -181,47 +193,100 @@
             RaftEndpoint sender = new Member(text(in));
             int term = natural(in.readInt());
             return switch (kind) {
-                case APPEND -> MODEL.createAppendEntriesRequestBuilder().setGroupId(GROUP).setSender(sender)
-                        .setTerm(term).setPreviousLogTerm(natural(in.readInt()))
-                        .setPreviousLogIndex(natural(in.readLong())).setCommitIndex(natural(in.readLong()))
-                        .setLogEntries(entries(in)).setQuerySequenceNumber(natural(in.readLong()))
-                        .setFlowControlSequenceNumber(natural(in.readLong())).build();
-                case APPEND_SUCCESS -> MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId(GROUP)
-                        .setSender(sender).setTerm(term).setLastLogIndex(natural(in.readLong()))
-                        .setQuerySequenceNumber(natural(in.readLong()))
-                        .setFlowControlSequenceNumber(natural(in.readLong())).build();
-                case APPEND_FAILURE -> MODEL.createAppendEntriesFailureResponseBuilder().setGroupId(GROUP)
-                        .setSender(sender).setTerm(term).setExpectedNextIndex(natural(in.readLong()))
-                        .setQuerySequenceNumber(natural(in.readLong()))
-                        .setFlowControlSequenceNumber(natural(in.readLong())).build();
-                case INSTALL -> MODEL.createInstallSnapshotRequestBuilder().setGroupId(GROUP)
-                        .setSender(sender).setTerm(term).setSenderLeader(in.readBoolean())
-                        .setSnapshotTerm(natural(in.readInt()))
-                        .setSnapshotIndex(natural(in.readLong()))
-                        .setTotalSnapshotChunkCount(natural(in.readInt()))
-                        .setSnapshotChunk(in.readBoolean() ? chunk(in) : null)
-                        .setSnapshottedMembers(endpoints(in)).setGroupMembersView(members(in))
-                        .setQuerySequenceNumber(natural(in.readLong()))
-                        .setFlowControlSequenceNumber(natural(in.readLong())).build();
-                case INSTALL_RESPONSE -> MODEL.createInstallSnapshotResponseBuilder().setGroupId(GROUP)
-                        .setSender(sender).setTerm(term).setSnapshotIndex(natural(in.readLong()))
-                        .setRequestedSnapshotChunkIndex(natural(in.readInt()))
-                        .setQuerySequenceNumber(natural(in.readLong()))
-                        .setFlowControlSequenceNumber(natural(in.readLong())).build();
-                case PRE_VOTE -> MODEL.createPreVoteRequestBuilder().setGroupId(GROUP).setSender(sender)
-                        .setTerm(term).setLastLogTerm(natural(in.readInt()))
-                        .setLastLogIndex(natural(in.readLong())).build();
-                case PRE_VOTE_RESPONSE -> MODEL.createPreVoteResponseBuilder().setGroupId(GROUP)
-                        .setSender(sender).setTerm(term).setGranted(in.readBoolean()).build();
-                case VOTE -> MODEL.createVoteRequestBuilder().setGroupId(GROUP).setSender(sender)
-                        .setTerm(term).setLastLogTerm(natural(in.readInt()))
-                                .setLastLogIndex(natural(in.readLong()))
-                        .setSticky(in.readBoolean()).build();
-                case VOTE_RESPONSE -> MODEL.createVoteResponseBuilder().setGroupId(GROUP).setSender(sender)
-                        .setTerm(term).setGranted(in.readBoolean()).build();
-                case TRIGGER_ELECTION -> MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId(GROUP)
-                        .setSender(sender).setTerm(term).setLastLogTerm(natural(in.readInt()))
-                        .setLastLogIndex(natural(in.readLong())).build();
+                case APPEND ->
+                    MODEL.createAppendEntriesRequestBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setPreviousLogTerm(natural(in.readInt()))
+                            .setPreviousLogIndex(natural(in.readLong()))
+                            .setCommitIndex(natural(in.readLong()))
+                            .setLogEntries(entries(in))
+                            .setQuerySequenceNumber(natural(in.readLong()))
+                            .setFlowControlSequenceNumber(natural(in.readLong()))
+                            .build();
+                case APPEND_SUCCESS ->
+                    MODEL.createAppendEntriesSuccessResponseBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogIndex(natural(in.readLong()))
+                            .setQuerySequenceNumber(natural(in.readLong()))
+                            .setFlowControlSequenceNumber(natural(in.readLong()))
+                            .build();
+                case APPEND_FAILURE ->
+                    MODEL.createAppendEntriesFailureResponseBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setExpectedNextIndex(natural(in.readLong()))
+                            .setQuerySequenceNumber(natural(in.readLong()))
+                            .setFlowControlSequenceNumber(natural(in.readLong()))
+                            .build();
+                case INSTALL ->
+                    MODEL.createInstallSnapshotRequestBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setSenderLeader(in.readBoolean())
+                            .setSnapshotTerm(natural(in.readInt()))
+                            .setSnapshotIndex(natural(in.readLong()))
+                            .setTotalSnapshotChunkCount(natural(in.readInt()))
+                            .setSnapshotChunk(in.readBoolean() ? chunk(in) : null)
+                            .setSnapshottedMembers(endpoints(in))
+                            .setGroupMembersView(members(in))
+                            .setQuerySequenceNumber(natural(in.readLong()))
+                            .setFlowControlSequenceNumber(natural(in.readLong()))
+                            .build();
+                case INSTALL_RESPONSE ->
+                    MODEL.createInstallSnapshotResponseBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setSnapshotIndex(natural(in.readLong()))
+                            .setRequestedSnapshotChunkIndex(natural(in.readInt()))
+                            .setQuerySequenceNumber(natural(in.readLong()))
+                            .setFlowControlSequenceNumber(natural(in.readLong()))
+                            .build();
+                case PRE_VOTE ->
+                    MODEL.createPreVoteRequestBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogTerm(natural(in.readInt()))
+                            .setLastLogIndex(natural(in.readLong()))
+                            .build();
+                case PRE_VOTE_RESPONSE ->
+                    MODEL.createPreVoteResponseBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setGranted(in.readBoolean())
+                            .build();
+                case VOTE ->
+                    MODEL.createVoteRequestBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogTerm(natural(in.readInt()))
+                            .setLastLogIndex(natural(in.readLong()))
+                            .setSticky(in.readBoolean())
+                            .build();
+                case VOTE_RESPONSE ->
+                    MODEL.createVoteResponseBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setGranted(in.readBoolean())
+                            .build();
+                case TRIGGER_ELECTION ->
+                    MODEL.createTriggerLeaderElectionRequestBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogTerm(natural(in.readInt()))
+                            .setLastLogIndex(natural(in.readLong()))
+                            .build();
             };
         });
     }
@@ -259,8 +324,11 @@
     }
 
     private static LogEntry entry(DataInputStream in) throws IOException {
-        return MODEL.createLogEntryBuilder().setIndex(natural(in.readLong())).setTerm(natural(in.readInt()))
-                .setOperation(operation(in)).build();
+        return MODEL.createLogEntryBuilder()
+                .setIndex(natural(in.readLong()))
+                .setTerm(natural(in.readInt()))
+                .setOperation(operation(in))
+                .build();
     }
 
     private static List<LogEntry> entries(DataInputStream in) throws IOException {
@@ -282,10 +350,14 @@
     }
 
     private static SnapshotChunk chunk(DataInputStream in) throws IOException {
-        return MODEL.createSnapshotChunkBuilder().setIndex(natural(in.readLong()))
+        return MODEL.createSnapshotChunkBuilder()
+                .setIndex(natural(in.readLong()))
                 .setTerm(natural(in.readInt()))
-                .setSnapshotChunkIndex(natural(in.readInt())).setSnapshotChunkCount(natural(in.readInt()))
-                .setGroupMembersView(members(in)).setOperation(operation(in)).build();
+                .setSnapshotChunkIndex(natural(in.readInt()))
+                .setSnapshotChunkCount(natural(in.readInt()))
+                .setGroupMembersView(members(in))
+                .setOperation(operation(in))
+                .build();
     }
 
     private static void members(DataOutputStream out, RaftGroupMembersView view) throws IOException {
@@ -295,8 +367,11 @@
     }
 
     private static RaftGroupMembersView members(DataInputStream in) throws IOException {
-        return MODEL.createRaftGroupMembersViewBuilder().setLogIndex(natural(in.readLong()))
-                .setMembers(endpoints(in)).setVotingMembers(endpoints(in)).build();
+        return MODEL.createRaftGroupMembersViewBuilder()
+                .setLogIndex(natural(in.readLong()))
+                .setMembers(endpoints(in))
+                .setVotingMembers(endpoints(in))
+                .build();
     }
 
     private static void endpoints(DataOutputStream out, Collection<RaftEndpoint> members) throws IOException {
@@ -381,15 +456,14 @@
     }
 
     private static Ledger.Answer answer(DataInputStream in) throws IOException {
-        return new Ledger.Answer(one(Ledger.What.values(), in.readUnsignedByte()), natural(in.readLong()),
-                text(in));
+        return new Ledger.Answer(one(Ledger.What.values(), in.readUnsignedByte()), natural(in.readLong()), text(in));
     }
 
     // ---- the register's snapshot
 
     /** The register's contents: the first part the ids, the others versions. */
-    static List<byte[]> parts(Collection<Version> versions, Map<String, Long> decided,
-            Map<String, Ledger.Answer> refused) {
+    static List<byte[]> parts(
+            Collection<Version> versions, Map<String, Long> decided, Map<String, Ledger.Answer> refused) {
         List<byte[]> parts = new ArrayList<>();
         parts.add(bytes(out -> {
             out.writeInt(versions.size());
@@ -430,7 +504,10 @@
         });
     }
 
-    static void load(List<byte[]> parts, Consumer<Version> version, Map<String, Long> decided,
+    static void load(
+            List<byte[]> parts,
+            Consumer<Version> version,
+            Map<String, Long> decided,
             Map<String, Ledger.Answer> refused) {
         if (parts.isEmpty()) {
             throw new IllegalArgumentException("a snapshot without parts");
@@ -510,8 +587,7 @@
     private static int count(DataInputStream in) throws IOException {
         int count = in.readInt();
         if (count < 0 || count > in.available()) {
-            throw new IllegalArgumentException("a length of " + count + " with " + in.available()
-                    + " bytes left");
+            throw new IllegalArgumentException("a length of " + count + " with " + in.available() + " bytes left");
         }
         return count;
     }
--- a/src/main/java/mulleinfront/keep/DiskLog.java
+++ b/src/main/java/mulleinfront/keep/DiskLog.java
@@ -51,6 +51,7 @@
     private final MVMap<Long, byte[]> log;
     /** By snapshot's index and chunk's, see {@link #chunkKey}. */
     private final MVMap<Long, byte[]> chunks;
+
     private final Mark mark;
     private final String name;
     private final Collection<String> keepers;
@@ -73,18 +74,24 @@
         boolean found = Files.exists(file);
         Path marked = directory.resolve(MARK);
         if (found && !Files.exists(marked)) {
-            throw new IOException(marked + ": is missing, and there is " + file
-                    + ": was part of the directory lost?");
+            throw new IOException(marked + ": is missing, and there is " + file + ": was part of the directory lost?");
         }
         mark = Mark.open(marked);
         MVStore opened = null;
         try {
-            opened = new MVStore.Builder().fileName(file.toString()).autoCommitDisabled()
-                    .autoCommitBufferSize(0).cacheSize(1).open();
+            opened = new MVStore.Builder()
+                    .fileName(file.toString())
+                    .autoCommitDisabled()
+                    .autoCommitBufferSize(0)
+                    .cacheSize(1)
+                    .open();
             store = opened;
             store.setVersionsToKeep(0);
-            state = store.openMap("state", new MVMap.Builder<String, byte[]>()
-                    .keyType(StringDataType.INSTANCE).valueType(ByteArrayDataType.INSTANCE));
+            state = store.openMap(
+                    "state",
+                    new MVMap.Builder<String, byte[]>()
+                            .keyType(StringDataType.INSTANCE)
+                            .valueType(ByteArrayDataType.INSTANCE));
             log = store.openMap("log", longs());
             chunks = store.openMap("chunks", longs());
             saves = number("saves");
@@ -105,13 +112,13 @@
     }
 
     private static MVMap.Builder<Long, byte[]> longs() {
-        return new MVMap.Builder<Long, byte[]>().keyType(LongDataType.INSTANCE)
-                .valueType(ByteArrayDataType.INSTANCE);
+        return new MVMap.Builder<Long, byte[]>().keyType(LongDataType.INSTANCE).valueType(ByteArrayDataType.INSTANCE);
     }
 
     private static String line(Throwable e) {
         String message = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-        return e instanceof IllegalArgumentException || e instanceof MVStoreException ? message
+        return e instanceof IllegalArgumentException || e instanceof MVStoreException
+                ? message
                 : "is not whole: " + e.getClass().getSimpleName() + " " + message;
     }
 
@@ -135,17 +142,22 @@
         Set<String> known = new HashSet<>();
         initial.getMembers().forEach(m -> known.add((String) m.getId()));
         if (!known.equals(keepers)) {
-            throw new IllegalArgumentException("was made for keepers " + known + ", the settings name "
-                    + keepers);
+            throw new IllegalArgumentException("was made for keepers " + known + ", the settings name " + keepers);
         }
         byte[] vote = value(state, "vote");
         TreeMap<Long, LogEntry> entries = new TreeMap<>();
         for (Long index : log.keySet()) {
             entries.put(index, Codec.entry(value(log, index)));
         }
-        return Recovery.restore(name, initial, (int) number("term"),
-                vote == null ? null : new String(vote, StandardCharsets.UTF_8), snapshots(), number("taken"),
-                entries, committed);
+        return Recovery.restore(
+                name,
+                initial,
+                (int) number("term"),
+                vote == null ? null : new String(vote, StandardCharsets.UTF_8),
+                snapshots(),
+                number("taken"),
+                entries,
+                committed);
     }
 
     private TreeMap<Long, List<SnapshotChunk>> snapshots() {
@@ -217,8 +229,12 @@
     }
 
     private static <K> void put(MVMap<K, byte[]> map, K key, byte[] bytes) {
-        map.put(key, ByteBuffer.allocate(Integer.BYTES + bytes.length).putInt(checksum(bytes)).put(bytes)
-                .array());
+        map.put(
+                key,
+                ByteBuffer.allocate(Integer.BYTES + bytes.length)
+                        .putInt(checksum(bytes))
+                        .put(bytes)
+                        .array());
     }
 
     private static void put(MVMap<String, byte[]> map, String key, long number) {
@@ -291,8 +307,7 @@
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        write(() -> put(chunks, chunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex()),
-                Codec.chunk(chunk)));
+        write(() -> put(chunks, chunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex()), Codec.chunk(chunk)));
     }
 
     private static long chunkKey(long index, int chunk) {
--- a/src/main/java/mulleinfront/keep/KeepSettings.java
+++ b/src/main/java/mulleinfront/keep/KeepSettings.java
@@ -25,8 +25,8 @@
         }
         keepers.forEach((keeper, address) -> {
             if (!keeper.matches("[A-Za-z0-9._-]{1,64}")) {
-                throw new IllegalArgumentException("a keeper's name is 1 to 64 letters, digits, "
-                        + "'.', '_' or '-', not " + keeper);
+                throw new IllegalArgumentException(
+                        "a keeper's name is 1 to 64 letters, digits, " + "'.', '_' or '-', not " + keeper);
             }
             if (address.isUnresolved() || !address.getAddress().isLoopbackAddress()) {
                 throw new IllegalArgumentException("keeper " + keeper + " is not in 127.0.0.0/8: " + address);
--- a/src/main/java/mulleinfront/keep/Keeper.java
+++ b/src/main/java/mulleinfront/keep/Keeper.java
@@ -73,6 +73,7 @@
     private int generation;
     /** The snapshot at which the library's log begins, and the terms of the entries it has from there on. */
     private long snapshotIndex;
+
     private final TreeMap<Long, Integer> terms = new TreeMap<>();
     private final List<Consumer<Version>> listeners = new ArrayList<>();
     /** What the library has applied so far; at a start it begins at the snapshot again. */
@@ -81,6 +82,7 @@
     private Register before;
     /** The newest version that is decided and durable here: what owners and listeners know. */
     private Version newest = Version.NONE;
+
     private int open;
     private int replicating;
     private String fault;
@@ -94,8 +96,15 @@
      * @param snapshotEntries entries between two snapshots, {@link #SNAPSHOT_ENTRIES} but in tests
      * @throws IOException one line, if what was restored can't be read
      */
-    Keeper(String name, Collection<String> keepers, Timers timers, Random random, KeepLog log, Peers peers,
-            int snapshotEntries) throws IOException {
+    Keeper(
+            String name,
+            Collection<String> keepers,
+            Timers timers,
+            Random random,
+            KeepLog log,
+            Peers peers,
+            int snapshotEntries)
+            throws IOException {
         this.name = name;
         this.snapshotEntries = snapshotEntries;
         this.timers = timers;
@@ -126,18 +135,23 @@
                 builder.setLocalEndpoint(new Member(name)).setInitialGroupMembers(endpoints);
             } else {
                 before = decidedBefore(restored, log.committed());
-                snapshotIndex = restored.getSnapshotEntry() == null ? 0 : restored.getSnapshotEntry()
-                        .getIndex();
+                snapshotIndex = restored.getSnapshotEntry() == null
+                        ? 0
+                        : restored.getSnapshotEntry().getIndex();
                 restored.getLogEntries().forEach(e -> terms.put(e.getIndex(), e.getTerm()));
                 builder.setRestoredState(restored);
             }
         } catch (IllegalArgumentException e) {
             throw new IOException("keeper " + name + ": its log can't be read: " + e.getMessage(), e);
         }
-        node = builder.setConfig(config(snapshotEntries)).setExecutor(new Paced(generation))
+        node = builder.setConfig(config(snapshotEntries))
+                .setExecutor(new Paced(generation))
                 .setClock(new PacedClock())
-                .setRandom(random).setTransport(new Sending()).setStateMachine(new Applying())
-                .setStore(new Guarded()).build();
+                .setRandom(random)
+                .setTransport(new Sending())
+                .setStateMachine(new Applying())
+                .setStore(new Guarded())
+                .build();
     }
 
     private static RaftConfig config(int snapshotEntries) {
@@ -228,7 +242,9 @@
         List<LogEntry> entries = request.getLogEntries();
         long last = previous + entries.size();
         long first = snapshotIndex + 1;
-        if (request.getTerm() >= node.getTerm().getTerm() && previous < first && last >= first
+        if (request.getTerm() >= node.getTerm().getTerm()
+                && previous < first
+                && last >= first
                 && terms.containsKey(first)) {
             int skipped = (int) (first - previous);
             int term = entries.get(skipped - 1).getTerm();
@@ -240,11 +256,17 @@
                 cut(first);
             }
         }
-        return MODEL.createAppendEntriesRequestBuilder().setGroupId(request.getGroupId())
-                .setSender(request.getSender()).setTerm(request.getTerm()).setPreviousLogTerm(previousTerm)
-                .setPreviousLogIndex(previous).setCommitIndex(Math.min(request.getCommitIndex(), last))
-                .setLogEntries(entries).setQuerySequenceNumber(request.getQuerySequenceNumber())
-                .setFlowControlSequenceNumber(request.getFlowControlSequenceNumber()).build();
+        return MODEL.createAppendEntriesRequestBuilder()
+                .setGroupId(request.getGroupId())
+                .setSender(request.getSender())
+                .setTerm(request.getTerm())
+                .setPreviousLogTerm(previousTerm)
+                .setPreviousLogIndex(previous)
+                .setCommitIndex(Math.min(request.getCommitIndex(), last))
+                .setLogEntries(entries)
+                .setQuerySequenceNumber(request.getQuerySequenceNumber())
+                .setFlowControlSequenceNumber(request.getFlowControlSequenceNumber())
+                .build();
     }
 
     /** Drops the log from an entry on, none of which is decided, and goes on as after a restart. */
@@ -261,9 +283,11 @@
 
     KeepStatus status() {
         String leader = leader();
-        KeepStatus.Role role = fault != null ? KeepStatus.Role.STOPPED
-                : leader == null ? KeepStatus.Role.SEEKING
-                : leader.equals(name) ? KeepStatus.Role.LEADER : KeepStatus.Role.FOLLOWER;
+        KeepStatus.Role role = fault != null
+                ? KeepStatus.Role.STOPPED
+                : leader == null
+                        ? KeepStatus.Role.SEEKING
+                        : leader.equals(name) ? KeepStatus.Role.LEADER : KeepStatus.Role.FOLLOWER;
         return new KeepStatus(name, role, node.getTerm().getTerm(), leader, newest().number(), fault);
     }
 
@@ -326,8 +350,7 @@
         } else if (!name.equals(leader())) {
             answer.accept(unknown("keeper " + name + " doesn't lead, " + leader() + " may"));
         } else {
-            replicate(proposal, result -> answer.accept(result != null ? result
-                    : unknown("the leader changed")));
+            replicate(proposal, result -> answer.accept(result != null ? result : unknown("the leader changed")));
         }
     }
 
@@ -364,14 +387,17 @@
         void begin() {
             open++;
             long seconds = TimeUnit.NANOSECONDS.toSeconds(PROPOSAL_NANOS);
-            timers.schedule(() -> finish(unknown("not decided within " + seconds + " s: " + hindrance())),
-                    PROPOSAL_NANOS);
+            timers.schedule(
+                    () -> finish(unknown("not decided within " + seconds + " s: " + hindrance())), PROPOSAL_NANOS);
             attempt();
         }
 
         private String hindrance() {
-            return fault != null ? fault : leader() == null ? "no leader is known" : "leader " + leader()
-                    + " has no majority or doesn't answer";
+            return fault != null
+                    ? fault
+                    : leader() == null
+                            ? "no leader is known"
+                            : "leader " + leader() + " has no majority or doesn't answer";
         }
 
         private void attempt() {
@@ -593,6 +619,7 @@
     private final class PacedClock extends Clock {
         /** Far from 0, which the library takes for "never heard". */
         private static final long BASE_MILLIS = 1_000_000_000L;
+
         private final long begin = timers.nanoTime();
 
         @Override
--- a/src/main/java/mulleinfront/keep/KeeperNode.java
+++ b/src/main/java/mulleinfront/keep/KeeperNode.java
@@ -28,11 +28,18 @@
      *        taken
      */
     public KeeperNode(KeepSettings settings, EventLoop loop) throws IOException {
-        log = new DiskLog(settings.directory(), settings.name(), settings.keepers().keySet());
+        log = new DiskLog(
+                settings.directory(), settings.name(), settings.keepers().keySet());
         try {
             wire = new KeeperWire(settings, loop, log);
-            keeper = new Keeper(settings.name(), settings.keepers().keySet(), timers(loop), new Random(), log,
-                    wire, Keeper.SNAPSHOT_ENTRIES);
+            keeper = new Keeper(
+                    settings.name(),
+                    settings.keepers().keySet(),
+                    timers(loop),
+                    new Random(),
+                    log,
+                    wire,
+                    Keeper.SNAPSHOT_ENTRIES);
             wire.bind(keeper);
         } catch (IOException e) {
             log.close();
--- a/src/main/java/mulleinfront/keep/KeeperWire.java
+++ b/src/main/java/mulleinfront/keep/KeeperWire.java
@@ -60,6 +60,7 @@
 
     /** Bytes of a message's body at most: a batch of 8 of the greatest entries, or a part of a snapshot. */
     static final int BODY_BYTES = 4 << 20;
+
     private static final int REPLY_BYTES = 4096;
     private static final int MOST_CONNECTIONS = 16;
     private static final int MOST_UNANSWERED = 64;
@@ -95,7 +96,9 @@
     void bind(Keeper to) throws IOException {
         keeper = to;
         InetSocketAddress address = settings.keepers().get(settings.name());
-        var bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        var bound = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
@@ -107,10 +110,15 @@
                         accepted.add(channel);
                         channel.closeFuture().addListener(f -> accepted.remove(channel));
                         channel.config().setTcpNoDelay(true);
-                        channel.pipeline().addLast(new Counting(), new HttpServerCodec(),
-                                new HttpObjectAggregator(BODY_BYTES), new Serving());
+                        channel.pipeline()
+                                .addLast(
+                                        new Counting(),
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(BODY_BYTES),
+                                        new Serving());
                     }
-                }).bind(address);
+                })
+                .bind(address);
         if (loop.inEventLoop()) {
             // Binding runs on this very loop, later: what goes wrong is told then.
             bound.addListener(f -> {
@@ -119,8 +127,8 @@
                 }
             });
         } else if (!bound.awaitUninterruptibly().isSuccess()) {
-            throw new IOException("can't listen on " + address + ": " + bound.cause().getMessage(),
-                    bound.cause());
+            throw new IOException(
+                    "can't listen on " + address + ": " + bound.cause().getMessage(), bound.cause());
         }
         server = bound.channel();
     }
@@ -191,31 +199,42 @@
     }
 
     private Bootstrap client(SimpleChannelInboundHandler<FullHttpResponse> handler, int replyBytes) {
-        return new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY,
-                true)
+        return new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        channel.pipeline().addLast(new Counting(), new HttpClientCodec(),
-                                new HttpObjectAggregator(replyBytes), handler);
+                        channel.pipeline()
+                                .addLast(
+                                        new Counting(),
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(replyBytes),
+                                        handler);
                     }
                 });
     }
 
     private void post(Channel channel, String to, String path, byte[] body) {
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, path,
-                Unpooled.wrappedBuffer(body));
+        FullHttpRequest request =
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, path, Unpooled.wrappedBuffer(body));
         InetSocketAddress address = settings.keepers().get(to);
-        request.headers().set(HttpHeaderNames.HOST, address.getAddress().getHostAddress() + ":"
-                + address.getPort())
-                .set(HttpHeaderNames.CONTENT_LENGTH, body.length).set(SENDER, settings.name())
+        request.headers()
+                .set(HttpHeaderNames.HOST, address.getAddress().getHostAddress() + ":" + address.getPort())
+                .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
+                .set(SENDER, settings.name())
                 .set(SAVES, log.saves());
         channel.writeAndFlush(request);
     }
 
     /** What a keeper's connection to another one is doing. */
-    private enum LineState { DOWN, CONNECTING, OPEN }
+    private enum LineState {
+        DOWN,
+        CONNECTING,
+        OPEN
+    }
 
     /**
      * The connection over which consensus messages go to one other keeper; lost ones are the library's to
@@ -227,6 +246,7 @@
         private final ArrayDeque<byte[]> waiting = new ArrayDeque<>();
         /** When each message that has no answer yet was sent, in order. */
         private final ArrayDeque<Long> unanswered = new ArrayDeque<>();
+
         private LineState state = LineState.DOWN;
         private Channel channel;
         private long notBefore = System.nanoTime();
@@ -327,7 +347,8 @@
     }
 
     private void forgot(String by, FullHttpResponse response) {
-        keeper.stop("keeper " + by + ": " + response.content().toString(StandardCharsets.UTF_8).strip());
+        keeper.stop("keeper " + by + ": "
+                + response.content().toString(StandardCharsets.UTF_8).strip());
     }
 
     /** A proposal sent on, until its one reply. */
@@ -372,7 +393,8 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             String sender = request.headers().get(SENDER, "");
-            if (!request.decoderResult().isSuccess() || !request.method().equals(HttpMethod.POST)
+            if (!request.decoderResult().isSuccess()
+                    || !request.method().equals(HttpMethod.POST)
                     || !lines.containsKey(sender)) {
                 answer(ctx, HttpResponseStatus.BAD_REQUEST, "this is for keepers among themselves\n");
                 return;
@@ -383,8 +405,7 @@
                 if (request.uri().equals(RAFT)) {
                     RaftMessage message = Codec.message(body);
                     if (!message.getSender().getId().equals(sender)) {
-                        throw new IllegalArgumentException("sent by " + sender + ", from "
-                                + message.getSender());
+                        throw new IllegalArgumentException("sent by " + sender + ", from " + message.getSender());
                     }
                     if (remembers(ctx, sender, saves)) {
                         keeper.handle(message);
@@ -393,8 +414,9 @@
                 } else if (request.uri().equals(PROPOSE)) {
                     // On a connection of its own it may be overtaken by what was sent after it, with more saves;
                     // and it promises nothing.
-                    keeper.proposeHere(Codec.proposal(body), a -> loop.execute(() ->
-                            respond(ctx, HttpResponseStatus.OK, Codec.answer(a))));
+                    keeper.proposeHere(
+                            Codec.proposal(body),
+                            a -> loop.execute(() -> respond(ctx, HttpResponseStatus.OK, Codec.answer(a))));
                 } else {
                     answer(ctx, HttpResponseStatus.NOT_FOUND, "no such path\n");
                 }
@@ -407,9 +429,12 @@
         private boolean remembers(ChannelHandlerContext ctx, String sender, long saves) {
             long before = heard.get(sender);
             if (saves < before) {
-                answer(ctx, HttpResponseStatus.CONFLICT, "you are at save " + saves + ", and had told of "
-                        + before
-                        + ": your directory is an older copy\n");
+                answer(
+                        ctx,
+                        HttpResponseStatus.CONFLICT,
+                        "you are at save " + saves + ", and had told of "
+                                + before
+                                + ": your directory is an older copy\n");
                 return false;
             }
             if (saves > before) {
@@ -429,8 +454,8 @@
         }
 
         private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, byte[] body) {
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                    Unpooled.wrappedBuffer(body));
+            FullHttpResponse response =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
             if (!status.equals(HttpResponseStatus.NO_CONTENT)) {
                 response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
             }
--- a/src/main/java/mulleinfront/keep/Mark.java
+++ b/src/main/java/mulleinfront/keep/Mark.java
@@ -33,8 +33,8 @@
     static Mark open(Path file) throws IOException {
         if (!Files.exists(file)) {
             Path fresh = file.resolveSibling(file.getFileName() + ".new");
-            try (FileChannel c = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                    StandardOpenOption.TRUNCATE_EXISTING)) {
+            try (FileChannel c = FileChannel.open(
+                    fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
                 write(c, sector(0), 0);
                 write(c, sector(0), SECTOR);
                 c.force(true);
@@ -72,7 +72,10 @@
     }
 
     private static ByteBuffer sector(long number) {
-        return ByteBuffer.allocate(SECTOR).putLong(number).putLong(checksum(number)).rewind();
+        return ByteBuffer.allocate(SECTOR)
+                .putLong(number)
+                .putLong(checksum(number))
+                .rewind();
     }
 
     private static long checksum(long number) {
--- a/src/main/java/mulleinfront/keep/Recovery.java
+++ b/src/main/java/mulleinfront/keep/Recovery.java
@@ -39,38 +39,52 @@
      * @param committed entry that is known to be decided
      * @throws IllegalArgumentException one line, if that can't have been
      */
-    static RestoredRaftState restore(String name, RaftGroupMembersView members, int term, String vote,
-            NavigableMap<Long, List<SnapshotChunk>> snapshots, long taken, NavigableMap<Long, LogEntry> log,
+    static RestoredRaftState restore(
+            String name,
+            RaftGroupMembersView members,
+            int term,
+            String vote,
+            NavigableMap<Long, List<SnapshotChunk>> snapshots,
+            long taken,
+            NavigableMap<Long, LogEntry> log,
             long committed) {
         long from = begin(whole(snapshots), taken);
         List<LogEntry> entries = new ArrayList<>();
         long last = from;
         for (Map.Entry<Long, LogEntry> e : log.tailMap(from, false).entrySet()) {
             if (e.getKey() != last + 1 || e.getValue().getIndex() != e.getKey()) {
-                throw new IllegalArgumentException("has log entry " + e.getValue().getIndex() + " after "
-                        + last);
+                throw new IllegalArgumentException(
+                        "has log entry " + e.getValue().getIndex() + " after " + last);
             }
             entries.add(e.getValue());
             last++;
         }
         if (last < committed) {
-            throw new IllegalArgumentException("ends at entry " + last + ", but " + committed
-                    + " was decided");
+            throw new IllegalArgumentException("ends at entry " + last + ", but " + committed + " was decided");
         }
         RaftEndpoint voted = vote == null ? null : new Member(vote);
         return new RestoredRaftState(
-                MODEL.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(new Member(name))
+                MODEL.createRaftEndpointPersistentStateBuilder()
+                        .setLocalEndpoint(new Member(name))
                         .setVoting(true)
                         .build(),
                 members,
-                MODEL.createRaftTermPersistentStateBuilder().setTerm(term).setVotedFor(voted).build(),
-                from == 0 ? null : snapshot(snapshots.get(from)), entries);
+                MODEL.createRaftTermPersistentStateBuilder()
+                        .setTerm(term)
+                        .setVotedFor(voted)
+                        .build(),
+                from == 0 ? null : snapshot(snapshots.get(from)),
+                entries);
     }
 
     private static SnapshotEntry snapshot(List<SnapshotChunk> chunks) {
         SnapshotChunk first = chunks.get(0);
-        return MODEL.createSnapshotEntryBuilder().setIndex(first.getIndex()).setTerm(first.getTerm())
-                .setSnapshotChunks(chunks).setGroupMembersView(first.getGroupMembersView()).build();
+        return MODEL.createSnapshotEntryBuilder()
+                .setIndex(first.getIndex())
+                .setTerm(first.getTerm())
+                .setSnapshotChunks(chunks)
+                .setGroupMembersView(first.getGroupMembersView())
+                .build();
     }
 
     /** Indexes of the snapshots of which all chunks are there. */
--- a/src/main/java/mulleinfront/keep/Register.java
+++ b/src/main/java/mulleinfront/keep/Register.java
@@ -49,8 +49,7 @@
             return "why has to be one line of at most " + WHY_CHARS + " characters";
         }
         long size = size(proposal.entries(), proposal.why());
-        return size <= VERSION_BYTES ? null : "is " + size + " bytes, at most " + VERSION_BYTES
-                + " are taken";
+        return size <= VERSION_BYTES ? null : "is " + size + " bytes, at most " + VERSION_BYTES + " are taken";
     }
 
     /** Bytes that a version is counted as: its text in UTF-16, and a fixed part for each entry. */
@@ -69,8 +68,11 @@
             Version held = at(number);
             return held == null || held.entries().equals(proposal.entries())
                     ? new Ledger.Answer(Ledger.What.DECIDED, number, "")
-                    : new Ledger.Answer(Ledger.What.REFUSED, number, "the id " + proposal.id()
-                            + " was given to version " + number + ", which has other entries");
+                    : new Ledger.Answer(
+                            Ledger.What.REFUSED,
+                            number,
+                            "the id " + proposal.id() + " was given to version " + number
+                                    + ", which has other entries");
         }
         Ledger.Answer before = refused.get(proposal.id());
         if (before != null) {
@@ -88,8 +90,7 @@
             }
             return answer;
         }
-        Version version = new Version(newest().number() + 1, proposal.entries(), proposal.why(),
-                proposal.atMillis());
+        Version version = new Version(newest().number() + 1, proposal.entries(), proposal.why(), proposal.atMillis());
         hold(version);
         remember(decided, proposal.id(), version.number(), DECIDED);
         return new Ledger.Answer(Ledger.What.DECIDED, version.number(), "");
--- a/src/main/java/mulleinfront/kit/ClientDriver.java
+++ b/src/main/java/mulleinfront/kit/ClientDriver.java
@@ -46,8 +46,11 @@
         this.stage = stage;
         this.places = places;
         this.scenario = scenario;
-        this.bootstrap = new Bootstrap().group(clock.loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1_000);
+        this.bootstrap = new Bootstrap()
+                .group(clock.loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1_000);
     }
 
     /**
@@ -57,7 +60,7 @@
      */
     void send(Stage.Outgoing request, boolean openOnly) {
         ArrayDeque<Connection> rested = idle.computeIfAbsent(request.proxy(), p -> new ArrayDeque<>());
-        for (Connection c; (c = rested.poll()) != null;) {
+        for (Connection c; (c = rested.poll()) != null; ) {
             if (c.channel.isActive()) {
                 c.write(request, true);
                 return;
@@ -73,8 +76,11 @@
     /** So many clients connect to a client proxy and say nothing; they close after a while, if they are let. */
     void crowd(int proxy, int connections, long forUs) {
         for (int i = 0; i < connections; i++) {
-            Channel silent = bootstrap.clone().handler(new ChannelInboundHandlerAdapter())
-                    .connect(places.daemon(proxy)).channel();
+            Channel silent = bootstrap
+                    .clone()
+                    .handler(new ChannelInboundHandlerAdapter())
+                    .connect(places.daemon(proxy))
+                    .channel();
             clock.loop.schedule(() -> silent.close(), forUs, TimeUnit.MICROSECONDS);
         }
     }
@@ -82,22 +88,26 @@
     private void connect(Stage.Outgoing request) {
         Connection made = new Connection(request.proxy());
         open.put(request.id(), made);
-        bootstrap.clone().handler(new ChannelInitializer<SocketChannel>() {
-            @Override
-            protected void initChannel(SocketChannel ch) {
-                ch.pipeline().addLast(new HttpResponseDecoder(), new HttpObjectAggregator(MOST_BODY), made);
-            }
-        }).connect(places.daemon(request.proxy())).addListener((ChannelFuture f) -> {
-            made.channel = f.channel();
-            if (!f.isSuccess()) {
-                open.remove(request.id());
-                clock.run(() -> stage.unanswered(request.id(), false));
-            } else if (open.get(request.id()) != made) {
-                f.channel().close();
-            } else {
-                made.write(request, false);
-            }
-        });
+        bootstrap
+                .clone()
+                .handler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel ch) {
+                        ch.pipeline().addLast(new HttpResponseDecoder(), new HttpObjectAggregator(MOST_BODY), made);
+                    }
+                })
+                .connect(places.daemon(request.proxy()))
+                .addListener((ChannelFuture f) -> {
+                    made.channel = f.channel();
+                    if (!f.isSuccess()) {
+                        open.remove(request.id());
+                        clock.run(() -> stage.unanswered(request.id(), false));
+                    } else if (open.get(request.id()) != made) {
+                        f.channel().close();
+                    } else {
+                        made.write(request, false);
+                    }
+                });
     }
 
     /** The client waits no longer and closes its connection. */
@@ -114,19 +124,26 @@
     private String encode(Stage.Outgoing r) {
         RequestClass type = scenario.classes().get(r.classIndex()).type();
         StringBuilder out = new StringBuilder(320);
-        out.append(type.effect() == Effect.RETRYABLE ? "GET" : "POST").append(" /api HTTP/1.1\r\nHost: origin.svc")
-                .append("\r\nX-Request-Id: ").append(r.id()).append("\r\nX-Class: ").append(type.name())
-                .append("\r\nX-Deadline-Ms: ").append(Math.max(1, r.deadlineUs() / 1000));
+        out.append(type.effect() == Effect.RETRYABLE ? "GET" : "POST")
+                .append(" /api HTTP/1.1\r\nHost: origin.svc")
+                .append("\r\nX-Request-Id: ")
+                .append(r.id())
+                .append("\r\nX-Class: ")
+                .append(type.name())
+                .append("\r\nX-Deadline-Ms: ")
+                .append(Math.max(1, r.deadlineUs() / 1000));
         if (r.key() != null) {
             out.append("\r\nX-Key: ").append(r.key());
         }
         if (!scenario.tenants().isEmpty()) {
-            out.append("\r\nX-Tenant: ").append(scenario.tenants().get(r.tenant()).name());
+            out.append("\r\nX-Tenant: ")
+                    .append(scenario.tenants().get(r.tenant()).name());
         }
         if (type.effect() == Effect.DEDUP) {
             out.append("\r\nIdempotency-Key: ").append(r.effect());
         }
-        return out.append(type.effect() == Effect.RETRYABLE ? "\r\n\r\n" : "\r\nContent-Length: 0\r\n\r\n").toString();
+        return out.append(type.effect() == Effect.RETRYABLE ? "\r\n\r\n" : "\r\nContent-Length: 0\r\n\r\n")
+                .toString();
     }
 
     /** One connection to a client proxy. */
@@ -136,6 +153,7 @@
         private Stage.Outgoing current;
         /** The request that was answered last on it. */
         private String last;
+
         private boolean reused;
 
         Connection(int proxy) {
@@ -181,7 +199,9 @@
 
         private static long retryAfterUs(String seconds) {
             try {
-                return seconds == null ? 0 : new BigDecimal(seconds).movePointRight(6).longValue();
+                return seconds == null
+                        ? 0
+                        : new BigDecimal(seconds).movePointRight(6).longValue();
             } catch (NumberFormatException e) {
                 return 0;
             }
--- a/src/main/java/mulleinfront/kit/DaemonProcess.java
+++ b/src/main/java/mulleinfront/kit/DaemonProcess.java
@@ -45,10 +45,10 @@
      *
      * @param file the operators' file
      */
-    record Peering(InetSocketAddress listen, List<InetSocketAddress> peers, Path file) { }
+    record Peering(InetSocketAddress listen, List<InetSocketAddress> peers, Path file) {}
 
     /** How it is at a moment; descriptors and memory are of the process itself. */
-    record Sample(int descriptors, long residentKb, long cpuMs) { }
+    record Sample(int descriptors, long residentKb, long cpuMs) {}
 
     DaemonProcess(int number, String command, Path root, Path folder, String config, InetSocketAddress address)
             throws IOException {
@@ -58,8 +58,10 @@
         this.log = folder.resolve("daemon-" + number + ".log");
         String guarded = "trap '' INT; exec 3<&0; (cat <&3 >/dev/null; kill -9 $$ 2>/dev/null) & ulimit -n " + SOCKETS
                 + "; exec 3<&- </dev/null; " + command;
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", guarded).directory(root.toFile())
-                .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", guarded)
+                .directory(root.toFile())
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
         builder.environment().put("NODE_CONFIG", file.toAbsolutePath().toString());
         builder.environment().put("NODE_NAME", "n" + number);
         builder.environment().put("NODE_LISTEN", NetUtil.toSocketAddressString(address));
@@ -135,8 +137,9 @@
         try (Socket s = new Socket()) {
             s.connect(address, ASK_MS);
             s.setSoTimeout(ASK_MS);
-            s.getOutputStream().write("GET /-/ready HTTP/1.1\r\nHost: kit\r\nConnection: close\r\n\r\n"
-                    .getBytes(StandardCharsets.US_ASCII));
+            s.getOutputStream()
+                    .write("GET /-/ready HTTP/1.1\r\nHost: kit\r\nConnection: close\r\n\r\n"
+                            .getBytes(StandardCharsets.US_ASCII));
             String answer = new String(s.getInputStream().readNBytes(LONGEST_ANSWER), StandardCharsets.ISO_8859_1);
             String[] lines = answer.split("\r\n");
             String version = "none";
@@ -173,7 +176,8 @@
             if (open == null || at < 0) {
                 return null;
             }
-            long kb = Long.parseLong(status.substring(at + 6, status.indexOf("kB", at)).strip());
+            long kb = Long.parseLong(
+                    status.substring(at + 6, status.indexOf("kB", at)).strip());
             return new Sample(open.length, kb, 10 * (Long.parseLong(words[11]) + Long.parseLong(words[12])));
         } catch (IOException e) {
             return null;
@@ -181,8 +185,15 @@
     }
 
     /** What the platform would tell it, as JSON. */
-    static String config(Scenario scenario, int number, long seed, InetSocketAddress listen,
-            InetSocketAddress discovery, String known, Peering peering) throws IOException {
+    static String config(
+            Scenario scenario,
+            int number,
+            long seed,
+            InetSocketAddress listen,
+            InetSocketAddress discovery,
+            String known,
+            Peering peering)
+            throws IOException {
         Settings s = scenario.settings();
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = new JsonFactory().createGenerator(bytes)) {
@@ -209,7 +220,10 @@
             out.writeRawValue(known);
             out.writeObjectFieldStart("settings");
             names(out, "azs", scenario.zones());
-            names(out, "kinds", scenario.servers().stream().map(Scenario.Servers::name).toList());
+            names(
+                    out,
+                    "kinds",
+                    scenario.servers().stream().map(Scenario.Servers::name).toList());
             out.writeNumberField("balancers", s.instances());
             out.writeNumberField("me", number);
             out.writeStringField("membershipMode", s.subscribe() ? "subscribe" : "automatic");
--- a/src/main/java/mulleinfront/kit/FleetTimeline.java
+++ b/src/main/java/mulleinfront/kit/FleetTimeline.java
@@ -27,7 +27,7 @@
     private static final int LOOKS = 4;
 
     /** Something at an instant, milliseconds since 1970; those of one instant stay in the order in which they came. */
-    private record Event(long atMs, Runnable what) { }
+    private record Event(long atMs, Runnable what) {}
 
     private final long boundUs;
     private final List<Event> events = new ArrayList<>();
@@ -42,8 +42,8 @@
         this.judge = new FleetJudge(members, boundUs, new FleetJudge.Links() {
             @Override
             public boolean pass(int from, int to) {
-                return cuts.stream().noneMatch(c -> (c.from() == null || c.from().get(from))
-                        && (c.to() == null || c.to().get(to)));
+                return cuts.stream()
+                        .noneMatch(c -> (c.from() == null || c.from().get(from)) && (c.to() == null || c.to().get(to)));
             }
 
             @Override
@@ -99,11 +99,12 @@
             long at = Long.parseLong(fields.getOrDefault("timestamp", "0"));
             switch (fields.getOrDefault("message", "")) {
                 case "began" -> add(at, () -> judge.began(member, now));
-                case "changed" -> add(at, () -> {
-                    changes++;
-                    judge.changed(member, change(fields, now));
-                });
-                default -> { }
+                case "changed" ->
+                    add(at, () -> {
+                        changes++;
+                        judge.changed(member, change(fields, now));
+                    });
+                default -> {}
             }
         }
     }
@@ -125,8 +126,14 @@
     }
 
     private static Change change(Map<String, String> f, long now) {
-        return new Change(Long.parseLong(f.get("number")), now, Integer.parseInt(f.get("member")), state(f.get("from")),
-                state(f.get("to")), Long.parseLong(f.get("incarnation")), "1".equals(f.get("reborn")),
+        return new Change(
+                Long.parseLong(f.get("number")),
+                now,
+                Integer.parseInt(f.get("member")),
+                state(f.get("from")),
+                state(f.get("to")),
+                Long.parseLong(f.get("incarnation")),
+                "1".equals(f.get("reborn")),
                 Integer.parseInt(f.get("word")),
                 Change.Cause.valueOf(f.get("cause").toUpperCase(Locale.ROOT).replace('-', '_')),
                 Long.parseLong(f.get("digest")));
--- a/src/main/java/mulleinfront/kit/PeerRelay.java
+++ b/src/main/java/mulleinfront/kit/PeerRelay.java
@@ -56,9 +56,15 @@
     }
 
     private Channel bind(InetSocketAddress at, Way way) throws IOException, InterruptedException {
-        var bound = new Bootstrap().group(loop).channel(NioDatagramChannel.class).handler(way).bind(at).await();
+        var bound = new Bootstrap()
+                .group(loop)
+                .channel(NioDatagramChannel.class)
+                .handler(way)
+                .bind(at)
+                .await();
         if (!bound.isSuccess()) {
-            throw new IOException("can't listen between client proxies: " + bound.cause().getMessage());
+            throw new IOException(
+                    "can't listen between client proxies: " + bound.cause().getMessage());
         }
         return bound.channel();
     }
@@ -98,15 +104,15 @@
                 if (copy.lateUs() == 0) {
                     deliver(from, to, copy.bytes());
                 } else {
-                    ctx.executor().schedule(() -> deliver(from, to, copy.bytes()), copy.lateUs(),
-                            TimeUnit.MICROSECONDS);
+                    ctx.executor()
+                            .schedule(() -> deliver(from, to, copy.bytes()), copy.lateUs(), TimeUnit.MICROSECONDS);
                 }
             }
         }
 
         /** A process that is not there: the system may say so, and nobody is to hear of it. */
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) { }
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
     }
 
     private void deliver(int from, int to, byte[] bytes) {
@@ -116,8 +122,7 @@
     }
 
     @Override
-    public End trouble(BitSet from, BitSet to, double lose, double twice, double overtaken, double change,
-            Range late) {
+    public End trouble(BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late) {
         Troubles.Trouble t = new Troubles.Trouble(from, to, lose, twice, overtaken, change, late);
         troubles.begin(t);
         listener.cut(t, true);
@@ -130,29 +135,39 @@
     @Override
     public void repeat(long rememberUs, double perSecond, long us) {
         troubles.remember(true);
-        loop.schedule(() -> {
-            troubles.remember(false);
-            every(perSecond, us, () -> {
-                Troubles.Past p = troubles.past();
-                if (p != null) {
-                    deliver(p.from(), p.to(), p.bytes());
-                }
-            });
-        }, rememberUs, TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    troubles.remember(false);
+                    every(perSecond, us, () -> {
+                        Troubles.Past p = troubles.past();
+                        if (p != null) {
+                            deliver(p.from(), p.to(), p.bytes());
+                        }
+                    });
+                },
+                rememberUs,
+                TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void strangers(double perSecond, long us) {
-        every(perSecond, us, () -> nobody.writeAndFlush(new DatagramPacket(
-                Unpooled.wrappedBuffer(troubles.strange()), places.peerListen(troubles.anybody(ways.length)))));
+        every(
+                perSecond,
+                us,
+                () -> nobody.writeAndFlush(new DatagramPacket(
+                        Unpooled.wrappedBuffer(troubles.strange()), places.peerListen(troubles.anybody(ways.length)))));
     }
 
     private void every(double perSecond, long us, Runnable what) {
-        var task = loop.scheduleAtFixedRate(() -> {
-            if (!closed) {
-                what.run();
-            }
-        }, 0, (long) Math.max(1, 1e6 / perSecond), TimeUnit.MICROSECONDS);
+        var task = loop.scheduleAtFixedRate(
+                () -> {
+                    if (!closed) {
+                        what.run();
+                    }
+                },
+                0,
+                (long) Math.max(1, 1e6 / perSecond),
+                TimeUnit.MICROSECONDS);
         loop.schedule(() -> task.cancel(false), us, TimeUnit.MICROSECONDS);
     }
 
--- a/src/main/java/mulleinfront/kit/Places.java
+++ b/src/main/java/mulleinfront/kit/Places.java
@@ -17,6 +17,7 @@
     static final int MOST_PROXIES = 64;
     /** Servers at most, ghosts and moves included. */
     static final int MOST_SERVERS = 60_000;
+
     private static final int FIRST_PART = 16;
     private static final int EACH = 250;
     private static final int TRIES = 100;
@@ -45,8 +46,10 @@
 
     private InetSocketAddress at(int proxy, int third, int fourth) {
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, (byte) (FIRST_PART + proxy),
-                (byte) third, (byte) fourth}), port);
+            return new InetSocketAddress(
+                    InetAddress.getByAddress(
+                            new byte[] {127, (byte) (FIRST_PART + proxy), (byte) third, (byte) fourth}),
+                    port);
         } catch (UnknownHostException e) {
             throw new IllegalStateException("four bytes are an address", e);
         }
--- a/src/main/java/mulleinfront/kit/RealRun.java
+++ b/src/main/java/mulleinfront/kit/RealRun.java
@@ -38,11 +38,13 @@
     private static final long SLACK_US = 50_000;
     /** What the judge of the fleet grants for processes that wait for a core, microseconds. */
     private static final long JUDGE_SLACK_US = 2_000_000;
+
     private static final long READY_MS = 60_000;
     private static final long READY_POLL_MS = 20;
     private static final long END_MS = 10_000;
     /** Growth of descriptors from quarter to quarter, in all of the first three, that is a leak. */
     private static final double LEAK = 1.15;
+
     private static final int LEAK_LEAST = 16;
     private static final long SAMPLE_MS = 250;
     private static final int QUARTERS = 4;
@@ -64,6 +66,7 @@
     private final ClientDriver clients;
     /** What stands between client proxies, and what was done and said there; null where they do not know each other. */
     private final PeerRelay relay;
+
     private final FleetTimeline timeline;
     private final Path fleetFile;
     /** The present process of each client proxy; set on the event loop, or before that runs. */
@@ -76,11 +79,13 @@
     private final boolean[] moved;
     /** How long one that was killed stays away; on the event loop. */
     private final long[] away;
+
     private final List<String> failures = Collections.synchronizedList(new ArrayList<>());
     private final List<List<DaemonProcess.Sample>> samples = new ArrayList<>();
     private volatile boolean interrupted;
     /** When what follows is no longer judged, milliseconds since 1970. */
     private volatile long endedAtMs;
+
     private boolean playing;
     private volatile boolean ending;
     private long readyMs = READY_MS;
@@ -121,15 +126,27 @@
             fleetFile = null;
         } else {
             long period = scenario.peers().periodUs();
-            long bound = FleetSettings.usual("kit", "n", 0, daemons.length, period, scenario.peers().goneUs())
-                    .agreeWithinUs(daemons.length) + JUDGE_SLACK_US;
+            long bound = FleetSettings.usual(
+                                    "kit",
+                                    "n",
+                                    0,
+                                    daemons.length,
+                                    period,
+                                    scenario.peers().goneUs())
+                            .agreeWithinUs(daemons.length)
+                    + JUDGE_SLACK_US;
             this.timeline = new FleetTimeline(daemons.length, bound);
             Troubles troubles = new Troubles(Chance.of(seed, "datagrams"));
             this.relay = new PeerRelay(group.next(), places, daemons.length, troubles, timeline::cut);
-            this.fleetFile = Files.writeString(folder.resolve("fleet.toml"), String.format(Locale.ROOT,
-                    "fleet = \"%s\"%nperiod = \"%dus\"%ngone-after = \"%dus\"%nevents = \"%s\"%n",
-                    "kit-" + Long.toHexString(seed), period, scenario.peers().goneUs(),
-                    folder.toAbsolutePath().resolve("fleet-%n.json")));
+            this.fleetFile = Files.writeString(
+                    folder.resolve("fleet.toml"),
+                    String.format(
+                            Locale.ROOT,
+                            "fleet = \"%s\"%nperiod = \"%dus\"%ngone-after = \"%dus\"%nevents = \"%s\"%n",
+                            "kit-" + Long.toHexString(seed),
+                            period,
+                            scenario.peers().goneUs(),
+                            folder.toAbsolutePath().resolve("fleet-%n.json")));
             if (scenario.peers().loss() > 0) {
                 relay.trouble(null, null, scenario.peers().loss(), 0, 0, 0, Range.of(0));
             }
@@ -140,16 +157,17 @@
         int proxies = scenario.proxies().count();
         long availableKb = availableKb();
         if (proxies > Places.MOST_PROXIES) {
-            throw new BadFileException(scenario.name() + ": needs " + proxies + " client proxies as processes, and a run"
-                    + " on sockets has " + Places.MOST_PROXIES + " at most; emulate plays it on virtual time");
+            throw new BadFileException(
+                    scenario.name() + ": needs " + proxies + " client proxies as processes, and a run"
+                            + " on sockets has " + Places.MOST_PROXIES + " at most; emulate plays it on virtual time");
         }
         if (proxies * PROXY_KB > availableKb) {
             throw new BadFileException(scenario.name() + ": needs " + proxies * PROXY_KB / 1024 + " MB for " + proxies
                     + " client proxies, and this machine has " + availableKb / 1024 + " MB left");
         }
         if (scenario.faults().stream().anyMatch(f -> f.kind() == Scenario.Kind.CLOCK)) {
-            throw new BadFileException(scenario.name() + ": clocks of processes can't be made to jump; emulate plays it on"
-                    + " virtual time");
+            throw new BadFileException(scenario.name()
+                    + ": clocks of processes can't be made to jump; emulate plays it on" + " virtual time");
         }
         if (scenario.peers() != null && scenario.peers().plain()) {
             throw new BadFileException(scenario.name() + ": peers.detector: processes have the full one alone");
@@ -228,8 +246,14 @@
         }
         List<Rehearsal.Quarter> quarters = quarters();
         leaks(quarters);
-        return new Rehearsal(result, null, List.copyOf(failures), quarters, new double[] {clock.lateMs(50),
-            clock.lateMs(99), clock.lateMs(100)}, version, Version.OWN);
+        return new Rehearsal(
+                result,
+                null,
+                List.copyOf(failures),
+                quarters,
+                new double[] {clock.lateMs(50), clock.lateMs(99), clock.lateMs(100)},
+                version,
+                Version.OWN);
     }
 
     private FleetReport judged() throws IOException {
@@ -303,8 +327,8 @@
         for (DaemonProcess d : daemons) {
             String said = awaitReady(d, () -> System.nanoTime() < until && !interrupted);
             if (said == null) {
-                failures.add("client proxy " + d.number() + " never got ready"
-                        + (d.alive() ? "" : ": it ended") + (d.lastWords().isEmpty() ? "" : ": " + d.lastWords()));
+                failures.add("client proxy " + d.number() + " never got ready" + (d.alive() ? "" : ": it ended")
+                        + (d.lastWords().isEmpty() ? "" : ": " + d.lastWords()));
                 return version;
             }
             version = said.equals(Version.OWN) ? version : said;
@@ -325,7 +349,7 @@
     private void watch() throws InterruptedException {
         long length = stage.endsAt();
         long said = 0;
-        for (long now; (now = clock.now()) < length && !interrupted;) {
+        for (long now; (now = clock.now()) < length && !interrupted; ) {
             List<DaemonProcess.Sample> all = new ArrayList<>();
             for (DaemonProcess d : daemons) {
                 all.add(d.sample());
@@ -374,8 +398,9 @@
             grows = q.get(i).descriptors() > LEAK * q.get(i - 1).descriptors() + LEAK_LEAST;
         }
         if (grows) {
-            failures.add("client proxies leak: at most " + q.get(0).descriptors() + ", " + q.get(1).descriptors() + ", "
-                    + q.get(2).descriptors() + " descriptors in the first three quarters of the run");
+            failures.add("client proxies leak: at most " + q.get(0).descriptors() + ", "
+                    + q.get(1).descriptors() + ", " + q.get(2).descriptors()
+                    + " descriptors in the first three quarters of the run");
         }
     }
 
@@ -400,10 +425,21 @@
     }
 
     private String config(int proxy, Stage.Told known) throws IOException {
-        return DaemonProcess.config(scenario, proxy, seed * 1_000_003 + proxy, places.daemon(proxy),
-                moved[proxy] ? places.secondDiscovery(proxy) : places.discovery(proxy), discovery.line(proxy, known),
-                relay == null ? null : new DaemonProcess.Peering(places.peerListen(proxy),
-                IntStream.range(0, daemons.length).mapToObj(other -> places.peer(proxy, other)).toList(), fleetFile));
+        return DaemonProcess.config(
+                scenario,
+                proxy,
+                seed * 1_000_003 + proxy,
+                places.daemon(proxy),
+                moved[proxy] ? places.secondDiscovery(proxy) : places.discovery(proxy),
+                discovery.line(proxy, known),
+                relay == null
+                        ? null
+                        : new DaemonProcess.Peering(
+                                places.peerListen(proxy),
+                                IntStream.range(0, daemons.length)
+                                        .mapToObj(other -> places.peer(proxy, other))
+                                        .toList(),
+                                fleetFile));
     }
 
     private void exited(DaemonProcess d, int code) {
@@ -498,16 +534,22 @@
             timeline.leaves(proxy);
         }
         d.end();
-        clock.loop.schedule(() -> {
-            openOnly[proxy] |= daemons[proxy] == d;
-        }, scenario.proxies().lateCallsUs(), TimeUnit.MICROSECONDS);
-        clock.loop.schedule(() -> {
-            if (daemons[proxy] == d && d.alive() && !ending) {
-                failures.add("client proxy " + proxy + " was still there "
-                        + scenario.proxies().killAfterUs() / 1000 + " ms after SIGTERM");
-                d.kill();
-            }
-        }, scenario.proxies().killAfterUs(), TimeUnit.MICROSECONDS);
+        clock.loop.schedule(
+                () -> {
+                    openOnly[proxy] |= daemons[proxy] == d;
+                },
+                scenario.proxies().lateCallsUs(),
+                TimeUnit.MICROSECONDS);
+        clock.loop.schedule(
+                () -> {
+                    if (daemons[proxy] == d && d.alive() && !ending) {
+                        failures.add("client proxy " + proxy + " was still there "
+                                + scenario.proxies().killAfterUs() / 1000 + " ms after SIGTERM");
+                        d.kill();
+                    }
+                },
+                scenario.proxies().killAfterUs(),
+                TimeUnit.MICROSECONDS);
     }
 
     @Override
--- a/src/main/java/mulleinfront/kit/Rehearsal.java
+++ b/src/main/java/mulleinfront/kit/Rehearsal.java
@@ -14,16 +14,28 @@
  * @param daemonVersion the version that the client proxies said
  * @param kitVersion this program's
  */
-public record Rehearsal(World.Result sockets, World.Result virtual, List<String> failures, List<Quarter> quarters,
-        double[] lateMs, String daemonVersion, String kitVersion) {
+public record Rehearsal(
+        World.Result sockets,
+        World.Result virtual,
+        List<String> failures,
+        List<Quarter> quarters,
+        double[] lateMs,
+        String daemonVersion,
+        String kitVersion) {
     /** A stand-in this late at one time in a hundred says little of the daemon, milliseconds. */
     static final double BUSY_P99_MS = 20;
 
     /** The verdict, in the order in which it is looked for. */
-    public enum Verdict { WRONG_VERSION, FAILED, RULE_BROKEN, TOO_BUSY, KEPT }
+    public enum Verdict {
+        WRONG_VERSION,
+        FAILED,
+        RULE_BROKEN,
+        TOO_BUSY,
+        KEPT
+    }
 
     /** The most of each over all client proxies in a quarter of the run, and the CPU that one used on the average. */
-    public record Quarter(int descriptors, long residentKb, double cpuPart) { }
+    public record Quarter(int descriptors, long residentKb, double cpuPart) {}
 
     /** The same with the day on virtual time beside it. */
     public Rehearsal beside(World.Result virtualDay) {
--- a/src/main/java/mulleinfront/kit/Report.java
+++ b/src/main/java/mulleinfront/kit/Report.java
@@ -15,7 +15,7 @@
 
 /** A rehearsal as a page of text, as JSON with the same figures, and as JUnit's XML for whoever collects tests. */
 public final class Report {
-    private Report() { }
+    private Report() {}
 
     /** The page; the verdict comes last. */
     public static String text(Rehearsal r, boolean anyVersion) {
@@ -23,16 +23,28 @@
         if (r.sockets() != null) {
             out.append(ReportWriter.text(r.sockets())).append('\n');
             if (r.virtual() != null) {
-                line(out, "service on sockets %.3f, on virtual time %.3f, difference %+.3f",
-                        r.sockets().service().service(), r.virtual().service().service(),
+                line(
+                        out,
+                        "service on sockets %.3f, on virtual time %.3f, difference %+.3f",
+                        r.sockets().service().service(),
+                        r.virtual().service().service(),
                         r.sockets().service().service() - r.virtual().service().service());
             }
-            line(out, "stand-ins late: median %.1f ms, p99 %.1f ms, worst %.1f ms", r.lateMs()[0], r.lateMs()[1],
+            line(
+                    out,
+                    "stand-ins late: median %.1f ms, p99 %.1f ms, worst %.1f ms",
+                    r.lateMs()[0],
+                    r.lateMs()[1],
                     r.lateMs()[2]);
             int quarter = 1;
             for (Rehearsal.Quarter q : r.quarters()) {
-                line(out, "quarter %d: at most %d descriptors and %.1f MB in a client proxy, %.0f%% of a core each",
-                        quarter++, q.descriptors(), q.residentKb() / 1024.0, 100 * q.cpuPart());
+                line(
+                        out,
+                        "quarter %d: at most %d descriptors and %.1f MB in a client proxy, %.0f%% of a core each",
+                        quarter++,
+                        q.descriptors(),
+                        q.residentKb() / 1024.0,
+                        100 * q.cpuPart());
             }
         }
         r.failures().forEach(f -> line(out, "failed: %s", f));
@@ -47,7 +59,9 @@
     public static void json(Rehearsal r, boolean anyVersion, OutputStream to) throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(to).useDefaultPrettyPrinter()) {
             out.writeStartObject();
-            out.writeStringField("verdict", r.verdict(anyVersion).name().toLowerCase(Locale.ROOT).replace('_', '-'));
+            out.writeStringField(
+                    "verdict",
+                    r.verdict(anyVersion).name().toLowerCase(Locale.ROOT).replace('_', '-'));
             out.writeStringField("daemon_version", r.daemonVersion());
             out.writeStringField("kit_version", r.kitVersion());
             out.writeArrayFieldStart("failures");
@@ -85,7 +99,8 @@
     /** A case for each rule, one for the processes and one for whether the run says anything. */
     public static void junit(String name, Rehearsal r, boolean anyVersion, OutputStream to) throws IOException {
         Rehearsal.Verdict verdict = r.verdict(anyVersion);
-        boolean judged = r.sockets() != null && verdict != Rehearsal.Verdict.TOO_BUSY
+        boolean judged = r.sockets() != null
+                && verdict != Rehearsal.Verdict.TOO_BUSY
                 && verdict != Rehearsal.Verdict.WRONG_VERSION;
         try {
             XMLStreamWriter out = XMLOutputFactory.newInstance().createXMLStreamWriter(to, "UTF-8");
@@ -93,14 +108,27 @@
             out.writeStartElement("testsuite");
             out.writeAttribute("name", "rehearsal " + name);
             for (Auditor.Rule rule : Auditor.Rule.values()) {
-                String first = r.sockets() == null ? null : r.sockets().breaches().stream()
-                        .filter(b -> b.rule() == rule).map(Object::toString).findFirst().orElse(null);
+                String first = r.sockets() == null
+                        ? null
+                        : r.sockets().breaches().stream()
+                                .filter(b -> b.rule() == rule)
+                                .map(Object::toString)
+                                .findFirst()
+                                .orElse(null);
                 one(out, name, rule.words(), first, judged || first != null);
             }
-            one(out, name, "client proxies start, stay and end", r.failures().isEmpty() ? null
-                    : String.join("; ", r.failures()), true);
-            one(out, name, "the run says something", judged || verdict == Rehearsal.Verdict.FAILED ? null
-                    : words(r, anyVersion), true);
+            one(
+                    out,
+                    name,
+                    "client proxies start, stay and end",
+                    r.failures().isEmpty() ? null : String.join("; ", r.failures()),
+                    true);
+            one(
+                    out,
+                    name,
+                    "the run says something",
+                    judged || verdict == Rehearsal.Verdict.FAILED ? null : words(r, anyVersion),
+                    true);
             out.writeEndElement();
             out.writeEndDocument();
             out.close();
@@ -129,11 +157,15 @@
             case KEPT -> "all four rules kept";
             case RULE_BROKEN -> r.sockets().broken() + " broken rules, the first of them above";
             case FAILED -> "a client proxy failed";
-            case TOO_BUSY -> String.format(Locale.ROOT, "none: the machine was too busy (stand-ins %.1f ms late at p99,"
-                    + " %.0f ms at most); end what else runs, or take a smaller scenario", r.lateMs()[1],
-                    Rehearsal.BUSY_P99_MS);
-            case WRONG_VERSION -> "none: use the kit in the daemon's own jar (java -jar ITS-JAR kit ...), or"
-                    + " --any-version";
+            case TOO_BUSY ->
+                String.format(
+                        Locale.ROOT,
+                        "none: the machine was too busy (stand-ins %.1f ms late at p99,"
+                                + " %.0f ms at most); end what else runs, or take a smaller scenario",
+                        r.lateMs()[1],
+                        Rehearsal.BUSY_P99_MS);
+            case WRONG_VERSION ->
+                "none: use the kit in the daemon's own jar (java -jar ITS-JAR kit ...), or" + " --any-version";
         };
     }
 
--- a/src/main/java/mulleinfront/kit/ScaleLists.java
+++ b/src/main/java/mulleinfront/kit/ScaleLists.java
@@ -41,6 +41,7 @@
     private static final long HEARTBEAT_MS = 2_000;
     /** Services that each service calls: its list holds their hosts. */
     static final int CALLED = 3;
+
     private static final int LONGEST = 8192;
 
     private final EventLoopGroup group;
@@ -50,6 +51,7 @@
     private final int services;
     /** What each host is now, by number: its incarnation and its state's word. On the loop. */
     private final int[] starts;
+
     private final String[] states;
     private long version = 1;
     private final TreeMap<Long, Integer> changes = new TreeMap<>();
@@ -83,17 +85,23 @@
         listen(new InetSocketAddress(places.hostPort()), Host::new);
     }
 
-    private void listen(InetSocketAddress at, java.util.function.Supplier<SimpleChannelInboundHandler<FullHttpRequest>> handler)
+    private void listen(
+            InetSocketAddress at, java.util.function.Supplier<SimpleChannelInboundHandler<FullHttpRequest>> handler)
             throws IOException, InterruptedException {
         // All calls on one event loop: it owns the lists.
-        ChannelFuture bound = new ServerBootstrap().group(group, loop).channel(NioServerSocketChannel.class)
+        ChannelFuture bound = new ServerBootstrap()
+                .group(group, loop)
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, 1024)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new HttpRequestDecoder(), new HttpObjectAggregator(LONGEST), handler.get());
+                        ch.pipeline()
+                                .addLast(new HttpRequestDecoder(), new HttpObjectAggregator(LONGEST), handler.get());
                     }
-                }).bind(at).await();
+                })
+                .bind(at)
+                .await();
         if (!bound.isSuccess()) {
             throw new IOException("discovery can't listen: " + bound.cause().getMessage());
         }
@@ -135,14 +143,28 @@
     }
 
     private String list(boolean full, Iterable<Integer> which) {
-        StringBuilder line = new StringBuilder(160).append("{\"version\":").append(version).append(",\"full\":")
-                .append(full).append(",\"servers\":[");
+        StringBuilder line = new StringBuilder(160)
+                .append("{\"version\":")
+                .append(version)
+                .append(",\"full\":")
+                .append(full)
+                .append(",\"servers\":[");
         String comma = "";
         for (int h : which) {
-            line.append(comma).append("{\"id\":\"h").append(h).append('-').append(starts[h]).append("\",\"addr\":\"")
-                    .append(NetUtil.toSocketAddressString(places.host(h))).append("\",\"zone\":\"")
-                    .append((char) ('a' + h % 5)).append("\",\"kind\":\"host\",\"cell\":").append(h % 5)
-                    .append(",\"state\":\"").append(states[h]).append("\",\"weight\":1,\"started_ms\":0}");
+            line.append(comma)
+                    .append("{\"id\":\"h")
+                    .append(h)
+                    .append('-')
+                    .append(starts[h])
+                    .append("\",\"addr\":\"")
+                    .append(NetUtil.toSocketAddressString(places.host(h)))
+                    .append("\",\"zone\":\"")
+                    .append((char) ('a' + h % 5))
+                    .append("\",\"kind\":\"host\",\"cell\":")
+                    .append(h % 5)
+                    .append(",\"state\":\"")
+                    .append(states[h])
+                    .append("\",\"weight\":1,\"started_ms\":0}");
             comma = ",";
         }
         return line.append("]}").toString();
@@ -178,7 +200,8 @@
                 }
             } else {
                 changes.tailMap(Long.parseLong(after.get(0)), false).values().stream()
-                        .filter(h -> calls(service, service(h))).forEach(wanted::add);
+                        .filter(h -> calls(service, service(h)))
+                        .forEach(wanted::add);
             }
             chunk(list(after.isEmpty(), wanted) + "\n");
             ctx.executor().scheduleWithFixedDelay(() -> chunk("\n"), HEARTBEAT_MS, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/mulleinfront/kit/ScaleMachines.java
+++ b/src/main/java/mulleinfront/kit/ScaleMachines.java
@@ -28,6 +28,7 @@
 final class ScaleMachines {
     /** How many there are. */
     static final int COUNT = 3;
+
     private static final int PATIENCE_MS = 5_000;
     private static final long AGAIN_MS = 100;
     private static final long DECIDE_MS = 15_000;
@@ -44,6 +45,7 @@
     private final Map<String, TreeMap<Long, Long>> inForce = new HashMap<>();
     /** Readers that said of an older version after a newer one, without having begun anew. */
     private final List<String> wentBack = new ArrayList<>();
+
     private final List<Map<String, String>> news = new ArrayList<>();
     private boolean late;
     private final Map<String, Long> last = new HashMap<>();
@@ -81,12 +83,17 @@
     private String text(int own, int side, boolean events) {
         StringBuilder text = new StringBuilder();
         if (events) {
-            text.append("events = \"").append(folder.toAbsolutePath().resolve("control-%n.json")).append("\"\n");
+            text.append("events = \"")
+                    .append(folder.toAbsolutePath().resolve("control-%n.json"))
+                    .append("\"\n");
         }
         for (int m = 0; m < COUNT; m++) {
-            text.append("[[machine]]\nname = \"m").append(m).append("\"\nconsensus = \"")
+            text.append("[[machine]]\nname = \"m")
+                    .append(m)
+                    .append("\"\nconsensus = \"")
                     .append(at(m == own ? places.machinePeer(m) : places.machinePeerFrom(side, m)))
-                    .append("\"\ndoor = \"").append(at(m == own ? places.machine(m) : places.machineFrom(side, m)))
+                    .append("\"\ndoor = \"")
+                    .append(at(m == own ? places.machine(m) : places.machineFrom(side, m)))
                     .append("\"\n");
         }
         return text.toString();
@@ -107,8 +114,13 @@
     }
 
     void start(int machine) throws IOException {
-        processes[machine] = new DaemonProcess(1_000 + machine, keep + " --config '" + file(machine) + "' --me "
-                + (machine + 1) + " --dir '" + folder.toAbsolutePath().resolve("log-m" + machine) + "'", root, folder, "",
+        processes[machine] = new DaemonProcess(
+                1_000 + machine,
+                keep + " --config '" + file(machine) + "' --me " + (machine + 1) + " --dir '"
+                        + folder.toAbsolutePath().resolve("log-m" + machine) + "'",
+                root,
+                folder,
+                "",
                 places.machine(machine));
     }
 
@@ -120,7 +132,7 @@
 
     /** Waits until they have decided something, which makes a fleet's configuration begin. */
     long begin(long untilNanos) throws IOException, InterruptedException {
-        for (;;) {
+        for (; ; ) {
             long version = propose("the first", false);
             if (version > 0) {
                 return version;
@@ -168,8 +180,8 @@
     }
 
     private static Map<String, String> ask(InetSocketAddress at, String call, byte[] body) throws IOException {
-        HttpURLConnection http = (HttpURLConnection) URI.create("http://" + at(at) + call).toURL()
-                .openConnection(Proxy.NO_PROXY);
+        HttpURLConnection http = (HttpURLConnection)
+                URI.create("http://" + at(at) + call).toURL().openConnection(Proxy.NO_PROXY);
         try {
             http.setConnectTimeout(PATIENCE_MS);
             http.setReadTimeout(PATIENCE_MS);
@@ -208,7 +220,7 @@
                 }
                 last.merge(reader, version, Math::max);
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -234,7 +246,9 @@
     /** When a reader first said that a version, or a newer one, is in force after an instant; -1: not yet. */
     long inForceAt(String reader, long version, long afterMs) {
         return inForce.getOrDefault(reader, new TreeMap<>()).tailMap(version).values().stream()
-                .filter(at -> at >= afterMs).min(Long::compare).orElse(-1L);
+                .filter(at -> at >= afterMs)
+                .min(Long::compare)
+                .orElse(-1L);
     }
 
     /** Whether the newest that a reader has said is at least this. */
--- a/src/main/java/mulleinfront/kit/ScalePlaces.java
+++ b/src/main/java/mulleinfront/kit/ScalePlaces.java
@@ -14,6 +14,7 @@
     static final int SIDES = 2;
     /** Members that have room: one /24 each, from 127.32.1.0 on. */
     static final int MOST = 220 * 250;
+
     private static final int EACH = 250;
     private static final int MEMBERS = 32;
     private static final int SERVICES = 24;
@@ -35,8 +36,8 @@
 
     private static InetSocketAddress at(int second, int third, int fourth, int port) {
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, (byte) second, (byte) third,
-                (byte) fourth}), port);
+            return new InetSocketAddress(
+                    InetAddress.getByAddress(new byte[] {127, (byte) second, (byte) third, (byte) fourth}), port);
         } catch (UnknownHostException e) {
             throw new IllegalStateException("four bytes are an address", e);
         }
--- a/src/main/java/mulleinfront/kit/ScaleReport.java
+++ b/src/main/java/mulleinfront/kit/ScaleReport.java
@@ -72,7 +72,8 @@
             out.append('\n');
         }
         failures.forEach(f -> out.append("FAILED  ").append(f).append('\n'));
-        return out.append(!failures.isEmpty() ? "failed" : over() ? "over budget" : "within budget").append('\n')
+        return out.append(!failures.isEmpty() ? "failed" : over() ? "over budget" : "within budget")
+                .append('\n')
                 .toString();
     }
 
