--- a/src/test/java/mulleinfront/cli/KitTest.java
+++ b/src/test/java/mulleinfront/cli/KitTest.java
@@ -26,9 +26,13 @@
     }
 
     private String day(String proxies) throws Exception {
-        return Files.writeString(folder.resolve("day.toml"), "[scenario]\ntitle = \"a test\"\nworld = \""
-                + Path.of("scenarios/calm.toml").toAbsolutePath() + "\"\nlength = \"1s\"\nsettle = \"5s\"\n"
-                + "[proxies]\n" + proxies + "\n[load]\nrate = \"20/s\"\n").toString();
+        return Files.writeString(
+                        folder.resolve("day.toml"),
+                        "[scenario]\ntitle = \"a test\"\nworld = \""
+                                + Path.of("scenarios/calm.toml").toAbsolutePath()
+                                + "\"\nlength = \"1s\"\nsettle = \"5s\"\n"
+                                + "[proxies]\n" + proxies + "\n[load]\nrate = \"20/s\"\n")
+                .toString();
     }
 
     @Test
@@ -40,7 +44,13 @@
         } else {
             Files.createDirectory(folder.resolve("r/day/report.txt"));
         }
-        int code = run("kit", "run", day("count = 1"), "--daemon", DAEMON + "mulleinfront.Main serve", "--report",
+        int code = run(
+                "kit",
+                "run",
+                day("count = 1"),
+                "--daemon",
+                DAEMON + "mulleinfront.Main serve",
+                "--report",
                 folder.resolve("r").toString());
         assertTrue(err.toString().contains("the report can't be written ("), err.toString());
         assertTrue(out.toString().contains("rules: all four kept"), out.toString());
@@ -50,8 +60,14 @@
 
     @Test
     void anotherVersionIsExitCodeFourAndTheReportsAreThere() throws Exception {
-        int code = run("kit", "run", day("count = 1"), "--daemon",
-                DAEMON + "mulleinfront.kit.BrokenDaemon other-version", "--report", folder.resolve("r").toString());
+        int code = run(
+                "kit",
+                "run",
+                day("count = 1"),
+                "--daemon",
+                DAEMON + "mulleinfront.kit.BrokenDaemon other-version",
+                "--report",
+                folder.resolve("r").toString());
         assertEquals(Kit.WRONG_VERSION, code, out + " " + err);
         for (String name : new String[] {"report.txt", "report.json", "junit.xml", "daemon-0.json"}) {
             assertTrue(Files.size(folder.resolve("r/day").resolve(name)) > 0, name);
@@ -60,9 +76,13 @@
 
     @Test
     void badInputIsOneLineAndExitCodeTwo() throws Exception {
-        assertEquals(CommandLine.BAD_INPUT, run("kit", "run", folder.resolve("none.toml").toString()));
+        assertEquals(
+                CommandLine.BAD_INPUT,
+                run("kit", "run", folder.resolve("none.toml").toString()));
         assertEquals(CommandLine.BAD_INPUT, run("kit", "run", day("count = 65")));
-        assertEquals(CommandLine.BAD_INPUT, run("kit", "suite", folder.resolve("none").toString()));
+        assertEquals(
+                CommandLine.BAD_INPUT,
+                run("kit", "suite", folder.resolve("none").toString()));
         assertEquals(CommandLine.BAD_INPUT, run("kit", "what"));
         assertEquals(4, err.toString().lines().count(), err.toString());
         assertEquals(CommandLine.KEPT, run("kit", "list"));
--- a/src/test/java/mulleinfront/config/DifferenceTest.java
+++ b/src/test/java/mulleinfront/config/DifferenceTest.java
@@ -38,16 +38,16 @@
         Difference d = Difference.between(THREE, NINE);
         assertThrows(MisfitException.class, () -> d.on(version(4, THREE.entries())));
         assertThrows(MisfitException.class, () -> d.on(version(3, Map.of("a", "2", "b", "2", "gone", "x"))));
-        Difference lacks = new Difference(3, 9, new TreeMap<>(Map.of("b", "3")), d.removed(), d.why(),
-                d.decidedAtMillis(), d.checksum());
+        Difference lacks = new Difference(
+                3, 9, new TreeMap<>(Map.of("b", "3")), d.removed(), d.why(), d.decidedAtMillis(), d.checksum());
         assertThrows(MisfitException.class, () -> lacks.on(THREE));
     }
 
     @Test
     void aChecksumTellsKeysFromValuesAndOneFromTwo() {
-        assertNotEquals(Checksum.of(version(1, Map.of("ab", "c"))), Checksum.of(version(1, Map.of("a",
-                "bc"))));
-        assertNotEquals(Checksum.of(version(1, Map.of("a", "b", "c", "d"))),
+        assertNotEquals(Checksum.of(version(1, Map.of("ab", "c"))), Checksum.of(version(1, Map.of("a", "bc"))));
+        assertNotEquals(
+                Checksum.of(version(1, Map.of("a", "b", "c", "d"))),
                 Checksum.of(version(1, Map.of("a", "b", "c", "", "d", ""))));
         assertNotEquals(Checksum.of(version(1, Map.of())), Checksum.of(version(2, Map.of())));
     }
--- a/src/test/java/mulleinfront/config/FollowerTest.java
+++ b/src/test/java/mulleinfront/config/FollowerTest.java
@@ -27,8 +27,7 @@
 
     @BeforeEach
     void begin() {
-        follower = new Follower(FollowerSettings.usual(3), version(5), new SplittableRandom(1),
-                new Follower.Actions() {
+        follower = new Follower(FollowerSettings.usual(3), version(5), new SplittableRandom(1), new Follower.Actions() {
             @Override
             public void ask(int machine, long after, long checksum) {
                 did.add("ask " + machine + " after " + after);
--- a/src/test/java/mulleinfront/config/HandoutHardTest.java
+++ b/src/test/java/mulleinfront/config/HandoutHardTest.java
@@ -36,9 +36,11 @@
     private static void assertAll(HandoutWorld w, long version, long within) {
         for (Proxy p : w.proxies) {
             if (p.alive) {
-                assertTrue(p.at(version) != Long.MAX_VALUE, "client proxy " + p.number + " lacks version "
-                        + version
-                        + ": " + p.history + " " + p.follower.state());
+                assertTrue(
+                        p.at(version) != Long.MAX_VALUE,
+                        "client proxy " + p.number + " lacks version "
+                                + version
+                                + ": " + p.history + " " + p.follower.state());
                 long took = p.at(version) - w.proposedUs.get((int) version);
                 assertTrue(took <= within, "version " + version + " took " + took + " us at " + p.number);
             }
@@ -117,8 +119,10 @@
         other.kept = new Version(1, new TreeMap<>(Map.of("a", "of another history")), "", 0);
         other.start();
         w.run(S);
-        assertTrue(w.machines.stream().flatMap(m -> m.handout().standings().stream())
-                .anyMatch(s -> s.name().equals("n1") && s.watching() && s.at() == 1 && !s.same()),
+        assertTrue(
+                w.machines.stream()
+                        .flatMap(m -> m.handout().standings().stream())
+                        .anyMatch(s -> s.name().equals("n1") && s.watching() && s.at() == 1 && !s.same()),
                 "it is seen");
         w.propose(w.changed(2));
         w.run(S);
@@ -163,8 +167,10 @@
             w.run(3 * S);
         }
         assertEquals(List.of(1L), p.history);
-        assertTrue(w.machines.stream().flatMap(m -> m.handout().standings().stream())
-                .anyMatch(s -> s.name().equals("n5") && !s.watching() && s.at() == 1),
+        assertTrue(
+                w.machines.stream()
+                        .flatMap(m -> m.handout().standings().stream())
+                        .anyMatch(s -> s.name().equals("n5") && !s.watching() && s.at() == 1),
                 "it is known to be behind");
         p.goOn();
         long on = w.time.now();
@@ -311,7 +317,7 @@
         }
 
         @Override
-        public void listen(Consumer<Version> decided) { }
+        public void listen(Consumer<Version> decided) {}
     }
 
     /** What was sent to whom. */
@@ -342,7 +348,7 @@
         }
 
         @Override
-        public void wakeAt(long us) { }
+        public void wakeAt(long us) {}
     }
 
     @Test
@@ -355,7 +361,7 @@
         for (int i = 0; i < 300; i++) {
             entries.put("key-" + i, Long.toHexString(random.nextLong()));
         }
-        log.propose(new Proposal("a", -1, entries, "", 0), a -> { });
+        log.propose(new Proposal("a", -1, entries, "", 0), a -> {});
         long now = 0;
         assertTrue(handout.open(now, 1, "slow", 0, 0));
         assertTrue(handout.open(now, 2, "quick", 0, 0));
@@ -369,7 +375,7 @@
                     handout.reported(now, 1, 0, 0);
                     handout.reported(now, 2, 0, 0);
                     entries.put("key-" + second, "new");
-                    log.propose(new Proposal("b" + second, -1, entries, "", 0), a -> { });
+                    log.propose(new Proposal("b" + second, -1, entries, "", 0), a -> {});
                     handout.decided(now);
                 }
                 handout.onTimer(now);
@@ -379,8 +385,7 @@
         assertEquals(List.of("1 it does not read"), sent.closed);
         assertEquals(1, handout.readers());
         assertTrue(sent.bytes.get(2L) > 10_000, "the other had all: " + sent.bytes);
-        assertTrue(sent.lines <= 42, sent.lines
-                + " lines for one reader that keeps up and one that does not");
+        assertTrue(sent.lines <= 42, sent.lines + " lines for one reader that keeps up and one that does not");
     }
 
     @Test
@@ -388,7 +393,7 @@
         Log log = new Log();
         Sent sent = new Sent();
         Handout handout = new Handout(HandoutSettings.USUAL, log, sent);
-        log.propose(new Proposal("a", -1, new TreeMap<>(Map.of("k", "v")), "", 0), a -> { });
+        log.propose(new Proposal("a", -1, new TreeMap<>(Map.of("k", "v")), "", 0), a -> {});
         assertTrue(handout.open(0, 1, "ahead", 3, 77));
         for (long now = 0; now < 3 * S; now += S / 20) {
             handout.onTimer(now);
--- a/src/test/java/mulleinfront/config/HandoutTest.java
+++ b/src/test/java/mulleinfront/config/HandoutTest.java
@@ -26,9 +26,10 @@
 
     /** A fault around a change; called when it is proposed. */
     private enum Fault {
-        HEALTHY(w -> { }),
+        HEALTHY(w -> {}),
         /** The one that hands out and decides, around the instant of the decision. */
-        MACHINE_KILLED(w -> w.time.after(w.chance.nextLong(80_000), () -> w.machines.get(w.leader).kill())),
+        MACHINE_KILLED(w -> w.time.after(
+                w.chance.nextLong(80_000), () -> w.machines.get(w.leader).kill())),
         /** Each away for half a second to one and a half. */
         RESTARTING(w -> {
             for (int i = 0; i < Math.max(1, w.proxies.size() * 35 / 670); i++) {
@@ -44,8 +45,8 @@
         /** With its control machine, the leader, and nobody to say so. */
         ZONE_KILLED(w -> w.time.after(w.chance.nextLong(80_000), () -> zoneGone(w))),
         /** At any time while a long line is on its way. */
-        MACHINE_KILLED_LATER(w -> w.time.after(w.chance.nextLong(2 * S),
-                () -> w.machines.get(w.leader).kill())),
+        MACHINE_KILLED_LATER(w -> w.time.after(
+                w.chance.nextLong(2 * S), () -> w.machines.get(w.leader).kill())),
         ZONE_KILLED_LATER(w -> w.time.after(w.chance.nextLong(2 * S), () -> zoneGone(w)));
 
         private static void zoneGone(HandoutWorld w) {
@@ -71,14 +72,23 @@
         static Figures of(List<Long> times, double bytesPerS, long worstSecond) {
             Collections.sort(times);
             double mean = times.stream().mapToLong(t -> t).average().orElse(0) / S;
-            return new Figures(mean, times.get((int) Math.ceil(0.99 * times.size()) - 1) / (double) S,
-                    times.get(times.size() - 1) / (double) S, bytesPerS, worstSecond);
+            return new Figures(
+                    mean,
+                    times.get((int) Math.ceil(0.99 * times.size()) - 1) / (double) S,
+                    times.get(times.size() - 1) / (double) S,
+                    bytesPerS,
+                    worstSecond);
         }
 
         String line() {
-            return String.format(Locale.ROOT, "%6.3f %6.3f %6.3f s  %5.0f B/s, %d B in the worst second",
-                    mean, p99,
-                    worst, bytesPerS, worstSecond);
+            return String.format(
+                    Locale.ROOT,
+                    "%6.3f %6.3f %6.3f s  %5.0f B/s, %d B in the worst second",
+                    mean,
+                    p99,
+                    worst,
+                    bytesPerS,
+                    worstSecond);
         }
     }
 
@@ -149,8 +159,7 @@
 
     @Test
     void itsTimeDoesNotGrowWithTheFleet() {
-        for (Fault fault : List.of(Fault.HEALTHY, Fault.MACHINE_KILLED, Fault.RESTARTING,
-                Fault.ZONE_KILLED)) {
+        for (Fault fault : List.of(Fault.HEALTHY, Fault.MACHINE_KILLED, Fault.RESTARTING, Fault.ZONE_KILLED)) {
             for (int proxies : new int[] {50, 167, 335, 1_340}) {
                 Figures f = measure(fault, proxies, 3);
                 System.out.println("handout " + proxies + " " + fault + " " + f.line());
--- a/src/test/java/mulleinfront/config/HandoutWorld.java
+++ b/src/test/java/mulleinfront/config/HandoutWorld.java
@@ -24,7 +24,12 @@
  */
 final class HandoutWorld {
     /** Client proxies that do what they must not, to see that it is found. */
-    enum Broken { NONE, TAKES_PARTS, GOES_BACK, SAYS_WHAT_IT_HAS_NOT }
+    enum Broken {
+        NONE,
+        TAKES_PARTS,
+        GOES_BACK,
+        SAYS_WHAT_IT_HAS_NOT
+    }
 
     static final int MACHINES = 3;
     static final int ZONES = 10;
@@ -38,12 +43,14 @@
     final List<Proxy> proxies = new ArrayList<>();
     /** Every version decided, and when it was proposed. */
     final List<Version> decided = new ArrayList<>();
+
     final List<Long> proposedUs = new ArrayList<>();
     final HandoutSettings settings;
     boolean regionsApart;
     Broken broken = Broken.NONE;
     /** Lines of differences that were written for readers, each for all who stand at one place. */
     int written;
+
     int wholes;
     int leader;
     private boolean electing;
@@ -53,6 +60,7 @@
     private final Map<String, Difference> parsed = new HashMap<>();
     /** Bytes that a proxy read, in windows of a second, the worst of all. */
     long worstSecond;
+
     long bytes;
     /** What was seen that must not be. */
     final List<String> faults = new ArrayList<>();
@@ -85,8 +93,7 @@
 
     /** One way, microseconds. */
     private long way(int zoneA, int zoneB) {
-        long us = region(zoneA) == region(zoneB) ? chance.nextLong(200, 1_500) : chance.nextLong(18_000,
-                40_000);
+        long us = region(zoneA) == region(zoneB) ? chance.nextLong(200, 1_500) : chance.nextLong(18_000, 40_000);
         return chance.nextInt(200) == 0 ? us + chance.nextLong(200_000, 400_000) : us;
     }
 
@@ -106,8 +113,7 @@
     void propose(Map<String, String> entries) {
         long at = time.now();
         ask(() -> {
-            Version v = new Version(decided.size(), new TreeMap<>(entries), "change " + decided.size(),
-                    at / 1_000);
+            Version v = new Version(decided.size(), new TreeMap<>(entries), "change " + decided.size(), at / 1_000);
             decided.add(v);
             proposedUs.add(at);
             Machine by = machines.get(leader);
@@ -182,9 +188,11 @@
         boolean alive = true;
         /** Its whole zone is gone: nobody says that it is. */
         boolean dark;
+
         long newest;
         /** Since when it has had no majority; below 0: it has one. */
         private long alone = -1;
+
         private Handout handout = new Handout(settings, this, this);
         private final Map<Long, Connection> open = new HashMap<>();
         private long wake = Long.MAX_VALUE;
@@ -266,8 +274,7 @@
 
         @Override
         public byte[] heartbeat(long number, boolean inTouch) {
-            return ("{\"newest\":" + number + ",\"in_touch\":" + inTouch
-                    + "}\n").getBytes(StandardCharsets.UTF_8);
+            return ("{\"newest\":" + number + ",\"in_touch\":" + inTouch + "}\n").getBytes(StandardCharsets.UTF_8);
         }
 
         @Override
@@ -385,6 +392,7 @@
         boolean alive;
         /** Stands still: nothing is read and no timer runs. */
         private boolean stopped;
+
         private final List<Runnable> missed = new ArrayList<>();
         Follower follower;
         private Connection connection;
@@ -395,6 +403,7 @@
         final List<Long> history = new ArrayList<>();
         /** When each was. */
         final List<Long> historyUs = new ArrayList<>();
+
         private byte[] partial = new byte[0];
         private long second;
         private long inSecond;
@@ -524,7 +533,8 @@
                 if (text.startsWith("{\"newest\":")) {
                     int comma = text.indexOf(',');
                     long newest = Long.parseLong(text.substring(10, comma));
-                    if (broken == Broken.GOES_BACK && newest < follower.inForce().number()) {
+                    if (broken == Broken.GOES_BACK
+                            && newest < follower.inForce().number()) {
                         inForce(decided.get((int) newest));
                     }
                     follower.heartbeat(time.now(), newest, text.contains("true"));
@@ -547,13 +557,18 @@
             while (half.size() > d.changed().size() / 2) {
                 half.pollLastEntry();
             }
-            Difference part = new Difference(d.from(), d.to(), half, d.removed(), d.why(),
-                    d.decidedAtMillis(), 0);
-            TreeMap<String, String> entries = new TreeMap<>(d.isWhole()
-                    ? Map.of() : follower.inForce().entries());
+            Difference part = new Difference(d.from(), d.to(), half, d.removed(), d.why(), d.decidedAtMillis(), 0);
+            TreeMap<String, String> entries =
+                    new TreeMap<>(d.isWhole() ? Map.of() : follower.inForce().entries());
             entries.keySet().removeAll(part.removed());
             entries.putAll(half);
-            return new Difference(d.from(), d.to(), half, d.removed(), d.why(), d.decidedAtMillis(),
+            return new Difference(
+                    d.from(),
+                    d.to(),
+                    half,
+                    d.removed(),
+                    d.why(),
+                    d.decidedAtMillis(),
                     Checksum.of(new Version(d.to(), entries, d.why(), d.decidedAtMillis())));
         }
 
@@ -582,11 +597,13 @@
                 timer.cancel();
             }
             Follower asked = follower;
-            timer = time.after(us - time.now(), () -> run(() -> {
-                if (follower == asked) {
-                    follower.onTimer(time.now());
-                }
-            }));
+            timer = time.after(
+                    us - time.now(),
+                    () -> run(() -> {
+                        if (follower == asked) {
+                            follower.onTimer(time.now());
+                        }
+                    }));
         }
 
         /** When a version or a later one was in force; {@code Long.MAX_VALUE}: not yet. */
@@ -621,8 +638,8 @@
             if (p.follower != null) {
                 Version v = p.follower.inForce();
                 if (!v.equals(decided.get((int) v.number()))) {
-                    throw new AssertionError("client proxy " + p.number + " has a version " + v.number()
-                            + " of its own");
+                    throw new AssertionError(
+                            "client proxy " + p.number + " has a version " + v.number() + " of its own");
                 }
             }
         }
@@ -654,7 +671,8 @@
 
     /** The newest with some keys changed. */
     Map<String, String> changed(int keys) {
-        Map<String, String> entries = new TreeMap<>(decided.get(decided.size() - 1).entries());
+        Map<String, String> entries =
+                new TreeMap<>(decided.get(decided.size() - 1).entries());
         List<String> names = new ArrayList<>(entries.keySet());
         for (int i = 0; i < keys && !names.isEmpty(); i++) {
             entries.put(names.get(chance.nextInt(names.size())), Long.toHexString(chance.nextLong()));
--- a/src/test/java/mulleinfront/core/CoreTest.java
+++ b/src/test/java/mulleinfront/core/CoreTest.java
@@ -36,8 +36,8 @@
     private final List<String> log = new ArrayList<>();
     private final List<Attempt> attempts = new ArrayList<>();
     private final List<Throwable> defects = new ArrayList<>();
-    private Consumer<Request> onRequest = r -> { };
-    private Consumer<AttemptEnd> onEnd = e -> { };
+    private Consumer<Request> onRequest = r -> {};
+    private Consumer<AttemptEnd> onEnd = e -> {};
     private Actions module;
     private boolean cancels = true;
     private boolean present = true;
@@ -46,34 +46,51 @@
     private final Core<String, String> core = new Core<>(settings(), time, new ScriptedWire(), defects::add, metrics);
 
     CoreTest() {
-        core.begin((settings, seed, now, actions) -> {
-            module = actions;
-            return new Script();
-        }, 1);
+        core.begin(
+                (settings, seed, now, actions) -> {
+                    module = actions;
+                    return new Script();
+                },
+                1);
         list(Availability.READY);
         log.clear();
     }
 
     private static Settings settings() {
-        return new Settings(List.of(
-                new RequestClass("safe", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 1_000_000),
-                new RequestClass("unsafe", Effect.FRAGILE, null, 0, 1, 0, 500_000, 0, 1_000_000),
-                new RequestClass("keyed", Effect.DEDUP, DedupScope.ZONE, 20_000_000, 1, 0, 500_000, 0, 1_000_000),
-                new RequestClass("soon", Effect.DEDUP, DedupScope.ZONE, 300_000, 1, 0, 500_000, 0, 1_000_000)),
-                List.of(), 1, 1, 0, true, false, new Limits(3, true, true, 2_000_000, 5_000_000),
+        return new Settings(
+                List.of(
+                        new RequestClass("safe", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 1_000_000),
+                        new RequestClass("unsafe", Effect.FRAGILE, null, 0, 1, 0, 500_000, 0, 1_000_000),
+                        new RequestClass(
+                                "keyed", Effect.DEDUP, DedupScope.ZONE, 20_000_000, 1, 0, 500_000, 0, 1_000_000),
+                        new RequestClass("soon", Effect.DEDUP, DedupScope.ZONE, 300_000, 1, 0, 500_000, 0, 1_000_000)),
+                List.of(),
+                1,
+                1,
+                0,
+                true,
+                false,
+                new Limits(3, true, true, 2_000_000, 5_000_000),
                 new Contract(10_000_000, 0.2, 20_000_000));
     }
 
     private void list(Availability state) {
-        core.listed(Source.FULL, List.of(new Endpoint("h", 0, 0, 0, state, 1, 0),
-                new Endpoint("i", 0, 0, 0, Availability.READY, 1, 0)));
+        core.listed(
+                Source.FULL,
+                List.of(new Endpoint("h", 0, 0, 0, state, 1, 0), new Endpoint("i", 0, 0, 0, Availability.READY, 1, 0)));
     }
 
     /** Attempts that do nothing by themselves. */
     private final class ScriptedWire implements Wire<String, String> {
         @Override
-        public Attempt attempt(String requestId, int number, String hostId, String call, long timeoutUs,
-                BooleanSupplier wanted, End<String> end) {
+        public Attempt attempt(
+                String requestId,
+                int number,
+                String hostId,
+                String call,
+                long timeoutUs,
+                BooleanSupplier wanted,
+                End<String> end) {
             if (!hostId.equals("h") && !hostId.equals("i")) {
                 return null;
             }
@@ -142,7 +159,7 @@
 
     private final class Script implements Balancer {
         @Override
-        public void onEndpoints(long now, Source source, List<Endpoint> endpoints) { }
+        public void onEndpoints(long now, Source source, List<Endpoint> endpoints) {}
 
         @Override
         public void onDiscoveryFailed(long now) {
@@ -264,8 +281,11 @@
 
     @Test
     void aKeyedRequestThatMayHaveRunStaysInItsGroup() {
-        core.listed(Source.FULL, List.of(new Endpoint("h", 0, 0, 0, Availability.READY, 1, 0),
-                new Endpoint("i", 1, 0, 0, Availability.READY, 1, 0)));
+        core.listed(
+                Source.FULL,
+                List.of(
+                        new Endpoint("h", 0, 0, 0, Availability.READY, 1, 0),
+                        new Endpoint("i", 1, 0, 0, Availability.READY, 1, 0)));
         log.clear();
         again(KEYED, "i");
         attempts.get(1).write();
@@ -570,10 +590,18 @@
     @Test
     void theWordAtTheEndOfItsTimeIsTrueAfterEveryOutcome() {
         for (int type : List.of(SAFE, UNSAFE, KEYED)) {
-            for (Outcome outcome : List.of(Outcome.FAILED, Outcome.QUEUE_FULL, Outcome.TIMED_OUT,
-                    Outcome.CONNECT_ERROR, Outcome.RESET, Outcome.CANCELED, Outcome.IGNORED)) {
-                boolean mayHaveRun = outcome == Outcome.FAILED || outcome == Outcome.TIMED_OUT
-                        || outcome == Outcome.RESET || outcome == Outcome.CANCELED;
+            for (Outcome outcome : List.of(
+                    Outcome.FAILED,
+                    Outcome.QUEUE_FULL,
+                    Outcome.TIMED_OUT,
+                    Outcome.CONNECT_ERROR,
+                    Outcome.RESET,
+                    Outcome.CANCELED,
+                    Outcome.IGNORED)) {
+                boolean mayHaveRun = outcome == Outcome.FAILED
+                        || outcome == Outcome.TIMED_OUT
+                        || outcome == Outcome.RESET
+                        || outcome == Outcome.CANCELED;
                 sent(type);
                 attempts.get(attempts.size() - 1).end(outcome);
                 said("ended 0 " + outcome);
--- a/src/test/java/mulleinfront/core/FootprintTest.java
+++ b/src/test/java/mulleinfront/core/FootprintTest.java
@@ -25,7 +25,8 @@
             for (int hosts : new int[] {10, 200, 5_000}) {
                 long all = (long) instances * new Footprint(instances, 1).mostIdle(hosts);
                 long bearable = (long) Footprint.IDLE_PER_HOST * hosts;
-                assertTrue(all <= Math.max(bearable, (long) Footprint.LEAST_IDLE * instances),
+                assertTrue(
+                        all <= Math.max(bearable, (long) Footprint.LEAST_IDLE * instances),
                         instances + " instances, " + hosts + " hosts: " + all);
                 assertTrue(all > bearable / 2, "and not far less: " + all);
             }
--- a/src/test/java/mulleinfront/emulator/AuditorTest.java
+++ b/src/test/java/mulleinfront/emulator/AuditorTest.java
@@ -54,50 +54,80 @@
         return Stream.of(
                 Arguments.of("forgets a request", Rule.LOST, "not answered", real, Broken.forgets()),
                 Arguments.of("answers twice", Rule.LOST, "answered twice", real, Broken.answersTwice()),
-                Arguments.of("mixes answers up", Rule.LOST, "served with the answer to", real,
-                        Broken.mixesAnswersUp()),
+                Arguments.of("mixes answers up", Rule.LOST, "served with the answer to", real, Broken.mixesAnswersUp()),
                 Arguments.of("sends after the end", Rule.LOST, "after its end", real, Broken.sendsAfterTheEnd()),
-                Arguments.of("resends a payout", Rule.TWICE, "sent again though attempt",
-                        (Core.Maker) Broken::resendsPayouts, Broken.writesUnasked()),
-                Arguments.of("resends outside the group", Rule.TWICE, "outside the group",
-                        (Core.Maker) Broken::leavesTheGroup, Broken.writesUnasked()),
-                Arguments.of("calls failures harmless", Rule.TWICE, "refused though attempt", real,
+                Arguments.of(
+                        "resends a payout",
+                        Rule.TWICE,
+                        "sent again though attempt",
+                        (Core.Maker) Broken::resendsPayouts,
+                        Broken.writesUnasked()),
+                Arguments.of(
+                        "resends outside the group",
+                        Rule.TWICE,
+                        "outside the group",
+                        (Core.Maker) Broken::leavesTheGroup,
+                        Broken.writesUnasked()),
+                Arguments.of(
+                        "calls failures harmless",
+                        Rule.TWICE,
+                        "refused though attempt",
+                        real,
                         Broken.callsFailuresHarmless()),
                 Arguments.of("sends second copies", Rule.TWICE, "is out", real, Broken.sendsSecondCopies()),
-                Arguments.of("is deaf to drains", Rule.DRAINS, "after being told",
-                        (Core.Maker) Broken::deafToDrains, Broken.writesUnasked()),
-                Arguments.of("hears of lists late", Rule.DRAINS, "after being told", real,
-                        Broken.hearsOfListsLate()),
-                Arguments.of("floods the newest", Rule.COLD, "times what it can do while cold",
-                        (Core.Maker) Broken::floodsTheNewest, Fitting.PLAIN),
-                Arguments.of("favours the newest", Rule.COLD, "times what it can do while cold",
-                        (Core.Maker) Broken::favoursTheNewest, Fitting.PLAIN));
+                Arguments.of(
+                        "is deaf to drains",
+                        Rule.DRAINS,
+                        "after being told",
+                        (Core.Maker) Broken::deafToDrains,
+                        Broken.writesUnasked()),
+                Arguments.of("hears of lists late", Rule.DRAINS, "after being told", real, Broken.hearsOfListsLate()),
+                Arguments.of(
+                        "floods the newest",
+                        Rule.COLD,
+                        "times what it can do while cold",
+                        (Core.Maker) Broken::floodsTheNewest,
+                        Fitting.PLAIN),
+                Arguments.of(
+                        "favours the newest",
+                        Rule.COLD,
+                        "times what it can do while cold",
+                        (Core.Maker) Broken::favoursTheNewest,
+                        Fitting.PLAIN));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("broken")
     void catches(String name, Rule rule, String words, Core.Maker maker, Fitting fitting) throws Exception {
         World.Result result = play(maker, fitting);
-        List<Breach> found = result.breaches().stream().filter(b -> b.rule() == rule).toList();
-        assertFalse(found.isEmpty(), "not caught: " + result.breaches().stream().limit(5).toList());
+        List<Breach> found =
+                result.breaches().stream().filter(b -> b.rule() == rule).toList();
+        assertFalse(
+                found.isEmpty(),
+                "not caught: " + result.breaches().stream().limit(5).toList());
         assertTrue(found.stream().anyMatch(b -> b.what().contains(words)), "" + found.get(0));
         Breach first = found.get(0);
-        assertTrue(first.atUs() > 0 && first.proxy() >= 0 && first.request() != null
-                && first.toString().contains("rule broken: " + rule.words()), first.toString());
+        assertTrue(
+                first.atUs() > 0
+                        && first.proxy() >= 0
+                        && first.request() != null
+                        && first.toString().contains("rule broken: " + rule.words()),
+                first.toString());
     }
 
     @Test
     void theRealOnesKeepAllRulesInTheSameWorld() throws Exception {
         World.Result result = play(Balancer::create, Fitting.PLAIN);
         assertEquals(List.of(), result.breaches());
-        assertTrue(result.service().outcomes().getOrDefault("reset", 0L) > 20, "it is rough: "
-                + result.service().outcomes());
+        assertTrue(
+                result.service().outcomes().getOrDefault("reset", 0L) > 20,
+                "it is rough: " + result.service().outcomes());
     }
 
     @Test
     void theCoresGuardStopsAModuleThatRepeatsOrSendsWhatItMayNot() throws Exception {
-        for (Core.Maker broken : List.<Core.Maker>of(Broken::resendsPayouts, Broken::leavesTheGroup,
-                Broken::deafToDrains)) {
+        for (Core.Maker broken :
+                List.<Core.Maker>of(Broken::resendsPayouts, Broken::leavesTheGroup, Broken::deafToDrains)) {
             assertEquals(List.of(), play(broken, Fitting.PLAIN).breaches());
         }
     }
@@ -120,20 +150,26 @@
                 count = 5
                 """, 1);
         assertTrue(result.breachCount() > 0);
-        assertEquals("not answered when its client proxy ended", result.breaches().get(0).what());
+        assertEquals(
+                "not answered when its client proxy ended",
+                result.breaches().get(0).what());
     }
 
     @Test
     void whoNeitherWatchesNorAsksCountsAsTold() throws Exception {
         // A module that never asks for lists: what discovery has to tell counts all the same.
-        World.Result result = Worlds.world(Worlds.of("""
+        World.Result result = Worlds.world(
+                        Worlds.of("""
                 length = "40s"
                 [[fault]]
                 do = "drain"
                 at = "5s"
                 count = 3
-                """), 1, (settings, seed, now, actions) -> Broken.neverAsks(settings, seed, now, actions),
-                Broken.writesUnasked()).play();
+                """),
+                        1,
+                        (settings, seed, now, actions) -> Broken.neverAsks(settings, seed, now, actions),
+                        Broken.writesUnasked())
+                .play();
         List<String> told = new ArrayList<>();
         result.breaches().stream().filter(b -> b.rule() == Rule.DRAINS).forEach(b -> told.add(b.what()));
         assertTrue(told.stream().anyMatch(w -> w.contains("counts as told")), "" + result.breaches());
@@ -141,10 +177,15 @@
 
     @Test
     void anExceptionInAModuleIsADefect() throws Exception {
-        World.Result result = Worlds.world(Worlds.of("length = \"3s\"\n"), 1, (settings, seed, now, actions) -> {
-            Balancer real = Balancer.create(settings, seed, now, actions);
-            return Broken.throwsOnce(real);
-        }, Fitting.PLAIN).play();
+        World.Result result = Worlds.world(
+                        Worlds.of("length = \"3s\"\n"),
+                        1,
+                        (settings, seed, now, actions) -> {
+                            Balancer real = Balancer.create(settings, seed, now, actions);
+                            return Broken.throwsOnce(real);
+                        },
+                        Fitting.PLAIN)
+                .play();
         assertTrue(result.breaches().stream().anyMatch(b -> b.what().contains("a defect")), "" + result.breaches());
     }
 }
--- a/src/test/java/mulleinfront/emulator/Broken.java
+++ b/src/test/java/mulleinfront/emulator/Broken.java
@@ -27,7 +27,7 @@
 
 /** Cores and modules broken on purpose: each keeps all rules but the one that it is named after. */
 final class Broken {
-    private Broken() { }
+    private Broken() {}
 
     // ---- modules -------------------------------------------------------------------------------------
 
@@ -156,20 +156,57 @@
 
     /** Takes every class for one that may be repeated: a payout that may have run is sent again. */
     static Balancer resendsPayouts(Settings settings, long seed, long now, Actions actions) {
-        return Balancer.create(with(settings, c -> new RequestClass(c.name(), Effect.RETRYABLE, null, 0, c.worth(),
-                c.lateWorth(), c.aimUs(), 0, c.deadlineUs())), seed, now, actions);
+        return Balancer.create(
+                with(
+                        settings,
+                        c -> new RequestClass(
+                                c.name(),
+                                Effect.RETRYABLE,
+                                null,
+                                0,
+                                c.worth(),
+                                c.lateWorth(),
+                                c.aimUs(),
+                                0,
+                                c.deadlineUs())),
+                seed,
+                now,
+                actions);
     }
 
     /** Takes the group that drops repeats for the whole fleet. */
     static Balancer leavesTheGroup(Settings settings, long seed, long now, Actions actions) {
-        return Balancer.create(with(settings, c -> c.effect() != Effect.DEDUP ? c
-                : new RequestClass(c.name(), Effect.DEDUP, DedupScope.ALL, c.dedupWindowUs(), c.worth(),
-                c.lateWorth(), c.aimUs(), 0, c.deadlineUs())), seed, now, actions);
+        return Balancer.create(
+                with(
+                        settings,
+                        c -> c.effect() != Effect.DEDUP
+                                ? c
+                                : new RequestClass(
+                                        c.name(),
+                                        Effect.DEDUP,
+                                        DedupScope.ALL,
+                                        c.dedupWindowUs(),
+                                        c.worth(),
+                                        c.lateWorth(),
+                                        c.aimUs(),
+                                        0,
+                                        c.deadlineUs())),
+                seed,
+                now,
+                actions);
     }
 
     private static Settings with(Settings s, UnaryOperator<RequestClass> change) {
-        return new Settings(s.classes().stream().map(change).toList(), s.tenantShares(), s.overShareWorth(),
-                s.instances(), s.probePrice(), s.subscribe(), s.weightsVary(), s.limits(), s.contract());
+        return new Settings(
+                s.classes().stream().map(change).toList(),
+                s.tenantShares(),
+                s.overShareWorth(),
+                s.instances(),
+                s.probePrice(),
+                s.subscribe(),
+                s.weightsVary(),
+                s.limits(),
+                s.contract());
     }
 
     /** Sends most of what it has to the server that started last. */
@@ -195,16 +232,20 @@
         @Override
         public void onEndpoints(long now, Source source, List<Endpoint> endpoints) {
             endpoints.forEach(e -> ready.remove(e.id()));
-            endpoints.stream().filter(e -> e.availability() == Availability.READY && e.startedAtUs() > 0)
+            endpoints.stream()
+                    .filter(e -> e.availability() == Availability.READY && e.startedAtUs() > 0)
                     .forEach(e -> ready.put(e.id(), e.startedAtUs()));
             super.onEndpoints(now, source, endpoints);
         }
 
         @Override
         String target(String requestId, String endpointId) {
-            return sends++ % every > 0 ? endpointId : ready.entrySet().stream()
-                    .max(Map.Entry.<String, Long>comparingByValue().thenComparing(Map.Entry.comparingByKey()))
-                    .map(Map.Entry::getKey).orElse(endpointId);
+            return sends++ % every > 0
+                    ? endpointId
+                    : ready.entrySet().stream()
+                            .max(Map.Entry.<String, Long>comparingByValue().thenComparing(Map.Entry.comparingByKey()))
+                            .map(Map.Entry::getKey)
+                            .orElse(endpointId);
         }
     }
 
@@ -213,24 +254,47 @@
         return new Module(settings, seed, now, actions) {
             @Override
             public void onEndpoints(long at, Source source, List<Endpoint> endpoints) {
-                super.onEndpoints(at, Source.DELTA, endpoints.stream().map(e -> new Endpoint(e.id(), e.zone(),
-                        e.cell(), e.kind(), Availability.READY, e.weight(), e.startedAtUs())).toList());
+                super.onEndpoints(
+                        at,
+                        Source.DELTA,
+                        endpoints.stream()
+                                .map(e -> new Endpoint(
+                                        e.id(),
+                                        e.zone(),
+                                        e.cell(),
+                                        e.kind(),
+                                        Availability.READY,
+                                        e.weight(),
+                                        e.startedAtUs()))
+                                .toList());
             }
         };
     }
 
     /** Never asks discovery for anything: it takes its lists to come by themselves. */
     static Balancer neverAsks(Settings settings, long seed, long now, Actions actions) {
-        return Balancer.create(new Settings(settings.classes(), settings.tenantShares(), settings.overShareWorth(),
-                settings.instances(), settings.probePrice(), false, settings.weightsVary(), settings.limits(),
-                settings.contract(), settings.me()), seed, now, actions);
+        return Balancer.create(
+                new Settings(
+                        settings.classes(),
+                        settings.tenantShares(),
+                        settings.overShareWorth(),
+                        settings.instances(),
+                        settings.probePrice(),
+                        false,
+                        settings.weightsVary(),
+                        settings.limits(),
+                        settings.contract(),
+                        settings.me()),
+                seed,
+                now,
+                actions);
     }
 
     /** Throws at its hundredth request. */
     static Balancer throwsOnce(Balancer real) {
         int[] count = {0};
-        return (Balancer) java.lang.reflect.Proxy.newProxyInstance(Broken.class.getClassLoader(),
-                new Class<?>[] {Balancer.class}, (self, method, args) -> {
+        return (Balancer) java.lang.reflect.Proxy.newProxyInstance(
+                Broken.class.getClassLoader(), new Class<?>[] {Balancer.class}, (self, method, args) -> {
                     if (method.getName().equals("onRequest") && ++count[0] == 100) {
                         throw new IllegalStateException("a defect");
                     }
@@ -328,8 +392,16 @@
     }
 
     private interface Made {
-        Wire.Attempt attempt(Wire<Call, Answer> wire, Time time, String requestId, int number, String hostId,
-                Call call, long timeoutUs, BooleanSupplier wanted, Wire.End<Answer> end);
+        Wire.Attempt attempt(
+                Wire<Call, Answer> wire,
+                Time time,
+                String requestId,
+                int number,
+                String hostId,
+                Call call,
+                long timeoutUs,
+                BooleanSupplier wanted,
+                Wire.End<Answer> end);
     }
 
     private static Fitting wire(Made made) {
@@ -338,8 +410,14 @@
             public Wire<Call, Answer> wire(Wire<Call, Answer> wire, Time time) {
                 return new Wire<>() {
                     @Override
-                    public Attempt attempt(String requestId, int number, String hostId, Call call, long timeoutUs,
-                            BooleanSupplier wanted, End<Answer> end) {
+                    public Attempt attempt(
+                            String requestId,
+                            int number,
+                            String hostId,
+                            Call call,
+                            long timeoutUs,
+                            BooleanSupplier wanted,
+                            End<Answer> end) {
                         return made.attempt(wire, time, requestId, number, hostId, call, timeoutUs, wanted, end);
                     }
 
@@ -370,8 +448,8 @@
             Wire.Attempt plain = wire.attempt(requestId, number, hostId, call, timeoutUs, wanted, end);
             if (plain != null && ++count[0] % 50 == 0) {
                 time.after(3_000_000, () -> {
-                    Wire.Attempt late = wire.attempt(requestId, number, hostId, call, 1_000_000, () -> true,
-                            (outcome, answer) -> { });
+                    Wire.Attempt late = wire.attempt(
+                            requestId, number, hostId, call, 1_000_000, () -> true, (outcome, answer) -> {});
                     if (late != null) {
                         late.start();
                     }
@@ -388,10 +466,14 @@
         return wire((wire, time, requestId, number, hostId, call, timeoutUs, wanted, end) -> {
             seen.add(hostId);
             Wire.Attempt plain = wire.attempt(requestId, number, hostId, call, timeoutUs, wanted, end);
-            String other = seen.stream().filter(h -> !h.equals(hostId)).sorted().findFirst().orElse(hostId);
+            String other = seen.stream()
+                    .filter(h -> !h.equals(hostId))
+                    .sorted()
+                    .findFirst()
+                    .orElse(hostId);
             if (plain != null && ++count[0] % 50 == 0) {
-                Wire.Attempt copy = wire.attempt(requestId, number + 100, other, call, timeoutUs, wanted,
-                        (outcome, answer) -> { });
+                Wire.Attempt copy =
+                        wire.attempt(requestId, number + 100, other, call, timeoutUs, wanted, (outcome, answer) -> {});
                 if (copy != null) {
                     time.after(10_000, copy::start);
                 }
--- a/src/test/java/mulleinfront/emulator/ColdHostsTest.java
+++ b/src/test/java/mulleinfront/emulator/ColdHostsTest.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import mulleinfront.Balancer;
 import mulleinfront.Balancer.Endpoint;
 import mulleinfront.Balancer.Request;
 import mulleinfront.Balancer.Settings;
-import mulleinfront.Balancer;
 import mulleinfront.core.Core;
 import mulleinfront.settings.BadFileException;
 import org.junit.jupiter.api.parallel.Execution;
@@ -32,25 +32,37 @@
         private double mean;
         /** The largest part of its bound that any host was sent, and where that was. */
         private double most;
+
         private String where = "nothing was sent to any cold host";
         private long counted;
 
         Core.Maker around(double balancers) {
-            return Noted.maker(s -> new Settings(s.classes(), s.tenantShares(), s.overShareWorth(),
-                    (int) Math.max(1, Math.round(s.instances() * balancers)), s.probePrice(), s.subscribe(),
-                    s.weightsVary(), s.limits(), s.contract()), () -> new Instance(this));
+            return Noted.maker(
+                    s -> new Settings(
+                            s.classes(),
+                            s.tenantShares(),
+                            s.overShareWorth(),
+                            (int) Math.max(1, Math.round(s.instances() * balancers)),
+                            s.probePrice(),
+                            s.subscribe(),
+                            s.weightsVary(),
+                            s.limits(),
+                            s.contract()),
+                    () -> new Instance(this));
         }
 
         void sent(String id, long startedAt, double workUs, long now) {
-            Host host = world.hosts.stream().filter(h -> h.id.equals(id)).findFirst().orElseThrow();
+            Host host = world.hosts.stream()
+                    .filter(h -> h.id.equals(id))
+                    .findFirst()
+                    .orElseThrow();
             Balancer.Contract c = world.settings.contract();
             double age = (double) (now - host.startedAt) / c.coldUs();
             if (host.startedAt == 0 || age >= 1) {
                 return;
             }
             counted++;
-            ArrayDeque<double[]> window = sent.computeIfAbsent(id + " of " + host.startedAt,
-                    h -> new ArrayDeque<>());
+            ArrayDeque<double[]> window = sent.computeIfAbsent(id + " of " + host.startedAt, h -> new ArrayDeque<>());
             window.add(new double[] {now, workUs / mean, startedAt == host.startedAt ? 1 : 0});
             long forUs = world.scenario.rules().coldForUs();
             while (window.peek()[0] <= now - forUs) {
@@ -63,8 +75,14 @@
             double bound = n + 2 * Math.sqrt(n) + 2;
             if (byTold * 3 > sum * 2 && sum / bound > most) {
                 most = sum / bound;
-                where = String.format(Locale.ROOT, "%s, %.2f s after its start: %.1f of %.1f (N %.1f), "
-                        + "%.0f%% by those who were told", id, (now - host.startedAt) / 1e6, sum, bound, n,
+                where = String.format(
+                        Locale.ROOT,
+                        "%s, %.2f s after its start: %.1f of %.1f (N %.1f), " + "%.0f%% by those who were told",
+                        id,
+                        (now - host.startedAt) / 1e6,
+                        sum,
+                        bound,
+                        n,
                         100 * byTold / sum);
             }
         }
@@ -88,7 +106,9 @@
                 }
             } else if (event.equals("onRequest")) {
                 Request request = (Request) args[1];
-                work.put(request.id(), meter.world.scenario.classes().get(request.classIndex()).workUs());
+                work.put(
+                        request.id(),
+                        meter.world.scenario.classes().get(request.classIndex()).workUs());
             }
         }
 
@@ -139,8 +159,11 @@
                 at = "9s"
                 for = "5s"
                 factor = 1.5
-                """.formatted(load, SERVERS.formatted(small ? 1 : 2, small ? "0.4, 0.6" : "1.5, 2.1"),
-                SERVERS.formatted(small ? 1 : 2, small ? "0.35, 0.5" : "0.77, 1.0"), fault));
+                """.formatted(
+                        load,
+                        SERVERS.formatted(small ? 1 : 2, small ? "0.4, 0.6" : "1.5, 2.1"),
+                        SERVERS.formatted(small ? 1 : 2, small ? "0.35, 0.5" : "0.77, 1.0"),
+                        fault));
     }
 
     private static final Map<String, String> FAULTS = Map.of(
@@ -186,16 +209,26 @@
                     """);
 
     @ParameterizedTest
-    @CsvSource({"crash, 24, 1, false", "deploy, 100, 1, false", "deploy, 670, 1, false",
-            "all-anew, 670, 1, false", "zone, 24, 1, true", "all-anew, 100, 1, true", "zone, 670, 1, true",
-            // Settings that are wrong by half: of 24 instances each takes itself for one of 12, or of 48.
-            "zone, 24, 0.5, true", "all-anew, 24, 0.5, false", "all-anew, 24, 2, true",
-            "zone, 670, 0.5, true"})
+    @CsvSource({
+        "crash, 24, 1, false",
+        "deploy, 100, 1, false",
+        "deploy, 670, 1, false",
+        "all-anew, 670, 1, false",
+        "zone, 24, 1, true",
+        "all-anew, 100, 1, true",
+        "zone, 670, 1, true",
+        // Settings that are wrong by half: of 24 instances each takes itself for one of 12, or of 48.
+        "zone, 24, 0.5, true",
+        "all-anew, 24, 0.5, false",
+        "all-anew, 24, 2, true",
+        "zone, 670, 0.5, true"
+    })
     void theSumOfAllStaysUnderWhatAColdHostBears(String fault, int proxies, double balancers, boolean small)
             throws Exception {
         Scenario s = scenario(small, small ? "85%" : "60%", FAULTS.get(fault)).withProxies(proxies);
         Meter meter = new Meter();
-        meter.mean = s.classes().stream().mapToDouble(c -> c.share() * c.workUs()).sum();
+        meter.mean =
+                s.classes().stream().mapToDouble(c -> c.share() * c.workUs()).sum();
         long seed = 11 + proxies + (small ? 1 : 0);
         meter.world = Worlds.world(s, seed, meter.around(balancers), Fitting.PLAIN);
         meter.world.play();
--- a/src/test/java/mulleinfront/emulator/DigestTest.java
+++ b/src/test/java/mulleinfront/emulator/DigestTest.java
@@ -50,17 +50,32 @@
             """;
 
     /** Heaps, collectors, locales, time zones, identity hashes and compilers: 20 in all. */
-    private static final List<String> JVMS = List.of("-XX:hashCode=0", "-XX:hashCode=1", "-XX:hashCode=2",
-            "-XX:hashCode=3", "-XX:hashCode=4", "-XX:hashCode=5", "-XX:+UseSerialGC", "-XX:+UseParallelGC",
-            "-XX:+UseG1GC", "-XX:+UseSerialGC -Xmx64m", "-Xmx48m -Xmn8m", "-Xmx1g -Xms1g",
-            "-Duser.language=tr -Duser.country=TR", "-Duser.language=ar -Duser.country=EG",
-            "-Duser.language=mn -Duser.country=MN", "-Duser.timezone=Asia/Ulaanbaatar",
-            "-Duser.timezone=Pacific/Apia", "-XX:TieredStopAtLevel=1", "-Xint", "-Dfile.encoding=ISO-8859-1");
+    private static final List<String> JVMS = List.of(
+            "-XX:hashCode=0",
+            "-XX:hashCode=1",
+            "-XX:hashCode=2",
+            "-XX:hashCode=3",
+            "-XX:hashCode=4",
+            "-XX:hashCode=5",
+            "-XX:+UseSerialGC",
+            "-XX:+UseParallelGC",
+            "-XX:+UseG1GC",
+            "-XX:+UseSerialGC -Xmx64m",
+            "-Xmx48m -Xmn8m",
+            "-Xmx1g -Xms1g",
+            "-Duser.language=tr -Duser.country=TR",
+            "-Duser.language=ar -Duser.country=EG",
+            "-Duser.language=mn -Duser.country=MN",
+            "-Duser.timezone=Asia/Ulaanbaatar",
+            "-Duser.timezone=Pacific/Apia",
+            "-XX:TieredStopAtLevel=1",
+            "-Xint",
+            "-Dfile.encoding=ISO-8859-1");
 
     @TempDir
     Path folder;
 
-    private record Run(Process process, Path out, Path json) { }
+    private record Run(Process process, Path out, Path json) {}
 
     private Run start(int number, String options) throws Exception {
         Path out = folder.resolve("out" + number);
@@ -69,17 +84,32 @@
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(List.of("-XX:+UnlockExperimentalVMOptions"));
         command.addAll(Arrays.asList(options.split(" ")));
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "mulleinfront.Main", "emulate",
-                folder.resolve("short.toml").toString(), "--seed", "7", "--json", json.toString()));
-        return new Run(new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(out.toFile()).start(),
-                out, json);
+        command.addAll(List.of(
+                "-cp",
+                System.getProperty("java.class.path"),
+                "mulleinfront.Main",
+                "emulate",
+                folder.resolve("short.toml").toString(),
+                "--seed",
+                "7",
+                "--json",
+                json.toString()));
+        return new Run(
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(out.toFile())
+                        .start(),
+                out,
+                json);
     }
 
     @Test
     void oneSeedHasOneDigestInTwentyJvms() throws Exception {
         Files.writeString(folder.resolve("short.toml"), SCENARIO);
         Files.copy(Worlds.SHIPPED.resolve("calm.toml"), folder.resolve("calm.toml"));
-        String here = Worlds.world(ScenarioReader.read(folder.resolve("short.toml")), 7).play().sha256();
+        String here = Worlds.world(ScenarioReader.read(folder.resolve("short.toml")), 7)
+                .play()
+                .sha256();
         Set<String> lines = new HashSet<>();
         Set<String> reports = new HashSet<>();
         for (int from = 0; from < JVMS.size(); from += 4) {
@@ -93,8 +123,11 @@
                     List<String> out = Files.readAllLines(run.out(), StandardCharsets.UTF_8);
                     assertEquals(0, run.process().exitValue(), String.join("\n", out));
                     lines.add(out.get(out.size() - 1));
-                    reports.add(Files.readString(run.json()) + out.stream().skip(1)
-                            .filter(l -> !l.contains("warning")).collect(Collectors.joining("\n")));
+                    reports.add(Files.readString(run.json())
+                            + out.stream()
+                                    .skip(1)
+                                    .filter(l -> !l.contains("warning"))
+                                    .collect(Collectors.joining("\n")));
                 } finally {
                     run.process().destroyForcibly();
                 }
--- a/src/test/java/mulleinfront/emulator/DiscoveryBoundTest.java
+++ b/src/test/java/mulleinfront/emulator/DiscoveryBoundTest.java
@@ -8,10 +8,10 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
+import mulleinfront.Balancer;
 import mulleinfront.Balancer.Availability;
 import mulleinfront.Balancer.Endpoint;
 import mulleinfront.Balancer.Source;
-import mulleinfront.Balancer;
 import mulleinfront.core.Core;
 import mulleinfront.core.Time;
 import org.junit.jupiter.api.parallel.Execution;
@@ -36,6 +36,7 @@
      * quicker.
      */
     private static final double ALL_CALL_S = 3;
+
     private static final double ALL_CALL_GIVEN_UP_S = 2;
     private static final long SEEDS = 3;
 
@@ -66,7 +67,7 @@
     }
 
     /** How it went: the longest time until the list was there, and discovery's calls. */
-    record Played(double longestS, long calls, long failed) { }
+    record Played(double longestS, long calls, long failed) {}
 
     static Played play(int instances, double allCallS, Trouble trouble, long seed) throws Exception {
         // The trouble's length differs by seed, so that it ends anywhere between two calls.
@@ -77,8 +78,9 @@
             case SILENT -> fault("discovery-silent", at, lasts);
             case WATCHES_SILENT -> fault("watches-silent", at, 0);
             case RESET -> fault("watches-reset", at, 0);
-            case GIVEN_UP -> fault("discovery-crowd", at - 3, lasts) + "calls = \""
-                    + Math.round(1.5 * instances / allCallS + 1) + "/s\"\n" + fault("watches-reset", at, 0);
+            case GIVEN_UP ->
+                fault("discovery-crowd", at - 3, lasts) + "calls = \"" + Math.round(1.5 * instances / allCallS + 1)
+                        + "/s\"\n" + fault("watches-reset", at, 0);
         };
         double reachable = switch (trouble) {
             case REFUSED, SILENT -> at + lasts;
@@ -87,12 +89,12 @@
             case WATCHES_SILENT, RESET -> at + 0.001;
         };
         Map<Core<Call, Answer>, Long> told = new ConcurrentHashMap<>();
-        World world = Worlds.world(Worlds.of(world(instances, allCallS) + faults), seed, Balancer::create,
-                new Fitting() {
+        World world =
+                Worlds.world(Worlds.of(world(instances, allCallS) + faults), seed, Balancer::create, new Fitting() {
                     @Override
                     public void listed(Core<Call, Answer> core, Source source, List<Endpoint> entries, Time time) {
-                        if (entries.stream().anyMatch(e -> e.id().equals("new-0")
-                                && e.availability() == Availability.DRAINING)) {
+                        if (entries.stream()
+                                .anyMatch(e -> e.id().equals("new-0") && e.availability() == Availability.DRAINING)) {
                             told.putIfAbsent(core, time.now());
                         }
                         core.listed(source, entries);
@@ -108,7 +110,9 @@
         assertEquals(List.of(), result.breaches());
         assertEquals(instances, told.size(), "all were told");
         long last = told.values().stream().mapToLong(Long::longValue).max().orElseThrow();
-        return new Played(last / S - reachable, result.service().counts().get("discovery calls"),
+        return new Played(
+                last / S - reachable,
+                result.service().counts().get("discovery calls"),
                 result.service().counts().get("discovery calls failed"));
     }
 
@@ -135,8 +139,7 @@
     @MethodSource("all")
     void allHaveTheDrainInTime(Trouble trouble, int instances) throws Exception {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Played p = play(instances,
-                    trouble == Trouble.GIVEN_UP ? ALL_CALL_GIVEN_UP_S : ALL_CALL_S, trouble, seed);
+            Played p = play(instances, trouble == Trouble.GIVEN_UP ? ALL_CALL_GIVEN_UP_S : ALL_CALL_S, trouble, seed);
             assertTrue(p.longestS() < BOUND, "seed " + seed + ": " + p);
         }
     }
--- a/src/test/java/mulleinfront/emulator/GraphWorldTest.java
+++ b/src/test/java/mulleinfront/emulator/GraphWorldTest.java
@@ -32,6 +32,7 @@
     private static final int HOSTS = 260;
     /** Where it is not about how many there are. */
     private static final int FEW_HOSTS = 110;
+
     private static final int FEW_SERVICES = 24;
 
     private static GraphSpec small(String name, double perSecond, long lengthUs) throws BadFileException {
@@ -39,12 +40,11 @@
     }
 
     private static GraphSpec few(String name, double perSecond, long lengthUs) throws BadFileException {
-        return GraphReader.read(SIZE.resolve(name + ".toml")).sized(FEW_HOSTS, FEW_SERVICES, perSecond,
-                lengthUs);
+        return GraphReader.read(SIZE.resolve(name + ".toml")).sized(FEW_HOSTS, FEW_SERVICES, perSecond, lengthUs);
     }
 
-    private static GraphWorld world(GraphSpec spec, long seed, Core.Maker maker, Fitting fitting,
-            GraphApplication application) {
+    private static GraphWorld world(
+            GraphSpec spec, long seed, Core.Maker maker, Fitting fitting, GraphApplication application) {
         return new GraphWorld(spec, seed, new Trace(null), maker, fitting, application);
     }
 
@@ -84,9 +84,15 @@
                 }
             }
             assertEquals(77 - spec.fronts(), called.size(), "somebody is called by nobody");
-            assertEquals(10, nodes.stream().mapToInt(CallGraph.Node::level).max().orElseThrow());
-            assertEquals(8, nodes.stream().filter(n ->
-                    n.level() > 0).mapToDouble(CallGraph.Node::visits).sum(), 1e-6);
+            assertEquals(
+                    10, nodes.stream().mapToInt(CallGraph.Node::level).max().orElseThrow());
+            assertEquals(
+                    8,
+                    nodes.stream()
+                            .filter(n -> n.level() > 0)
+                            .mapToDouble(CallGraph.Node::visits)
+                            .sum(),
+                    1e-6);
         }
         assertEquals(CallGraph.draw(spec, 3).nodes(), CallGraph.draw(spec, 3).nodes());
         assertNotEquals(CallGraph.draw(spec, 3).nodes(), CallGraph.draw(spec, 4).nodes());
@@ -96,8 +102,8 @@
     void aClientProxyKnowsTheServicesThatItCallsAndNoOthers() throws Exception {
         GraphWorld world = world(small("world", 600, 1_000_000), 1);
         for (GraphMachine m : world.machines) {
-            Set<Integer> knows = m.upstreams.stream().map(GraphMachine.Upstream::service)
-                    .collect(Collectors.toSet());
+            Set<Integer> knows =
+                    m.upstreams.stream().map(GraphMachine.Upstream::service).collect(Collectors.toSet());
             Set<Integer> calls = m.node.calls().stream().map(CallGraph.Edge::to).collect(Collectors.toSet());
             assertEquals(calls, knows);
             assertEquals(m.node.level() == 0, m.host == null);
@@ -131,11 +137,11 @@
             GraphWorld world = world(few(file, 100, 1_000_000), 1);
             GraphMachine front = world.machines.get(0);
             GraphRequest request = new GraphRequest("s1", 0, 0, null, 1, 0, 500, 1_000);
-            Handling root = new Handling(world, request, null, front, 1_000, end -> { });
+            Handling root = new Handling(world, request, null, front, 1_000, end -> {});
             CallGraph.Edge edge = front.node.calls().get(0);
             Hop hop = new Hop(world, edge, root, 0, "s1.0", 900);
             Host hub = world.part(edge.to()).hosts.get(0);
-            Handling below = hop.serve(hub, 600, end -> { });
+            Handling below = hop.serve(hub, 600, end -> {});
             assertEquals(file.equals("told") ? 900 : 600, below.endsAt);
             assertEquals(1, below.depth);
         }
@@ -159,14 +165,17 @@
 
     static List<String> files() throws Exception {
         try (Stream<Path> files = Files.list(SIZE)) {
-            return files.filter(Files::isRegularFile).map(f -> f.getFileName().toString().replace(".toml", "")).sorted().toList();
+            return files.filter(Files::isRegularFile)
+                    .map(f -> f.getFileName().toString().replace(".toml", ""))
+                    .sorted()
+                    .toList();
         }
     }
 
     @Test
     void everyFailureOfTheSizeHasItsFile() throws Exception {
-        assertEquals(List.of("edge", "host", "rack", "regions", "release", "restarts", "tenths", "told",
-                "world", "zone"),
+        assertEquals(
+                List.of("edge", "host", "rack", "regions", "release", "restarts", "tenths", "told", "world", "zone"),
                 files());
     }
 
@@ -178,8 +187,12 @@
         GraphReport report = world.play();
         assertEquals(List.of(), report.broken());
         assertEquals(0, report.fell());
-        long starts = world.machines.stream().filter(m -> m.host != null && m.host.startedAt > 0).count();
-        assertEquals(List.of("host", "release", "restarts", "tenths", "zone").contains(name), starts > 0,
+        long starts = world.machines.stream()
+                .filter(m -> m.host != null && m.host.startedAt > 0)
+                .count();
+        assertEquals(
+                List.of("host", "release", "restarts", "tenths", "zone").contains(name),
+                starts > 0,
                 starts + " servers were started");
     }
 
@@ -201,9 +214,9 @@
 
     @Test
     void regionsApartAreReachedByNobodyAndAreBackAfterwards() throws Exception {
-        GraphSpec spec = few("world", 500,
-                6_000_000).failing(List.of(new GraphSpec.Failure(GraphSpec.Kind.CUT,
-                2_000_000, 2_000_000, 0, -1, -1, false, 0, 0, false)));
+        GraphSpec spec = few("world", 500, 6_000_000)
+                .failing(List.of(new GraphSpec.Failure(
+                        GraphSpec.Kind.CUT, 2_000_000, 2_000_000, 0, -1, -1, false, 0, 0, false)));
         GraphWorld world = world(spec, 1);
         long[] served = new long[3];
         // What is answered across the cut was on its way when it began.
@@ -222,8 +235,8 @@
     private static GraphSpec changed(String from, String to) throws Exception {
         String text = Files.readString(SIZE.resolve("world.toml"));
         assertTrue(text.contains(from), from);
-        return GraphReader.read("size/world.toml", Section.root("size/world.toml", text.replace(from, to),
-                null)).sized(FEW_HOSTS, FEW_SERVICES, 800, 2_500_000);
+        return GraphReader.read("size/world.toml", Section.root("size/world.toml", text.replace(from, to), null))
+                .sized(FEW_HOSTS, FEW_SERVICES, 800, 2_500_000);
     }
 
     /** Requests whose time is up while their calls are still looking for connections. */
@@ -233,60 +246,68 @@
 
     private static void caught(String words, GraphReport report) {
         assertTrue(report.brokenCount() > 0, "nothing was found");
-        assertTrue(report.broken().stream().anyMatch(b -> b.contains(words)), words + " is not among "
-                + report.broken().subList(0, Math.min(3, report.broken().size())));
+        assertTrue(
+                report.broken().stream().anyMatch(b -> b.contains(words)),
+                words + " is not among "
+                        + report.broken().subList(0, Math.min(3, report.broken().size())));
     }
 
     @Test
     void aDeadlineThatIsNotPassedOnIsCaught() throws Exception {
-        caught("rule broken: the deadline is passed on", world(few("world", 800, 2_500_000), 1,
-                Balancer::create,
-                Fitting.PLAIN, new GraphApplication() {
-                    @Override
-                    public long endOf(long endsAt, long now, long deadlineUs, long reserveUs) {
-                        return now + deadlineUs;
-                    }
-                }).play());
+        caught(
+                "rule broken: the deadline is passed on",
+                world(few("world", 800, 2_500_000), 1, Balancer::create, Fitting.PLAIN, new GraphApplication() {
+                            @Override
+                            public long endOf(long endsAt, long now, long deadlineUs, long reserveUs) {
+                                return now + deadlineUs;
+                            }
+                        })
+                        .play());
     }
 
     @Test
     void callsThatGoOnForARequestThatIsOverAreCaught() throws Exception {
         assertEquals(List.of(), world(impatient(), 1).play().broken());
-        caught("rule broken: what is cancelled above is cancelled below", world(impatient(), 1,
-                Balancer::create,
-                Fitting.PLAIN, new GraphApplication() {
-                    @Override
-                    public boolean cancelsBelow() {
-                        return false;
-                    }
-                }).play());
+        caught(
+                "rule broken: what is cancelled above is cancelled below",
+                world(impatient(), 1, Balancer::create, Fitting.PLAIN, new GraphApplication() {
+                            @Override
+                            public boolean cancelsBelow() {
+                                return false;
+                            }
+                        })
+                        .play());
     }
 
     @Test
     void aClientProxyThatSendsOnAfterACallWasCancelledIsCaught() throws Exception {
-        caught("rule broken: no request is lost: sent to", world(impatient(), 1, Balancer::create,
-                Broken.sendsAfterTheEnd(), GraphApplication.PLAIN).play());
+        caught(
+                "rule broken: no request is lost: sent to",
+                world(impatient(), 1, Balancer::create, Broken.sendsAfterTheEnd(), GraphApplication.PLAIN)
+                        .play());
     }
 
     @Test
     void aCallOfMoreEffectThanItsRequestIsCaught() throws Exception {
-        caught("rule broken: no call has more of an effect than its request", world(few("world", 800,
-                2_500_000), 1,
-                Balancer::create, Fitting.PLAIN, new GraphApplication() {
-                    @Override
-                    public int classOf(int reading, int ofRequest, boolean reads) {
-                        return 1;
-                    }
-                }).play());
+        caught(
+                "rule broken: no call has more of an effect than its request",
+                world(few("world", 800, 2_500_000), 1, Balancer::create, Fitting.PLAIN, new GraphApplication() {
+                            @Override
+                            public int classOf(int reading, int ofRequest, boolean reads) {
+                                return 1;
+                            }
+                        })
+                        .play());
     }
 
     @Test
     void anUnsafeEffectThatARepeatAboveBringsAgainIsCaught() throws Exception {
         GraphSpec failing = changed("errors = \"0.02%\"", "errors = \"10%\"");
         assertEquals(List.of(), world(failing, 1).play().broken());
-        caught("no effect happens twice along a path", world(failing, 1, Broken::resendsPayouts,
-                Broken.writesUnasked(),
-                GraphApplication.PLAIN).play());
+        caught(
+                "no effect happens twice along a path",
+                world(failing, 1, Broken::resendsPayouts, Broken.writesUnasked(), GraphApplication.PLAIN)
+                        .play());
     }
 
     // ---- bad input -----------------------------------------------------------------------------------
@@ -295,8 +316,10 @@
         String text = Files.readString(SIZE.resolve("world.toml"));
         assertTrue(text.contains(from), from);
         String changed = text.replace(from, to);
-        return assertThrows(BadFileException.class, () -> GraphReader.read("size/world.toml",
-                Section.root("size/world.toml", changed, null))).getMessage();
+        return assertThrows(
+                        BadFileException.class,
+                        () -> GraphReader.read("size/world.toml", Section.root("size/world.toml", changed, null)))
+                .getMessage();
     }
 
     @Test
@@ -305,16 +328,14 @@
                 .matches("size/world.toml:\\d+: region.zones: there is no zone 'hovd'"));
         assertTrue(refused("zones = [\"darkhan\", \"erdenet\"]", "zones = [\"darkhan\"]")
                 .matches("size/world.toml:\\d+: region: no \\[\\[region]] has the zone erdenet"));
-        assertTrue(refused("services = 77",
-                "services = 9").matches("size/world.toml:\\d+: graph.services: .*13 or more"));
+        assertTrue(
+                refused("services = 77", "services = 9").matches("size/world.toml:\\d+: graph.services: .*13 or more"));
         assertTrue(refused("calls-per-request = 8", "calls-per-request = 2")
                 .matches("size/world.toml:\\d+: graph: calls-per-request: the chain .* more than 2.00"));
         assertTrue(refused("count = 670", "count = 100")
                 .matches("size/world.toml:\\d+: graph: too few machines: 77 services of 3 .* more than 100"));
-        assertTrue(refused("fan-out = 4",
-                "fan-in = 4").matches("size/world.toml:\\d+: graph.fan-in: unknown key"));
-        assertTrue(refused("effect = \"safe\"",
-                "effect = \"unsafe\"").matches("size/world.toml:\\d+: class: .*safe"));
+        assertTrue(refused("fan-out = 4", "fan-in = 4").matches("size/world.toml:\\d+: graph.fan-in: unknown key"));
+        assertTrue(refused("effect = \"safe\"", "effect = \"unsafe\"").matches("size/world.toml:\\d+: class: .*safe"));
     }
 
     @Test
@@ -322,7 +343,10 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         world(small("world", 400, 1_000_000), 1).play().json(bytes);
         String json = bytes.toString(StandardCharsets.UTF_8);
-        for (String key : List.of("\"depth\" : 10", "\"rules_broken\" : 0", "\"attempts_across_regions\"",
+        for (String key : List.of(
+                "\"depth\" : 10",
+                "\"rules_broken\" : 0",
+                "\"attempts_across_regions\"",
                 "\"admission\"",
                 "\"name\" : \"hub\"")) {
             assertTrue(json.contains(key), key + " is missing");
--- a/src/test/java/mulleinfront/emulator/IdleProcessesTest.java
+++ b/src/test/java/mulleinfront/emulator/IdleProcessesTest.java
@@ -102,13 +102,22 @@
             """);
 
     @ParameterizedTest
-    @CsvSource({"calm, 100, 60, 21", "calm, 20, 130, 22", "calm, 20, 500, 22", "roll, 20, 80, 23",
-            "roll, 20, 200, 21", "jam, 20, 90, 21"})
+    @CsvSource({
+        "calm, 100, 60, 21",
+        "calm, 20, 130, 22",
+        "calm, 20, 500, 22",
+        "roll, 20, 80, 23",
+        "roll, 20, 200, 21",
+        "jam, 20, 90, 21"
+    })
     void nobodyTurnsAwayAllForFourSeconds(String day, int proxies, int load, long seed) throws Exception {
         // One in ten may: none does, so that one that begins to is seen.
         Set<Idleness> idle = new HashSet<>();
-        World world = Worlds.world(scenario(load + "%", FAULTS.get(day)).withProxies(proxies), seed,
-                Noted.maker(s -> s, () -> new Idleness(idle)), Fitting.PLAIN);
+        World world = Worlds.world(
+                scenario(load + "%", FAULTS.get(day)).withProxies(proxies),
+                seed,
+                Noted.maker(s -> s, () -> new Idleness(idle)),
+                Fitting.PLAIN);
         assertTrue(world.play().service().asks() > 1_000, "something was asked");
         assertEquals(0, idle.size(), "of " + proxies + ", seed " + seed);
     }
--- a/src/test/java/mulleinfront/emulator/LargeFleetTest.java
+++ b/src/test/java/mulleinfront/emulator/LargeFleetTest.java
@@ -52,7 +52,8 @@
     @Test
     void whereInstancesAreManyEachKeepsFewConnections() throws Exception {
         // 500 instances that each kept one to all of 14 servers would hold 500 at each, which takes 380.
-        World.Result result = Worlds.world(Worlds.of("length = \"30s\"\n").withProxies(500), 1).play();
+        World.Result result = Worlds.world(Worlds.of("length = \"30s\"\n").withProxies(500), 1)
+                .play();
         assertEquals(List.of(), result.breaches());
         for (Server s : result.service().servers()) {
             assertTrue(s.figures().mostConnections < 300, s.name() + " held " + s.figures().mostConnections);
@@ -125,7 +126,10 @@
                 """), 1).play();
         assertEquals(List.of(), result.breaches());
         assertTrue(result.service().whole() > 0.97, "whole " + result.service().whole());
-        long most = result.service().servers().stream().mapToLong(s -> s.figures().served).max().orElseThrow();
+        long most = result.service().servers().stream()
+                .mapToLong(s -> s.figures().served)
+                .max()
+                .orElseThrow();
         for (Server s : result.service().servers()) {
             assertTrue(s.figures().served > most / 4, s.name() + " served " + s.figures().served + " of " + most);
         }
--- a/src/test/java/mulleinfront/emulator/Noted.java
+++ b/src/test/java/mulleinfront/emulator/Noted.java
@@ -12,15 +12,15 @@
 
 /** The real module with somebody who notes what it is told and what it decides, in the order of both. */
 final class Noted {
-    private Noted() { }
+    private Noted() {}
 
     /** Notes of one instance; there is a new one for each start of a process. */
     interface Notes {
         /** An event of {@link Balancer}, by its method's name, before the module has it. */
-        default void told(long now, String event, Object[] args) { }
+        default void told(long now, String event, Object[] args) {}
 
         /** A decision, by its method's name in {@link Actions}, at the time of the event that led to it. */
-        default void decided(long now, String action, Object[] args) { }
+        default void decided(long now, String action, Object[] args) {}
     }
 
     /**
--- a/src/test/java/mulleinfront/emulator/ReferenceTest.java
+++ b/src/test/java/mulleinfront/emulator/ReferenceTest.java
@@ -21,7 +21,8 @@
     void eachServesACalmDayAndAnswersEverything(Reference r) throws Exception {
         World.Result result = play(r, "length = \"15s\"\n[load]\nof-capacity = \"30%\"\n");
         assertEquals(List.of(), result.breaches());
-        assertTrue(result.service().service() > 0.85, r + ": " + result.service().service());
+        assertTrue(
+                result.service().service() > 0.85, r + ": " + result.service().service());
         assertTrue(result.service().tries().getOrDefault("timed-out", 0L) == 0);
     }
 
@@ -46,7 +47,9 @@
                 count = 2
                 """);
         // They may push over what is cold; they are yardsticks of routing, not of caution.
-        assertEquals(List.of(), result.breaches().stream().filter(b -> b.rule() != Rule.COLD).toList());
+        assertEquals(
+                List.of(),
+                result.breaches().stream().filter(b -> b.rule() != Rule.COLD).toList());
     }
 
     @Test
@@ -75,6 +78,6 @@
         String table = Compared.table(scenario, 1, 2, all);
         assertEquals(1 + Reference.values().length, all.size());
         assertTrue(table.contains("oracle") && table.contains("of late: "), table);
-        assertEquals(Sweep.play(scenario, 1, 2, 1, null, p -> { }), all.get(0).worlds());
+        assertEquals(Sweep.play(scenario, 1, 2, 1, null, p -> {}), all.get(0).worlds());
     }
 }
--- a/src/test/java/mulleinfront/emulator/ScenarioReaderTest.java
+++ b/src/test/java/mulleinfront/emulator/ScenarioReaderTest.java
@@ -19,7 +19,8 @@
 /** Scenario files are read whole or refused whole, with file, line and reason. */
 class ScenarioReaderTest {
     private static String refused(String lines) {
-        return assertThrows(BadFileException.class, () -> Worlds.of(lines), lines).getMessage();
+        return assertThrows(BadFileException.class, () -> Worlds.of(lines), lines)
+                .getMessage();
     }
 
     /** The lines begin at line 4 of the file; {@code \n} in a case is a line's end. */
@@ -94,17 +95,24 @@
 
     @Test
     void whatIsWrongInTheWorldIsSaidWithItsFile() {
-        String wrong = assertThrows(BadFileException.class, () -> ScenarioReader.read("a.toml",
-                "[scenario]\ntitle = \"t\"\nworld = \"b.toml\"\nlength = \"5s\"\n", world -> new String[] {world,
-                    "[network]\nzones = [\"a\"]\n\nsame = 7\n"})).getMessage();
+        String wrong = assertThrows(
+                        BadFileException.class,
+                        () -> ScenarioReader.read(
+                                "a.toml", "[scenario]\ntitle = \"t\"\nworld = \"b.toml\"\nlength = \"5s\"\n", world ->
+                                        new String[] {world, "[network]\nzones = [\"a\"]\n\nsame = 7\n"}))
+                .getMessage();
         assertTrue(wrong.startsWith("b.toml:4: network.same: '7' is no time"), wrong);
-        String unknown = assertThrows(BadFileException.class, () -> ScenarioReader.read("a.toml",
-                "[scenario]\ntitle = \"t\"\nworld = \"b.toml\"\n", world -> new String[] {world,
-                    Worlds.text("calm.toml") + "\n[extra]\n"})).getMessage();
+        String unknown = assertThrows(
+                        BadFileException.class,
+                        () -> ScenarioReader.read("a.toml", "[scenario]\ntitle = \"t\"\nworld = \"b.toml\"\n", world ->
+                                new String[] {world, Worlds.text("calm.toml") + "\n[extra]\n"}))
+                .getMessage();
         assertTrue(unknown.matches("b\\.toml:\\d+: extra: unknown key"), unknown);
-        String chain = assertThrows(BadFileException.class, () -> ScenarioReader.read("a.toml",
-                "[scenario]\ntitle = \"t\"\nworld = \"b.toml\"\n", world -> new String[] {world,
-                    "[scenario]\nworld = \"c.toml\"\n"})).getMessage();
+        String chain = assertThrows(
+                        BadFileException.class,
+                        () -> ScenarioReader.read("a.toml", "[scenario]\ntitle = \"t\"\nworld = \"b.toml\"\n", world ->
+                                new String[] {world, "[scenario]\nworld = \"c.toml\"\n"}))
+                .getMessage();
         assertEquals("a.toml:3: scenario.world: b.toml stands on another world itself", chain);
     }
 
@@ -116,7 +124,9 @@
         assertEquals(world.proxies().spread(), other.proxies().spread());
         assertEquals(world.servers(), other.servers());
         assertEquals(world.classes(), other.classes());
-        double work = other.classes().stream().mapToDouble(c -> c.share() * c.workUs()).sum();
+        double work = other.classes().stream()
+                .mapToDouble(c -> c.share() * c.workUs())
+                .sum();
         assertEquals(0.5, other.load().perSecond() * work / 1e6 / other.capacity(), 1e-9);
         assertEquals(240, world.load().perSecond());
     }
@@ -129,8 +139,8 @@
                 + "|table|tables|ownTables|positive\\(s,|positive\\(head,|place\\(s,)\\(?\\s*\"([a-z-]+)\"");
         int found = 0;
         for (String source : new String[] {"ScenarioReader", "FaultReader"}) {
-            Matcher m = keys.matcher(Files.readString(Path.of("src/main/java/mulleinfront/emulator/" + source
-                    + ".java")));
+            Matcher m =
+                    keys.matcher(Files.readString(Path.of("src/main/java/mulleinfront/emulator/" + source + ".java")));
             while (m.find()) {
                 found++;
                 if (!page.contains("`" + m.group(1) + "`")) {
--- a/src/test/java/mulleinfront/emulator/ServerModelTest.java
+++ b/src/test/java/mulleinfront/emulator/ServerModelTest.java
@@ -6,7 +6,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mulleinfront.emulator.ServerModel.End;
 import mulleinfront.emulator.ServerModel.Figures;
 import mulleinfront.emulator.ServerModel.Job;
 import mulleinfront.emulator.ServerModel.Machine;
@@ -50,9 +49,32 @@
         long pauseEvery;
 
         Machine machine() {
-            return new Machine(cores, speed, slots, room, connections, 0, 5 * S, errors, reportEvery, probeWork,
-                    probes, deep, coldFrom, coldFor, coldWork, pauseEvery, new Range(10 * MS, 20 * MS), crowdAt,
-                    crowdLoss, linger, stops, dropsExpired, keyMemory, keySaving, keys);
+            return new Machine(
+                    cores,
+                    speed,
+                    slots,
+                    room,
+                    connections,
+                    0,
+                    5 * S,
+                    errors,
+                    reportEvery,
+                    probeWork,
+                    probes,
+                    deep,
+                    coldFrom,
+                    coldFor,
+                    coldWork,
+                    pauseEvery,
+                    new Range(10 * MS, 20 * MS),
+                    crowdAt,
+                    crowdLoss,
+                    linger,
+                    stops,
+                    dropsExpired,
+                    keyMemory,
+                    keySaving,
+                    keys);
         }
     }
 
@@ -61,13 +83,24 @@
     }
 
     private ServerModel server(Parts parts, ServerModel.Group group) {
-        return new ServerModel(parts.machine(), queue, Chance.of(1, "server"), group,
-                (job, dropped) -> ran.add(job.requestId + (dropped ? " dropped" : "")), true);
+        return new ServerModel(
+                parts.machine(),
+                queue,
+                Chance.of(1, "server"),
+                group,
+                (job, dropped) -> ran.add(job.requestId + (dropped ? " dropped" : "")),
+                true);
     }
 
     private Job job(double work, String key, String effect, long expiresAt) {
         String id = "r" + ids++;
-        return new Job(id, work, key, effect, effect == null ? 0 : 20 * S, expiresAt,
+        return new Job(
+                id,
+                work,
+                key,
+                effect,
+                effect == null ? 0 : 20 * S,
+                expiresAt,
                 (end, inflight) -> ends.add(queue.now() / MS + " " + id + " " + end));
     }
 
@@ -100,7 +133,7 @@
             at += chance.exponential(1e6 / perSecond);
             queue.runUntil((long) at);
             double work = fixed ? 10 * MS : chance.exponential(10 * MS);
-            server.offer(new Job("r", work, null, null, 0, Long.MAX_VALUE, (end, inflight) -> { }));
+            server.offer(new Job("r", work, null, null, 0, Long.MAX_VALUE, (end, inflight) -> {}));
         }
         queue.runUntil((long) at + 100 * S);
         Figures f = server.figures();
@@ -360,8 +393,16 @@
         until(2_000);
         server.offer(job(10 * MS, "a", null, Long.MAX_VALUE));
         until(3_000);
-        assertEquals(List.of("10 r0 SERVED", "14 r1 SERVED", "110 r2 SERVED", "120 r3 SERVED", "130 r4 SERVED",
-                "2010 r5 SERVED"), ends, "forgotten for room, then for age");
+        assertEquals(
+                List.of(
+                        "10 r0 SERVED",
+                        "14 r1 SERVED",
+                        "110 r2 SERVED",
+                        "120 r3 SERVED",
+                        "130 r4 SERVED",
+                        "2010 r5 SERVED"),
+                ends,
+                "forgotten for room, then for age");
         assertEquals(1, server.figures().keyHits);
     }
 
@@ -392,7 +433,7 @@
             one.offer(job(1, null, "e" + i, Long.MAX_VALUE));
         }
         until(5_000);
-        one.offer(new Job("short", 1, null, "s", S, Long.MAX_VALUE, (end, inflight) -> { }));
+        one.offer(new Job("short", 1, null, "s", S, Long.MAX_VALUE, (end, inflight) -> {}));
         until(6_000);
         one.offer(job(1, null, "e", Long.MAX_VALUE));
         until(7_000);
@@ -444,8 +485,8 @@
         ServerModel server = server(parts);
         List<Integer> reports = new ArrayList<>();
         for (int i = 1; i <= 4; i++) {
-            server.offer(new Job("r", i * 10 * MS, null, null, 0, Long.MAX_VALUE,
-                    (end, inflight) -> reports.add(inflight)));
+            server.offer(
+                    new Job("r", i * 10 * MS, null, null, 0, Long.MAX_VALUE, (end, inflight) -> reports.add(inflight)));
         }
         until(1_000);
         assertEquals(List.of(3, 3, 3, 0), reports);
@@ -468,11 +509,14 @@
             server.cancel(waiting);
             server.cancel(waiting);
             until(from + 100);
-            assertEquals(switch (stops) {
-                case NONE -> List.of(from + 10 + " r0 SERVED", from + 20 + " r1 SERVED", from + 30 + " r2 SERVED");
-                case QUEUED -> List.of(from + 10 + " r0 SERVED", from + 20 + " r2 SERVED");
-                case ALL -> List.of(from + 15 + " r2 SERVED");
-            }, ends);
+            assertEquals(
+                    switch (stops) {
+                        case NONE ->
+                            List.of(from + 10 + " r0 SERVED", from + 20 + " r1 SERVED", from + 30 + " r2 SERVED");
+                        case QUEUED -> List.of(from + 10 + " r0 SERVED", from + 20 + " r2 SERVED");
+                        case ALL -> List.of(from + 15 + " r2 SERVED");
+                    },
+                    ends);
             assertEquals(stops == Stops.ALL ? 5 * MS : 0, server.figures().workWasted, 1);
         }
     }
--- a/src/test/java/mulleinfront/emulator/SoakRangesTest.java
+++ b/src/test/java/mulleinfront/emulator/SoakRangesTest.java
@@ -11,19 +11,28 @@
  */
 class SoakRangesTest {
     private static void within(String what, double low, double constant, double high) {
-        assertTrue(low < constant && constant < high, what + ": " + constant + " is not between " + low + " and " + high);
+        assertTrue(
+                low < constant && constant < high, what + ": " + constant + " is not between " + low + " and " + high);
     }
 
     @Test
     void callsOfAllTakeLessAndMoreThanWhatCountsFromTheEndOfAWatch() {
-        within("2 s after the end of a watch", Drawn.ALL_CALL_US[0], ToldDeadlines.WATCH_ENDED_US, Drawn.ALL_CALL_US[1]);
+        within(
+                "2 s after the end of a watch",
+                Drawn.ALL_CALL_US[0],
+                ToldDeadlines.WATCH_ENDED_US,
+                Drawn.ALL_CALL_US[1]);
         within("6 s in which all is told", Drawn.ALL_CALL_US[0], ToldDeadlines.REACHABLE_US, Drawn.ALL_CALL_US[1]);
     }
 
     @Test
     void answersComeBeforeAndAfterACallIsGivenUp() {
         within("patience of a call", 0, Wire.CALL_SILENCE_US, Drawn.CALL_TIMEOUT_US[1] + Drawn.MOST_LATE_US);
-        within("patience of a call after a move", 0, Wire.MOVED_SILENCE_US, Drawn.CALL_TIMEOUT_US[1] + Drawn.MOST_LATE_US);
+        within(
+                "patience of a call after a move",
+                0,
+                Wire.MOVED_SILENCE_US,
+                Drawn.CALL_TIMEOUT_US[1] + Drawn.MOST_LATE_US);
     }
 
     @Test
--- a/src/test/java/mulleinfront/emulator/WorldTest.java
+++ b/src/test/java/mulleinfront/emulator/WorldTest.java
@@ -43,16 +43,27 @@
         for (long seed = 1001; seed <= 1006; seed++) {
             World.Result result = kept(Worlds.world(scenario, seed).play());
             // Where more is asked than can be done, what counts is how much of that is done.
-            assertTrue(result.service().service() > 0.6 || result.goodput() > 0.8, file + " seed " + seed + ": "
-                    + result.service().service() + ", goodput " + result.goodput());
+            assertTrue(
+                    result.service().service() > 0.6 || result.goodput() > 0.8,
+                    file + " seed " + seed + ": " + result.service().service() + ", goodput " + result.goodput());
         }
     }
 
     @Test
     void nineScenariosAreShipped() throws Exception {
-        assertTrue(Worlds.shipped().stream().map(p -> p.getFileName().toString()).toList().containsAll(List.of(
-                "calm.toml", "hang.toml", "neighbour.toml", "cold-deploy.toml", "lingering.toml", "vanish.toml",
-                "discovery-down.toml", "proxy-killed.toml", "tsagaan-sar.toml")));
+        assertTrue(Worlds.shipped().stream()
+                .map(p -> p.getFileName().toString())
+                .toList()
+                .containsAll(List.of(
+                        "calm.toml",
+                        "hang.toml",
+                        "neighbour.toml",
+                        "cold-deploy.toml",
+                        "lingering.toml",
+                        "vanish.toml",
+                        "discovery-down.toml",
+                        "proxy-killed.toml",
+                        "tsagaan-sar.toml")));
     }
 
     @Test
@@ -64,9 +75,12 @@
                 at = "8s"
                 part = "100%"
                 """);
-        assertTrue(count(result.service().tries(), "failed") > 100, "payouts that may have run have failed: "
-                + result.service().tries());
-        assertTrue(count(result.service().tries(), "refused") > 100, "" + result.service().tries());
+        assertTrue(
+                count(result.service().tries(), "failed") > 100,
+                "payouts that may have run have failed: " + result.service().tries());
+        assertTrue(
+                count(result.service().tries(), "refused") > 100,
+                "" + result.service().tries());
         assertTrue(result.service().windows().get(3).share() < 0.05);
     }
 
@@ -88,8 +102,12 @@
     }
 
     private static double wait(World.Result r) {
-        return r.service().servers().stream().mapToDouble(s -> s.figures().waitSumUs).sum()
-                / r.service().servers().stream().mapToLong(s -> s.figures().begun).sum();
+        return r.service().servers().stream()
+                        .mapToDouble(s -> s.figures().waitSumUs)
+                        .sum()
+                / r.service().servers().stream()
+                        .mapToLong(s -> s.figures().begun)
+                        .sum();
     }
 
     @Test
@@ -161,9 +179,13 @@
                 count = 3
                 """;
         World.Result result = play(slow);
-        assertTrue(count(result.service().outcomes(), "ignored") > 0, "" + result.service().outcomes());
-        World.Result unasked = Worlds.world(Worlds.of(slow), 1, Balancer::create, Broken.writesUnasked()).play();
-        assertTrue(unasked.breaches().stream().anyMatch(b -> b.rule() == Rule.DRAINS),
+        assertTrue(
+                count(result.service().outcomes(), "ignored") > 0,
+                "" + result.service().outcomes());
+        World.Result unasked = Worlds.world(Worlds.of(slow), 1, Balancer::create, Broken.writesUnasked())
+                .play();
+        assertTrue(
+                unasked.breaches().stream().anyMatch(b -> b.rule() == Rule.DRAINS),
                 "it is the check before the first byte that keeps the rule");
     }
 
@@ -289,10 +311,11 @@
     @Test
     void sweepsDoNotDependOnHowManyWorldsArePlayedAtOnce() throws Exception {
         Scenario scenario = Worlds.of("length = \"5s\"\n");
-        List<Sweep.Played> one = Sweep.play(scenario, 3, 10, 1, null, p -> { });
-        assertEquals(one, Sweep.play(scenario, 3, 10, 5, null, p -> { }));
+        List<Sweep.Played> one = Sweep.play(scenario, 3, 10, 1, null, p -> {});
+        assertEquals(one, Sweep.play(scenario, 3, 10, 5, null, p -> {}));
         assertEquals(Worlds.world(scenario, 4).play().sha256(), one.get(1).sha256());
-        assertEquals(one.stream().mapToDouble(Sweep.Played::service).min().orElseThrow(),
+        assertEquals(
+                one.stream().mapToDouble(Sweep.Played::service).min().orElseThrow(),
                 Sweep.worst(one, 3).get(0).service());
     }
 
--- a/src/test/java/mulleinfront/emulator/Worlds.java
+++ b/src/test/java/mulleinfront/emulator/Worlds.java
@@ -12,7 +12,7 @@
 final class Worlds {
     static final Path SHIPPED = Path.of("scenarios");
 
-    private Worlds() { }
+    private Worlds() {}
 
     static List<Path> shipped() throws Exception {
         try (Stream<Path> files = Files.list(SHIPPED)) {
@@ -22,8 +22,9 @@
 
     /** A scenario on the world that is shipped: its lines follow {@code [scenario]} and a title. */
     static Scenario of(String lines) throws BadFileException {
-        return ScenarioReader.read("scenarios/test.toml", "[scenario]\ntitle = \"a test\"\nworld = \"calm.toml\"\n"
-                + lines, world -> new String[] {world, text(world)});
+        return ScenarioReader.read(
+                "scenarios/test.toml", "[scenario]\ntitle = \"a test\"\nworld = \"calm.toml\"\n" + lines, world ->
+                        new String[] {world, text(world)});
     }
 
     static String text(String world) throws BadFileException {
--- a/src/test/java/mulleinfront/fleet/BrokenFleetTest.java
+++ b/src/test/java/mulleinfront/fleet/BrokenFleetTest.java
@@ -21,12 +21,15 @@
     }
 
     private static void caught(FleetRun run, Rule rule) {
-        List<Rule> found = run.judge().breaches().stream().map(b -> b.rule()).distinct().toList();
+        List<Rule> found =
+                run.judge().breaches().stream().map(b -> b.rule()).distinct().toList();
         assertTrue(found.contains(rule), "found " + found + " instead of " + rule);
     }
 
     private static void whole(FleetRun run) {
-        assertTrue(run.judge().breachCount() == 0, () -> "too early: " + run.judge().breaches().get(0));
+        assertTrue(
+                run.judge().breachCount() == 0,
+                () -> "too early: " + run.judge().breaches().get(0));
     }
 
     @Test
@@ -49,7 +52,7 @@
     void oneThatNeverRefutes() {
         FleetRun run = of((s, random, now, wall, out) -> new Fleet(s, random, now, wall, out) {
             @Override
-            void ofUs(long incarnation, MemberState state, long at) { }
+            void ofUs(long incarnation, MemberState state, long at) {}
         });
         whole(run);
         run.stop(3, 20 * S);
@@ -114,7 +117,10 @@
     @Test
     void oneThatTellsNobodyAnything() {
         int members = 40;
-        FleetRun run = Rounds.settle(FleetRun.alone(members, 1, i -> settings(i, members),
+        FleetRun run = Rounds.settle(FleetRun.alone(
+                members,
+                1,
+                i -> settings(i, members),
                 (s, random, now, wall, out) -> new Fleet(s, random, now, wall, out) {
                     @Override
                     void send(int to, long at, boolean withNews) {
@@ -165,8 +171,8 @@
         int[] plain = {0};
         for (long seed = 1; seed <= 3; seed++) {
             for (boolean p : new boolean[] {false, true}) {
-                FleetRun run = Rounds.settle(FleetRun.alone(30, seed,
-                        i -> p ? settings(i, 30).plain() : settings(i, 30)));
+                FleetRun run = Rounds.settle(
+                        FleetRun.alone(30, seed, i -> p ? settings(i, 30).plain() : settings(i, 30)));
                 run.watch((observer, c) -> {
                     if (c.to() == MemberState.FAILED && run.up(c.member())) {
                         (p ? plain : full)[0]++;
--- a/src/test/java/mulleinfront/fleet/DatagramTest.java
+++ b/src/test/java/mulleinfront/fleet/DatagramTest.java
@@ -52,8 +52,15 @@
                         }
                     }
                 }
-                case RECORDS -> w.small(1).member(2).member(0b101).small(1).incarnation(LIFE).small(3).incarnation(LIFE);
-                case GOSSIP -> { }
+                case RECORDS ->
+                    w.small(1)
+                            .member(2)
+                            .member(0b101)
+                            .small(1)
+                            .incarnation(LIFE)
+                            .small(3)
+                            .incarnation(LIFE);
+                case GOSSIP -> {}
             }
             boolean news = kind == Kind.PING || kind == Kind.ACK || kind == Kind.ASK || kind == Kind.GOSSIP;
             for (int i = 0; news && w.room() >= Datagram.RUMOUR; i++) {
@@ -110,22 +117,28 @@
         assertEquals(Drop.DAMAGED, reader().read(good, good.length - 1));
         assertEquals(Drop.OTHER_FLEET, new Reader(Datagram.VERSION, FLEET + 1).read(good, good.length));
         assertEquals(Drop.OTHER_VERSION, new Reader(Datagram.VERSION + 1, FLEET).read(good, good.length));
-        Writer later = writer().begin(Kind.PING, 5, Incarnation.MOST + 1, false, 0).number(1).name(null);
+        Writer later = writer().begin(Kind.PING, 5, Incarnation.MOST + 1, false, 0)
+                .number(1)
+                .name(null);
         byte[] forged = bytes(later);
         assertEquals(Drop.MALFORMED, reader().read(forged, forged.length), "no member can have started then");
     }
 
     /** A member that three others are known to, and what it has come to believe by then. */
     private static Fleet member(long[] now, int[] sent) {
-        Fleet fleet = new Fleet(FleetSettings.usual("test", "n5", 5, 40, 1_000_000, 600_000_000),
-                new SplittableRandom(1), now[0], 1_796_083_200_000L, new Fleet.Actions() {
+        Fleet fleet = new Fleet(
+                FleetSettings.usual("test", "n5", 5, 40, 1_000_000, 600_000_000),
+                new SplittableRandom(1),
+                now[0],
+                1_796_083_200_000L,
+                new Fleet.Actions() {
                     @Override
                     public void send(int member, byte[] bytes, int length) {
                         sent[0]++;
                     }
 
                     @Override
-                    public void wakeAt(long atUs) { }
+                    public void wakeAt(long atUs) {}
                 });
         fleet.start(now[0]);
         return fleet;
@@ -170,8 +183,10 @@
         MemberState[] state = new MemberState[Members.MOST];
         long[] incarnation = new long[Members.MOST];
         fleet.listen(c -> {
-            assertTrue(c.incarnation() > incarnation[c.member()] || c.incarnation() == incarnation[c.member()]
-                    && c.to().compareTo(state[c.member()]) > 0, "went back: " + c);
+            assertTrue(
+                    c.incarnation() > incarnation[c.member()]
+                            || c.incarnation() == incarnation[c.member()] && c.to().compareTo(state[c.member()]) > 0,
+                    "went back: " + c);
             state[c.member()] = c.to();
             incarnation[c.member()] = c.incarnation();
         });
@@ -179,8 +194,12 @@
             byte[] bytes = mutated(good.get(random.nextInt(good.size())), random);
             if (bytes.length > Datagram.HEAD + Datagram.CHECK && bytes.length <= Datagram.MOST) {
                 int body = bytes.length - Datagram.CHECK;
-                ByteBuffer.wrap(bytes).put(0, (byte) Datagram.VERSION).putInt(2, FLEET).putShort(6, (short) 3)
-                        .putShort(8, (short) 5).putLong(body, Hashing.xxh3_64().hashBytesToLong(bytes, 0, body));
+                ByteBuffer.wrap(bytes)
+                        .put(0, (byte) Datagram.VERSION)
+                        .putInt(2, FLEET)
+                        .putShort(6, (short) 3)
+                        .putShort(8, (short) 5)
+                        .putLong(body, Hashing.xxh3_64().hashBytesToLong(bytes, 0, body));
             }
             now[0] += 10_000;
             fleet.onDatagram(now[0], 3, bytes, bytes.length);
--- a/src/test/java/mulleinfront/fleet/ExploreTest.java
+++ b/src/test/java/mulleinfront/fleet/ExploreTest.java
@@ -27,7 +27,7 @@
     private static final long EVEN_US = 60 * S;
 
     /** What may come next: its kind, and whom or which way it is about. */
-    private record Step(char kind, int about) { }
+    private record Step(char kind, int about) {}
 
     /** Chance that is none: the same few numbers over and over, so that states can be alike. */
     private static final class Round implements RandomGenerator {
@@ -71,8 +71,12 @@
             Arrays.fill(incarnation[i], 0);
             wakes[i] = Long.MAX_VALUE;
             up[i] = true;
-            fleets[i] = new Fleet(FleetSettings.usual("t", "n" + i, i, MEMBERS, S, 600 * S), chances[i], now,
-                    1_000_000 + now / 1_000, new Fleet.Actions() {
+            fleets[i] = new Fleet(
+                    FleetSettings.usual("t", "n" + i, i, MEMBERS, S, 600 * S),
+                    chances[i],
+                    now,
+                    1_000_000 + now / 1_000,
+                    new Fleet.Actions() {
                         @Override
                         public void send(int member, byte[] bytes, int length) {
                             ways.get(i * MEMBERS + member).add(Arrays.copyOf(bytes, length));
@@ -85,8 +89,11 @@
                     });
             fleets[i].listen(change -> {
                 int m = change.member();
-                assertTrue(change.incarnation() > incarnation[i][m] || change.incarnation() == incarnation[i][m]
-                        && change.to().ordinal() > state[i][m], "member " + i + " went back on " + m);
+                assertTrue(
+                        change.incarnation() > incarnation[i][m]
+                                || change.incarnation() == incarnation[i][m]
+                                        && change.to().ordinal() > state[i][m],
+                        "member " + i + " went back on " + m);
                 incarnation[i][m] = change.incarnation();
                 state[i][m] = (byte) change.to().ordinal();
             });
@@ -181,7 +188,7 @@
 
         /** All that is sent arrives, for so long. */
         private void settle(long us) {
-            for (long end = now + us; now < end;) {
+            for (long end = now + us; now < end; ) {
                 boolean any = true;
                 while (any) {
                     any = false;
@@ -203,7 +210,11 @@
             StringBuilder out = new StringBuilder();
             out.append(lost).append(killed).append(stopped);
             for (int i = 0; i < MEMBERS; i++) {
-                out.append('\n').append(up[i]).append(still[i]).append(chances[i].at).append(' ');
+                out.append('\n')
+                        .append(up[i])
+                        .append(still[i])
+                        .append(chances[i].at)
+                        .append(' ');
                 if (up[i]) {
                     fleets[i].describe(out, now);
                 }
--- a/src/test/java/mulleinfront/fleet/HardCasesTest.java
+++ b/src/test/java/mulleinfront/fleet/HardCasesTest.java
@@ -154,13 +154,15 @@
     @Test
     void twoProcessesOfOneNumberAndTwoOfOneNameAreSaidAndChangeNothing() {
         int members = 9;
-        FleetRun run = FleetRun.alone(members, 1, i -> i == 7 ? FleetSettings.usual("test", "n5", 7, members, S, 600 * S)
-                : settings(i, members));
+        FleetRun run = FleetRun.alone(
+                members,
+                1,
+                i -> i == 7 ? FleetSettings.usual("test", "n5", 7, members, S, 600 * S) : settings(i, members));
         List<String> said = new ArrayList<>();
         Rounds.settle(run);
         run.member(0).listen(new Fleet.Listener() {
             @Override
-            public void changed(Change change) { }
+            public void changed(Change change) {}
 
             @Override
             public void sameName(long now, String name, int one, int other) {
@@ -185,8 +187,10 @@
         run.kill(6);
         run.run(S);
         // Somebody of another fleet has the address now, and answers whatever comes.
-        run.start(6, (s, random, now, wall, out) -> new Fleet(
-                FleetSettings.usual("other", "x", 6, 9, S, 600 * S), random, now, wall, out));
+        run.start(
+                6,
+                (s, random, now, wall, out) ->
+                        new Fleet(FleetSettings.usual("other", "x", 6, 9, S, 600 * S), random, now, wall, out));
         run.run(bound(9));
         assertEquals(8, run.believing(6, MemberState.FAILED));
         assertTrue(run.dropped(Drop.OTHER_FLEET) > 0);
@@ -330,8 +334,7 @@
     @Test
     void whoeverIsNotSeenForLongCountsNoMoreWhereAMajorityIs() {
         int members = 9;
-        FleetRun run = FleetRun.alone(members, 1,
-                i -> FleetSettings.usual("test", "n" + i, i, members, S, 60 * S));
+        FleetRun run = FleetRun.alone(members, 1, i -> FleetSettings.usual("test", "n" + i, i, members, S, 60 * S));
         Rounds.settle(run);
         run.cut(members(0, 5), members(5, 9), false);
         run.run(50 * S);
--- a/src/test/java/mulleinfront/fleet/MembersTest.java
+++ b/src/test/java/mulleinfront/fleet/MembersTest.java
@@ -16,14 +16,16 @@
     private static final long S = 1_000_000;
     private static final long LIFE = Incarnation.starting(1_000_000_000_000L);
 
-    private record Word(int member, long incarnation, MemberState state) { }
+    private record Word(int member, long incarnation, MemberState state) {}
 
     @Test
     void wordsInAnyOrderAndNumberComeToOneView() {
         Random random = new Random(5);
         List<Word> words = new ArrayList<>();
         for (int i = 0; i < 4_000; i++) {
-            words.add(new Word(random.nextInt(700), LIFE + random.nextInt(5) * (random.nextInt(3) == 0 ? 1L << 16 : 1),
+            words.add(new Word(
+                    random.nextInt(700),
+                    LIFE + random.nextInt(5) * (random.nextInt(3) == 0 ? 1L << 16 : 1),
                     MemberState.of(1 + random.nextInt(4))));
         }
         long digest = 0;
--- a/src/test/java/mulleinfront/fleet/Rounds.java
+++ b/src/test/java/mulleinfront/fleet/Rounds.java
@@ -9,7 +9,7 @@
     static final long S = 1_000_000;
     static final Range NO_TIME = Range.of(0);
 
-    private Rounds() { }
+    private Rounds() {}
 
     static FleetSettings settings(int number, int members) {
         return FleetSettings.usual("test", "n" + number, number, members, S, 600 * S);
--- a/src/test/java/mulleinfront/keep/CodecTest.java
+++ b/src/test/java/mulleinfront/keep/CodecTest.java
@@ -25,50 +25,127 @@
 
     private static List<RaftMessage> all() {
         String g = Codec.GROUP;
-        RaftGroupMembersView members = MODEL.createRaftGroupMembersViewBuilder().setLogIndex(0)
-                .setMembers(List.of(K1, new Member("k2"))).setVotingMembers(List.of(K1)).build();
-        LogEntry change = MODEL.createLogEntryBuilder().setIndex(7).setTerm(3)
-                .setOperation(new Operation.Change(Trio.proposal("p", 2, "żółć"))).build();
-        LogEntry start = MODEL.createLogEntryBuilder().setIndex(8).setTerm(4)
-                .setOperation(new Operation.TermStart()).build();
+        RaftGroupMembersView members = MODEL.createRaftGroupMembersViewBuilder()
+                .setLogIndex(0)
+                .setMembers(List.of(K1, new Member("k2")))
+                .setVotingMembers(List.of(K1))
+                .build();
+        LogEntry change = MODEL.createLogEntryBuilder()
+                .setIndex(7)
+                .setTerm(3)
+                .setOperation(new Operation.Change(Trio.proposal("p", 2, "żółć")))
+                .build();
+        LogEntry start = MODEL.createLogEntryBuilder()
+                .setIndex(8)
+                .setTerm(4)
+                .setOperation(new Operation.TermStart())
+                .build();
         return List.of(
-                MODEL.createAppendEntriesRequestBuilder().setGroupId(g).setSender(K1).setTerm(4)
-                        .setPreviousLogTerm(2).setPreviousLogIndex(6).setCommitIndex(5)
-                        .setLogEntries(List.of(change, start)).setQuerySequenceNumber(9)
-                        .setFlowControlSequenceNumber(10).build(),
-                MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId(g).setSender(K1).setTerm(4)
-                        .setLastLogIndex(8).setQuerySequenceNumber(1).setFlowControlSequenceNumber(2).build(),
-                MODEL.createAppendEntriesFailureResponseBuilder().setGroupId(g).setSender(K1).setTerm(4)
-                        .setExpectedNextIndex(8).setQuerySequenceNumber(1).setFlowControlSequenceNumber(2)
-                                .build(),
-                MODEL.createInstallSnapshotRequestBuilder().setGroupId(g).setSender(K1).setTerm(4)
-                        .setSenderLeader(true).setSnapshotTerm(3).setSnapshotIndex(128)
+                MODEL.createAppendEntriesRequestBuilder()
+                        .setGroupId(g)
+                        .setSender(K1)
+                        .setTerm(4)
+                        .setPreviousLogTerm(2)
+                        .setPreviousLogIndex(6)
+                        .setCommitIndex(5)
+                        .setLogEntries(List.of(change, start))
+                        .setQuerySequenceNumber(9)
+                        .setFlowControlSequenceNumber(10)
+                        .build(),
+                MODEL.createAppendEntriesSuccessResponseBuilder()
+                        .setGroupId(g)
+                        .setSender(K1)
+                        .setTerm(4)
+                        .setLastLogIndex(8)
+                        .setQuerySequenceNumber(1)
+                        .setFlowControlSequenceNumber(2)
+                        .build(),
+                MODEL.createAppendEntriesFailureResponseBuilder()
+                        .setGroupId(g)
+                        .setSender(K1)
+                        .setTerm(4)
+                        .setExpectedNextIndex(8)
+                        .setQuerySequenceNumber(1)
+                        .setFlowControlSequenceNumber(2)
+                        .build(),
+                MODEL.createInstallSnapshotRequestBuilder()
+                        .setGroupId(g)
+                        .setSender(K1)
+                        .setTerm(4)
+                        .setSenderLeader(true)
+                        .setSnapshotTerm(3)
+                        .setSnapshotIndex(128)
                         .setTotalSnapshotChunkCount(2)
-                        .setSnapshotChunk(MODEL.createSnapshotChunkBuilder().setIndex(128).setTerm(3)
+                        .setSnapshotChunk(MODEL.createSnapshotChunkBuilder()
+                                .setIndex(128)
+                                .setTerm(3)
                                 .setOperation(new Operation.Part(new byte[] {1, 2, 3}))
-                                        .setSnapshotChunkIndex(1)
-                                .setSnapshotChunkCount(2).setGroupMembersView(members).build())
-                        .setSnapshottedMembers(List.of(K1)).setGroupMembersView(members)
-                        .setQuerySequenceNumber(1).setFlowControlSequenceNumber(2).build(),
-                MODEL.createInstallSnapshotRequestBuilder().setGroupId(g).setSender(K1).setTerm(4)
-                        .setSenderLeader(false).setSnapshotTerm(3).setSnapshotIndex(128)
-                        .setTotalSnapshotChunkCount(2).setSnapshotChunk(null).setSnapshottedMembers(List.of())
-                        .setGroupMembersView(members).setQuerySequenceNumber(1)
-                                .setFlowControlSequenceNumber(2)
+                                .setSnapshotChunkIndex(1)
+                                .setSnapshotChunkCount(2)
+                                .setGroupMembersView(members)
+                                .build())
+                        .setSnapshottedMembers(List.of(K1))
+                        .setGroupMembersView(members)
+                        .setQuerySequenceNumber(1)
+                        .setFlowControlSequenceNumber(2)
+                        .build(),
+                MODEL.createInstallSnapshotRequestBuilder()
+                        .setGroupId(g)
+                        .setSender(K1)
+                        .setTerm(4)
+                        .setSenderLeader(false)
+                        .setSnapshotTerm(3)
+                        .setSnapshotIndex(128)
+                        .setTotalSnapshotChunkCount(2)
+                        .setSnapshotChunk(null)
+                        .setSnapshottedMembers(List.of())
+                        .setGroupMembersView(members)
+                        .setQuerySequenceNumber(1)
+                        .setFlowControlSequenceNumber(2)
+                        .build(),
+                MODEL.createInstallSnapshotResponseBuilder()
+                        .setGroupId(g)
+                        .setSender(K1)
+                        .setTerm(4)
+                        .setSnapshotIndex(128)
+                        .setRequestedSnapshotChunkIndex(1)
+                        .setQuerySequenceNumber(1)
+                        .setFlowControlSequenceNumber(2)
+                        .build(),
+                MODEL.createPreVoteRequestBuilder()
+                        .setGroupId(g)
+                        .setSender(K1)
+                        .setTerm(4)
+                        .setLastLogTerm(3)
+                        .setLastLogIndex(8)
+                        .build(),
+                MODEL.createPreVoteResponseBuilder()
+                        .setGroupId(g)
+                        .setSender(K1)
+                        .setTerm(4)
+                        .setGranted(true)
                         .build(),
-                MODEL.createInstallSnapshotResponseBuilder().setGroupId(g).setSender(K1).setTerm(4)
-                        .setSnapshotIndex(128).setRequestedSnapshotChunkIndex(1).setQuerySequenceNumber(1)
-                        .setFlowControlSequenceNumber(2).build(),
-                MODEL.createPreVoteRequestBuilder().setGroupId(g).setSender(K1).setTerm(4).setLastLogTerm(3)
-                        .setLastLogIndex(8).build(),
-                MODEL.createPreVoteResponseBuilder().setGroupId(g).setSender(K1).setTerm(4).setGranted(true)
+                MODEL.createVoteRequestBuilder()
+                        .setGroupId(g)
+                        .setSender(K1)
+                        .setTerm(4)
+                        .setLastLogTerm(3)
+                        .setLastLogIndex(8)
+                        .setSticky(true)
                         .build(),
-                MODEL.createVoteRequestBuilder().setGroupId(g).setSender(K1).setTerm(4).setLastLogTerm(3)
-                        .setLastLogIndex(8).setSticky(true).build(),
-                MODEL.createVoteResponseBuilder().setGroupId(g).setSender(K1).setTerm(4).setGranted(true)
+                MODEL.createVoteResponseBuilder()
+                        .setGroupId(g)
+                        .setSender(K1)
+                        .setTerm(4)
+                        .setGranted(true)
                         .build(),
-                MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId(g).setSender(K1).setTerm(4)
-                        .setLastLogTerm(3).setLastLogIndex(8).build());
+                MODEL.createTriggerLeaderElectionRequestBuilder()
+                        .setGroupId(g)
+                        .setSender(K1)
+                        .setTerm(4)
+                        .setLastLogTerm(3)
+                        .setLastLogIndex(8)
+                        .build());
     }
 
     @Test
@@ -128,7 +205,9 @@
         }
         byte[] other = Codec.proposal(proposal);
         other[0] = 2;
-        assertEquals("format 2 is not known, 1 is",
-                assertThrows(IllegalArgumentException.class, () -> Codec.proposal(other)).getMessage());
+        assertEquals(
+                "format 2 is not known, 1 is",
+                assertThrows(IllegalArgumentException.class, () -> Codec.proposal(other))
+                        .getMessage());
     }
 }
--- a/src/test/java/mulleinfront/keep/DiskLogTest.java
+++ b/src/test/java/mulleinfront/keep/DiskLogTest.java
@@ -33,6 +33,7 @@
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
     /** Bytes from one cut to the next; with -Dkeep.stride=1 each byte is tried, which takes minutes. */
     private static final int STRIDE = Integer.getInteger("keep.stride", 97);
+
     private static final Set<String> KEEPERS = Set.of("k1", "k2", "k3");
 
     @TempDir
@@ -45,19 +46,29 @@
     private static void begin(DiskLog log) throws IOException {
         List<RaftEndpoint> members = List.of(new Member("k1"), new Member("k2"), new Member("k3"));
         log.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new Member("k1")).setVoting(true).build());
-        log.persistAndFlushInitialGroupMembers(MODEL.createRaftGroupMembersViewBuilder().setLogIndex(0)
-                .setMembers(members).setVotingMembers(members).build());
+                .setLocalEndpoint(new Member("k1"))
+                .setVoting(true)
+                .build());
+        log.persistAndFlushInitialGroupMembers(MODEL.createRaftGroupMembersViewBuilder()
+                .setLogIndex(0)
+                .setMembers(members)
+                .setVotingMembers(members)
+                .build());
     }
 
     private static void term(DiskLog log, int term, String vote) throws IOException {
-        log.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder().setTerm(term)
-                .setVotedFor(vote == null ? null : new Member(vote)).build());
+        log.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
+                .setTerm(term)
+                .setVotedFor(vote == null ? null : new Member(vote))
+                .build());
     }
 
     private static LogEntry entry(long index) {
-        return MODEL.createLogEntryBuilder().setIndex(index).setTerm(1)
-                .setOperation(new Operation.Change(Trio.proposal("p" + index, -1, "v" + index))).build();
+        return MODEL.createLogEntryBuilder()
+                .setIndex(index)
+                .setTerm(1)
+                .setOperation(new Operation.Change(Trio.proposal("p" + index, -1, "v" + index)))
+                .build();
     }
 
     private static void append(DiskLog log, long index) throws IOException {
@@ -88,15 +99,15 @@
             term(log, 5, "k3");
         }
         try (DiskLog log = open(home)) {
-            assertEquals(new Member("k3"), log.restored().getTermPersistentState().getVotedFor());
+            assertEquals(
+                    new Member("k3"), log.restored().getTermPersistentState().getVotedFor());
         }
     }
 
     /** What a log says of itself, for comparison. */
     private static String state(DiskLog log) {
         RestoredRaftState state = log.restored();
-        return log.saves() + " " + log.committed() + " " + state.getTermPersistentState()
-                + state.getLogEntries();
+        return log.saves() + " " + log.committed() + " " + state.getTermPersistentState() + state.getLogEntries();
     }
 
     /** Writes one with everything in it. */
@@ -116,8 +127,7 @@
      * Opens a directory in which one file has other bytes: it is as it was, or refused in one line with a
      * name.
      */
-    private void wholeOrRefused(Path from, String file, byte[] bytes, String state, String what,
-            TreeSet<String> kinds)
+    private void wholeOrRefused(Path from, String file, byte[] bytes, String state, String what, TreeSet<String> kinds)
             throws IOException {
         Path to = home.resolve("changed");
         Files.createDirectories(to);
@@ -141,8 +151,7 @@
         byte[] store = Files.readAllBytes(from.resolve(DiskLog.STORE));
         TreeSet<String> kinds = new TreeSet<>();
         for (int length = 0; length < store.length; length += STRIDE) {
-            wholeOrRefused(from, DiskLog.STORE, Arrays.copyOf(store, length), state, "cut at " + length,
-                    kinds);
+            wholeOrRefused(from, DiskLog.STORE, Arrays.copyOf(store, length), state, "cut at " + length, kinds);
         }
         assertTrue(kinds.contains("refused"), kinds.toString());
     }
@@ -191,8 +200,7 @@
         }
         Files.write(home.resolve(DiskLog.STORE), older);
         String why = assertThrows(IOException.class, () -> open(home)).getMessage();
-        assertTrue(why.endsWith("is at save 3, its mark at 4: it was cut, or an older copy was put back"),
-                why);
+        assertTrue(why.endsWith("is at save 3, its mark at 4: it was cut, or an older copy was put back"), why);
         Files.delete(home.resolve(DiskLog.MARK));
         why = assertThrows(IOException.class, () -> open(home)).getMessage();
         assertTrue(why.contains("keeper.mark: is missing"), why);
@@ -204,7 +212,8 @@
         begin(log);
         log.close();
         String first = assertThrows(IOException.class, () -> append(log, 1)).getMessage();
-        assertEquals(first, assertThrows(IOException.class, () -> term(log, 2, null)).getMessage());
+        assertEquals(
+                first, assertThrows(IOException.class, () -> term(log, 2, null)).getMessage());
         assertEquals(2, log.saves());
     }
 
@@ -216,10 +225,13 @@
                 append(log, i);
                 if (i % 128 == 0) {
                     log.taking(i);
-                    log.persistSnapshotChunk(MODEL.createSnapshotChunkBuilder().setIndex(i).setTerm(1)
-                            .setOperation(new Operation.Part(new byte[10_000])).setSnapshotChunkIndex(0)
-                            .setSnapshotChunkCount(1).setGroupMembersView(log.restored()
-                                    .getInitialGroupMembers())
+                    log.persistSnapshotChunk(MODEL.createSnapshotChunkBuilder()
+                            .setIndex(i)
+                            .setTerm(1)
+                            .setOperation(new Operation.Part(new byte[10_000]))
+                            .setSnapshotChunkIndex(0)
+                            .setSnapshotChunkCount(1)
+                            .setGroupMembersView(log.restored().getInitialGroupMembers())
                             .build());
                     log.flush();
                     log.truncateLogEntriesUntil(i);
@@ -261,10 +273,15 @@
     void killedAtAnyTimeItHoldsWhatItSaid() throws Exception {
         long said = 0;
         for (int round = 0; round < 5; round++) {
-            Process child = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-                    .toString(),
-                    "-cp", System.getProperty("java.class.path"), Child.class.getName(), home.toString())
-                    .redirectError(ProcessBuilder.Redirect.INHERIT).start();
+            Process child = new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            Child.class.getName(),
+                            home.toString())
+                    .redirectError(ProcessBuilder.Redirect.INHERIT)
+                    .start();
             try (BufferedReader lines = new BufferedReader(new InputStreamReader(child.getInputStream()))) {
                 for (int i = 0; i < 20 + 17 * round; i++) {
                     String line = lines.readLine();
@@ -274,8 +291,7 @@
                 }
                 // By its handle: the process itself would close what it has said.
                 child.toHandle().destroyForcibly();
-                for (String line = lines.readLine(); line != null
-                        && !line.isEmpty(); line = lines.readLine()) {
+                for (String line = lines.readLine(); line != null && !line.isEmpty(); line = lines.readLine()) {
                     said = Long.parseLong(line);
                 }
             }
@@ -283,8 +299,11 @@
             try (DiskLog log = open(home)) {
                 List<LogEntry> entries = new ArrayList<>(log.restored().getLogEntries());
                 assertTrue(entries.size() >= said, entries.size() + " entries, " + said + " were said");
-                assertEquals("p" + said, ((Operation.Change) entries.get((int) said - 1).getOperation())
-                        .proposal().id());
+                assertEquals(
+                        "p" + said,
+                        ((Operation.Change) entries.get((int) said - 1).getOperation())
+                                .proposal()
+                                .id());
                 said = entries.size();
             }
         }
--- a/src/test/java/mulleinfront/keep/KeepWorld.java
+++ b/src/test/java/mulleinfront/keep/KeepWorld.java
@@ -70,12 +70,11 @@
             asked++;
             Proposal mine = variant == Variant.DECIDES_TWICE && asked > 1
                     ? new Proposal(proposal.id() + "." + asked, -1, proposal.entries(), proposal.why(), 0)
-                            : proposal;
+                    : proposal;
             machine.keeper.propose(mine, answer -> {
                 judge(!answered[0], "answered twice");
                 answered[0] = true;
-                judge(now - begun <= Keeper.PROPOSAL_NANOS, "an answer took " + (now - begun) / 1_000_000
-                        + " ms");
+                judge(now - begun <= Keeper.PROPOSAL_NANOS, "an answer took " + (now - begun) / 1_000_000 + " ms");
                 settle(answer);
             });
             // Whoever asked a keeper that has crashed since asks another one.
@@ -98,7 +97,8 @@
             if (answer.what() == What.DECIDED) {
                 decided++;
                 Version version = truth.get(answer.number());
-                judge(version == null || version.entries().get("id").equals(proposal.id()),
+                judge(
+                        version == null || version.entries().get("id").equals(proposal.id()),
                         proposal.id() + " was said to be version " + answer.number() + ", which is another");
             }
         }
@@ -121,17 +121,23 @@
             up = true;
             run++;
             try {
-                keeper = new Keeper(name, variant == Variant.ONE_WORD_IS_ENOUGH ? List.of(name) : names, this,
-                        new Random(random.nextLong()), log, this, SNAPSHOT_ENTRIES);
+                keeper = new Keeper(
+                        name,
+                        variant == Variant.ONE_WORD_IS_ENOUGH ? List.of(name) : names,
+                        this,
+                        new Random(random.nextLong()),
+                        log,
+                        this,
+                        SNAPSHOT_ENTRIES);
             } catch (IOException e) {
                 judge(false, name + " can't start: " + e.getMessage());
                 return;
             }
             Keeper mine = keeper;
             Version newest = variant == Variant.GOES_BACK && mine.newest().number() > 0
-                    ? mine.at(Math.max(1, mine.newest().number() - 1)) : mine.newest();
-            judge(newest.number() >= told, name + " is back at version " + newest.number() + ", had told of "
-                    + told);
+                    ? mine.at(Math.max(1, mine.newest().number() - 1))
+                    : mine.newest();
+            judge(newest.number() >= told, name + " is back at version " + newest.number() + ", had told of " + told);
             told = Math.max(told, newest.number());
             mine.listen(version -> {
                 judge(version.number() == told + 1, name + " told of " + version.number() + " after " + told);
@@ -189,8 +195,11 @@
             };
             schedule(() -> once.accept(null), TimeUnit.SECONDS.toNanos(1));
             byte[] bytes = Codec.proposal(proposal);
-            carry(this, machine(to), target -> target.keeper.proposeHere(Codec.proposal(bytes), answer ->
-                    carry(target, this, back -> once.accept(answer))));
+            carry(
+                    this,
+                    machine(to),
+                    target -> target.keeper.proposeHere(
+                            Codec.proposal(bytes), answer -> carry(target, this, back -> once.accept(answer))));
         }
 
         @Override
@@ -212,6 +221,7 @@
     private final List<Proposer> proposers = new ArrayList<>();
     /** What the judge found, in order, with its time. */
     final List<String> found = new ArrayList<>();
+
     private long now;
     private long order;
     private int open;
@@ -252,7 +262,8 @@
         }
         int copies = faults && random.nextInt(100) < 3 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            long delay = faults && random.nextInt(100) < 5 ? millis(random.nextInt(1500))
+            long delay = faults && random.nextInt(100) < 5
+                    ? millis(random.nextInt(1500))
                     : 100_000 + random.nextInt(5_000_000);
             after(delay, () -> {
                 if (to.up) {
@@ -324,7 +335,8 @@
         for (Proposer p : proposers) {
             Long number = numbers.get(p.proposal.id());
             boolean is = number != null;
-            judge(p.last == null || is == (p.last.what() == What.DECIDED),
+            judge(
+                    p.last == null || is == (p.last.what() == What.DECIDED),
                     p.proposal.id() + " was said to be " + p.last + ", and is version " + number);
         }
         return newest;
--- a/src/test/java/mulleinfront/keep/KeeperNodeTest.java
+++ b/src/test/java/mulleinfront/keep/KeeperNodeTest.java
@@ -28,7 +28,8 @@
         try (Trio trio = Trio.started(home)) {
             long number = 0;
             for (String name : Trio.NAMES) {
-                assertEquals(new Answer(What.DECIDED, ++number, ""),
+                assertEquals(
+                        new Answer(What.DECIDED, ++number, ""),
                         trio.settle(name, Trio.proposal("p-" + name, -1, name)));
             }
             for (String name : Trio.NAMES) {
@@ -48,13 +49,14 @@
         try (Trio trio = Trio.started(home)) {
             assertEquals(1, trio.settle("k1", Trio.proposal("one", 0, "a")).number());
             for (String name : Trio.NAMES) {
-                assertEquals(new Answer(What.DECIDED, 1, ""), trio.settle(name, Trio.proposal("one", 0,
-                        "a")));
+                assertEquals(new Answer(What.DECIDED, 1, ""), trio.settle(name, Trio.proposal("one", 0, "a")));
             }
-            assertEquals(new Answer(What.REFUSED, 1, "based on version 0, the newest is 1"),
+            assertEquals(
+                    new Answer(What.REFUSED, 1, "based on version 0, the newest is 1"),
                     trio.settle("k2", Trio.proposal("two", 0, "b")));
             assertEquals(2, trio.settle("k3", Trio.proposal("three", 1, "c")).number());
-            assertEquals(new Answer(What.REFUSED, 1, "based on version 0, the newest is 1"),
+            assertEquals(
+                    new Answer(What.REFUSED, 1, "based on version 0, the newest is 1"),
                     trio.settle("k1", Trio.proposal("two", 0, "b")));
         }
     }
@@ -75,16 +77,17 @@
             Answer first = answer.get(10, TimeUnit.SECONDS);
             assertEquals(What.UNKNOWN, first.what(), first.toString());
             String other = trio.other();
-            assertEquals(new Answer(What.DECIDED, 2, ""), trio.settle(other, Trio.proposal("middle", 1,
-                    "b")));
-            assertEquals(3, trio.settle(trio.other(other), Trio.proposal("after", 2, "c")).number());
+            assertEquals(new Answer(What.DECIDED, 2, ""), trio.settle(other, Trio.proposal("middle", 1, "b")));
+            assertEquals(
+                    3,
+                    trio.settle(trio.other(other), Trio.proposal("after", 2, "c"))
+                            .number());
             trio.start(leader);
-            for (long number = trio.newest(leader).number(); number < 3;) {
+            for (long number = trio.newest(leader).number(); number < 3; ) {
                 number = trio.next(leader).number();
             }
             assertEquals("c", trio.newest(leader).entries().get("limit"));
-            assertEquals(new Answer(What.DECIDED, 2, ""), trio.settle(leader, Trio.proposal("middle", 1,
-                    "b")));
+            assertEquals(new Answer(What.DECIDED, 2, ""), trio.settle(leader, Trio.proposal("middle", 1, "b")));
         }
     }
 
@@ -95,8 +98,7 @@
             String leader = trio.leader();
             trio.stop(leader);
             // One answer, without being asked again: what a proposer sees of a leader's end is some time.
-            assertEquals(new Answer(What.DECIDED, 2, ""),
-                    trio.propose(trio.other(), Trio.proposal("during", 1, "b")));
+            assertEquals(new Answer(What.DECIDED, 2, ""), trio.propose(trio.other(), Trio.proposal("during", 1, "b")));
         }
     }
 
@@ -133,7 +135,9 @@
             trio.start("k2");
             assertEquals(5, trio.newest("k2").number());
             assertEquals("v4", trio.newest("k2").entries().get("limit"));
-            assertEquals("v2", trio.on("k2", () -> trio.nodes.get("k2").at(3)).entries().get("limit"));
+            assertEquals(
+                    "v2",
+                    trio.on("k2", () -> trio.nodes.get("k2").at(3)).entries().get("limit"));
             trio.start("k3");
             assertEquals(6, trio.settle("k3", Trio.proposal("p5", 5, "v5")).number());
             // What it had told before its restart isn't told again.
@@ -150,7 +154,9 @@
             String at = trio.other();
             int changes = 2 * Keeper.SNAPSHOT_ENTRIES;
             for (int i = 1; i < changes; i++) {
-                assertEquals(i + 1, trio.settle(at, Trio.proposal("p" + i, i, "v" + i)).number());
+                assertEquals(
+                        i + 1,
+                        trio.settle(at, Trio.proposal("p" + i, i, "v" + i)).number());
             }
             trio.start(away);
             long number = trio.newest(away).number();
@@ -186,11 +192,16 @@
                 Thread.onSpinWait();
             }
             assertNotNull(trio.status(old).fault());
-            assertTrue(trio.status(old).fault().contains("your directory is an older copy"),
+            assertTrue(
+                    trio.status(old).fault().contains("your directory is an older copy"),
                     trio.status(old).fault());
             assertEquals(KeepStatus.Role.STOPPED, trio.status(old).role());
-            assertEquals(What.UNKNOWN, trio.propose(old, Trio.proposal("five", 4, "e")).what());
-            assertEquals(5, trio.settle(trio.other(old), Trio.proposal("five", 4, "e")).number());
+            assertEquals(
+                    What.UNKNOWN,
+                    trio.propose(old, Trio.proposal("five", 4, "e")).what());
+            assertEquals(
+                    5,
+                    trio.settle(trio.other(old), Trio.proposal("five", 4, "e")).number());
             assertEquals(1, trio.on(old, node::newest).number());
         }
     }
@@ -205,20 +216,24 @@
             copy(trio.directory("k2"), home.resolve("elsewhere"));
             DiskLog own = new DiskLog(home.resolve("elsewhere"), "k2", trio.addresses.keySet());
             own.close();
-            IOException wrong = assertThrows(IOException.class,
-                    () -> new DiskLog(home.resolve("elsewhere"), "k3", trio.addresses.keySet()));
+            IOException wrong = assertThrows(
+                    IOException.class, () -> new DiskLog(home.resolve("elsewhere"), "k3", trio.addresses.keySet()));
             assertTrue(wrong.getMessage().endsWith("is keeper k2's, not k3's"), wrong.getMessage());
         }
     }
 
     /** Posts as k2 would, with a number of saves below what it had said. */
     private static int post(Trio trio, String path, byte[] body) throws Exception {
-        java.net.URI uri = java.net.URI.create("http://127.0.0.1:" + trio.addresses.get("k1").getPort() + path);
+        java.net.URI uri = java.net.URI.create(
+                "http://127.0.0.1:" + trio.addresses.get("k1").getPort() + path);
         java.net.http.HttpRequest request = java.net.http.HttpRequest.newBuilder(uri)
-                .header(KeeperWire.SENDER, "k2").header(KeeperWire.SAVES, "0")
-                .POST(java.net.http.HttpRequest.BodyPublishers.ofByteArray(body)).build();
+                .header(KeeperWire.SENDER, "k2")
+                .header(KeeperWire.SAVES, "0")
+                .POST(java.net.http.HttpRequest.BodyPublishers.ofByteArray(body))
+                .build();
         return java.net.http.HttpClient.newHttpClient()
-                .send(request, java.net.http.HttpResponse.BodyHandlers.discarding()).statusCode();
+                .send(request, java.net.http.HttpResponse.BodyHandlers.discarding())
+                .statusCode();
     }
 
     @Test
@@ -227,10 +242,19 @@
             trio.settle("k2", Trio.proposal("one", 0, "a"));
             trio.next("k1");
             assertEquals(200, post(trio, KeeperWire.PROPOSE, Codec.proposal(Trio.proposal("two", 1, "b"))));
-            assertEquals(409, post(trio, KeeperWire.RAFT, Codec.message(
-                    new io.microraft.model.impl.DefaultRaftModelFactory().createPreVoteRequestBuilder()
-                            .setGroupId(Codec.GROUP).setSender(new Member("k2")).setTerm(1).setLastLogTerm(0)
-                            .setLastLogIndex(0).build())));
+            assertEquals(
+                    409,
+                    post(
+                            trio,
+                            KeeperWire.RAFT,
+                            Codec.message(new io.microraft.model.impl.DefaultRaftModelFactory()
+                                    .createPreVoteRequestBuilder()
+                                    .setGroupId(Codec.GROUP)
+                                    .setSender(new Member("k2"))
+                                    .setTerm(1)
+                                    .setLastLogTerm(0)
+                                    .setLastLogIndex(0)
+                                    .build())));
             assertEquals(400, post(trio, KeeperWire.RAFT, new byte[] {9}));
             assertEquals(404, post(trio, "/else", new byte[0]));
         }
@@ -240,8 +264,7 @@
         Files.createDirectories(to);
         try (Stream<Path> files = Files.list(from)) {
             for (Path file : files.toList()) {
-                Files.copy(file, to.resolve(file.getFileName()),
-                        java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+                Files.copy(file, to.resolve(file.getFileName()), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
             }
         }
     }
--- a/src/test/java/mulleinfront/keep/MemoryLog.java
+++ b/src/test/java/mulleinfront/keep/MemoryLog.java
@@ -71,14 +71,21 @@
 
     @Override
     public RestoredRaftState restored() {
-        if (image.endpoint == null || image.members == null
+        if (image.endpoint == null
+                || image.members == null
                 || fault == Fault.FORGETS_ALL_WITHOUT_VOTE && image.vote == null) {
             return null;
         }
         TreeMap<Long, LogEntry> entries = new TreeMap<>();
         image.log.forEach((index, bytes) -> entries.put(index, Codec.entry(bytes)));
-        return Recovery.restore(image.endpoint, Codec.members(image.members), image.term,
-                fault == Fault.FORGETS_VOTE ? null : image.vote, snapshots(), image.taken, entries,
+        return Recovery.restore(
+                image.endpoint,
+                Codec.members(image.members),
+                image.term,
+                fault == Fault.FORGETS_VOTE ? null : image.vote,
+                snapshots(),
+                image.taken,
+                entries,
                 fault == Fault.NONE ? image.committed : 0);
     }
 
@@ -120,7 +127,8 @@
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState term) {
         image.term = term.getTerm();
-        image.vote = term.getVotedFor() == null ? null : (String) term.getVotedFor().getId();
+        image.vote =
+                term.getVotedFor() == null ? null : (String) term.getVotedFor().getId();
         save();
     }
 
@@ -131,7 +139,8 @@
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) {
-        image.chunks.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
+        image.chunks
+                .computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
                 .put(chunk.getSnapshotChunkIndex(), Codec.chunk(chunk));
     }
 
--- a/src/test/java/mulleinfront/keep/RegisterTest.java
+++ b/src/test/java/mulleinfront/keep/RegisterTest.java
@@ -51,8 +51,7 @@
         for (int i = 3; i <= 5; i++) {
             register.apply(Trio.proposal("p" + i, -1, "" + i));
         }
-        assertEquals(refused, register.apply(Trio.proposal("early", 5, "1")),
-                "now 5 is the newest, the id isn't new");
+        assertEquals(refused, register.apply(Trio.proposal("early", 5, "1")), "now 5 is the newest, the id isn't new");
         assertEquals(decided(6), register.apply(Trio.proposal("late", 5, "1")));
     }
 
@@ -69,11 +68,17 @@
     @Test
     void whatIsTooLargeOrNotOneLineIsRefused() {
         Register register = new Register();
-        assertEquals(What.REFUSED, register.apply(sized("big", Register.VERSION_BYTES)).what());
+        assertEquals(
+                What.REFUSED,
+                register.apply(sized("big", Register.VERSION_BYTES)).what());
         assertEquals(What.REFUSED, register.apply(Trio.proposal("", -1, "1")).what());
-        assertEquals(What.REFUSED, register.apply(Trio.proposal("i".repeat(101), -1, "1")).what());
-        assertEquals(What.REFUSED, register.apply(
-                new Proposal("two", -1, new TreeMap<>(), "one\ntwo", 0)).what());
+        assertEquals(
+                What.REFUSED,
+                register.apply(Trio.proposal("i".repeat(101), -1, "1")).what());
+        assertEquals(
+                What.REFUSED,
+                register.apply(new Proposal("two", -1, new TreeMap<>(), "one\ntwo", 0))
+                        .what());
         assertEquals(0, register.newest().number());
     }
 
@@ -105,8 +110,7 @@
         for (int i = 0; i < 3 * Register.REFUSED; i++) {
             register.apply(Trio.proposal("r" + i, 0, "1"));
         }
-        assertEquals(decided(1), register.apply(Trio.proposal("first", -1, "1")),
-                "refused ones push out none");
+        assertEquals(decided(1), register.apply(Trio.proposal("first", -1, "1")), "refused ones push out none");
         register.apply(Trio.proposal("last", -1, "1"));
         assertEquals(decided(Register.DECIDED + 2), register.apply(Trio.proposal("first", -1, "1")));
     }
@@ -126,8 +130,7 @@
         Register loaded = Register.load(parts);
         assertEquals(register.after(0), loaded.after(0));
         assertEquals(decided(7), loaded.apply(sized("p7", 30_007)));
-        assertEquals(register.apply(Trio.proposal("refused", 1, "1")),
-                loaded.apply(Trio.proposal("refused", 1, "1")));
+        assertEquals(register.apply(Trio.proposal("refused", 1, "1")), loaded.apply(Trio.proposal("refused", 1, "1")));
         assertEquals(decided(61), loaded.apply(Trio.proposal("next", 60, "1")));
         assertThrows(IllegalArgumentException.class, () -> Register.load(parts.subList(0, parts.size() - 1)));
         assertThrows(IllegalArgumentException.class, () -> Register.load(List.of()));
--- a/src/test/java/mulleinfront/keep/Trio.java
+++ b/src/test/java/mulleinfront/keep/Trio.java
@@ -30,6 +30,7 @@
     final Map<String, KeeperNode> nodes = new HashMap<>();
     /** What each heard since it was started, in order. */
     final Map<String, BlockingQueue<Version>> heard = new HashMap<>();
+
     private final Map<String, EventLoopGroup> loops = new HashMap<>();
     private final Path home;
 
@@ -56,8 +57,9 @@
     }
 
     KeeperNode start(String name) throws Exception {
-        KeeperNode node = new KeeperNode(new KeepSettings(name, addresses, directory(name)), loops.get(name)
-                .next());
+        KeeperNode node = new KeeperNode(
+                new KeepSettings(name, addresses, directory(name)),
+                loops.get(name).next());
         nodes.put(name, node);
         BlockingQueue<Version> queue = new LinkedBlockingQueue<>();
         heard.put(name, queue);
--- a/src/test/java/mulleinfront/kit/BrokenDaemon.java
+++ b/src/test/java/mulleinfront/kit/BrokenDaemon.java
@@ -28,7 +28,7 @@
     private static final List<Socket> LEAKED = new ArrayList<>();
     private static String fault;
 
-    private BrokenDaemon() { }
+    private BrokenDaemon() {}
 
     /** The entry: {@code none} or the name of a fault. */
     public static void main(String... args) throws Exception {
@@ -47,7 +47,7 @@
     private static InetSocketAddress read(Path config) throws IOException {
         InetSocketAddress listen = null;
         try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(config))) {
-            for (JsonToken t; (t = in.nextToken()) != null;) {
+            for (JsonToken t; (t = in.nextToken()) != null; ) {
                 if (t == JsonToken.VALUE_STRING && "listen".equals(in.currentName())) {
                     listen = address(in.getText());
                 } else if (t == JsonToken.VALUE_STRING && "addr".equals(in.currentName())) {
@@ -60,18 +60,20 @@
 
     private static InetSocketAddress address(String text) throws IOException {
         int colon = text.lastIndexOf(':');
-        return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)),
-                Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                InetAddress.getByName(text.substring(0, colon)), Integer.parseInt(text.substring(colon + 1)));
     }
 
     private static void serve(Socket client) {
         try (client) {
             InputStream in = new BufferedInputStream(client.getInputStream());
-            for (String head; !(head = head(in)).isEmpty();) {
+            for (String head; !(head = head(in)).isEmpty(); ) {
                 if (head.startsWith("GET /-/ready")) {
                     String version = fault.equals("other-version") ? "9.9.9" : Version.OWN;
-                    write(client, "HTTP/1.1 200 OK\r\n" + Version.HEADER + ": " + version
-                            + "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+                    write(
+                            client,
+                            "HTTP/1.1 200 OK\r\n" + Version.HEADER + ": " + version
+                                    + "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
                     return;
                 }
                 String answer = pass(head);
@@ -104,7 +106,8 @@
                 String body = new String(in.readNBytes(length(answer)), StandardCharsets.ISO_8859_1);
                 if (fault.equals("leaks")) {
                     synchronized (LEAKED) {
-                        LEAKED.add(new Socket(HOSTS.get(at).getAddress(), HOSTS.get(at).getPort()));
+                        LEAKED.add(new Socket(
+                                HOSTS.get(at).getAddress(), HOSTS.get(at).getPort()));
                     }
                 }
                 if (answer.contains(" 200 ")) {
@@ -130,7 +133,7 @@
     private static String head(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         int ends = 0;
-        for (int b; ends < 2 && (b = in.read()) >= 0;) {
+        for (int b; ends < 2 && (b = in.read()) >= 0; ) {
             head.write(b);
             ends = b == '\n' ? ends + 1 : b == '\r' ? ends : 0;
         }
--- a/src/test/java/mulleinfront/kit/FleetProcessesTest.java
+++ b/src/test/java/mulleinfront/kit/FleetProcessesTest.java
@@ -27,15 +27,18 @@
     Path folder;
 
     private Rehearsal play(String lines) throws Exception {
-        Path file = Files.writeString(folder.resolve("day.toml"), "[scenario]\ntitle = \"a test\"\nworld = \""
-                + Path.of("scenarios/fleet/nine.toml").toAbsolutePath() + "\"\n" + lines);
-        return new RealRun(ScenarioReader.read(file), 1, DAEMON, Path.of("").toAbsolutePath(), folder, line -> { })
+        Path file = Files.writeString(
+                folder.resolve("day.toml"),
+                "[scenario]\ntitle = \"a test\"\nworld = \""
+                        + Path.of("scenarios/fleet/nine.toml").toAbsolutePath() + "\"\n" + lines);
+        return new RealRun(ScenarioReader.read(file), 1, DAEMON, Path.of("").toAbsolutePath(), folder, line -> {})
                 .play();
     }
 
     private List<String> said(int member, String what) throws Exception {
         return Files.readAllLines(folder.resolve("fleet-n" + member + ".json")).stream()
-                .filter(l -> l.contains(what)).toList();
+                .filter(l -> l.contains(what))
+                .toList();
     }
 
     @Test
@@ -102,7 +105,8 @@
         timeline.read(1, folder.resolve("fleet-n1.json"));
         timeline.read(2, folder.resolve("fleet-n2.json"));
         FleetJudge judge = timeline.judged(System.currentTimeMillis());
-        assertTrue(judge.breaches().stream().anyMatch(b -> b.rule() == FleetJudge.Rule.CALLED_FAILED),
+        assertTrue(
+                judge.breaches().stream().anyMatch(b -> b.rule() == FleetJudge.Rule.CALLED_FAILED),
                 judge.breaches().toString());
     }
 
@@ -126,7 +130,9 @@
         timeline.read(0, folder.resolve("fleet-n0.json"));
         timeline.read(1, longer);
         timeline.read(2, folder.resolve("fleet-n2.json"));
-        assertTrue(timeline.judged(end).breaches().stream().noneMatch(b -> b.toString().contains(" left")),
+        assertTrue(
+                timeline.judged(end).breaches().stream()
+                        .noneMatch(b -> b.toString().contains(" left")),
                 "what came after the end");
     }
 }
--- a/src/test/java/mulleinfront/kit/RealRunTest.java
+++ b/src/test/java/mulleinfront/kit/RealRunTest.java
@@ -39,12 +39,14 @@
     Path folder;
 
     private Scenario scenario(String lines) throws Exception {
-        return ScenarioReader.read(Files.writeString(folder.resolve("day.toml"), "[scenario]\ntitle = \"a test\"\n"
-                + "world = \"" + Path.of("scenarios/calm.toml").toAbsolutePath() + "\"\nsettle = \"5s\"\n" + lines));
+        return ScenarioReader.read(Files.writeString(
+                folder.resolve("day.toml"),
+                "[scenario]\ntitle = \"a test\"\n" + "world = \""
+                        + Path.of("scenarios/calm.toml").toAbsolutePath() + "\"\nsettle = \"5s\"\n" + lines));
     }
 
     private RealRun run(String command, String lines) throws Exception {
-        return new RealRun(scenario(lines), 1, command, Path.of("").toAbsolutePath(), folder, line -> { });
+        return new RealRun(scenario(lines), 1, command, Path.of("").toAbsolutePath(), folder, line -> {});
     }
 
     private static void kept(Rehearsal r) {
@@ -55,7 +57,8 @@
 
     @Test
     void aCalmDayKeepsTheRules() throws Exception {
-        kept(run(DAEMON, "length = \"4s\"\n[proxies]\ncount = 2\n[load]\nrate = \"60/s\"\n").play());
+        kept(run(DAEMON, "length = \"4s\"\n[proxies]\ncount = 2\n[load]\nrate = \"60/s\"\n")
+                .play());
     }
 
     @Test
@@ -103,8 +106,13 @@
                 """).play();
         kept(r);
         assertEquals(4L, r.sockets().service().counts().get("client proxy starts"));
-        assertEquals(2, r.sockets().service().servers().stream().filter(s -> s.name().equals("new-1")).findFirst()
-                .orElseThrow().lives());
+        assertEquals(
+                2,
+                r.sockets().service().servers().stream()
+                        .filter(s -> s.name().equals("new-1"))
+                        .findFirst()
+                        .orElseThrow()
+                        .lives());
     }
 
     @Test
@@ -113,8 +121,13 @@
         String lines = "length = \"2s\"\n[proxies]\ncount = 1\n[load]\nrate = \"40/s\"\n";
         Thread[] both = new Thread[2];
         for (int i = 0; i < 2; i++) {
-            RealRun run = new RealRun(scenario(lines), 1 + i, DAEMON, Path.of("").toAbsolutePath(),
-                    folder.resolve("run" + i), line -> { });
+            RealRun run = new RealRun(
+                    scenario(lines),
+                    1 + i,
+                    DAEMON,
+                    Path.of("").toAbsolutePath(),
+                    folder.resolve("run" + i),
+                    line -> {});
             both[i] = new Thread(() -> {
                 try {
                     ended.add(run.play());
@@ -136,8 +149,12 @@
 
     /** The faults go with scenarios in which a daemon that is only simple, and not broken, breaks nothing. */
     @ParameterizedTest
-    @CsvSource({"none,,", "resends,TWICE,may have run", "calls-it-harmless,TWICE,refused though",
-        "answers-twice,LOST,answered"})
+    @CsvSource({
+        "none,,",
+        "resends,TWICE,may have run",
+        "calls-it-harmless,TWICE,refused though",
+        "answers-twice,LOST,answered"
+    })
     void brokenDaemonsAreCaughtByName(String fault, Rule rule, String words) throws Exception {
         Rehearsal r = run(BROKEN + fault, """
                 length = "3s"
@@ -155,7 +172,9 @@
             kept(r);
             return;
         }
-        assertTrue(r.sockets().breaches().stream().anyMatch(b -> b.rule() == rule && b.what().contains(words)),
+        assertTrue(
+                r.sockets().breaches().stream()
+                        .anyMatch(b -> b.rule() == rule && b.what().contains(words)),
                 fault + ": " + r.sockets().breaches());
         ByteArrayOutputStream xml = new ByteArrayOutputStream();
         Report.junit("day", r, false, xml);
@@ -164,16 +183,19 @@
         Report.json(r, false, json);
         List<String> names = new ArrayList<>();
         try (JsonParser in = new JsonFactory().createParser(json.toByteArray())) {
-            for (JsonToken t; (t = in.nextToken()) != null;) {
-                if (t == JsonToken.FIELD_NAME && in.getParsingContext().getParent().inRoot()) {
+            for (JsonToken t; (t = in.nextToken()) != null; ) {
+                if (t == JsonToken.FIELD_NAME
+                        && in.getParsingContext().getParent().inRoot()) {
                     names.add(in.currentName());
                 }
             }
         }
-        assertEquals(List.of("verdict", "daemon_version", "kit_version", "failures", "quarters", "late_ms", "sockets"),
+        assertEquals(
+                List.of("verdict", "daemon_version", "kit_version", "failures", "quarters", "late_ms", "sockets"),
                 names);
-        assertTrue(r.sockets().breaches().stream().allMatch(b -> b.rule() == rule), fault + ": "
-                + r.sockets().breaches());
+        assertTrue(
+                r.sockets().breaches().stream().allMatch(b -> b.rule() == rule),
+                fault + ": " + r.sockets().breaches());
     }
 
     @Test
@@ -190,8 +212,9 @@
                 at = "500ms"
                 servers = ["new-0", "new-1"]
                 """).play();
-        assertTrue(r.sockets().breaches().stream().anyMatch(b -> b.rule() == Rule.DRAINS), r.failures() + " "
-                + r.sockets().breaches());
+        assertTrue(
+                r.sockets().breaches().stream().anyMatch(b -> b.rule() == Rule.DRAINS),
+                r.failures() + " " + r.sockets().breaches());
     }
 
     @Test
@@ -229,16 +252,19 @@
                 at = "2s"
                 proxy = 0
                 """).play();
-        assertTrue(r.sockets().breaches().stream().anyMatch(b -> b.rule() == Rule.LOST
-                && b.what().contains("when its client proxy ended")), r.sockets().breaches().toString());
+        assertTrue(
+                r.sockets().breaches().stream()
+                        .anyMatch(b -> b.rule() == Rule.LOST && b.what().contains("when its client proxy ended")),
+                r.sockets().breaches().toString());
     }
 
     @Test
     void oneThatLeaksIsCaught() throws Exception {
-        Rehearsal r = run(BROKEN + "leaks",
-                "length = \"12s\"\n[proxies]\ncount = 1\n[load]\nrate = \"40/s\"\n").play();
-        assertTrue(r.failures().stream().anyMatch(f -> f.startsWith("client proxies leak")), r.failures() + " "
-                + r.quarters());
+        Rehearsal r = run(BROKEN + "leaks", "length = \"12s\"\n[proxies]\ncount = 1\n[load]\nrate = \"40/s\"\n")
+                .play();
+        assertTrue(
+                r.failures().stream().anyMatch(f -> f.startsWith("client proxies leak")),
+                r.failures() + " " + r.quarters());
     }
 
     @Test
@@ -265,23 +291,34 @@
         String lines = "length = \"3s\"\n[proxies]\ncount = 1\n[load]\nrate = \"20/s\"\n";
         Rehearsal silent = run("exec sleep 600", lines).patience(1_000, 5_000).play();
         assertEquals(Rehearsal.Verdict.FAILED, silent.verdict(false));
-        assertTrue(silent.failures().get(0).startsWith("client proxy 0 never got ready"), silent.failures().toString());
+        assertTrue(
+                silent.failures().get(0).startsWith("client proxy 0 never got ready"),
+                silent.failures().toString());
         Rehearsal gone = run("echo no way; exit 7", lines).play();
-        assertTrue(gone.failures().get(0).contains("it ended: ") && gone.failures().get(0).contains("no way"),
+        assertTrue(
+                gone.failures().get(0).contains("it ended: ")
+                        && gone.failures().get(0).contains("no way"),
                 gone.failures().toString());
-        Rehearsal middle = run("(sleep 3; kill -9 $$) & " + BROKEN + "none",
-                "length = \"6s\"\n[proxies]\ncount = 1\n[load]\nrate = \"20/s\"\n").play();
-        assertTrue(middle.failures().stream().anyMatch(f -> f.contains("ended by itself, exit code 137")),
+        Rehearsal middle = run(
+                        "(sleep 3; kill -9 $$) & " + BROKEN + "none",
+                        "length = \"6s\"\n[proxies]\ncount = 1\n[load]\nrate = \"20/s\"\n")
+                .play();
+        assertTrue(
+                middle.failures().stream().anyMatch(f -> f.contains("ended by itself, exit code 137")),
                 middle.failures().toString());
         Rehearsal deaf = run("trap '' TERM; " + BROKEN + "none", lines)
-                .patience(60_000, 500).play();
-        assertTrue(deaf.failures().stream().anyMatch(f -> f.contains("did not end within")), deaf.failures().toString());
+                .patience(60_000, 500)
+                .play();
+        assertTrue(
+                deaf.failures().stream().anyMatch(f -> f.contains("did not end within")),
+                deaf.failures().toString());
     }
 
     @Test
     void whatTheMachineHasNotIsSaidBeforehand() throws Exception {
         Scenario many = scenario("length = \"1s\"\n").withProxies(65);
-        assertTrue(assertThrows(BadFileException.class, () -> new RealRun(many, 1, DAEMON, folder, folder, l -> { }))
-                .getMessage().contains("65 client proxies"));
+        assertTrue(assertThrows(BadFileException.class, () -> new RealRun(many, 1, DAEMON, folder, folder, l -> {}))
+                .getMessage()
+                .contains("65 client proxies"));
     }
 }
--- a/src/test/java/mulleinfront/kit/ScaleRunTest.java
+++ b/src/test/java/mulleinfront/kit/ScaleRunTest.java
@@ -29,38 +29,55 @@
     Path folder;
 
     private ScaleRun run(ScaleRun.Plan plan, String daemon) throws Exception {
-        return new ScaleRun(plan, WORLD, daemon, JAVA.strip(), Path.of("").toAbsolutePath(), folder, line -> { });
+        return new ScaleRun(plan, WORLD, daemon, JAVA.strip(), Path.of("").toAbsolutePath(), folder, line -> {});
     }
 
     @Test
     void threeRealAndThirtyHollowOnesAgreeThroughAKillACutAndARestartOfAll() throws Exception {
-        ScaleRun.Plan plan = new ScaleRun.Plan(3, 30, 15, 1, 2, 12, 200, true,
-                EnumSet.allOf(ScaleRun.Fault.class));
+        ScaleRun.Plan plan = new ScaleRun.Plan(3, 30, 15, 1, 2, 12, 200, true, EnumSet.allOf(ScaleRun.Fault.class));
         ScaleReport report = run(plan, JAVA + "serve").play();
         assertEquals(java.util.List.of(), report.failures(), report.text());
         Set<String> phases = report.rows().stream().map(ScaleReport.Row::phase).collect(Collectors.toSet());
-        assertTrue(phases.containsAll(Set.of("start", "rest", "a fifth killed at once", "a fifth back", "two sides cut",
-                "the cut heals", "restarted in tenths", "a control machine killed", "the control machine is back",
-                "a release: a version a second")), phases.toString());
+        assertTrue(
+                phases.containsAll(Set.of(
+                        "start",
+                        "rest",
+                        "a fifth killed at once",
+                        "a fifth back",
+                        "two sides cut",
+                        "the cut heals",
+                        "restarted in tenths",
+                        "a control machine killed",
+                        "the control machine is back",
+                        "a release: a version a second")),
+                phases.toString());
         // The cut was one: the real ones, one of them on the other side, took each other for failed, and back.
         String events = Files.readString(folder.resolve("fleet-n0.json"));
         assertTrue(events.lines().anyMatch(l -> l.contains("\"member\":1,") && l.contains("\"to\":\"failed\"")));
         // A hollow one is a member like any other: known by its name, and missed when its process was killed.
-        assertTrue(events.lines().filter(l -> l.contains("\"to\":\"failed\"")).count() >= 15, "hollow ones were missed");
+        assertTrue(
+                events.lines().filter(l -> l.contains("\"to\":\"failed\"")).count() >= 15, "hollow ones were missed");
     }
 
     @Test
     void aRealOneThatNeverGetsReadyIsSaid() throws Exception {
-        ScaleReport report = run(new ScaleRun.Plan(1, 0, 1, 1, 1, 1, 200, false, Set.of()), "echo no such thing; exit 1").play();
+        ScaleReport report = run(
+                        new ScaleRun.Plan(1, 0, 1, 1, 1, 1, 200, false, Set.of()), "echo no such thing; exit 1")
+                .play();
         assertEquals(1, report.failures().size(), report.text());
-        assertTrue(report.failures().get(0).contains("never got ready") && report.failures().get(0)
-                .contains("no such thing"), report.text());
+        assertTrue(
+                report.failures().get(0).contains("never got ready")
+                        && report.failures().get(0).contains("no such thing"),
+                report.text());
     }
 
     @Test
     void whatDoesNotFitIsRefusedBeforeAnythingStarts() throws Exception {
-        assertTrue(assertThrows(BadFileException.class, () -> run(new ScaleRun.Plan(64, 400, 1, 1, 1, 1, 1000, false, Set.of()),
-                JAVA + "serve")).getMessage().contains("needs 464 processes"));
+        assertTrue(assertThrows(
+                        BadFileException.class,
+                        () -> run(new ScaleRun.Plan(64, 400, 1, 1, 1, 1, 1000, false, Set.of()), JAVA + "serve"))
+                .getMessage()
+                .contains("needs 464 processes"));
         assertFalse(Files.exists(folder.resolve("world.toml")));
         assertThrows(IllegalArgumentException.class, () -> new ScaleRun.Plan(0, 1, 1, 1, 1, 1, 1000, false, Set.of()));
         assertEquals(CommandLine.BAD_INPUT, CommandLine.run("kit", "scale", "--real", "65"));
--- a/src/test/java/mulleinfront/kit/SoakTest.java
+++ b/src/test/java/mulleinfront/kit/SoakTest.java
@@ -30,8 +30,7 @@
     }
 
     private Soak.Played play(Soak.Plan plan, String daemon, long seed) throws Exception {
-        return new Soak(plan, JAVA + daemon, Path.of("").toAbsolutePath(), line -> { })
-                .play(seed, folder);
+        return new Soak(plan, JAVA + daemon, Path.of("").toAbsolutePath(), line -> {}).play(seed, folder);
     }
 
     @Test
@@ -75,9 +74,11 @@
 
     @Test
     void aPlanThatCanNotBePlayedIsRefusedByName() {
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Soak.Plan(4, 3, 0)).getMessage()
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Soak.Plan(4, 3, 0))
+                .getMessage()
                 .startsWith("--length"));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Soak.Plan(0, 60, 0)).getMessage()
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> new Soak.Plan(0, 60, 0))
+                .getMessage()
                 .startsWith("--instances"));
     }
 }
--- a/src/test/java/mulleinfront/kit/StaleListTest.java
+++ b/src/test/java/mulleinfront/kit/StaleListTest.java
@@ -33,6 +33,7 @@
             shape = "steady"
             keys = 0
             """;
+
     private static final String DRAIN = """
             [[fault]]
             do = "drain"
@@ -44,13 +45,17 @@
     Path folder;
 
     private void keepsDrains(String lines) throws Exception {
-        Path file = Files.writeString(folder.resolve("day.toml"), "[scenario]\ntitle = \"a test\"\nworld = \""
-                + Path.of("scenarios/calm.toml").toAbsolutePath() + "\"\n" + WORLD + lines + DRAIN);
-        Rehearsal r = new RealRun(ScenarioReader.read(file), 1, DAEMON, Path.of("").toAbsolutePath(), folder, l -> { })
-                .play();
+        Path file = Files.writeString(
+                folder.resolve("day.toml"),
+                "[scenario]\ntitle = \"a test\"\nworld = \""
+                        + Path.of("scenarios/calm.toml").toAbsolutePath() + "\"\n" + WORLD + lines + DRAIN);
+        Rehearsal r =
+                new RealRun(ScenarioReader.read(file), 1, DAEMON, Path.of("").toAbsolutePath(), folder, l -> {}).play();
         assertEquals(List.of(), r.failures());
-        assertEquals(List.of(), r.sockets().breaches().stream().limit(3).toList(), r.sockets().breachCount()
-                + " in all");
+        assertEquals(
+                List.of(),
+                r.sockets().breaches().stream().limit(3).toList(),
+                r.sockets().breachCount() + " in all");
         assertTrue(r.sockets().service().tries().get("served") > 1_000, "it was served on");
     }
 
--- a/src/test/java/mulleinfront/proxy/BadClientsTest.java
+++ b/src/test/java/mulleinfront/proxy/BadClientsTest.java
@@ -26,7 +26,7 @@
     void atTheMostTheLongestQuietMakesRoom() throws Exception {
         // Guards the limit on descriptors, and the usual clients against hundreds that say nothing.
         start("");
-        module.onRequest = r -> { };
+        module.onRequest = r -> {};
         List<Client> silent = new ArrayList<>();
         Client busy = client().unsafe("busy", 20_000);
         for (int i = 0; i < 70; i++) {
@@ -57,10 +57,10 @@
         module.onRequest = r -> {
             throw new AssertionError("told of " + r);
         };
-        String post = "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\nX-Class: unsafe\r\n"
-                + "X-Deadline-Ms: 9000\r\n";
-        String hidden = "GET /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: b\r\nX-Class: safe\r\n"
-                + "X-Deadline-Ms: 9000\r\n\r\n";
+        String post =
+                "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\nX-Class: unsafe\r\n" + "X-Deadline-Ms: 9000\r\n";
+        String hidden =
+                "GET /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: b\r\nX-Class: safe\r\n" + "X-Deadline-Ms: 9000\r\n\r\n";
         Map<String, Integer> bad = new LinkedHashMap<>();
         bad.put(post + "Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400);
         bad.put(post + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n", 400);
@@ -141,8 +141,7 @@
         start("", Peers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client().unsafe("a", 20_000)
-                .write("POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 60000000\r\n\r\n"
-                        + "x".repeat(300_000));
+                .write("POST /api HTTP/1.1\r\nHost: h\r\nContent-Length: 60000000\r\n\r\n" + "x".repeat(300_000));
         Peers.next(out, "the first request").served("mine");
         assertEquals("mine", client.read().text());
         assertEquals(413, client.read().status());
@@ -155,9 +154,10 @@
         Server host = host(out::add);
         start("", Peers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client().unsafe("a", 20_000).write("POST /api HTTP/1.1\r\nHost: h\r\n"
-                + "X-Request-Id: b\r\nX-Class: unsafe\r\nX-Deadline-Ms: 20000\r\n"
-                + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n");
+        Client client = client().unsafe("a", 20_000)
+                .write("POST /api HTTP/1.1\r\nHost: h\r\n"
+                        + "X-Request-Id: b\r\nX-Class: unsafe\r\nX-Deadline-Ms: 20000\r\n"
+                        + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n");
         Peers.next(out, "the first request").served("mine");
         assertEquals("mine", client.read().text());
         assertEquals(100, client.read().status());
@@ -189,7 +189,7 @@
 
     @Test
     void aClientThatLeavesIsMissedThoughItSentMuchAhead() throws Exception {
-        Server host = host(s -> { });
+        Server host = host(s -> {});
         start("", Peers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client();
@@ -219,7 +219,7 @@
 
     @Test
     void aClientThatLeavesTakesItsAttemptAlong() throws Exception {
-        Server host = host(s -> { });
+        Server host = host(s -> {});
         start("", Peers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Client client = client().unsafe("id1", 20_000);
@@ -240,18 +240,39 @@
         };
         String head = "Host: h\r\nX-Request-Id: a\r\nX-Class: unsafe\r\n";
         assertEquals(400, client().write("nonsense\r\n\r\n").read().status());
-        assertEquals(404, client().write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n").read().status());
-        assertEquals(400, client().write("POST /api HTTP/1.1\r\nHost: h\r\n\r\n").read().status(), "no id");
+        assertEquals(
+                404,
+                client().write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n").read().status());
+        assertEquals(
+                400,
+                client().write("POST /api HTTP/1.1\r\nHost: h\r\n\r\n").read().status(),
+                "no id");
         String post = "POST /api HTTP/1.1\r\n" + head;
         assertEquals(400, client().write(post + "\r\n").read().status(), "no deadline");
-        assertEquals(400, client().write(post + "X-Deadline-Ms: soon\r\n\r\n").read().status());
-        assertEquals(400, client().write("GET /api HTTP/1.1\r\n" + head + "X-Deadline-Ms: 9\r\n\r\n").read()
-                .status(), "an unsafe GET");
-        assertEquals(400, client().write(post + "X-Deadline-Ms: 9\r\nX-Tenant: ?\r\n\r\n").read().status());
-        assertEquals(400, client().write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\nX-Class: ?\r\n"
-                + "X-Deadline-Ms: 9\r\n\r\n").read().status());
-        assertEquals(413, client().write(post + "X-Deadline-Ms: 9\r\n"
-                + "Content-Length: 40000000\r\n\r\n").read().status());
+        assertEquals(
+                400, client().write(post + "X-Deadline-Ms: soon\r\n\r\n").read().status());
+        assertEquals(
+                400,
+                client().write("GET /api HTTP/1.1\r\n" + head + "X-Deadline-Ms: 9\r\n\r\n")
+                        .read()
+                        .status(),
+                "an unsafe GET");
+        assertEquals(
+                400,
+                client().write(post + "X-Deadline-Ms: 9\r\nX-Tenant: ?\r\n\r\n")
+                        .read()
+                        .status());
+        assertEquals(
+                400,
+                client().write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\nX-Class: ?\r\n"
+                                + "X-Deadline-Ms: 9\r\n\r\n")
+                        .read()
+                        .status());
+        assertEquals(
+                413,
+                client().write(post + "X-Deadline-Ms: 9\r\n" + "Content-Length: 40000000\r\n\r\n")
+                        .read()
+                        .status());
         module.onRequest = r -> module.actions.fail(r.id());
         assertEquals(502, client().unsafe("id1", 20_000).read().status(), "and it serves on");
     }
--- a/src/test/java/mulleinfront/proxy/BadHostsTest.java
+++ b/src/test/java/mulleinfront/proxy/BadHostsTest.java
@@ -41,7 +41,9 @@
 
     @Test
     void turnedAwayBy504IsKnownNotToHaveRun() throws Exception {
-        assertEquals(Outcome.QUEUE_FULL, outcome(s -> s.answer(504, "X-Not-Run: 1\r\n", ""), 0).outcome());
+        assertEquals(
+                Outcome.QUEUE_FULL,
+                outcome(s -> s.answer(504, "X-Not-Run: 1\r\n", ""), 0).outcome());
     }
 
     @Test
@@ -61,13 +63,18 @@
     @Test
     void aLoadReportThatCantBeReadCostsNothing() throws Exception {
         // Guards against a defect of the report becoming one of the answer, which is good.
-        assertEquals(Outcome.OK, outcome(s -> s.answer(200, "X-Load: {\"outstanding\":\r\n", "x"), 0).outcome());
+        assertEquals(
+                Outcome.OK,
+                outcome(s -> s.answer(200, "X-Load: {\"outstanding\":\r\n", "x"), 0)
+                        .outcome());
         assertEquals("OK", module.told.poll());
     }
 
     @Test
     void aMarkOnAnErrorProvesNothing() throws Exception {
-        assertEquals(Outcome.FAILED, outcome(s -> s.answer(500, "X-Not-Run: 1\r\n", ""), 0).outcome());
+        assertEquals(
+                Outcome.FAILED,
+                outcome(s -> s.answer(500, "X-Not-Run: 1\r\n", ""), 0).outcome());
     }
 
     @Test
@@ -77,10 +84,15 @@
 
     @Test
     void anAnswerCutShortIsAReset() throws Exception {
-        assertEquals(Outcome.RESET, outcome(s -> {
-            s.write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
-            s.reset();
-        }, 0).outcome());
+        assertEquals(
+                Outcome.RESET,
+                outcome(
+                                s -> {
+                                    s.write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
+                                    s.reset();
+                                },
+                                0)
+                        .outcome());
     }
 
     @Test
--- a/src/test/java/mulleinfront/proxy/BodiesTest.java
+++ b/src/test/java/mulleinfront/proxy/BodiesTest.java
@@ -79,7 +79,9 @@
         Client client = client().write(post("a", 20_000, "Content-Length: " + LARGE + "\r\n"));
         client.socket.getOutputStream().write(body);
         assertEquals("" + Arrays.hashCode(body), client.read().text());
-        OutputStream out = client.write(post("b", 20_000, "Transfer-Encoding: chunked\r\n")).socket.getOutputStream();
+        OutputStream out = client.write(post("b", 20_000, "Transfer-Encoding: chunked\r\n"))
+                .socket
+                .getOutputStream();
         int at = 0;
         for (int size = 1; at < LARGE; size = size * 3 % 70_001) {
             chunk(out, body, at, Math.min(LARGE, at + size));
@@ -141,8 +143,8 @@
         byte[] body = noise(200_000);
         serving(s -> {
             boolean chunked = s.message().header("x-request-id").equals("b");
-            s.write("HTTP/1.1 200 OK\r\n" + (chunked ? "Transfer-Encoding: chunked\r\n\r\n30d40\r\n"
-                    : "Content-Length: 200000\r\n\r\n"));
+            s.write("HTTP/1.1 200 OK\r\n"
+                    + (chunked ? "Transfer-Encoding: chunked\r\n\r\n30d40\r\n" : "Content-Length: 200000\r\n\r\n"));
             write(s, Arrays.copyOf(body, 1_000));
             await(rest);
             write(s, Arrays.copyOfRange(body, 1_000, 200_000));
@@ -195,8 +197,7 @@
 
     @Test
     void theClientIsReadAtTheHostsPace() throws Exception {
-        try (ServerSocket slow = new ServerSocket(0, 5,
-                InetAddress.getLoopbackAddress())) {
+        try (ServerSocket slow = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             start("", Peers.host("s", "127.0.0.1:" + slow.getLocalPort(), "in_service"));
             module.onRequest = r -> module.actions.send(r.id(), "s", 0);
             Client client = client().write(post("a", 20_000, "Content-Length: " + MOST + "\r\n"));
@@ -233,9 +234,12 @@
     @Test
     void anAnswerThatBreaksOffIsTheClientsAndIsNeverTriedAgain() throws Exception {
         Server host = serving(s -> {
-            s.write("HTTP/1.1 200 OK\r\n" + (s.message().header("x-request-id").equals("length")
-                    ? "Content-Length: 5000000\r\n\r\n" : s.message().header("x-request-id").equals("chunks")
-                    ? "Transfer-Encoding: chunked\r\n\r\n4c4b40\r\n" : "Connection: close\r\n\r\n"));
+            s.write("HTTP/1.1 200 OK\r\n"
+                    + (s.message().header("x-request-id").equals("length")
+                            ? "Content-Length: 5000000\r\n\r\n"
+                            : s.message().header("x-request-id").equals("chunks")
+                                    ? "Transfer-Encoding: chunked\r\n\r\n4c4b40\r\n"
+                                    : "Connection: close\r\n\r\n"));
             write(s, noise(100_000));
             try {
                 Thread.sleep(100);
@@ -254,8 +258,7 @@
 
     @Test
     void aHostThatEndsBeforeTheLastByteHasNotRunIt() throws Exception {
-        try (ServerSocket listening = new ServerSocket(0, 5,
-                InetAddress.getLoopbackAddress())) {
+        try (ServerSocket listening = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             start("", Peers.host("s", "127.0.0.1:" + listening.getLocalPort(), "in_service"));
             module.onRequest = r -> module.actions.send(r.id(), "s", 0);
             // A module that would try for ever: the body can't be sent from its beginning once more.
@@ -272,8 +275,10 @@
                 assertEquals(150_000, host.getInputStream().readNBytes(150_000).length);
                 host.setSoLinger(true, 0);
             }
-            assertEquals(Outcome.CONNECT_ERROR, Peers.next(module.ends, "the end").outcome());
-            assertEquals(Outcome.IGNORED, Peers.next(module.ends, "the second's end").outcome());
+            assertEquals(
+                    Outcome.CONNECT_ERROR, Peers.next(module.ends, "the end").outcome());
+            assertEquals(
+                    Outcome.IGNORED, Peers.next(module.ends, "the second's end").outcome());
             client.socket.getOutputStream().write(noise(100_000));
             assertEquals(503, client.read().status(), "nothing ran: it may be tried again by the client");
             assertTrue(client.closed());
@@ -342,16 +347,18 @@
     @Test
     void anAnswerThatStallsWhenItsClientsTimeIsUpIsCutOff() throws Exception {
         // Guards rule 1: who is told nothing half a second after its time has lost its request.
-        serving(s -> s.write("HTTP/1.1 200 OK\r\n" + (s.message().header("x-request-id").equals("chunks")
-                ? "Transfer-Encoding: chunked\r\n\r\n5\r\nbegun" : "Connection: close\r\n\r\nbegun")));
+        serving(s -> s.write("HTTP/1.1 200 OK\r\n"
+                + (s.message().header("x-request-id").equals("chunks")
+                        ? "Transfer-Encoding: chunked\r\n\r\n5\r\nbegun"
+                        : "Connection: close\r\n\r\nbegun")));
         Client later = client().safe("later", 20_000);
         later.readHead();
         assertEquals("begun", new String(Peers.readChunk(later.in)));
         Client chunked = client().safe("chunks", 500);
         chunked.readHead();
         assertEquals("begun", new String(Peers.readChunk(chunked.in)));
-        Client old = client().write("GET /api HTTP/1.0\r\nX-Request-Id: old\r\nX-Class: safe\r\n"
-                + "X-Deadline-Ms: 500\r\n\r\n");
+        Client old = client().write(
+                        "GET /api HTTP/1.0\r\nX-Request-Id: old\r\nX-Class: safe\r\n" + "X-Deadline-Ms: 500\r\n\r\n");
         old.readHead();
         assertEquals("begun", new String(old.in.readNBytes(5)));
         assertThrows(IOException.class, () -> Peers.readChunk(chunked.in), "not whole");
--- a/src/test/java/mulleinfront/proxy/ClientChannelTest.java
+++ b/src/test/java/mulleinfront/proxy/ClientChannelTest.java
@@ -39,8 +39,9 @@
         List<Socket> clients = new ArrayList<>();
         try {
             EventLoop loop = group.next();
-            ClientChannel.Listener listener = (ClientChannel.Listener) new ServerBootstrap().group(loop)
-                    .channelFactory(() -> new ClientChannel.Listener(null, n -> { }))
+            ClientChannel.Listener listener = (ClientChannel.Listener) new ServerBootstrap()
+                    .group(loop)
+                    .channelFactory(() -> new ClientChannel.Listener(null, n -> {}))
                     .option(ChannelOption.SO_BACKLOG, 1024)
                     .option(ChannelOption.AUTO_READ, false)
                     .childHandler(new ChannelInitializer<SocketChannel>() {
@@ -50,9 +51,14 @@
                             most[0] = Math.max(most[0], descriptors());
                             ch.close();
                         }
-                    }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+                    })
+                    .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                    .sync()
+                    .channel();
             for (int i = 0; i < waiting; i++) {
-                clients.add(new Socket(InetAddress.getLoopbackAddress(), listener.localAddress().getPort()));
+                clients.add(new Socket(
+                        InetAddress.getLoopbackAddress(),
+                        listener.localAddress().getPort()));
             }
             int before = descriptors();
             CountDownLatch closed = new CountDownLatch(1);
--- a/src/test/java/mulleinfront/proxy/ConfigMeasure.java
+++ b/src/test/java/mulleinfront/proxy/ConfigMeasure.java
@@ -31,7 +31,10 @@
                 control.follow(count);
                 StringBuilder keys = new StringBuilder();
                 for (int i = 0; i < 600; i++) {
-                    keys.append("k").append(i).append(" = \"").append(Long.toHexString(i * 0x9e3779b97f4a7c15L))
+                    keys.append("k")
+                            .append(i)
+                            .append(" = \"")
+                            .append(Long.toHexString(i * 0x9e3779b97f4a7c15L))
                             .append("\"\n");
                 }
                 control.propose(1, keys.toString());
@@ -63,10 +66,16 @@
         long from = System.nanoTime();
         Thread.sleep(20_000);
         double s = (System.nanoTime() - from) / 1e9;
-        System.out.printf(Locale.ROOT, "at rest: %.4f%% of a core for each of %d readers%n",
-                (own.getProcessCpuTime() - cpu) / 1e9 / s / count * 100, count);
+        System.out.printf(
+                Locale.ROOT,
+                "at rest: %.4f%% of a core for each of %d readers%n",
+                (own.getProcessCpuTime() - cpu) / 1e9 / s / count * 100,
+                count);
         for (int i = 0; i < 3; i++) {
-            System.out.printf(Locale.ROOT, "at rest: control machine %d: %.2f%% of a core%n", i + 1,
+            System.out.printf(
+                    Locale.ROOT,
+                    "at rest: control machine %d: %.2f%% of a core%n",
+                    i + 1,
                     (ticks(control.machines[i].pid()) - machines[i]) / 100.0 / s * 100);
         }
     }
@@ -78,8 +87,8 @@
         return Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
     }
 
-    private static void measure(ControlMachines control, long version, long before,
-            List<Double> into) throws Exception {
+    private static void measure(ControlMachines control, long version, long before, List<Double> into)
+            throws Exception {
         control.awaitAll(version);
         for (Reader r : control.readers) {
             into.add((r.at(version) - before) / 1e9);
@@ -88,9 +97,13 @@
 
     private static void print(String what, List<Double> s) {
         Collections.sort(s);
-        System.out.printf(Locale.ROOT, "%s: mean %.3f p99 %.3f worst %.3f s (%d times)%n", what,
+        System.out.printf(
+                Locale.ROOT,
+                "%s: mean %.3f p99 %.3f worst %.3f s (%d times)%n",
+                what,
                 s.stream().mapToDouble(d -> d).average().orElse(0),
                 s.get((int) Math.ceil(0.99 * s.size()) - 1),
-                s.get(s.size() - 1), s.size());
+                s.get(s.size() - 1),
+                s.size());
     }
 }
