--- a/src/test/java/mulleinfront/proxy/ConfigServeTest.java
+++ b/src/test/java/mulleinfront/proxy/ConfigServeTest.java
@@ -44,8 +44,9 @@
     }
 
     private Process serve(int port, String discovery, Path errors, String... options) throws Exception {
-        Path json = Files.writeString(folder.resolve("n.json"), Peers.config(port, discovery, "",
-                Peers.list(1, true, Peers.host("s", "127.0.0.1:1", "in_service"))));
+        Path json = Files.writeString(
+                folder.resolve("n.json"),
+                Peers.config(port, discovery, "", Peers.list(1, true, Peers.host("s", "127.0.0.1:1", "in_service"))));
         List<String> command = new ArrayList<>(ServeTest.command());
         command.addAll(1, List.of(options));
         command.addAll(List.of("--config-watch", control.file.toString()));
@@ -76,9 +77,11 @@
         control.propose(1, "[service.a]\nlimit = \"5ms\"\n");
         control.awaitAll(1);
         awaitLine(errors, "configuration version 1 in force, by c");
-        ControlMachines.await("all are known to have it", () -> control.config("status")
-                .endsWith("version 1 is in force at 11 of 11 client proxies\n"));
-        assertTrue(control.config("history").contains("2 keys, 2 changed, 0 removed  number 1"),
+        ControlMachines.await(
+                "all are known to have it",
+                () -> control.config("status").endsWith("version 1 is in force at 11 of 11 client proxies\n"));
+        assertTrue(
+                control.config("history").contains("2 keys, 2 changed, 0 removed  number 1"),
                 control.config("history"));
         Path kept = folder.resolve("state/n0/configuration.json");
         ControlMachines.await("it is kept", () -> Files.exists(kept));
@@ -138,8 +141,7 @@
         String said = control.config("propose", toml.toString(), "--why", "in vain");
         assertTrue(said.startsWith("8\n") || said.startsWith("7\n") || said.startsWith("1\n"), said);
         try (Client client = new Client(port)) {
-            assertEquals(503, client.safe("a", 1_000).read().status(),
-                    "it answers, though its host is nobody");
+            assertEquals(503, client.safe("a", 1_000).read().status(), "it answers, though its host is nobody");
         }
         for (Reader r : control.readers) {
             assertEquals(List.of(1L), r.history);
@@ -147,9 +149,13 @@
         control.start(1);
         ControlMachines.await("a change is decided again", () -> {
             try {
-                return control.config("propose", Files.writeString(folder.resolve("back.toml"),
-                        "back = 1\n").toString(),
-                        "--why", "back").startsWith("0\n");
+                return control.config(
+                                "propose",
+                                Files.writeString(folder.resolve("back.toml"), "back = 1\n")
+                                        .toString(),
+                                "--why",
+                                "back")
+                        .startsWith("0\n");
             } catch (java.io.IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
@@ -172,14 +178,15 @@
         control.propose(2, "");
         control.propose(3, "");
         control.awaitAll(3);
-        ControlMachines.await("the third has them too",
-                () -> control.config("status").contains("c3               version 3"));
+        ControlMachines.await(
+                "the third has them too", () -> control.config("status").contains("c3               version 3"));
         control.kill(3);
         copy(older, folder3);
         control.start(3);
         assertTrue(control.machines[2].waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS), "it ends");
         assertEquals(1, control.machines[2].exitValue());
-        assertTrue(Files.readString(folder.resolve("errors3")).contains("older copy"),
+        assertTrue(
+                Files.readString(folder.resolve("errors3")).contains("older copy"),
                 Files.readString(folder.resolve("errors3")));
         control.propose(4, "");
         control.awaitAll(4);
@@ -210,14 +217,14 @@
         Process process = serve(ServeTest.freePort(), "127.0.0.1:1", errors);
         control.propose(1, "");
         awaitLine(errors, "configuration version 1 in force");
-        ControlMachines.await("it has said so", () ->
-                control.config("status").contains("in force at 1 of 1"));
+        ControlMachines.await("it has said so", () -> control.config("status").contains("in force at 1 of 1"));
         ControlMachines.signal(process, "STOP");
         for (int i = 2; i <= 4; i++) {
             control.propose(i, "");
         }
-        ControlMachines.await("it is known to be behind", () -> control.config("status")
-                .contains("n0                   version 1, "));
+        ControlMachines.await(
+                "it is known to be behind",
+                () -> control.config("status").contains("n0                   version 1, "));
         ControlMachines.signal(process, "CONT");
         awaitLine(errors, "configuration version 4 in force");
         String text = Files.readString(errors);
@@ -228,25 +235,32 @@
     void aClientProxyThatFollowsLoadsNothingOfWhoDecides() throws Exception {
         Path errors = folder.resolve("served");
         Path loaded = folder.resolve("loaded");
-        Process process = serve(ServeTest.freePort(), "127.0.0.1:1", errors,
-                "-Xlog:class+load:file=" + loaded);
+        Process process = serve(ServeTest.freePort(), "127.0.0.1:1", errors, "-Xlog:class+load:file=" + loaded);
         awaitLine(errors, "listening on");
         awaitLine(loaded, "mulleinfront.follow.Following ");
         process.destroy();
-        assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS),
-                "nobody hands out, and it ends all the same");
+        assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS), "nobody hands out, and it ends all the same");
         String classes = Files.readString(loaded);
-        for (String no : List.of("mulleinfront.handout.", "mulleinfront.keep.", "io.microraft",
+        for (String no : List.of(
+                "mulleinfront.handout.",
+                "mulleinfront.keep.",
+                "io.microraft",
                 "mulleinfront.cli.",
-                "ch.qos.logback", "org.slf4j", "picocli.", "mulleinfront.fleet.", "mulleinfront.gossip.")) {
-            assertFalse(classes.contains(no), no + ": " + classes.lines().filter(l ->
-                    l.contains(no)).findFirst());
+                "ch.qos.logback",
+                "org.slf4j",
+                "picocli.",
+                "mulleinfront.fleet.",
+                "mulleinfront.gossip.")) {
+            assertFalse(
+                    classes.contains(no),
+                    no + ": " + classes.lines().filter(l -> l.contains(no)).findFirst());
         }
     }
 
     @Test
     void theKeyDiscoveryMovesTheWatchOfHosts() throws Exception {
-        try (Peers.Discovery old = new Peers.Discovery(); Peers.Discovery other = new Peers.Discovery()) {
+        try (Peers.Discovery old = new Peers.Discovery();
+                Peers.Discovery other = new Peers.Discovery()) {
             control.startAll();
             Path errors = folder.resolve("served");
             serve(ServeTest.freePort(), old.server.address(), errors);
@@ -264,8 +278,10 @@
         try (Socket slow = new Socket()) {
             slow.setReceiveBufferSize(1_024);
             slow.connect(control.door(1));
-            slow.getOutputStream().write("POST /config/watch?name=slow HTTP/1.1\r\nHost: c\r\nTransfer-Encoding: chunked"
-                    .concat("\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            slow.getOutputStream()
+                    .write("POST /config/watch?name=slow HTTP/1.1\r\nHost: c\r\nTransfer-Encoding: chunked"
+                            .concat("\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             InputStream in = slow.getInputStream();
             assertEquals('H', in.read());
             control.follow(10);
@@ -285,14 +301,15 @@
         control.startAll();
         assertEquals(400, call("POST /config/propose HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"));
         String nowhere = "{\"id\":\"a\",\"entries\":{\"discovery\":\"nowhere\"}}";
-        assertEquals(400, call("POST /config/propose HTTP/1.1\r\nContent-Length: " + nowhere.length()
-                + "\r\n\r\n"
-                + nowhere));
+        assertEquals(
+                400,
+                call("POST /config/propose HTTP/1.1\r\nContent-Length: " + nowhere.length() + "\r\n\r\n" + nowhere));
         assertEquals(400, call("GET /config/watch?name=a HTTP/1.1\r\n\r\n"));
         assertEquals(400, call("POST /config/watch?name=a&after=x HTTP/1.1\r\n\r\n"));
         assertEquals(404, call("GET /other HTTP/1.1\r\n\r\n"));
         Path bad = Files.writeString(folder.resolve("bad.toml"), "a = 1\n\ndiscovery = \"nowhere\"\n");
-        assertEquals("2\nmulleinfront: " + bad + ":3: discovery: not an address and port: nowhere\n",
+        assertEquals(
+                "2\nmulleinfront: " + bad + ":3: discovery: not an address and port: nowhere\n",
                 control.config("propose", bad.toString(), "--why", "bad"));
         assertTrue(control.config("status").contains("version 0 is in force at 0 of 0 client proxies"));
     }
@@ -303,7 +320,7 @@
             socket.setSoTimeout((int) Peers.PATIENCE_S * 1_000);
             socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
             ByteArrayOutputStream head = new ByteArrayOutputStream();
-            for (int b; (b = socket.getInputStream().read()) >= 0 && b != '\r';) {
+            for (int b; (b = socket.getInputStream().read()) >= 0 && b != '\r'; ) {
                 head.write(b);
             }
             return Integer.parseInt(head.toString(StandardCharsets.US_ASCII).split(" ")[1]);
--- a/src/test/java/mulleinfront/proxy/ControlMachines.java
+++ b/src/test/java/mulleinfront/proxy/ControlMachines.java
@@ -68,13 +68,17 @@
         this.group = new MultiThreadIoEventLoopGroup(loops, NioIoHandler.newFactory());
         this.folder = folder;
         this.file = folder.resolve("control.toml");
-        StringBuilder text = new StringBuilder(
-                keep ? "state = \"" + folder.resolve("state") + "/%n\"\n" : "").append("events = \""
-                + folder.resolve("events-%n.json") + "\"\n");
+        StringBuilder text = new StringBuilder(keep ? "state = \"" + folder.resolve("state") + "/%n\"\n" : "")
+                .append("events = \"" + folder.resolve("events-%n.json") + "\"\n");
         Set<Integer> ports = new HashSet<>();
         for (int i = 1; i <= 3; i++) {
-            text.append("[[machine]]\nname = \"c").append(i).append("\"\nconsensus = \"127.0.0.1:").append(port(ports))
-                    .append("\"\ndoor = \"127.0.0.1:").append(port(ports)).append("\"\n");
+            text.append("[[machine]]\nname = \"c")
+                    .append(i)
+                    .append("\"\nconsensus = \"127.0.0.1:")
+                    .append(port(ports))
+                    .append("\"\ndoor = \"127.0.0.1:")
+                    .append(port(ports))
+                    .append("\"\n");
         }
         Files.writeString(file, text);
     }
@@ -96,11 +100,18 @@
     void start(int machine) throws Exception {
         List<String> command = new ArrayList<>(ServeTest.command());
         command.remove("serve");
-        command.addAll(List.of("keep", "--config", file.toString(), "--me", String.valueOf(machine), "--dir",
+        command.addAll(List.of(
+                "keep",
+                "--config",
+                file.toString(),
+                "--me",
+                String.valueOf(machine),
+                "--dir",
                 folder.resolve("dir" + machine).toString()));
         Path errors = folder.resolve("errors" + machine);
         Files.deleteIfExists(errors);
-        machines[machine - 1] = new ProcessBuilder(command).redirectError(errors.toFile()).start();
+        machines[machine - 1] =
+                new ProcessBuilder(command).redirectError(errors.toFile()).start();
         await("machine " + machine + " hands out", () -> text(errors).contains("hands out on"));
     }
 
@@ -124,7 +135,10 @@
     }
 
     static void signal(Process process, String signal) throws Exception {
-        new ProcessBuilder("kill", "-" + signal, String.valueOf(process.pid())).inheritIO().start().waitFor();
+        new ProcessBuilder("kill", "-" + signal, String.valueOf(process.pid()))
+                .inheritIO()
+                .start()
+                .waitFor();
     }
 
     /** So many more that follow, with names of their own. */
@@ -134,9 +148,13 @@
             Reader reader = new Reader();
             EventLoop loop = group.next();
             reader.loop = loop;
-            reader.following = new Following(loop, UnpooledByteBufAllocator.DEFAULT, control,
+            reader.following = new Following(
+                    loop,
+                    UnpooledByteBufAllocator.DEFAULT,
+                    control,
                     "r" + readers.size(),
-                    ThreadLocalRandom.current().nextLong(), (v, how) -> {
+                    ThreadLocalRandom.current().nextLong(),
+                    (v, how) -> {
                         reader.history.add(v.number());
                         reader.atNanos.add(System.nanoTime());
                     });
@@ -158,8 +176,7 @@
 
     /** Has a file decided; gives the instant before it was proposed. */
     long propose(int number, String more) throws Exception {
-        Path toml = Files.writeString(folder.resolve("fleet-" + number + ".toml"),
-                "number = " + number + "\n" + more);
+        Path toml = Files.writeString(folder.resolve("fleet-" + number + ".toml"), "number = " + number + "\n" + more);
         long before = System.nanoTime();
         String said = config("propose", toml.toString(), "--why", "number " + number);
         if (!said.equals("0\nversion " + number + " is decided\n")) {
--- a/src/test/java/mulleinfront/proxy/CrossingsTest.java
+++ b/src/test/java/mulleinfront/proxy/CrossingsTest.java
@@ -39,8 +39,11 @@
         long windowMs = 400;
         Server first = host(Seen::reset);
         try (Deaf second = new Deaf()) {
-            start("", c -> c.replace("\"dedupWindowUs\":20000000", "\"dedupWindowUs\":" + windowMs * 1000),
-                    Peers.host("s", first.address(), "in_service"), Peers.host("t", second.address(), "in_service"));
+            start(
+                    "",
+                    c -> c.replace("\"dedupWindowUs\":20000000", "\"dedupWindowUs\":" + windowMs * 1000),
+                    Peers.host("s", first.address(), "in_service"),
+                    Peers.host("t", second.address(), "in_service"));
             module.onRequest = r -> module.actions.send(r.id(), "s", 0);
             module.onEnd = e -> {
                 if (e.attempt() == 0) {
@@ -50,13 +53,15 @@
                 }
             };
             Client client = keyed(client(), "id1");
-            assertEquals(Outcome.RESET, Peers.next(module.ends, "the first's end").outcome());
+            assertEquals(
+                    Outcome.RESET, Peers.next(module.ends, "the first's end").outcome());
             long closesAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(windowMs);
             while (System.nanoTime() < closesAt) {
                 Thread.onSpinWait();
             }
             second.hear();
-            assertEquals(Outcome.IGNORED, Peers.next(module.ends, "the second's end").outcome());
+            assertEquals(
+                    Outcome.IGNORED, Peers.next(module.ends, "the second's end").outcome());
             assertEquals(502, client.read().status(), "it may have run: no refusal");
             assertTrue(second.silent(), "nothing was written");
         }
@@ -134,7 +139,9 @@
                 Discovery.push(watch, Peers.list(2, false, Peers.host("s", address, "terminating")));
                 assertEquals("DELTA [s 1 DRAINING]", Peers.next(module.lists, "the drain"));
                 assertEquals(503, client().safe("b", 20_000).read().status());
-                assertEquals(Outcome.IGNORED, Peers.next(module.ends, "the other's end").outcome());
+                assertEquals(
+                        Outcome.IGNORED,
+                        Peers.next(module.ends, "the other's end").outcome());
                 client.write("b".repeat(length / 2));
                 assertEquals(length / 2, in.readNBytes(length / 2).length);
                 host.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".getBytes());
@@ -150,8 +157,7 @@
     void nothingIsWrittenToTheTargetOfARetryThatIsToldToDrainMeanwhile() throws Exception {
         Server first = host(Seen::notRun);
         try (Deaf second = new Deaf()) {
-            start("", Peers.host("f", first.address(), "in_service"),
-                    Peers.host("s", second.address(), "in_service"));
+            start("", Peers.host("f", first.address(), "in_service"), Peers.host("s", second.address(), "in_service"));
             Seen watch = discovery.asked();
             module.onRequest = r -> module.actions.send(r.id(), "f", 0);
             module.onEnd = e -> {
@@ -162,11 +168,14 @@
                 }
             };
             Client client = client().unsafe("a", 20_000);
-            assertEquals(Outcome.QUEUE_FULL, Peers.next(module.ends, "the first's end").outcome());
+            assertEquals(
+                    Outcome.QUEUE_FULL,
+                    Peers.next(module.ends, "the first's end").outcome());
             Discovery.push(watch, Peers.list(2, false, Peers.host("s", second.address(), "terminating")));
             assertEquals("DELTA [s 1 DRAINING]", Peers.next(module.lists, "the drain"));
             second.hear();
-            assertEquals(Outcome.IGNORED, Peers.next(module.ends, "the second's end").outcome());
+            assertEquals(
+                    Outcome.IGNORED, Peers.next(module.ends, "the second's end").outcome());
             assertEquals(503, client.read().status());
             assertTrue(second.silent(), "nothing was written");
         }
@@ -238,8 +247,13 @@
         first.reset();
         assertEquals(Outcome.CONNECT_ERROR, Peers.next(held, "nobody is there").outcome());
         // One word says that it is gone and that there is another, while an attempt is still out at the first.
-        Discovery.push(watch, Peers.list(2, false, Peers.host("s", before.address(), "terminated"),
-                Peers.host("t", after.address(), "in_service")));
+        Discovery.push(
+                watch,
+                Peers.list(
+                        2,
+                        false,
+                        Peers.host("s", before.address(), "terminated"),
+                        Peers.host("t", after.address(), "in_service")));
         assertEquals("DELTA [s 1 GONE, t 1 READY]", Peers.next(module.lists, "the replacement"));
         second.reset();
         assertEquals(502, unsafe.read().status(), "it may have run: nobody gets it again");
--- a/src/test/java/mulleinfront/proxy/DeafToEndsDaemon.java
+++ b/src/test/java/mulleinfront/proxy/DeafToEndsDaemon.java
@@ -12,12 +12,13 @@
  * refusal, puts off the time until which the list is sent by, as if discovery could not be reached.
  */
 public final class DeafToEndsDaemon {
-    private DeafToEndsDaemon() { }
+    private DeafToEndsDaemon() {}
 
     /** Serves as {@code serve} does, by the configuration of NODE_CONFIG. */
     public static void main(String... args) throws Exception {
         String file = System.getenv("NODE_CONFIG");
-        ClientProxy proxy = ClientProxy.start(Config.load(file),
+        ClientProxy proxy = ClientProxy.start(
+                Config.load(file),
                 (settings, seed, now, actions) -> deaf(Balancer.create(settings, seed, now, actions)));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> proxy.drain().awaitUninterruptibly()));
         Signal.handle(new Signal("HUP"), hup -> reload(proxy, file));
@@ -32,7 +33,9 @@
     }
 
     private static Balancer deaf(Balancer real) {
-        return (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class},
+        return (Balancer) Proxy.newProxyInstance(
+                Balancer.class.getClassLoader(),
+                new Class<?>[] {Balancer.class},
                 (proxy, method, args) -> call(real, method, args));
     }
 
--- a/src/test/java/mulleinfront/proxy/DiscoveryTest.java
+++ b/src/test/java/mulleinfront/proxy/DiscoveryTest.java
@@ -54,7 +54,9 @@
         discovery = keep(new Discovery());
         startPushed("null");
         Seen watch = discovery.asked();
-        assertTrue(watch.message().first().startsWith("GET /api/targets?watch=1 "), watch.message().first());
+        assertTrue(
+                watch.message().first().startsWith("GET /api/targets?watch=1 "),
+                watch.message().first());
         watch.reset();
         Discovery.push(discovery.asked(), Peers.list(1, true));
         assertEquals("FULL []", Peers.next(module.lists, "the list"));
@@ -62,8 +64,8 @@
 
     private void startPushed(String known) throws Exception {
         String config = Peers.config(0, discovery.server.address(), "", known).replace("subscribe", "automatic");
-        proxy = ClientProxy.start(Config.parse(config.getBytes(StandardCharsets.UTF_8)),
-                (settings, seed, now, actions) -> {
+        proxy = ClientProxy.start(
+                Config.parse(config.getBytes(StandardCharsets.UTF_8)), (settings, seed, now, actions) -> {
                     module.actions = actions;
                     return module;
                 });
@@ -82,8 +84,13 @@
             module.actions.refuse(r.id(), 0);
         };
         assertEquals(503, client().unsafe("early", 20_000).read().status());
-        Discovery.push(watch, Peers.list(9, true, Peers.host("s", drains.address(), "terminating"),
-                Peers.host("t", drains.address(), "in_service")));
+        Discovery.push(
+                watch,
+                Peers.list(
+                        9,
+                        true,
+                        Peers.host("s", drains.address(), "terminating"),
+                        Peers.host("t", drains.address(), "in_service")));
         assertEquals("FULL [s 1 DRAINING, t 1 READY]", Peers.next(module.lists, "the agent's list, as the first"));
         assertEquals(200, ready());
         assertEquals(503, client().unsafe("late", 20_000).read().status());
@@ -122,11 +129,18 @@
         start("", Peers.host("s", "127.0.0.1:1", "in_service"), Peers.host("t", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
         for (int version : new int[] {3, 6, 4, 2, 5}) {
-            Discovery.push(watch, Peers.list(version, false, Peers.host(version == 5 ? "t" : "s",
-                    "127.0.0.1:1", version >= 5 ? "terminating" : "in_service")));
+            Discovery.push(
+                    watch,
+                    Peers.list(
+                            version,
+                            false,
+                            Peers.host(
+                                    version == 5 ? "t" : "s",
+                                    "127.0.0.1:1",
+                                    version >= 5 ? "terminating" : "in_service")));
         }
-        for (String expected : List.of("DELTA [s 1 READY]", "DELTA [s 1 DRAINING]", "DELTA []", "DELTA []",
-                "DELTA [t 1 DRAINING]")) {
+        for (String expected :
+                List.of("DELTA [s 1 READY]", "DELTA [s 1 DRAINING]", "DELTA []", "DELTA []", "DELTA [t 1 DRAINING]")) {
             assertEquals(expected, Peers.next(module.lists, expected));
         }
     }
@@ -135,8 +149,13 @@
     void aWholeListThatIsOlderThanWhatTheWatchToldUndoesNoDrain() throws Exception {
         start("", Peers.host("s", "127.0.0.1:1", "in_service"), Peers.host("t", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
-        Discovery.push(watch, Peers.list(5, true, Peers.host("s", "127.0.0.1:1", "terminating"),
-                Peers.host("t", "127.0.0.1:1", "in_service")));
+        Discovery.push(
+                watch,
+                Peers.list(
+                        5,
+                        true,
+                        Peers.host("s", "127.0.0.1:1", "terminating"),
+                        Peers.host("t", "127.0.0.1:1", "in_service")));
         Discovery.push(watch, Peers.list(4, true, Peers.host("s", "127.0.0.1:1", "in_service")));
         Discovery.push(watch, Peers.list(6, false, Peers.host("t", "127.0.0.1:1", "in_service")));
         assertEquals("FULL [s 1 DRAINING, t 1 READY]", Peers.next(module.lists, "the newer"));
@@ -195,12 +214,16 @@
     }
 
     private static String indented(String list) {
-        return list.replace("{", "{\n  ").replace(",", ",\n  ").replace("}", "\n}").replace("[", "[\n");
+        return list.replace("{", "{\n  ")
+                .replace(",", ",\n  ")
+                .replace("}", "\n}")
+                .replace("[", "[\n");
     }
 
     @Test
     void listsMayBeIndentedOverManyLines() throws Exception {
-        // Guards rule 3: a watch framed by lines took each line of such a list for a broken one, and never heard of a drain.
+        // Guards rule 3: a watch framed by lines took each line of such a list for a broken one, and never heard of a
+        // drain.
         start("", Peers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
         raw(watch, indented(Peers.list(2, true, Peers.host("s", "127.0.0.1:1", "in_service"))) + "\n");
@@ -214,11 +237,14 @@
     void listsMayShareAReadOrComeByTheByte() throws Exception {
         start("", Peers.host("s", "127.0.0.1:1", "in_service"));
         Seen watch = discovery.asked();
-        raw(watch, Peers.list(2, true, Peers.host("a}\\\"{b", "127.0.0.1:1", "in_service"))
-                + Peers.list(3, false, Peers.host("s", "127.0.0.1:1", "in_service")) + "\n");
+        raw(
+                watch,
+                Peers.list(2, true, Peers.host("a}\\\"{b", "127.0.0.1:1", "in_service"))
+                        + Peers.list(3, false, Peers.host("s", "127.0.0.1:1", "in_service")) + "\n");
         assertEquals("FULL [a}\"{b 1 READY]", Peers.next(module.lists, "the first of two in a read"));
         assertEquals("DELTA [s 1 READY]", Peers.next(module.lists, "the second"));
-        for (char c : indented(Peers.list(4, false, Peers.host("s", "127.0.0.1:1", "terminating"))).toCharArray()) {
+        for (char c : indented(Peers.list(4, false, Peers.host("s", "127.0.0.1:1", "terminating")))
+                .toCharArray()) {
             raw(watch, String.valueOf(c));
         }
         assertEquals("DELTA [s 1 DRAINING]", Peers.next(module.lists, "the one in pieces"));
@@ -280,9 +306,10 @@
         move(other.server.address());
         watch.awaitEnd();
         Seen moved = other.asked();
-        assertTrue(moved.message().first().startsWith("GET /api/targets?watch=1 "), moved.message().first());
-        assertEquals(200, ready(),
-                "the old list holds");
+        assertTrue(
+                moved.message().first().startsWith("GET /api/targets?watch=1 "),
+                moved.message().first());
+        assertEquals(200, ready(), "the old list holds");
         move(other.server.address());
         Discovery.push(moved, Peers.list(2, true, Peers.host("t", "127.0.0.1:1", "in_service")));
         assertEquals("FULL [t 1 READY]", Peers.next(module.lists, "the other's list, and no failure before"));
--- a/src/test/java/mulleinfront/proxy/FleetServeTest.java
+++ b/src/test/java/mulleinfront/proxy/FleetServeTest.java
@@ -35,7 +35,8 @@
     private Path file;
 
     private void fleet(String more) throws Exception {
-        file = Files.writeString(folder.resolve("fleet.toml"),
+        file = Files.writeString(
+                folder.resolve("fleet.toml"),
                 "fleet = \"test\"\nperiod = \"100ms\"\nsettled-after = \"400ms\"\n" + more);
         for (int i = 0; i < MEMBERS; i++) {
             doors[i] = ServeTest.freePort();
@@ -46,10 +47,13 @@
     }
 
     private String config(int number) throws Exception {
-        String peers = IntStream.of(ports).mapToObj(p -> "\"127.0.0.1:" + p + "\"").collect(Collectors.joining(","));
+        String peers =
+                IntStream.of(ports).mapToObj(p -> "\"127.0.0.1:" + p + "\"").collect(Collectors.joining(","));
         return Peers.config(0, "127.0.0.1:1", "", Peers.list(1, true, Peers.host("s", "127.0.0.1:1", "in_service")))
-                .replace("{\"name\":\"n0\"", "{\"name\":\"n" + number + "\",\"management\":\"127.0.0.1:" + doors[number]
-                        + "\",\"peer_listen\":\"127.0.0.1:" + ports[number] + "\"")
+                .replace(
+                        "{\"name\":\"n0\"",
+                        "{\"name\":\"n" + number + "\",\"management\":\"127.0.0.1:" + doors[number]
+                                + "\",\"peer_listen\":\"127.0.0.1:" + ports[number] + "\"")
                 .replace("\"peers\":[]", "\"peers\":[" + peers + "]")
                 .replace("\"settings\":{", "\"settings\":{\"me\":" + number + ",");
     }
@@ -112,10 +116,13 @@
         await(0, "0\nfleet test", "alive 3", "reach all", "settled true", "2 n2 alive");
         Process watch = new ProcessBuilder(program("fleet", "watch", "--door", "127.0.0.1:" + doors[0]))
                 .redirectOutput(folder.resolve("watched").toFile())
-                .redirectError(folder.resolve("word").toFile()).start();
+                .redirectError(folder.resolve("word").toFile())
+                .start();
         try {
-            for (int i = 0; i < 50 * Peers.PATIENCE_S
-                    && !Files.readString(folder.resolve("word")).contains("watching"); i++) {
+            for (int i = 0;
+                    i < 50 * Peers.PATIENCE_S
+                            && !Files.readString(folder.resolve("word")).contains("watching");
+                    i++) {
                 Thread.sleep(20);
             }
             processes[2].destroyForcibly().waitFor();
@@ -143,9 +150,15 @@
         assertTrue(watched.contains("\"to\":\"left\""), watched);
         String events = Files.readString(folder.resolve("events-n0.json"));
         assertTrue(events.contains("\"message\":\"began\""), events);
-        assertTrue(events.lines().anyMatch(l -> l.contains("\"message\":\"changed\"") && l.contains("\"member\":2")
-                && l.contains("\"from\":\"suspected\"") && l.contains("\"to\":\"failed\"")), events);
-        assertTrue(call("fleet", "members", "--json", "--door", "127.0.0.1:" + doors[1]).contains("\"digest\""));
+        assertTrue(
+                events.lines()
+                        .anyMatch(l -> l.contains("\"message\":\"changed\"")
+                                && l.contains("\"member\":2")
+                                && l.contains("\"from\":\"suspected\"")
+                                && l.contains("\"to\":\"failed\"")),
+                events);
+        assertTrue(call("fleet", "members", "--json", "--door", "127.0.0.1:" + doors[1])
+                .contains("\"digest\""));
     }
 
     private static List<String> program(String... words) {
@@ -202,25 +215,36 @@
         String good = config(0);
         for (String[] wrong : new String[][] {
             {good, "mulleinfront: " + file + ":4: helpers: must be 10 at most"},
-            {good.replace("\"peers\":[\"", "\"peers\":[\"1.2.3.4:5\",\"1.2.3.4:5\",\""),
-                "mulleinfront: configuration: peers names 1.2.3.4:5 twice: each member has an address of its own"},
-            {good.replace("\"me\":0", "\"me\":3"),
-                "mulleinfront: configuration: settings.me is 3, and peers has the numbers 0 to 2"},
-            {good.replace("\"peer_listen\"", "\"peer_hear\""),
-                "mulleinfront: configuration: peer_listen is missing, which a fleet needs"}}) {
+            {
+                good.replace("\"peers\":[\"", "\"peers\":[\"1.2.3.4:5\",\"1.2.3.4:5\",\""),
+                "mulleinfront: configuration: peers names 1.2.3.4:5 twice: each member has an address of its own"
+            },
+            {
+                good.replace("\"me\":0", "\"me\":3"),
+                "mulleinfront: configuration: settings.me is 3, and peers has the numbers 0 to 2"
+            },
+            {
+                good.replace("\"peer_listen\"", "\"peer_hear\""),
+                "mulleinfront: configuration: peer_listen is missing, which a fleet needs"
+            }
+        }) {
             Process p = start(0, wrong[0], ProcessBuilder.Redirect.to(errors.toFile()), "--fleet", file.toString());
             assertTrue(p.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
             assertEquals(1, p.exitValue());
             assertEquals(wrong[1] + "\n", Files.readString(errors));
         }
-        assertEquals("2\nmulleinfront: " + file + ":4: helpers: must be 10 at most\n",
+        assertEquals(
+                "2\nmulleinfront: " + file + ":4: helpers: must be 10 at most\n",
                 call("fleet", "check", file.toString()));
         assertTrue(call("fleet", "check", "deploy/fleet.toml").startsWith("0\nfleet factoring: "));
-        for (String[] line : new String[][] {{"period = \"1ms\"", "2: period: must be from 20ms to 60s"},
-            {"perod = \"1s\"", "2: perod: unknown key"}, {"datagrams = 64", "2: datagrams: '64' is no rate: a number for"
-                + " each second, as \"240/s\""}, {"answer = \"700ms\"", "2: answer: must be from 1us to 599999us"},
-            {"gone-after = \"2s\"", "2: gone-after: must be from 10s up"}, {"accusers = nan",
-                "2: accusers: must be a plain number, 0 or more"}}) {
+        for (String[] line : new String[][] {
+            {"period = \"1ms\"", "2: period: must be from 20ms to 60s"},
+            {"perod = \"1s\"", "2: perod: unknown key"},
+            {"datagrams = 64", "2: datagrams: '64' is no rate: a number for" + " each second, as \"240/s\""},
+            {"answer = \"700ms\"", "2: answer: must be from 1us to 599999us"},
+            {"gone-after = \"2s\"", "2: gone-after: must be from 10s up"},
+            {"accusers = nan", "2: accusers: must be a plain number, 0 or more"}
+        }) {
             Files.writeString(file, "fleet = \"a\"\n" + line[0] + "\n");
             assertEquals("2\nmulleinfront: " + file + ":" + line[1] + "\n", call("fleet", "check", file.toString()));
         }
@@ -244,11 +268,26 @@
         assertTrue(processes[0].waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
         String classes = Files.readString(loaded, StandardCharsets.UTF_8);
         assertTrue(classes.contains("mulleinfront.proxy.ClientProxy"));
-        for (String no : List.of("mulleinfront.fleet.", "mulleinfront.gossip.", "mulleinfront.emulator.",
-                "mulleinfront.kit.", "mulleinfront.cli.", "ch.qos.logback", "org.slf4j", "org.tomlj", "picocli.",
-                "mulleinfront.settings.FleetFile", "mulleinfront.config.", "mulleinfront.follow.",
-                "mulleinfront.handout.", "mulleinfront.keep.", "mulleinfront.settings.ControlFile", "io.microraft")) {
-            assertFalse(classes.contains(no), no + ": " + classes.lines().filter(l -> l.contains(no)).findFirst());
+        for (String no : List.of(
+                "mulleinfront.fleet.",
+                "mulleinfront.gossip.",
+                "mulleinfront.emulator.",
+                "mulleinfront.kit.",
+                "mulleinfront.cli.",
+                "ch.qos.logback",
+                "org.slf4j",
+                "org.tomlj",
+                "picocli.",
+                "mulleinfront.settings.FleetFile",
+                "mulleinfront.config.",
+                "mulleinfront.follow.",
+                "mulleinfront.handout.",
+                "mulleinfront.keep.",
+                "mulleinfront.settings.ControlFile",
+                "io.microraft")) {
+            assertFalse(
+                    classes.contains(no),
+                    no + ": " + classes.lines().filter(l -> l.contains(no)).findFirst());
         }
     }
 }
--- a/src/test/java/mulleinfront/proxy/GoneTest.java
+++ b/src/test/java/mulleinfront/proxy/GoneTest.java
@@ -165,7 +165,8 @@
         left.countDown();
         assertEquals("a", Peers.next(module.gone, "its leaving"));
         assertEquals(Outcome.RESET, Peers.next(module.ends, "the first's end").outcome());
-        assertEquals(Outcome.IGNORED, Peers.next(module.ends, "the second's end").outcome());
+        assertEquals(
+                Outcome.IGNORED, Peers.next(module.ends, "the second's end").outcome());
         onlyThisIsSent(second, "b");
     }
 
@@ -202,7 +203,11 @@
         Client client = client().unsafe("a", 20_000);
         assertEquals("a", Peers.next(held, "the hold"));
         Future<?> draining = proxy.drain();
-        assertEquals("close", client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n").read().header("connection"));
+        assertEquals(
+                "close",
+                client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                        .read()
+                        .header("connection"));
         Client blocker = blocker();
         leave(client);
         left.countDown();
--- a/src/test/java/mulleinfront/proxy/IdleClientsTest.java
+++ b/src/test/java/mulleinfront/proxy/IdleClientsTest.java
@@ -66,15 +66,17 @@
         Files.writeString(file, Peers.config(port, discovery, "", known));
         // The JVM of a test holds a descriptor for each part of its class path; the deployed one has one jar.
         int limit = SOCKETS + System.getProperty("java.class.path").split(File.pathSeparator).length;
-        List<String> command = new ArrayList<>(List.of("/bin/sh", "-c", "ulimit -n " + limit
-                + " && exec \"$@\"", "sh"));
+        List<String> command =
+                new ArrayList<>(List.of("/bin/sh", "-c", "ulimit -n " + limit + " && exec \"$@\"", "sh"));
         command.addAll(ServeTest.command());
         ProcessBuilder builder = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT);
         builder.environment().put("NODE_CONFIG", file.toString());
         process = builder.start();
-        for (int status = 0; status != 200;) {
+        for (int status = 0; status != 200; ) {
             try (Client client = new Client(port)) {
-                status = client.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n").read().status();
+                status = client.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                        .read()
+                        .status();
             } catch (IOException e) {
                 assertTrue(process.isAlive(), "it ended before it was ready");
             }
@@ -91,12 +93,13 @@
     private long sockets() throws IOException {
         try (Stream<Path> all = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
             return all.filter(fd -> {
-                try {
-                    return Files.readSymbolicLink(fd).toString().startsWith("socket");
-                } catch (IOException e) {
-                    return false; // closed meanwhile
-                }
-            }).count();
+                        try {
+                            return Files.readSymbolicLink(fd).toString().startsWith("socket");
+                        } catch (IOException e) {
+                            return false; // closed meanwhile
+                        }
+                    })
+                    .count();
         }
     }
 
@@ -105,7 +108,7 @@
      * more of those that say nothing come before each try.
      */
     private Message ask(String id) throws Exception {
-        for (int i = 0;; i++) {
+        for (int i = 0; ; i++) {
             crowd();
             try (Client client = new Client(port)) {
                 return client.safe(id + "-" + i, 20_000).read();
@@ -145,8 +148,7 @@
             most = Math.max(most, sockets());
         }
         assertEquals(404, last.read().status());
-        assertTrue(most <= MOST_CLIENTS + ClientProxy.OWN_SOCKETS,
-                most + " sockets: nothing is left for others");
+        assertTrue(most <= MOST_CLIENTS + ClientProxy.OWN_SOCKETS, most + " sockets: nothing is left for others");
 
         try (ServerSocket back = new ServerSocket(at, 50, InetAddress.getLoopbackAddress())) {
             crowd();
@@ -154,11 +156,16 @@
             Socket call = keep(back.accept());
             crowd();
             assertTrue(Peers.read(call.getInputStream()).first().startsWith("GET /api/targets"));
-            String now = Peers.list(2, true, Peers.host("old", old.address(), "terminating"),
-                    Peers.host("fresh", fresh.address(), "in_service")) + "\n";
-            call.getOutputStream().write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                    + Integer.toHexString(now.length()) + "\r\n" + now + "\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+            String now = Peers.list(
+                            2,
+                            true,
+                            Peers.host("old", old.address(), "terminating"),
+                            Peers.host("fresh", fresh.address(), "in_service"))
+                    + "\n";
+            call.getOutputStream()
+                    .write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(now.length())
+                                    + "\r\n" + now + "\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             crowd();
             open.forEach(s -> s.served("old"));
             for (Client client : busy) {
@@ -166,7 +173,7 @@
             }
             // Whether the list has been read by now is not known; a drain is not sent to once it has.
             Message answer;
-            for (int i = 0; !(answer = ask("new" + i)).text().equals("fresh");) {
+            for (int i = 0; !(answer = ask("new" + i)).text().equals("fresh"); ) {
                 i++;
                 assertTrue(i < 20, "the new host is never reached: " + answer.first());
             }
--- a/src/test/java/mulleinfront/proxy/JamTest.java
+++ b/src/test/java/mulleinfront/proxy/JamTest.java
@@ -30,15 +30,19 @@
         AtomicBoolean jammed = new AtomicBoolean();
         List<String> hosts = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            hosts.add(Peers.host("s" + i, host(s -> {
-                if (!jammed.get()) {
-                    s.answer(200, "X-Load: {\"outstanding\":5}\r\n", "x");
-                }
-            }).address(), "in_service"));
+            hosts.add(Peers.host(
+                    "s" + i,
+                    host(s -> {
+                                if (!jammed.get()) {
+                                    s.answer(200, "X-Load: {\"outstanding\":5}\r\n", "x");
+                                }
+                            })
+                            .address(),
+                    "in_service"));
         }
         discovery = keep(new Discovery());
-        String config = Peers.config(0, discovery.server.address(), "",
-                Peers.list(1, true, hosts.toArray(String[]::new)))
+        String config = Peers.config(
+                        0, discovery.server.address(), "", Peers.list(1, true, hosts.toArray(String[]::new)))
                 .replace("{\"name\":\"n0\"", "{\"name\":\"n0\",\"management\":\"127.0.0.1:0\"")
                 .replace("\"balancers\":3", "\"balancers\":100")
                 .replace("\"onTimeUs\":20000000,\"deadlineUs\":20000000", "\"onTimeUs\":400000,\"deadlineUs\":400000");
--- a/src/test/java/mulleinfront/proxy/ListsTest.java
+++ b/src/test/java/mulleinfront/proxy/ListsTest.java
@@ -27,7 +27,9 @@
     }
 
     private static String indented(String list, String end) {
-        return list.replace("{", "{" + end + "  ").replace(",", "," + end + "\t").replace("}", end + "}")
+        return list.replace("{", "{" + end + "  ")
+                .replace(",", "," + end + "\t")
+                .replace("}", end + "}")
                 .replace("\":", "\" : ");
     }
 
@@ -40,7 +42,10 @@
             String plain = Peers.list(99, full, Peers.host("s", "127.0.0.1:1", "terminating"));
             // What the page doesn't name may come, with brackets in its strings.
             String more = "\"more\":{\"a}\":[1,\"]{\\\"\"]},\"cell\"";
-            for (String form : List.of(plain + "\n", plain, indented(plain, "\n") + "\n",
+            for (String form : List.of(
+                    plain + "\n",
+                    plain,
+                    indented(plain, "\n") + "\n",
                     indented(plain, "\r\n") + "\r\n",
                     "\n\n" + plain + "\n\n")) {
                 for (int cut = 0; cut <= form.length() + more.length(); cut++) {
@@ -48,8 +53,10 @@
                     int at = Math.min(cut, list.length());
                     chunk(watch, list.substring(0, at));
                     chunk(watch, list.substring(at));
-                    assertEquals((full ? "FULL" : "DELTA") + " [s 1 DRAINING]",
-                            Peers.next(module.lists, "cut at " + cut), "cut at " + cut + " of " + form);
+                    assertEquals(
+                            (full ? "FULL" : "DELTA") + " [s 1 DRAINING]",
+                            Peers.next(module.lists, "cut at " + cut),
+                            "cut at " + cut + " of " + form);
                 }
             }
         }
--- a/src/test/java/mulleinfront/proxy/OperatedTest.java
+++ b/src/test/java/mulleinfront/proxy/OperatedTest.java
@@ -25,10 +25,14 @@
 class OperatedTest extends ProxyRig {
     private void start(Server host) throws Exception {
         discovery = keep(new Peers.Discovery());
-        String config = Peers.config(0, discovery.server.address(), "",
+        String config = Peers.config(
+                0,
+                discovery.server.address(),
+                "",
                 host == null ? "null" : Peers.list(1, true, Peers.host("s", host.address(), "in_service")));
-        proxy = ClientProxy.start(Config.parse(config.replace("{\"name\":\"n0\"",
-                "{\"name\":\"n0\",\"management\":\"127.0.0.1:0\"").getBytes(StandardCharsets.UTF_8)),
+        proxy = ClientProxy.start(
+                Config.parse(config.replace("{\"name\":\"n0\"", "{\"name\":\"n0\",\"management\":\"127.0.0.1:0\"")
+                        .getBytes(StandardCharsets.UTF_8)),
                 Balancer::create);
         ClientProxy.operate(List.of(proxy));
     }
@@ -41,8 +45,8 @@
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.setSoTimeout((int) Peers.PATIENCE_S * 1000);
             s.getOutputStream().write(line.getBytes(StandardCharsets.US_ASCII));
-            BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(),
-                    StandardCharsets.US_ASCII));
+            BufferedReader in =
+                    new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
             String answer = in.readLine();
             assertNull(in.readLine(), "one line, then the end");
             return answer;
@@ -79,7 +83,7 @@
 
     @Test
     void atTheEndHalfARequestHoldsNobodyUpAndAnOpenOneIsAnswered() throws Exception {
-        Server host = host(s -> { });
+        Server host = host(s -> {});
         start(host);
         Client half = client().write("POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: half\r\n");
         Client body = client().write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: b\r\nX-Class: unsafe\r\n"
--- a/src/test/java/mulleinfront/proxy/Peers.java
+++ b/src/test/java/mulleinfront/proxy/Peers.java
@@ -40,8 +40,11 @@
     /** A message as it came: its first line and headers in lower case names, and its body. */
     record Message(String first, List<String> headers, byte[] body) {
         String header(String name) {
-            return headers.stream().filter(h -> h.toLowerCase(Locale.ROOT).startsWith(name + ":"))
-                    .map(h -> h.substring(name.length() + 1).strip()).findFirst().orElse(null);
+            return headers.stream()
+                    .filter(h -> h.toLowerCase(Locale.ROOT).startsWith(name + ":"))
+                    .map(h -> h.substring(name.length() + 1).strip())
+                    .findFirst()
+                    .orElse(null);
         }
 
         String text() {
@@ -61,7 +64,7 @@
         Message bare = readHead(in);
         if ("chunked".equals(bare.header("transfer-encoding"))) {
             ByteArrayOutputStream body = new ByteArrayOutputStream();
-            for (byte[] chunk; (chunk = readChunk(in)).length > 0;) {
+            for (byte[] chunk; (chunk = readChunk(in)).length > 0; ) {
                 body.write(chunk);
             }
             return new Message(bare.first(), bare.headers(), body.toByteArray());
@@ -78,7 +81,7 @@
     /** Reads one chunk; the last one is empty. */
     static byte[] readChunk(InputStream in) throws IOException {
         StringBuilder size = new StringBuilder();
-        for (int b; (b = in.read()) != '\n';) {
+        for (int b; (b = in.read()) != '\n'; ) {
             if (b < 0) {
                 throw new EOFException("ended before a chunk");
             }
@@ -100,7 +103,8 @@
             }
             head.write(b);
         }
-        List<String> lines = List.of(head.toString(StandardCharsets.ISO_8859_1).strip().split("\r\n"));
+        List<String> lines =
+                List.of(head.toString(StandardCharsets.ISO_8859_1).strip().split("\r\n"));
         return new Message(lines.get(0), lines.subList(1, lines.size()), new byte[0]);
     }
 
@@ -182,8 +186,7 @@
         }
 
         void answer(int status, String headers, String body) {
-            write("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n"
-                    + body);
+            write("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
         void served(String body) {
@@ -269,7 +272,7 @@
 
     /** Discovery: answers a watch when the test asks for it, and leaves it open for {@link #push}. */
     static final class Discovery implements AutoCloseable {
-        final Server server = new Server(seen -> { });
+        final Server server = new Server(seen -> {});
 
         Discovery() throws IOException {}
 
@@ -354,8 +357,7 @@
     }
 
     static String list(int version, boolean full, String... hosts) {
-        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":["
-                + String.join(",", hosts) + "]}";
+        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", hosts) + "]}";
     }
 
     /** A configuration; {@code limits} are further ones, each with a comma before it. */
--- a/src/test/java/mulleinfront/proxy/PiecesTest.java
+++ b/src/test/java/mulleinfront/proxy/PiecesTest.java
@@ -25,32 +25,62 @@
 
     private static Map<String, Form> forms() {
         Map<String, Form> forms = new LinkedHashMap<>();
-        forms.put("a GET", new Form("GET /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + ID
-                + "\r\nX-Class: safe\r\nX-Deadline-Ms: 20000\r\n\r\n", "GET /api HTTP/1.1|" + ID + "|null|"));
-        forms.put("a GET with all there is", new Form("GET /api/a%20b?q=%2f&r HTTP/1.1\r\nHost: origin.svc\r\n"
-                + "X-Request-Id: " + ID + "\r\nX-Class: safe\r\nX-Tenant: acme\r\nX-Key: a, b\r\nX-Deadline-Ms: 20000\r\n"
-                + "X-Retry: 1\r\nX-Cost-Hint: 1200\r\nX-Extras: a=1,b=2.5\r\nContent-Length: 0\r\n\r\n",
-                "GET /api/a%20b?q=%2f&r HTTP/1.1|" + ID + "|null|"));
-        forms.put("names in any case, space around values", new Form("\r\nGET /api HTTP/1.1\r\nhost:h\r\nx-request-id:"
-                + ID + "\r\nX-CLASS: \t safe \t \r\nx-Deadline-ms:  20000\r\nConnection: keep-alive\r\n\r\n",
-                "GET /api HTTP/1.1|" + ID + "|null|"));
-        forms.put("a keyed POST", new Form("POST /api?x HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + ID
-                + "\r\nX-Class: keyed\r\nX-Deadline-Ms: 20000\r\nIdempotency-Key: k-1\r\nContent-Length: " + BODY.length()
-                + "\r\n\r\n" + BODY, "POST /api?x HTTP/1.1|" + ID + "|k-1|" + BODY));
-        forms.put("an unsafe POST of nothing", new Form("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + ID
-                + "\r\nX-Class: unsafe\r\nX-Deadline-Ms: 20000\r\nContent-Length: 0\r\n\r\n",
-                "POST /api HTTP/1.1|" + ID + "|null|"));
-        forms.put("with no length", new Form("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + ID
-                + "\r\nX-Class: unsafe\r\nX-Deadline-Ms: 20000\r\n\r\n", "POST /api HTTP/1.1|" + ID + "|null|"));
-        forms.put("in chunks", new Form("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + ID
-                + "\r\nX-Class: unsafe\r\nX-Deadline-Ms: 20000\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + "1\r\n" + BODY.charAt(0) + "\r\n0" + Integer.toHexString(BODY.length() - 2).toUpperCase()
-                + ";e=\"v\";f\r\n" + BODY.substring(1, BODY.length() - 1) + "\r\n001\r\n"
-                + BODY.charAt(BODY.length() - 1) + "\r\n0\r\nX-Trailer: t\r\n\r\n",
-                "POST /api HTTP/1.1|" + ID + "|null|" + BODY));
-        forms.put("in no chunk but the last", new Form("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + ID
-                + "\r\nX-Class: unsafe\r\nX-Deadline-Ms: 20000\r\ntransfer-encoding: Chunked\r\n\r\n000\r\n\r\n",
-                "POST /api HTTP/1.1|" + ID + "|null|"));
+        forms.put(
+                "a GET",
+                new Form(
+                        "GET /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + ID
+                                + "\r\nX-Class: safe\r\nX-Deadline-Ms: 20000\r\n\r\n",
+                        "GET /api HTTP/1.1|" + ID + "|null|"));
+        forms.put(
+                "a GET with all there is",
+                new Form(
+                        "GET /api/a%20b?q=%2f&r HTTP/1.1\r\nHost: origin.svc\r\n"
+                                + "X-Request-Id: " + ID
+                                + "\r\nX-Class: safe\r\nX-Tenant: acme\r\nX-Key: a, b\r\nX-Deadline-Ms: 20000\r\n"
+                                + "X-Retry: 1\r\nX-Cost-Hint: 1200\r\nX-Extras: a=1,b=2.5\r\nContent-Length: 0\r\n\r\n",
+                        "GET /api/a%20b?q=%2f&r HTTP/1.1|" + ID + "|null|"));
+        forms.put(
+                "names in any case, space around values",
+                new Form(
+                        "\r\nGET /api HTTP/1.1\r\nhost:h\r\nx-request-id:" + ID
+                                + "\r\nX-CLASS: \t safe \t \r\nx-Deadline-ms:  20000\r\nConnection: keep-alive\r\n\r\n",
+                        "GET /api HTTP/1.1|" + ID + "|null|"));
+        forms.put(
+                "a keyed POST",
+                new Form(
+                        "POST /api?x HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + ID
+                                + "\r\nX-Class: keyed\r\nX-Deadline-Ms: 20000\r\nIdempotency-Key: k-1\r\nContent-Length: "
+                                + BODY.length()
+                                + "\r\n\r\n" + BODY,
+                        "POST /api?x HTTP/1.1|" + ID + "|k-1|" + BODY));
+        forms.put(
+                "an unsafe POST of nothing",
+                new Form(
+                        "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + ID
+                                + "\r\nX-Class: unsafe\r\nX-Deadline-Ms: 20000\r\nContent-Length: 0\r\n\r\n",
+                        "POST /api HTTP/1.1|" + ID + "|null|"));
+        forms.put(
+                "with no length",
+                new Form(
+                        "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + ID
+                                + "\r\nX-Class: unsafe\r\nX-Deadline-Ms: 20000\r\n\r\n",
+                        "POST /api HTTP/1.1|" + ID + "|null|"));
+        forms.put(
+                "in chunks",
+                new Form(
+                        "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + ID
+                                + "\r\nX-Class: unsafe\r\nX-Deadline-Ms: 20000\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                + "1\r\n" + BODY.charAt(0) + "\r\n0"
+                                + Integer.toHexString(BODY.length() - 2).toUpperCase()
+                                + ";e=\"v\";f\r\n" + BODY.substring(1, BODY.length() - 1) + "\r\n001\r\n"
+                                + BODY.charAt(BODY.length() - 1) + "\r\n0\r\nX-Trailer: t\r\n\r\n",
+                        "POST /api HTTP/1.1|" + ID + "|null|" + BODY));
+        forms.put(
+                "in no chunk but the last",
+                new Form(
+                        "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + ID
+                                + "\r\nX-Class: unsafe\r\nX-Deadline-Ms: 20000\r\ntransfer-encoding: Chunked\r\n\r\n000\r\n\r\n",
+                        "POST /api HTTP/1.1|" + ID + "|null|"));
         return forms;
     }
 
@@ -66,7 +96,9 @@
     /** Lets the loop turn until all that was written before has been read. */
     private void turn() throws Exception {
         for (int i = 0; i < 2; i++) {
-            assertEquals(404, other.write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n").read().status());
+            assertEquals(
+                    404,
+                    other.write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n").read().status());
         }
     }
 
@@ -130,8 +162,12 @@
                     turn();
                     client.write(both.substring(first.length() + cut));
                     String what = one.getKey() + ", then " + next.getKey() + ", cut at " + cut;
-                    assertEquals(one.getValue().got().replace(ID, id), client.read().text(), what);
-                    assertEquals(next.getValue().got().replace(ID, nextId), client.read().text(), what);
+                    assertEquals(
+                            one.getValue().got().replace(ID, id), client.read().text(), what);
+                    assertEquals(
+                            next.getValue().got().replace(ID, nextId),
+                            client.read().text(),
+                            what);
                 }
             }
         }
@@ -159,8 +195,13 @@
             String id = fresh();
             client.write(asks.replace(ID, id).substring(0, cut));
             turn();
-            assertEquals(100, client.write(asks.replace(ID, id).substring(cut)).read().status(), "cut at " + cut);
-            assertEquals("POST /api HTTP/1.1|" + id + "|null|body", client.write("body").read().text());
+            assertEquals(
+                    100,
+                    client.write(asks.replace(ID, id).substring(cut)).read().status(),
+                    "cut at " + cut);
+            assertEquals(
+                    "POST /api HTTP/1.1|" + id + "|null|body",
+                    client.write("body").read().text());
         }
     }
 }
--- a/src/test/java/mulleinfront/proxy/ProxyRig.java
+++ b/src/test/java/mulleinfront/proxy/ProxyRig.java
@@ -39,14 +39,17 @@
         final BlockingQueue<Outcome> probes = new LinkedBlockingQueue<>();
         /** Reports and ends of attempts, in the order in which they were told. */
         final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-        volatile Consumer<Request> onRequest = r -> { };
-        volatile Consumer<AttemptEnd> onEnd = e -> { };
+
+        volatile Consumer<Request> onRequest = r -> {};
+        volatile Consumer<AttemptEnd> onEnd = e -> {};
         volatile Actions actions;
 
         @Override
         public void onEndpoints(long now, Source source, List<Endpoint> endpoints) {
-            lists.add(source + " " + endpoints.stream().map(
-                    e -> e.id() + " " + e.zone() + " " + e.availability()).toList());
+            lists.add(source + " "
+                    + endpoints.stream()
+                            .map(e -> e.id() + " " + e.zone() + " " + e.availability())
+                            .toList());
         }
 
         @Override
@@ -66,7 +69,7 @@
         }
 
         @Override
-        public void onStreamStarted(long now, String requestId, int attempt) { }
+        public void onStreamStarted(long now, String requestId, int attempt) {}
 
         @Override
         public void onReport(long now, String endpointId, double held) {
@@ -86,7 +89,7 @@
         }
 
         @Override
-        public void onTimer(long now) { }
+        public void onTimer(long now) {}
     }
 
     void start(String limits, String... hosts) throws Exception {
@@ -118,7 +121,9 @@
     /** What {@code /-/ready} says, on a connection of its own. */
     int ready() throws Exception {
         try (Client client = client()) {
-            return client.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n").read().status();
+            return client.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                    .read()
+                    .status();
         }
     }
 
--- a/src/test/java/mulleinfront/proxy/ProxyTest.java
+++ b/src/test/java/mulleinfront/proxy/ProxyTest.java
@@ -6,20 +6,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.IOException;
 import java.net.InetAddress;
-import java.net.InetSocketAddress;
 import java.net.ServerSocket;
-import java.net.Socket;
-import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import mulleinfront.Balancer.AttemptEnd;
 import mulleinfront.Balancer.Outcome;
-import mulleinfront.Balancer.Request;
 import mulleinfront.proxy.Peers.Client;
 import mulleinfront.proxy.Peers.Deaf;
 import mulleinfront.proxy.Peers.Discovery;
@@ -42,7 +35,8 @@
         start("", Peers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Message answer = client().write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\n"
-                + "X-Class: unsafe\r\nX-Deadline-Ms: 20000\r\nContent-Length: 65536\r\n\r\n" + most).read();
+                        + "X-Class: unsafe\r\nX-Deadline-Ms: 20000\r\nContent-Length: 65536\r\n\r\n" + most)
+                .read();
         assertEquals(200, answer.status());
         assertEquals(most, answer.text());
     }
@@ -68,7 +62,8 @@
             module.onRequest = r -> module.actions.send(r.id(), "s", 100_000);
             module.onEnd = e -> module.actions.refuse(e.requestId(), 0);
             assertEquals(503, client().unsafe("id1", 20_000).read().status());
-            assertEquals(Outcome.CONNECT_ERROR, Peers.next(module.ends, "the end").outcome());
+            assertEquals(
+                    Outcome.CONNECT_ERROR, Peers.next(module.ends, "the end").outcome());
         }
     }
 
@@ -98,14 +93,16 @@
     @Test
     void aRequestIsServedUnchanged() throws Exception {
         String body = "\0\r\n\u00ff binary";
-        Server host = host(s -> s.answer(200, "Content-Type: a/b\r\n", s.message().text() + "!"));
+        Server host =
+                host(s -> s.answer(200, "Content-Type: a/b\r\n", s.message().text() + "!"));
         start("", Peers.host("s", host.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         Message answer = client().write("POST /api/x?q=%20a&b HTTP/1.1\r\nHost: origin.svc\r\n"
-                + "X-Request-Id: id1\r\nX-Class: keyed\r\nX-Tenant: acme\r\nX-Key: k\r\n"
-                + "X-Deadline-Ms: 20000\r\n"
-                + "Idempotency-Key: i-k\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\n"
-                + "Content-Length: " + body.length() + "\r\n\r\n" + body).read();
+                        + "X-Request-Id: id1\r\nX-Class: keyed\r\nX-Tenant: acme\r\nX-Key: k\r\n"
+                        + "X-Deadline-Ms: 20000\r\n"
+                        + "Idempotency-Key: i-k\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\n"
+                        + "Content-Length: " + body.length() + "\r\n\r\n" + body)
+                .read();
         Message seen = Peers.next(host.seen, "the request").message();
         assertEquals("POST /api/x?q=%20a&b HTTP/1.1", seen.first());
         assertEquals("id1", seen.header("x-request-id"));
@@ -153,10 +150,9 @@
     @Test
     void theNextAttemptGoesOutOnlyAfterTheLastIsClosed() throws Exception {
         // Guards "at most one attempt at a time": the host told of the second must have lost the first.
-        Server silent = host(s -> { });
+        Server silent = host(s -> {});
         Server other = host(s -> s.served("x"));
-        start("", Peers.host("s", silent.address(), "in_service"),
-                Peers.host("t", other.address(), "in_service"));
+        start("", Peers.host("s", silent.address(), "in_service"), Peers.host("t", other.address(), "in_service"));
         module.onRequest = r -> module.actions.send(r.id(), "s", 50_000);
         module.onEnd = e -> {
             if (e.attempt() == 0) {
@@ -170,10 +166,9 @@
 
     @Test
     void aSecondCopyIsNotSent() throws Exception {
-        Server silent = host(s -> { });
+        Server silent = host(s -> {});
         Server other = host(s -> s.served("x"));
-        start("", Peers.host("s", silent.address(), "in_service"),
-                Peers.host("t", other.address(), "in_service"));
+        start("", Peers.host("s", silent.address(), "in_service"), Peers.host("t", other.address(), "in_service"));
         module.onRequest = r -> {
             module.actions.send(r.id(), "s", 0);
             module.actions.send(r.id(), "t", 0);
@@ -188,7 +183,7 @@
     @Test
     void aCancelledAttemptIsClosedAndOnlyThatOne() throws Exception {
         // Guards the numbering: a second copy that was not sent has a number, and is not the one that is out.
-        Server host = host(s -> { });
+        Server host = host(s -> {});
         start("", Peers.host("s", host.address(), "in_service"));
         module.onRequest = r -> {
             module.actions.send(r.id(), "s", 0);
@@ -203,7 +198,9 @@
             }
         };
         assertEquals(502, client().unsafe("id1", 20_000).read().status());
-        assertEquals(Outcome.IGNORED, Peers.next(module.ends, "the second copy's end").outcome());
+        assertEquals(
+                Outcome.IGNORED,
+                Peers.next(module.ends, "the second copy's end").outcome());
         AttemptEnd end = Peers.next(module.ends, "the first's end");
         assertEquals(0, end.attempt());
         assertEquals(Outcome.CANCELED, end.outcome());
@@ -213,7 +210,7 @@
 
     @Test
     void theClientHasAnAnswerInTimeWhateverTheModuleDoes() throws Exception {
-        Server host = host(s -> { });
+        Server host = host(s -> {});
         start("", Peers.host("s", host.address(), "in_service"));
         // Held for ever, with no attempt: a refusal is true. With one out, only for what is safe to repeat.
         Message held = client().unsafe("held", 300).read();
@@ -252,8 +249,7 @@
 
     @Test
     void probesTellOfAHost() throws Exception {
-        Server host = host(s -> s.answer(
-                s.message().first().startsWith("GET /-/healthy ") ? 200 : 404, "", ""));
+        Server host = host(s -> s.answer(s.message().first().startsWith("GET /-/healthy ") ? 200 : 404, "", ""));
         start("", Peers.host("s", host.address(), "in_service"));
         module.onRequest = r -> {
             module.actions.probe("s");
--- a/src/test/java/mulleinfront/proxy/RehearsalTest.java
+++ b/src/test/java/mulleinfront/proxy/RehearsalTest.java
@@ -22,7 +22,8 @@
 /** When a start rehearses: what it costs is paid by every instance of a fleet, whatever it is there for. */
 class RehearsalTest {
     private static Config config(double cores, int instances, String... allowances) throws Exception {
-        return Config.parse(("""
+        return Config.parse(
+                ("""
                 {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
                  "limits": {"cores": %s, "memory_mb": 160, "sockets": 512},
                  "settings": {"balancers": %d, "customers": [%s],
@@ -56,16 +57,16 @@
     /** Netty's event loop may end without closing what is registered with it: this caller waited for ever. */
     @Test
     void whoeverCallsTheOperatorsDoorMeanwhileIsClosedOn() throws Exception {
-        String config = Peers.config(0, "127.0.0.1:1", "",
-                Peers.list(1, true, Peers.host("s", "127.0.0.1:1", "in_service")));
+        String config =
+                Peers.config(0, "127.0.0.1:1", "", Peers.list(1, true, Peers.host("s", "127.0.0.1:1", "in_service")));
         ExecutorService starter = Executors.newSingleThreadExecutor();
         try (ServerSocketChannel held = ServerSocketChannel.open()) {
             held.bind(new InetSocketAddress("127.0.0.1", 0));
             int door = ServeTest.freePort();
-            Config operated = Config.parse(config.replace("{\"name\":\"n0\"",
-                    "{\"name\":\"n0\",\"management\":\"127.0.0.1:" + door + "\"")
-                    .getBytes(StandardCharsets.UTF_8));
-            Future<ClientProxy> started = starter.submit(() -> ClientProxy.start(operated, held, begun -> { }));
+            Config operated = Config.parse(
+                    config.replace("{\"name\":\"n0\"", "{\"name\":\"n0\",\"management\":\"127.0.0.1:" + door + "\"")
+                            .getBytes(StandardCharsets.UTF_8));
+            Future<ClientProxy> started = starter.submit(() -> ClientProxy.start(operated, held, begun -> {}));
             Socket silent = connect(door, started);
             assertNotNull(silent, "the rehearsal was over before anybody came");
             ClientProxy proxy = started.get(Peers.PATIENCE_S, TimeUnit.SECONDS);
--- a/src/test/java/mulleinfront/proxy/ServeTest.java
+++ b/src/test/java/mulleinfront/proxy/ServeTest.java
@@ -47,8 +47,9 @@
             known.add(Peers.host("s" + known.size(), host.address(), "in_service"));
         }
         int port = freePort();
-        launch(Peers.config(port, discovery.server.address(), "",
-                Peers.list(1, true, known.toArray(String[]::new))), ProcessBuilder.Redirect.INHERIT);
+        launch(
+                Peers.config(port, discovery.server.address(), "", Peers.list(1, true, known.toArray(String[]::new))),
+                ProcessBuilder.Redirect.INHERIT);
         Discovery.push(discovery.asked(), Peers.list(2, true, known.toArray(String[]::new)));
         awaitReady(port);
         return port;
@@ -58,7 +59,10 @@
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peers.PATIENCE_S);
         while (System.nanoTime() < end) {
             try (Client client = new Client(port)) {
-                if (client.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n").read().status() == 200) {
+                if (client.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                                .read()
+                                .status()
+                        == 200) {
                     return;
                 }
             } catch (IOException e) {
@@ -83,8 +87,13 @@
 
     /** Starts the program as it is deployed, but for the memory bounds. */
     static List<String> command() {
-        return List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "mulleinfront.Main", "serve");
+        return List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "mulleinfront.Main",
+                "serve");
     }
 
     private void launch(String config, ProcessBuilder.Redirect errors, String... more) throws IOException {
@@ -156,7 +165,9 @@
             }
         });
         int port = start(host);
-        try (Client kept = new Client(port); Client out = new Client(port); Client idle = new Client(port)) {
+        try (Client kept = new Client(port);
+                Client out = new Client(port);
+                Client idle = new Client(port)) {
             assertEquals(200, kept.unsafe("before", 20_000).read().status());
             Peers.next(host.seen, "the first request");
             out.unsafe("out", 20_000);
@@ -203,10 +214,16 @@
         File errors = folder.resolve("errors").toFile();
         int port = freePort();
         try (ServerSocket door = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            launch(Peers.config(port, discovery.server.address(), "",
-                    Peers.list(1, true, Peers.host("s0", host.address(), "in_service")))
-                    .replace("{\"name\":\"n0\"", "{\"name\":\"n0\",\"management\":\"127.0.0.1:"
-                            + door.getLocalPort() + "\""), ProcessBuilder.Redirect.to(errors));
+            launch(
+                    Peers.config(
+                                    port,
+                                    discovery.server.address(),
+                                    "",
+                                    Peers.list(1, true, Peers.host("s0", host.address(), "in_service")))
+                            .replace(
+                                    "{\"name\":\"n0\"",
+                                    "{\"name\":\"n0\",\"management\":\"127.0.0.1:" + door.getLocalPort() + "\""),
+                    ProcessBuilder.Redirect.to(errors));
             awaitLine(errors, "; trying on");
             try (Client client = new Client(port)) {
                 client.unsafe("a", 20_000);
@@ -227,8 +244,12 @@
         File errors = folder.resolve("errors").toFile();
         discovery = keep(new Discovery());
         int port = freePort();
-        launch(Peers.config(port, discovery.server.address(), "",
-                Peers.list(1, true, Peers.host("s0", host.address(), "in_service"))),
+        launch(
+                Peers.config(
+                        port,
+                        discovery.server.address(),
+                        "",
+                        Peers.list(1, true, Peers.host("s0", host.address(), "in_service"))),
                 ProcessBuilder.Redirect.to(errors));
         awaitReady(port);
         try (Client client = new Client(port)) {
@@ -257,7 +278,9 @@
         int status = 0;
         while (status == 0) {
             try (Client client = new Client(port)) {
-                status = client.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n").read().status();
+                status = client.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                        .read()
+                        .status();
             } catch (IOException e) {
                 assertTrue(process.isAlive());
             }
@@ -288,7 +311,9 @@
     }
 
     private void hangUp() throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor());
         // Signals of one kind that are still pending are one: only the last of them is sure to be seen.
         Thread.sleep(50);
     }
@@ -299,12 +324,13 @@
         start(host(s -> s.served("x")));
         try (Stream<Path> all = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
             long sockets = all.filter(fd -> {
-                try {
-                    return Files.readSymbolicLink(fd).toString().startsWith("socket");
-                } catch (IOException e) {
-                    return false; // closed meanwhile
-                }
-            }).count();
+                        try {
+                            return Files.readSymbolicLink(fd).toString().startsWith("socket");
+                        } catch (IOException e) {
+                            return false; // closed meanwhile
+                        }
+                    })
+                    .count();
             assertTrue(sockets <= 5, sockets + " sockets, a listener, a watch and a client among them");
         }
     }
@@ -317,8 +343,11 @@
         int port = freePort();
         Path machine = folder.resolve("machine.toml");
         Files.writeString(machine, "loops = 3\n");
-        launch(Peers.config(port, discovery.server.address(), "", known), ProcessBuilder.Redirect.INHERIT,
-                "--machine", machine.toString());
+        launch(
+                Peers.config(port, discovery.server.address(), "", known),
+                ProcessBuilder.Redirect.INHERIT,
+                "--machine",
+                machine.toString());
         List<Seen> watches = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             watches.add(discovery.asked());
@@ -327,7 +356,8 @@
         awaitReady(port);
         // With 48 connections the chance that one loop has none is under one in a hundred million.
         for (int i = 0; i < 48; i++) {
-            assertEquals(200, keep(new Client(port)).unsafe("a" + i, 20_000).read().status());
+            assertEquals(
+                    200, keep(new Client(port)).unsafe("a" + i, 20_000).read().status());
         }
         assertEquals(48, host.seen.size(), "each sent once");
         // The drain reaches all of them: nothing new goes out on any.
@@ -345,11 +375,17 @@
     @Test
     void aBadConfigurationIsOnePlainLine() throws Exception {
         String good = Peers.config(1, "127.0.0.1:1", "", "null");
-        for (String config : List.of("{", "7", "{\"listen\":\"here\"}", "{}", "{\"settings\":5}",
+        for (String config : List.of(
+                "{",
+                "7",
+                "{\"listen\":\"here\"}",
+                "{}",
+                "{\"settings\":5}",
                 good.replace("{\"cores\"", "5,\"x\":{\"cores\""),
                 good.replace("8c1f30d27a5be964", "x"),
                 good.replace("\"maxAttempts\":4", "\"maxAttempts\":0"),
-                good.replace("\"cores\":1.0", "\"cores\":-1"), good.replace("\"cores\":1.0", "\"cores\":1e400"),
+                good.replace("\"cores\":1.0", "\"cores\":-1"),
+                good.replace("\"cores\":1.0", "\"cores\":1e400"),
                 good.replace("\"sockets\":160", "\"sockets\":0"),
                 good.replace("\"balancers\":3", "\"balancers\":0"),
                 good.replace("\"worth\":1", "\"worth\":1e400"),
@@ -358,11 +394,11 @@
             assertThrows(Exception.class, () -> Config.parse(bytes), config);
         }
         File errors = folder.resolve("errors").toFile();
-        launch(good.replace("\"effect\":\"retryable\"", "\"effect\":\"odd\""),
-                ProcessBuilder.Redirect.to(errors));
+        launch(good.replace("\"effect\":\"retryable\"", "\"effect\":\"odd\""), ProcessBuilder.Redirect.to(errors));
         assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(1, process.exitValue());
-        assertEquals("mulleinfront: " + folder.resolve("config.json") + ": settings: safe: unknown effect odd\n",
+        assertEquals(
+                "mulleinfront: " + folder.resolve("config.json") + ": settings: safe: unknown effect odd\n",
                 Files.readString(errors.toPath()));
     }
 
@@ -375,14 +411,22 @@
         assertTrue(shipped.discovery().getAddress().isLoopbackAddress());
         Server host = host(s -> s.served("x"));
         int port = freePort();
-        launch(Files.readString(sample).replace(":8081", ":" + port).replace(":8500", ":1")
-                .replace("127.0.0.1:9001", host.address()).replace("127.0.0.1:9002", host.address()),
+        launch(
+                Files.readString(sample)
+                        .replace(":8081", ":" + port)
+                        .replace(":8500", ":1")
+                        .replace("127.0.0.1:9001", host.address())
+                        .replace("127.0.0.1:9002", host.address()),
                 ProcessBuilder.Redirect.INHERIT);
         awaitReady(port);
         try (Client client = new Client(port)) {
-            assertEquals(200, client.write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\n"
-                    + "X-Class: advance-payout\r\nX-Tenant: erdenet\r\nX-Deadline-Ms: 2500\r\n"
-                    + "Content-Length: 0\r\n\r\n").read().status());
+            assertEquals(
+                    200,
+                    client.write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\n"
+                                    + "X-Class: advance-payout\r\nX-Tenant: erdenet\r\nX-Deadline-Ms: 2500\r\n"
+                                    + "Content-Length: 0\r\n\r\n")
+                            .read()
+                            .status());
         }
     }
 
@@ -390,8 +434,7 @@
     void aPortInUseIsOnePlainLine() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             File errors = folder.resolve("errors").toFile();
-            launch(Peers.config(taken.getLocalPort(), "127.0.0.1:1", "", "null"),
-                    ProcessBuilder.Redirect.to(errors));
+            launch(Peers.config(taken.getLocalPort(), "127.0.0.1:1", "", "null"), ProcessBuilder.Redirect.to(errors));
             assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
             assertFalse(process.exitValue() == 0);
             List<String> lines = Files.readAllLines(errors.toPath());
@@ -409,8 +452,12 @@
         int port;
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = taken.getLocalPort();
-            launch(Peers.config(port, discovery.server.address(), "",
-                    Peers.list(1, true, Peers.host("s0", host.address(), "in_service"))),
+            launch(
+                    Peers.config(
+                            port,
+                            discovery.server.address(),
+                            "",
+                            Peers.list(1, true, Peers.host("s0", host.address(), "in_service"))),
                     ProcessBuilder.Redirect.to(errors));
             awaitLine(errors, "; trying on");
         }
--- a/src/test/java/mulleinfront/proxy/ShutdownTest.java
+++ b/src/test/java/mulleinfront/proxy/ShutdownTest.java
@@ -61,7 +61,9 @@
                 + "Content-Length: 4\r\n\r\nbo";
         Client client = client().write(whole);
         // Whoever is accepted later is read later: by its answer the half request has been read.
-        assertEquals(404, client().write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n").read().status());
+        assertEquals(
+                404,
+                client().write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n").read().status());
         drain();
         client.write("dy");
         assertEquals("a", Peers.next(taken, "the request"));
@@ -78,7 +80,11 @@
         Peers.next(taken, "the request");
         drain();
         // The drain has begun once a new connection's answer is its last.
-        assertEquals("close", client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n").read().header("connection"));
+        assertEquals(
+                "close",
+                client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                        .read()
+                        .header("connection"));
         module.onRequest = r -> {
             module.actions.send("a", "s", 0);
             module.actions.refuse(r.id(), 0);
@@ -120,7 +126,7 @@
 
     @Test
     void anAttemptWhoseHostHangsEndsInTimeAndWithATrueWord() throws Exception {
-        Server host = host(s -> { });
+        Server host = host(s -> {});
         start("", Peers.host("s", host.address(), "in_service"));
         sendAll("s");
         Client unsafe = client().unsafe("a", 20_000);
@@ -152,7 +158,11 @@
         Client client = client().safe("a", 20_000);
         Seen open = Peers.next(out, "the first attempt");
         drain();
-        assertEquals("close", client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n").read().header("connection"));
+        assertEquals(
+                "close",
+                client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                        .read()
+                        .header("connection"));
         open.reset();
         assertEquals(Outcome.RESET, Peers.next(module.ends, "its end").outcome());
         lastAnswer(client, 200);
@@ -185,7 +195,11 @@
         Client keeps = client().unsafe("keeps", 20_000);
         Seen open = Peers.next(out, "the one that keeps the process");
         drain();
-        assertEquals("close", client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n").read().header("connection"));
+        assertEquals(
+                "close",
+                client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                        .read()
+                        .header("connection"));
         Client last = client().unsafe("last", 20_000);
         Peers.next(out, "the last").served("x");
         assertEquals(200, last.read().status());
@@ -199,8 +213,8 @@
     }
 
     /** The loop stands still at each of these requests until it is let go on, and refuses it then. */
-    private final Map<String, CountDownLatch> stands = Map.of("stand0", new CountDownLatch(1),
-            "stand1", new CountDownLatch(1), "stand2", new CountDownLatch(1));
+    private final Map<String, CountDownLatch> stands =
+            Map.of("stand0", new CountDownLatch(1), "stand1", new CountDownLatch(1), "stand2", new CountDownLatch(1));
 
     private void standsStill() {
         Consumer<Request> others = module.onRequest;
--- a/src/test/java/mulleinfront/proxy/StartTest.java
+++ b/src/test/java/mulleinfront/proxy/StartTest.java
@@ -24,9 +24,9 @@
     private static final int EARLY = 300;
 
     private Config config(int port, String discovery, String host) throws Exception {
-        return Config.parse(Peers.config(port, discovery, "",
-                Peers.list(1, true, Peers.host("s", host, "in_service"))).replace("\"balancers\":3",
-                "\"balancers\":670").getBytes(StandardCharsets.UTF_8));
+        return Config.parse(Peers.config(port, discovery, "", Peers.list(1, true, Peers.host("s", host, "in_service")))
+                .replace("\"balancers\":3", "\"balancers\":670")
+                .getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
--- a/src/test/java/mulleinfront/proxy/TimeToldTest.java
+++ b/src/test/java/mulleinfront/proxy/TimeToldTest.java
@@ -57,8 +57,7 @@
     void aFurtherAttemptDoesSoToo() throws Exception {
         Server first = host(Seen::notRun);
         try (Deaf second = new Deaf()) {
-            start("", Peers.host("f", first.address(), "in_service"),
-                    Peers.host("s", second.address(), "in_service"));
+            start("", Peers.host("f", first.address(), "in_service"), Peers.host("s", second.address(), "in_service"));
             module.onRequest = r -> module.actions.send(r.id(), "f", 0);
             module.onEnd = e -> {
                 module.actions.send(e.requestId(), "s", 0);
@@ -83,7 +82,11 @@
             Peers.next(sent, "the decision");
             for (int i = 0; i < 2; i++) {
                 // It is read on as it comes: after a turn for others all of it has been.
-                assertEquals(404, client().write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n").read().status());
+                assertEquals(
+                        404,
+                        client().write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n")
+                                .read()
+                                .status());
             }
             tellsWhatIsLeft(host);
         }
@@ -122,7 +125,11 @@
             module.onEnd = e -> module.actions.refuse(e.requestId(), 0);
             Client client = client().unsafe("a", DEADLINE_MS);
             Client second = client();
-            assertEquals(404, client().write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n").read().status());
+            assertEquals(
+                    404,
+                    client().write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n")
+                            .read()
+                            .status());
             assertEquals("a", Peers.next(sent, "the decision"));
             Client first = client().safe("first", DEADLINE_MS);
             assertEquals("first", Peers.next(sent, "the first stand"));
@@ -132,7 +139,8 @@
             go.add("on");
             assertEquals(503, first.read().status());
             assertEquals(503, second.read().status());
-            assertEquals(Outcome.CONNECT_ERROR, Peers.next(module.ends, "the end").outcome());
+            assertEquals(
+                    Outcome.CONNECT_ERROR, Peers.next(module.ends, "the end").outcome());
             assertEquals(503, client.read().status(), "nothing has run");
             assertTrue(host.silent(), "nothing was written");
         }
--- a/src/test/java/mulleinfront/proxy/UpgradeTest.java
+++ b/src/test/java/mulleinfront/proxy/UpgradeTest.java
@@ -54,7 +54,9 @@
     private int port;
 
     private void listen() throws IOException {
-        platform = new ProcessBuilder("perl", "-e", PLATFORM).redirectError(ProcessBuilder.Redirect.INHERIT).start();
+        platform = new ProcessBuilder("perl", "-e", PLATFORM)
+                .redirectError(ProcessBuilder.Redirect.INHERIT)
+                .start();
         told = new BufferedReader(new InputStreamReader(platform.getInputStream(), StandardCharsets.US_ASCII));
         port = Integer.parseInt(told.readLine());
     }
@@ -62,13 +64,18 @@
     /** Starts the program with the socket; returns its process. */
     private ProcessHandle start(String name, int management, Discovery discovery, String known) throws Exception {
         Path config = folder.resolve(name + ".json");
-        Files.writeString(config, Peers.config(port, discovery.server.address(), "", known)
-                .replace("{\"name\":\"n0\"", "{\"name\":\"n0\",\"management\":\"127.0.0.1:" + management + "\""));
+        Files.writeString(
+                config,
+                Peers.config(port, discovery.server.address(), "", known)
+                        .replace(
+                                "{\"name\":\"n0\"",
+                                "{\"name\":\"n0\",\"management\":\"127.0.0.1:" + management + "\""));
         String command = "env NODE_INHERITED_FD=0 NODE_CONFIG='" + config + "' '"
                 + String.join("' '", ServeTest.command()) + "'\n";
         platform.getOutputStream().write(command.getBytes(StandardCharsets.UTF_8));
         platform.getOutputStream().flush();
-        ProcessHandle process = ProcessHandle.of(Long.parseLong(told.readLine())).orElseThrow();
+        ProcessHandle process =
+                ProcessHandle.of(Long.parseLong(told.readLine())).orElseThrow();
         started.add(process);
         return process;
     }
@@ -149,8 +156,10 @@
         }
         assertEquals(List.of(), List.copyOf(wrong));
         // Its port may have been another's discovery a moment ago: what has no id is nobody's request.
-        List<String> ids = host.seen.stream().map(s -> s.message().header("x-request-id"))
-                .filter(Objects::nonNull).toList();
+        List<String> ids = host.seen.stream()
+                .map(s -> s.message().header("x-request-id"))
+                .filter(Objects::nonNull)
+                .toList();
         assertEquals(sent.get(), ids.size(), "each sent once");
         assertEquals(sent.get(), new HashSet<>(ids).size(), "each sent once");
         assertTrue(next.isAlive());
@@ -169,9 +178,10 @@
             Process process = builder.start();
             assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
             assertEquals(1, process.exitValue());
-            assertEquals(descriptor.equals("7")
-                    ? "mulleinfront: NODE_INHERITED_FD: only descriptor 0 can be taken up, not 7\n"
-                    : "mulleinfront: NODE_INHERITED_FD: descriptor 0 is no listening socket\n",
+            assertEquals(
+                    descriptor.equals("7")
+                            ? "mulleinfront: NODE_INHERITED_FD: only descriptor 0 can be taken up, not 7\n"
+                            : "mulleinfront: NODE_INHERITED_FD: descriptor 0 is no listening socket\n",
                     Files.readString(errors));
         }
     }
--- a/src/test/java/mulleinfront/settings/ControlFileTest.java
+++ b/src/test/java/mulleinfront/settings/ControlFileTest.java
@@ -75,7 +75,8 @@
 
     @Test
     void nestedTablesAndListsAreDottedKeys() throws Exception {
-        assertEquals(Map.of("a.b.c", "1.5", "a.on", "true", "l.0", "x", "l.1.y", "2"),
+        assertEquals(
+                Map.of("a.b.c", "1.5", "a.on", "true", "l.0", "x", "l.1.y", "2"),
                 FleetConfiguration.read("f", "a.b.c = 1.5\na.on = true\nl = [\"x\", {y = 2}]\n"));
     }
 
@@ -95,7 +96,8 @@
             return;
         }
         BadFileException e = assertThrows(BadFileException.class, () -> FleetConfiguration.read("f", toml));
-        assertEquals("f:" + said, e.getMessage().substring(0, Math.min(e.getMessage().length(), said.length() + 2)));
+        assertEquals(
+                "f:" + said, e.getMessage().substring(0, Math.min(e.getMessage().length(), said.length() + 2)));
     }
 
     @Test
@@ -106,8 +108,8 @@
         }
         BadFileException e = assertThrows(BadFileException.class, () -> FleetConfiguration.read("f", text.toString()));
         assertEquals("f: keys and values have 36000 characters at most, not 36882", e.getMessage());
-        BadFileException longer = assertThrows(BadFileException.class,
-                () -> FleetConfiguration.read("f", "\nk = \"" + "v".repeat(4_097) + "\"\n"));
+        BadFileException longer = assertThrows(
+                BadFileException.class, () -> FleetConfiguration.read("f", "\nk = \"" + "v".repeat(4_097) + "\"\n"));
         assertEquals("f:2: k: a value has 4096 characters at most, not 4097", longer.getMessage());
     }
 }
--- a/src/test/java/mulleinfront/settings/LoadReportTest.java
+++ b/src/test/java/mulleinfront/settings/LoadReportTest.java
@@ -17,10 +17,27 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", " ", "7", "null", "[]", "{}", "{\"util\":0.5}", "{\"outstanding\":7", "{\"outstanding\":",
-        "{\"outstanding\":\"7\"}", "{\"outstanding\":-1}", "{\"outstanding\":1e999}", "{\"outstanding\":NaN}",
-        "{\"outstanding\":7} {\"outstanding\":8}", "{\"outstanding\":{\"outstanding\":7}}", "{outstanding:7}", "\u0001\u0002",
-        "{\"outstanding\":99999999999999999999999999999999999999999999999999999999999999999e99999999}"})
+    @ValueSource(
+            strings = {
+                "",
+                " ",
+                "7",
+                "null",
+                "[]",
+                "{}",
+                "{\"util\":0.5}",
+                "{\"outstanding\":7",
+                "{\"outstanding\":",
+                "{\"outstanding\":\"7\"}",
+                "{\"outstanding\":-1}",
+                "{\"outstanding\":1e999}",
+                "{\"outstanding\":NaN}",
+                "{\"outstanding\":7} {\"outstanding\":8}",
+                "{\"outstanding\":{\"outstanding\":7}}",
+                "{outstanding:7}",
+                "\u0001\u0002",
+                "{\"outstanding\":99999999999999999999999999999999999999999999999999999999999999999e99999999}"
+            })
     void whatCantBeReadSaysNothing(String text) {
         assertTrue(Double.isNaN(LoadReport.held(text)), text);
     }
--- a/src/test/java/mulleinfront/settings/MachineTest.java
+++ b/src/test/java/mulleinfront/settings/MachineTest.java
@@ -35,9 +35,12 @@
         refused("\nloops = 65", "m.toml:2: loops: must be 64 at most");
         refused("loops = \"4\"", "m.toml:1: loops: must be a whole number, 1 or more");
         refused("loop = 4", "m.toml:1: loop: unknown key");
-        assertTrue(assertThrows(BadFileException.class, () -> read("loops = ")).getMessage().contains("m.toml:1: "));
+        assertTrue(assertThrows(BadFileException.class, () -> read("loops = "))
+                .getMessage()
+                .contains("m.toml:1: "));
         assertTrue(assertThrows(BadFileException.class, () -> Machine.load(folder.resolve("none.toml")))
-                .getMessage().endsWith("none.toml: no such file"));
+                .getMessage()
+                .endsWith("none.toml: no such file"));
     }
 
     @Test
@@ -61,6 +64,7 @@
         assertEquals(4, four.stream().map(Config::seed).distinct().count());
         assertEquals(config.seed(), four.get(0).seed());
         assertTrue(assertThrows(BadFileException.class, () -> new Machine(64, 0).split(config, 96 * MB, 48, 16))
-                .getMessage().startsWith("loops: 64 event loops need more than the 1024 descriptors"));
+                .getMessage()
+                .startsWith("loops: 64 event loops need more than the 1024 descriptors"));
     }
 }
