--- a/src/main/java/mulleinfront/bench/CapacityFile.java
+++ b/src/main/java/mulleinfront/bench/CapacityFile.java
@@ -238,6 +238,7 @@
         return "\"" + name + "\": [\n" + String.join(",\n", lines) + "\n]";
     }
 
+    /** Writes the fields of one JSON object. */
     private interface Fields {
         void write(JsonGenerator out) throws IOException;
     }
--- a/src/main/java/mulleinfront/cli/ConfigCommand.java
+++ b/src/main/java/mulleinfront/cli/ConfigCommand.java
@@ -155,7 +155,7 @@
             return map;
         }
 
-        @SuppressWarnings("unchecked")
+        @SuppressWarnings("unchecked") // object() stores a JSON array only as a list of such maps
         static List<Map<String, Object>> list(Map<String, Object> map, String name) {
             return (List<Map<String, Object>>) map.getOrDefault(name, List.of());
         }
--- a/src/main/java/mulleinfront/config/Handout.java
+++ b/src/main/java/mulleinfront/config/Handout.java
@@ -107,6 +107,7 @@
 
     private boolean ticking;
 
+    /** Creates a distributor without readers that serves the versions of the given ledger over the given wire. */
     public Handout(HandoutSettings settings, Ledger ledger, Wire wire) {
         this.settings = settings;
         this.ledger = ledger;
--- a/src/main/java/mulleinfront/config/Version.java
+++ b/src/main/java/mulleinfront/config/Version.java
@@ -17,6 +17,7 @@
     /** What is in force before any version was decided. */
     public static final Version NONE = new Version(0, new TreeMap<>(), "", 0);
 
+    /** Checks that the number is not negative and takes an unmodifiable copy of the entries. */
     public Version {
         if (number < 0) {
             throw new IllegalArgumentException("version " + number + " is below 0");
--- a/src/main/java/mulleinfront/core/EnumCounts.java
+++ b/src/main/java/mulleinfront/core/EnumCounts.java
@@ -25,6 +25,7 @@
         return counts[what.ordinal()];
     }
 
+    /** Returns the sum of the counts of all constants. */
     public long total() {
         long sum = 0;
         for (long count : counts) {
--- a/src/main/java/mulleinfront/emulator/Auditor.java
+++ b/src/main/java/mulleinfront/emulator/Auditor.java
@@ -82,6 +82,7 @@
     /** Where a server stands: what decides who drops repeats. */
     private record Place(int zone, int cell) {}
 
+    /** A request that a client proxy has accepted, with its attempts so far. */
     private static final class Taken {
         final String id;
         final int proxy;
@@ -103,6 +104,7 @@
         }
     }
 
+    /** One attempt of a request, and its outcome once it is known. */
     private static final class Sent {
         final int number;
         final String host;
--- a/src/main/java/mulleinfront/emulator/GraphReader.java
+++ b/src/main/java/mulleinfront/emulator/GraphReader.java
@@ -18,6 +18,7 @@
  * {@code [[failure]]}. The keys stand on the page {@code docs/emulator.md}.
  */
 public final class GraphReader {
+    /** Values of the {@code rate-of} key: whether the given rate counts calls or requests. */
     private enum RateOf {
         CALLS,
         REQUESTS
--- a/src/main/java/mulleinfront/emulator/ScenarioReader.java
+++ b/src/main/java/mulleinfront/emulator/ScenarioReader.java
@@ -37,28 +37,33 @@
  * operators' page {@code docs/emulator.md}; what is absent there has the value given there.
  */
 public final class ScenarioReader {
+    /** Values of a request class's {@code effect} key: how safe it is to repeat a request of the class. */
     private enum Effects {
         SAFE,
         KEYED,
         UNSAFE
     }
 
+    /** Values of the {@code group} key: the servers among which repeats of a keyed request are deduplicated. */
     private enum Groups {
         ALL,
         ZONE,
         CELL
     }
 
+    /** Values of the discovery {@code mode} key: client proxies poll for the list, or changes are pushed to them. */
     private enum Mode {
         ASK,
         PUSH
     }
 
+    /** Values of the {@code warm-by} key: a cold server warms up with elapsed time or with completed work. */
     private enum WarmBy {
         TIME,
         WORK
     }
 
+    /** Values of the {@code detector} key: the failure detector that the simulated members run. */
     private enum Detector {
         FULL,
         PLAIN
--- a/src/main/java/mulleinfront/emulator/Script.java
+++ b/src/main/java/mulleinfront/emulator/Script.java
@@ -100,6 +100,7 @@
         }
     }
 
+    /** An action that a fault applies to a single host. */
     private interface On {
         void host(Host host);
     }
--- a/src/main/java/mulleinfront/emulator/Tally.java
+++ b/src/main/java/mulleinfront/emulator/Tally.java
@@ -305,6 +305,7 @@
         return worst;
     }
 
+    /** Returns the name to report for an index of a counter array. */
     private interface Namer {
         String name(int place);
     }
--- a/src/main/java/mulleinfront/emulator/TrueState.java
+++ b/src/main/java/mulleinfront/emulator/TrueState.java
@@ -34,6 +34,7 @@
         }
     }
 
+    /** The state of every server as recorded at one instant. */
     private record Look(long at, Map<Host, Seen> servers) {}
 
     TrueState(World world, long lateUs) {
--- a/src/main/java/mulleinfront/emulator/reference/Reference.java
+++ b/src/main/java/mulleinfront/emulator/reference/Reference.java
@@ -131,6 +131,7 @@
         }
     }
 
+    /** Balancer that takes the servers in turn, starting at a random one and skipping those not allowed. */
     private static final class RoundRobin extends Plain {
         private int next;
 
@@ -151,6 +152,7 @@
         }
     }
 
+    /** Balancer that takes the first allowed server in the order of the hash ring, regardless of load. */
     private static final class RingAlone extends Plain {
         RingAlone(Settings settings, long seed, Actions actions) {
             super(settings, seed, actions);
--- a/src/main/java/mulleinfront/keep/Codec.java
+++ b/src/main/java/mulleinfront/keep/Codec.java
@@ -75,6 +75,7 @@
         void write(DataOutputStream out) throws IOException;
     }
 
+    /** Reads one value from a stream. */
     private interface Reader<T> {
         T read(DataInputStream in) throws IOException;
     }
--- a/src/main/java/mulleinfront/keep/Keeper.java
+++ b/src/main/java/mulleinfront/keep/Keeper.java
@@ -455,6 +455,10 @@
 
     // ---- what the library asks for
 
+    /**
+     * The replicated state machine: applies committed operations to the register and saves and loads its
+     * snapshots.
+     */
     private final class Applying implements StateMachine {
         @Override
         public Object runOperation(long index, Object operation) {
@@ -502,6 +506,7 @@
 
     /** The log, with the end of this keeper's part at its first error: the library would go on. */
     private final class Guarded implements RaftStore {
+        /** A write to the Raft log that may fail. */
         private interface Write {
             void run() throws IOException;
         }
@@ -567,6 +572,7 @@
         }
     }
 
+    /** The Raft transport: sends messages to the peers until this keeper has stopped with a fault. */
     private final class Sending implements Transport {
         @Override
         public void send(RaftEndpoint target, RaftMessage message) {
@@ -581,6 +587,10 @@
         }
     }
 
+    /**
+     * The Raft node's executor: runs tasks on the timers, with delays divided by {@link #PACE}, and drops those of an
+     * earlier generation.
+     */
     private final class Paced implements RaftNodeExecutor {
         private final int mine;
 
@@ -616,6 +626,7 @@
         }
     }
 
+    /** The Raft node's clock: a monotonic one that runs {@link #PACE} times as fast as real time. */
     private final class PacedClock extends Clock {
         /** Far from 0, which the library takes for "never heard". */
         private static final long BASE_MILLIS = 1_000_000_000L;
--- a/src/main/java/mulleinfront/keep/KeeperWire.java
+++ b/src/main/java/mulleinfront/keep/KeeperWire.java
@@ -389,6 +389,7 @@
 
     // ---- from the others
 
+    /** Handles the HTTP requests of the other keepers: Raft messages and forwarded proposals. */
     private final class Serving extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
--- a/src/main/java/mulleinfront/proxy/Framing.java
+++ b/src/main/java/mulleinfront/proxy/Framing.java
@@ -33,6 +33,7 @@
 
     private Framing() {}
 
+    /** Decodes HTTP requests and rejects those with ambiguous framing. */
     static class RequestDecoder extends HttpRequestDecoder {
         private final Runnable heard;
 
@@ -62,6 +63,7 @@
         }
     }
 
+    /** Decodes HTTP responses and rejects those with ambiguous framing. */
     static class ResponseDecoder extends HttpResponseDecoder {
         ResponseDecoder() {
             super(STRICT);
--- a/src/main/java/mulleinfront/proxy/Upstream.java
+++ b/src/main/java/mulleinfront/proxy/Upstream.java
@@ -213,6 +213,7 @@
         }
     }
 
+    /** One attempt of a request: it connects or reuses a connection, writes the call and reports the outcome once. */
     final class Attempt implements Wire.Attempt {
         private final Host host;
         private final Call call;
--- a/src/main/java/mulleinfront/settings/Config.java
+++ b/src/main/java/mulleinfront/settings/Config.java
@@ -71,6 +71,11 @@
         }
     }
 
+    /**
+     * Parses the JSON configuration.
+     *
+     * @throws IOException if the JSON is malformed or a value is invalid
+     */
     public static Config parse(byte[] json) throws IOException {
         InetSocketAddress listen = null;
         InetSocketAddress management = null;
--- a/src/main/java/mulleinfront/settings/Section.java
+++ b/src/main/java/mulleinfront/settings/Section.java
@@ -30,6 +30,7 @@
 
     private final Set<String> asked = new HashSet<>();
 
+    /** Creates a section over a parsed table; {@code base} supplies the values that the table omits, or is null. */
     public Section(String file, TomlTable table, String name, int line, Section base) {
         this.file = file;
         this.table = table;
@@ -68,6 +69,7 @@
         return says(key) || base != null && base.has(key);
     }
 
+    /** Returns the subtable of this key, which is empty if the file has none. */
     public Section table(String key) throws BadFileException {
         asked.add(key);
         Object value = table.get(List.of(key));
@@ -108,6 +110,7 @@
         return says(key) ? tables(key) : List.of();
     }
 
+    /** Creates, without throwing it, an exception that names the file, the line, the key and the reason. */
     public BadFileException wrong(String key, String reason) {
         if (!says(key) && base != null && base.has(key)) {
             return base.wrong(key, reason);
@@ -150,6 +153,7 @@
         return value;
     }
 
+    /** Reads a string; a missing key gives {@code absent}, or is an error if that is null. */
     public String text(String key, String absent) throws BadFileException {
         Object value = get(key, absent == null);
         if (value == null) {
@@ -161,6 +165,7 @@
         throw wrong(key, "must be a text");
     }
 
+    /** Reads a boolean; a missing key gives {@code absent}. */
     public boolean flag(String key, boolean absent) throws BadFileException {
         Object value = get(key, false);
         if (value == null) {
@@ -191,6 +196,7 @@
         return word.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
     }
 
+    /** Reads an array of strings; a missing key gives an empty list. */
     public List<String> texts(String key) throws BadFileException {
         Object value = get(key, false);
         List<String> all = new ArrayList<>();
@@ -209,6 +215,10 @@
         return all;
     }
 
+    /**
+     * Reads an integer of at least {@code least}; a missing key gives {@code absent}, or is an error if that is
+     * null.
+     */
     public int count(String key, Integer absent, int least) throws BadFileException {
         Object value = get(key, absent == null);
         if (value == null) {
@@ -309,6 +319,7 @@
         throw wrong(key, "'" + whole + "' is no number with its unit");
     }
 
+    /** Converts one TOML value to a number, or rejects it. */
     private interface Reading {
         double of(Object value) throws BadFileException;
     }
--- a/src/test/java/mulleinfront/RulesTest.java
+++ b/src/test/java/mulleinfront/RulesTest.java
@@ -39,6 +39,7 @@
         final List<Try> tries = new ArrayList<>();
     }
 
+    /** One attempt of a request: its endpoint, when it was sent and ends, and its planned and actual outcome. */
     private static final class Try {
         String endpoint;
         long at;
--- a/src/test/java/mulleinfront/config/HandoutWorld.java
+++ b/src/test/java/mulleinfront/config/HandoutWorld.java
@@ -182,6 +182,10 @@
 
     // ---- control machines ----------------------------------------------------------------------------
 
+    /**
+     * A simulated control machine: it has a replica of the ledger and distributes its versions to the client
+     * proxies.
+     */
     final class Machine implements Ledger, Handout.Wire {
         final int number;
         final int zone;
@@ -386,6 +390,7 @@
 
     // ---- client proxies ------------------------------------------------------------------------------
 
+    /** A simulated client proxy that watches a control machine and applies the versions it receives. */
     final class Proxy implements Follower.Actions {
         final int number;
         final int zone;
--- a/src/test/java/mulleinfront/core/CoreTest.java
+++ b/src/test/java/mulleinfront/core/CoreTest.java
@@ -110,6 +110,7 @@
         }
     }
 
+    /** An attempt that logs what the core does with it and ends only when the test says so. */
     private final class Attempt implements Wire.Attempt {
         private final String name;
         private final BooleanSupplier wanted;
@@ -157,6 +158,7 @@
         }
     }
 
+    /** A balancer that logs its events and decides as the test has set. */
     private final class Script implements Balancer {
         @Override
         public void onEndpoints(long now, Source source, List<Endpoint> endpoints) {}
--- a/src/test/java/mulleinfront/core/StandingTest.java
+++ b/src/test/java/mulleinfront/core/StandingTest.java
@@ -6,6 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Transitions of a client proxy's readiness: starting, ready, quiesced and ending. */
 class StandingTest {
     private final Standing standing = new Standing();
 
--- a/src/test/java/mulleinfront/emulator/Broken.java
+++ b/src/test/java/mulleinfront/emulator/Broken.java
@@ -219,6 +219,7 @@
         return new Newest(settings, seed, now, actions, 3);
     }
 
+    /** Balancer that redirects every n-th send to the ready server that started last. */
     private static final class Newest extends Module {
         private final int every;
         private final Map<String, Long> ready = new HashMap<>();
@@ -391,6 +392,7 @@
         });
     }
 
+    /** Makes an attempt on the real wire, possibly with altered arguments. */
     private interface Made {
         Wire.Attempt attempt(
                 Wire<Call, Answer> wire,
--- a/src/test/java/mulleinfront/emulator/DigestTest.java
+++ b/src/test/java/mulleinfront/emulator/DigestTest.java
@@ -75,6 +75,7 @@
     @TempDir
     Path folder;
 
+    /** A started emulator process and the files of its output and its JSON report. */
     private record Run(Process process, Path out, Path json) {}
 
     private Run start(int number, String options) throws Exception {
--- a/src/test/java/mulleinfront/emulator/HistogramTest.java
+++ b/src/test/java/mulleinfront/emulator/HistogramTest.java
@@ -6,6 +6,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
+/** Accuracy of the histogram's quantiles, of its mean and of its share above a value. */
 class HistogramTest {
     @Test
     void quantilesAreWithinABucket() {
--- a/src/test/java/mulleinfront/emulator/Noted.java
+++ b/src/test/java/mulleinfront/emulator/Noted.java
@@ -42,6 +42,7 @@
         };
     }
 
+    /** Called before each intercepted method call, with the method's name and arguments. */
     private interface Before {
         void call(String name, Object[] args);
     }
--- a/src/test/java/mulleinfront/fleet/MembersTest.java
+++ b/src/test/java/mulleinfront/fleet/MembersTest.java
@@ -16,6 +16,7 @@
     private static final long S = 1_000_000;
     private static final long LIFE = Incarnation.starting(1_000_000_000_000L);
 
+    /** An update about one member: its incarnation and state. */
     private record Word(int member, long incarnation, MemberState state) {}
 
     @Test
--- a/src/test/java/mulleinfront/keep/KeepWorld.java
+++ b/src/test/java/mulleinfront/keep/KeepWorld.java
@@ -41,6 +41,7 @@
         }
     }
 
+    /** A task scheduled on the virtual clock, ordered by time and then by order of scheduling. */
     private record Task(long at, long order, Runnable run) implements Comparable<Task> {
         @Override
         public int compareTo(Task other) {
@@ -104,6 +105,7 @@
         }
     }
 
+    /** The simulated process of one keeper, with its log, timers and connections, which can crash and restart. */
     private final class Machine implements Timers, Peers {
         final String name;
         final MemoryLog log;
