--- a/src/main/java/mulleinfront/Balancer.java
+++ b/src/main/java/mulleinfront/Balancer.java
@@ -67,7 +67,7 @@
     void onRequest(long now, Request request);
 
     /** The client left or its time is up: nothing more is owed. Unknown ids are ignored. */
-    void onRequestGone(long now, String requestId);
+    void onRequestAbandoned(long now, String requestId);
 
     /**
      * The attempt now belongs to the client: its answer has begun, or its request is still being read. How
@@ -82,7 +82,7 @@
      * An endpoint said how many requests it holds, all clients' together; a little old and not exact. Comes
      * ahead of the outcome that brought it. Unknown endpoints are ignored.
      */
-    default void onReport(long now, String endpointId, double held) {}
+    default void onLoadReport(long now, String endpointId, double held) {}
 
     /** Whom to tell why requests are not served; null, as at the start: nobody, at no cost. */
     default void observe(Observer observer) {}
@@ -96,11 +96,11 @@
     /** Told of what was decided and why. It is called in the midst of a decision and may not call back. */
     interface Observer {
         /** A request has had its last word without being served, by refusal or failure. */
-        void ended(long now, Refusal why);
+        void requestUnserved(long now, UnservedReason why);
     }
 
     /** Which time has run out for a list. */
-    enum ListBound {
+    enum ListExpiryReason {
         /** Discovery had ended the watch. */
         WATCH_ENDED,
         /** Discovery has moved. */
@@ -149,7 +149,7 @@
         default void listValidUntil(long atUs) {}
 
         /** That time has come. */
-        default void listOverdue(ListBound bound) {}
+        default void onListExpired(ListExpiryReason bound) {}
 
         /** Asks for {@link Balancer#onTimer} at this time or soon after. */
         void wakeAt(long atUs);
@@ -248,7 +248,7 @@
      * @param requestDone whether the request has its final answer, by this outcome or earlier
      * @param lagUs time since it was sent
      */
-    record AttemptEnd(String requestId, int attempt, Outcome outcome, boolean requestDone, long lagUs) {}
+    record AttemptEnd(String requestId, int attempt, Outcome outcome, boolean requestDone, long latencyUs) {}
 
     /**
      * A class of requests.
@@ -270,24 +270,24 @@
             long dedupWindowUs,
             double worth,
             double lateWorth,
-            long aimUs,
-            double aimStretch,
+            long targetLatencyUs,
+            double targetStretch,
             long deadlineUs) {
         /** Rejects nonsense by name. */
         public RequestClass {
             Settings.need(effect != null, name + ": effect is missing");
             Settings.need(effect != Effect.DEDUP || scope != null, name + ": dedupScope is missing");
-            Settings.need(aimUs > 0, name + ": onTimeUs must be above 0");
+            Settings.need(targetLatencyUs > 0, name + ": onTimeUs must be above 0");
             Settings.need(deadlineUs > 0, name + ": deadlineUs must be above 0");
             Settings.need(dedupWindowUs >= 0, name + ": dedupWindowUs is negative");
             Settings.need(worth >= 0, name + ": worth is negative");
             Settings.need(lateWorth >= 0, name + ": lateWorth is negative");
-            Settings.need(aimStretch >= 0, name + ": aimStretch is negative");
+            Settings.need(targetStretch >= 0, name + ": aimStretch is negative");
             Settings.need(
-                    worth + lateWorth + aimStretch < Double.POSITIVE_INFINITY,
+                    worth + lateWorth + targetStretch < Double.POSITIVE_INFINITY,
                     name + ": worth, lateWorth or aimStretch is no number");
             Settings.need(
-                    Math.max(aimUs, deadlineUs) <= Settings.LONGEST_US,
+                    Math.max(targetLatencyUs, deadlineUs) <= Settings.LONGEST_US,
                     name + ": onTimeUs or deadlineUs is over a day");
             Settings.need(dedupWindowUs <= Settings.LONGEST_US, name + ": dedupWindowUs is over a day");
         }
@@ -317,7 +317,7 @@
             boolean weightsVary,
             Limits limits,
             Contract contract,
-            int me) {
+            int instanceNumber) {
         /** Times beyond this are a slip of the pen, microseconds. */
         static final long LONGEST_US = 86_400_000_000L;
 
@@ -358,7 +358,7 @@
         }
 
         /** The same for one of so many. */
-        public Settings of(int number, int all) {
+        public Settings forInstance(int number, int all) {
             return new Settings(
                     classes,
                     tenantShares,
@@ -384,7 +384,7 @@
                     weightsVary,
                     limits,
                     new Contract(askWithinUs, contract.coldFrom(), contract.coldUs(), contract.overload()),
-                    me);
+                    instanceNumber);
         }
 
         static void need(boolean ok, String otherwise) {
--- a/src/main/java/mulleinfront/CallSchedule.java
+++ b/src/main/java/mulleinfront/CallSchedule.java
@@ -83,9 +83,9 @@
         this.start = random.nextDouble();
         this.deadline = new ListDeadline(settings.contract().askWithinUs(), now);
         // In the first half of its place, so that clocks may differ by the other.
-        double number = settings.me() < 0
+        double number = settings.instanceNumber() < 0
                 ? instances * random.nextDouble()
-                : settings.me() % instances + random.nextDouble() / 2;
+                : settings.instanceNumber() % instances + random.nextDouble() / 2;
         this.place = number / instances;
     }
 
@@ -193,7 +193,7 @@
     }
 
     /** What that time comes from. */
-    Balancer.ListBound bound() {
+    Balancer.ListExpiryReason bound() {
         return deadline.bound();
     }
 
--- a/src/main/java/mulleinfront/ListDeadline.java
+++ b/src/main/java/mulleinfront/ListDeadline.java
@@ -1,6 +1,6 @@
 package mulleinfront;
 
-import mulleinfront.Balancer.ListBound;
+import mulleinfront.Balancer.ListExpiryReason;
 
 /**
  * By when an instance has to have called discovery, and until when it may send by the list that it holds. The list is a
@@ -181,12 +181,12 @@
     }
 
     /** Which of the times is the first to run out. */
-    ListBound bound() {
+    ListExpiryReason bound() {
         long by = toldBy();
         return by == endedBy
-                ? ListBound.WATCH_ENDED
+                ? ListExpiryReason.WATCH_ENDED
                 : by == movedBy
-                        ? ListBound.MOVED
-                        : by == staleSince + REACHABLE_US ? ListBound.REACHABLE : ListBound.ASK_WITHIN;
+                        ? ListExpiryReason.MOVED
+                        : by == staleSince + REACHABLE_US ? ListExpiryReason.REACHABLE : ListExpiryReason.ASK_WITHIN;
     }
 }
--- a/src/main/java/mulleinfront/Logic.java
+++ b/src/main/java/mulleinfront/Logic.java
@@ -298,8 +298,8 @@
         this.deviation = new double[usualLag.length];
         this.whole = new double[usualLag.length];
         this.tenantRecent = new double[settings.tenantShares().size()];
-        Arrays.setAll(usualLag, i -> meanLag[i] = settings.classes().get(i).aimUs() * FIRST_USUAL);
-        Arrays.setAll(deviation, i -> settings.classes().get(i).aimUs() * NOISE_AIM);
+        Arrays.setAll(usualLag, i -> meanLag[i] = settings.classes().get(i).targetLatencyUs() * FIRST_USUAL);
+        Arrays.setAll(deviation, i -> settings.classes().get(i).targetLatencyUs() * NOISE_AIM);
         Arrays.fill(kindRatio, 1);
         this.mostWorth =
                 settings.classes().stream().mapToDouble(RequestClass::worth).reduce(1e-9, Math::max);
@@ -615,7 +615,7 @@
      * attempts never show. Where instances are few their own attempts show more than old reports.
      */
     @Override
-    public void onReport(long now, String endpointId, double held) {
+    public void onLoadReport(long now, String endpointId, double held) {
         Node n = nodes.get(endpointId);
         if (n == null || !many) {
             return;
@@ -642,7 +642,7 @@
 
     /** How much of a request's aim a queue takes. */
     private double aims(Req r, double queue) {
-        return queue * usualLag[r.in.classIndex()] / r.type.aimUs();
+        return queue * usualLag[r.in.classIndex()] / r.type.targetLatencyUs();
     }
 
     /**
@@ -695,10 +695,13 @@
     private boolean crowded(Attempt a, long lag) {
         int c = a.req.in.classIndex();
         double usual = usualLag[c];
-        double noise = Math.min(NOISE_AIM * a.req.type.aimUs(), NOISE_DEVIATIONS * deviation[c]);
+        double noise = Math.min(NOISE_AIM * a.req.type.targetLatencyUs(), NOISE_DEVIATIONS * deviation[c]);
         return a.at >= wokeAt
                 && lag - usual > noise
-                && lag > Math.min(CROWDED * usual, Math.max(CROWDED_AIM * a.req.type.aimUs(), ORDINARY * usual));
+                && lag
+                        > Math.min(
+                                CROWDED * usual,
+                                Math.max(CROWDED_AIM * a.req.type.targetLatencyUs(), ORDINARY * usual));
     }
 
     /** Whether the endpoint's limit leaves room; one under 1 is the share of requests that may go there. */
@@ -811,7 +814,7 @@
         for (Attempt a : n.outstanding) {
             if (!a.canceled) {
                 double usual = usualLag[a.req.in.classIndex()];
-                double patience = Math.max(SILENT_LAGS * usual, SILENT_AIM * a.req.type.aimUs());
+                double patience = Math.max(SILENT_LAGS * usual, SILENT_AIM * a.req.type.targetLatencyUs());
                 return now - Math.max(Math.max(a.at, n.lastAnswer), wokeAt) > patience;
             }
         }
@@ -839,7 +842,7 @@
         if (admits(r, now)) {
             place(r, now);
         } else {
-            finish(r, now, Refusal.Cause.ADMISSION);
+            finish(r, now, UnservedReason.Cause.ADMISSION);
         }
         arm(now);
     }
@@ -908,7 +911,7 @@
     }
 
     private long probePatience(Req r) {
-        return (long) Math.min(PROBE_AIM * r.type.aimUs(), PROBE_LAGS * usualLag[r.in.classIndex()]);
+        return (long) Math.min(PROBE_AIM * r.type.targetLatencyUs(), PROBE_LAGS * usualLag[r.in.classIndex()]);
     }
 
     private void probe(Req r, Node n, long now) {
@@ -959,7 +962,7 @@
     /** Sends, unless the answer would come too late to earn anything. */
     private void dispatch(Req r, Node n, long now) {
         if (usualLag[r.in.classIndex()] > r.worthUntil() - now) {
-            finish(r, now, Refusal.Cause.TIME);
+            finish(r, now, UnservedReason.Cause.TIME);
         } else {
             send(r, n, now);
         }
@@ -1082,13 +1085,13 @@
      *
      * @param why null: nobody could take it, or it may not be sent again
      */
-    private void finish(Req r, long now, Refusal.Cause why) {
+    private void finish(Req r, long now, UnservedReason.Cause why) {
         drop(r);
         if (observer != null) {
-            observer.ended(now, Why.of(this, r, now, why));
+            observer.requestUnserved(now, Why.of(this, r, now, why));
         }
         if (mayRefuse(r)) {
-            long againInUs = Math.max(subscription.renewedInUs(now), r.type.aimUs() / 8);
+            long againInUs = Math.max(subscription.renewedInUs(now), r.type.targetLatencyUs() / 8);
             out.refuse(r.in.id(), Math.min(settings.limits().maxRetryAfterUs(), againInUs));
         } else {
             out.fail(r.in.id());
@@ -1124,7 +1127,7 @@
     // ---- outcomes ------------------------------------------------------------------------------------
 
     @Override
-    public void onRequestGone(long now, String id) {
+    public void onRequestAbandoned(long now, String id) {
         Req r = open.get(id);
         if (r != null) {
             drop(r);
@@ -1185,16 +1188,16 @@
             n.connectedUntil = now + settings.limits().connIdleUs();
         }
         if (o == Outcome.OK && !a.streaming) {
-            learnLag(a, end.lagUs(), now, true);
-        } else if ((o == Outcome.TIMED_OUT || o == Outcome.CANCELED && a.canceled) && crowded(a, end.lagUs())) {
+            learnLag(a, end.latencyUs(), now, true);
+        } else if ((o == Outcome.TIMED_OUT || o == Outcome.CANCELED && a.canceled) && crowded(a, end.latencyUs())) {
             // A loss tells of the endpoint only after an ordinary answer's time; else of the client.
             // It brings no report: where all are lost none comes, and the last word of them all still holds.
             reportedAt = now;
             lost = Math.min(MOST_LOST, lost + 1);
-            learnLag(a, end.lagUs(), now, false);
+            learnLag(a, end.latencyUs(), now, false);
         }
         if (n.trial == a) {
-            trialEnded(n, o, end.lagUs(), a, now);
+            trialEnded(n, o, end.latencyUs(), a, now);
         } else if (o != Outcome.CANCELED && o != Outcome.IGNORED && o != Outcome.TIMED_OUT) {
             learnFailure(n, o, now);
         }
--- a/src/main/java/mulleinfront/Main.java
+++ b/src/main/java/mulleinfront/Main.java
@@ -27,7 +27,7 @@
             switch (mode) {
                 case "benchlink" -> Adapter.run(System.in, System.out);
                 case "serve" -> Serve.serve(null, null, null);
-                case "rehearse" -> Serve.rehearse();
+                case "rehearse" -> Serve.warmUp();
                 default -> {
                     String[] files = files(args);
                     if (files != null) {
@@ -39,7 +39,7 @@
                 }
             }
         } catch (Exception e) {
-            System.err.println("mulleinfront: " + Config.plain(e));
+            System.err.println("mulleinfront: " + Config.rootCauseMessage(e));
             System.exit(1);
         }
     }
--- a/src/main/java/mulleinfront/State.java
+++ b/src/main/java/mulleinfront/State.java
@@ -91,7 +91,7 @@
             this.hash = hash;
             this.worth = worth;
             this.endAt = at + Math.max(0, in.budgetUs());
-            long aim = type.aimUs() + (long) (type.aimStretch() * Math.max(0, in.expectedUs()));
+            long aim = type.targetLatencyUs() + (long) (type.targetStretch() * Math.max(0, in.expectedUs()));
             this.aimAt = Math.min(endAt, at + Math.min(aim, type.deadlineUs()));
         }
 
--- a/src/main/java/mulleinfront/Subscription.java
+++ b/src/main/java/mulleinfront/Subscription.java
@@ -111,7 +111,7 @@
         renewValidity();
         if (!overdue && overdue(now)) {
             overdue = true;
-            out.listOverdue(calls.bound());
+            out.onListExpired(calls.bound());
         }
         return Math.min(mustAsk ? askAt : Long.MAX_VALUE, overdue ? Long.MAX_VALUE : validUntil);
     }
--- a/src/main/java/mulleinfront/Refusal.java
+++ b/src/main/java/mulleinfront/UnservedReason.java
@@ -15,8 +15,14 @@
  *        usual lag, the reported queue; NaN where there is none
  * @param madeFrom what that was made from, in words; empty where there is nothing to say
  */
-public record Refusal(
-        String requestId, Cause cause, int classIndex, double worth, long ageUs, double bound, String madeFrom) {
+public record UnservedReason(
+        String requestId,
+        Cause cause,
+        int classIndex,
+        double worth,
+        long instanceAgeUs,
+        double limitReached,
+        String detail) {
 
     /** What it comes to. */
     public enum Cause {
@@ -49,19 +55,19 @@
         /** The budget for repeats is used up. */
         BUDGET("budget for repeats used up");
 
-        private final String words;
+        private final String description;
 
         Cause(String words) {
-            this.words = words;
+            this.description = words;
         }
 
         /** In words, for people. */
-        public String words() {
-            return words;
+        public String description() {
+            return description;
         }
 
         /** The name in files. */
-        public String word() {
+        public String outputName() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
     }
--- a/src/main/java/mulleinfront/Why.java
+++ b/src/main/java/mulleinfront/Why.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import mulleinfront.Balancer.Effect;
 import mulleinfront.Balancer.RequestClass;
-import mulleinfront.Refusal.Cause;
 import mulleinfront.State.Attempt;
 import mulleinfront.State.Node;
 import mulleinfront.State.Req;
+import mulleinfront.UnservedReason.Cause;
 
 /**
  * Why {@link Logic} has ended a request without an answer, worked out after the fact and only where somebody asks. It
@@ -21,7 +21,7 @@
     /**
      * @param told what the decision itself says; null: nobody could take it, or it may not be sent again
      */
-    static Refusal of(Logic m, Req r, long now, Cause told) {
+    static UnservedReason of(Logic m, Req r, long now, Cause told) {
         Cause why = told != null ? told : cause(m, r, now);
         if (why == Cause.ADMISSION
                 && r.worth < r.type.worth()
@@ -47,7 +47,7 @@
             case BUDGET -> m.retryTokens;
             default -> Double.NaN;
         };
-        return new Refusal(
+        return new UnservedReason(
                 r.in.id(),
                 why,
                 r.in.classIndex(),
--- a/src/main/java/mulleinfront/bench/Child.java
+++ b/src/main/java/mulleinfront/bench/Child.java
@@ -16,7 +16,7 @@
 import mulleinfront.proxy.ClientProxy;
 import mulleinfront.proxy.Serve;
 import mulleinfront.settings.Config;
-import mulleinfront.settings.Machine;
+import mulleinfront.settings.ProcessSettings;
 
 /**
  * One part of a measurement as a process: it says where it listens, answers each line on its standard input with its
@@ -64,7 +64,7 @@
                 ports = ""
                         + (loops == 1
                                         ? ClientProxy.start(config)
-                                        : Serve.start(config, new Machine(loops, 0))
+                                        : Serve.start(config, new ProcessSettings(loops, 0))
                                                 .get(0))
                                 .port();
             }
--- a/src/main/java/mulleinfront/bench/Decisions.java
+++ b/src/main/java/mulleinfront/bench/Decisions.java
@@ -19,7 +19,7 @@
 import mulleinfront.Balancer.RequestClass;
 import mulleinfront.Balancer.Settings;
 import mulleinfront.Balancer.Source;
-import mulleinfront.core.Silent;
+import mulleinfront.core.NoOpActions;
 
 /** What the decision module costs by itself as hosts become more: a request, a host gone and back, a whole list. */
 public final class Decisions {
@@ -70,7 +70,7 @@
     }
 
     /** A module and whoever carries out what it decides: each attempt is answered after some others. */
-    private static final class Driver extends Silent {
+    private static final class Driver extends NoOpActions {
         private final ArrayDeque<AttemptEnd> out = new ArrayDeque<>();
         private final List<Endpoint> list = new ArrayList<>();
         private final Balancer module;
--- a/src/main/java/mulleinfront/bench/ListCost.java
+++ b/src/main/java/mulleinfront/bench/ListCost.java
@@ -13,7 +13,7 @@
 import mulleinfront.Balancer.Settings;
 import mulleinfront.Balancer.Source;
 import mulleinfront.capacity.Slope;
-import mulleinfront.core.Silent;
+import mulleinfront.core.NoOpActions;
 import mulleinfront.settings.Listing;
 
 /**
@@ -119,7 +119,7 @@
     }
 
     /** Notes when a module wants to be woken, and that it called. */
-    private static final class Caller extends Silent {
+    private static final class Caller extends NoOpActions {
         private boolean called;
         private long at;
 
@@ -143,7 +143,7 @@
     }
 
     private static Balancer module() {
-        return module(1, 0, new Silent(), false);
+        return module(1, 0, new NoOpActions(), false);
     }
 
     private static Balancer module(int instances, int number, Balancer.Actions actions, boolean asks) {
--- a/src/main/java/mulleinfront/bench/MembershipCost.java
+++ b/src/main/java/mulleinfront/bench/MembershipCost.java
@@ -48,7 +48,8 @@
         this.rack = rack;
         this.zones = zones;
         this.out = out;
-        this.run = FleetRun.alone(count, seed, i -> FleetSettings.usual("size", "n" + i, i, count, PERIOD_US, GONE_US));
+        this.run =
+                FleetRun.alone(count, seed, i -> FleetSettings.defaults("size", "n" + i, i, count, PERIOD_US, GONE_US));
         this.known = new Fleet[count];
         this.sent = new long[count];
         this.firstSuspected = new long[count];
@@ -167,7 +168,7 @@
         BitSet other = new BitSet();
         other.set(count / 2, count);
         PeerFaults.End[] cut = new PeerFaults.End[1];
-        phase("apart", "while two halves are apart for a minute", 60, () -> cut[0] = run.cut(one, other, false));
+        phase("apart", "while two halves are apart for a minute", 60, () -> cut[0] = run.partition(one, other, false));
         long[] even = {0};
         phase("together", "while two halves find each other again", 40, () -> {
             cut[0].end();
--- a/src/main/java/mulleinfront/benchlink/Adapter.java
+++ b/src/main/java/mulleinfront/benchlink/Adapter.java
@@ -186,7 +186,7 @@
                 return;
             }
             if (e.held >= 0) {
-                balancer.onReport(now, e.host, e.held);
+                balancer.onLoadReport(now, e.host, e.held);
             }
             switch (e.type) {
                 case "DISCOVERY" -> discovery(e, now);
@@ -201,7 +201,7 @@
                                     (e.bits & 1) != 0 ? e.expectedUs : 0,
                                     e.tenant,
                                     (e.bits & 2) != 0));
-                case "ABORTED" -> balancer.onRequestGone(now, e.requestId);
+                case "ABORTED" -> balancer.onRequestAbandoned(now, e.requestId);
                 case "FIRST_BYTE" -> balancer.onStreamStarted(now, e.requestId, e.attempt);
                 case "ENDED" ->
                     balancer.onAttemptEnded(
--- a/src/main/java/mulleinfront/cli/ConfigCommand.java
+++ b/src/main/java/mulleinfront/cli/ConfigCommand.java
@@ -112,7 +112,7 @@
         /** Asks one; a body is a POST. Throws if it does not answer in words. */
         static Map<String, Object> ask(ControlFile.Machine machine, String call, byte[] body, int patienceMs)
                 throws IOException {
-            InetSocketAddress door = machine.door();
+            InetSocketAddress door = machine.clientAddress();
             String host = door.getAddress().getHostAddress();
             URI at = URI.create(
                     "http://" + (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + door.getPort() + call);
--- a/src/main/java/mulleinfront/cli/DrawCommand.java
+++ b/src/main/java/mulleinfront/cli/DrawCommand.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
-import mulleinfront.emulator.Drawn;
+import mulleinfront.emulator.GeneratedScenario;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -40,14 +40,14 @@
             description = "from a client proxy's start until it is ready (default: drawn)")
     private long startMs;
 
-    static Drawn.Family family(CommandSpec spec, String word) {
-        Drawn.Family f = Drawn.Family.of(word);
+    static GeneratedScenario.Family family(CommandSpec spec, String word) {
+        GeneratedScenario.Family f = GeneratedScenario.Family.of(word);
         if (f == null) {
             throw new ParameterException(
                     spec.commandLine(),
                     "there is no family '" + word + "'; there are "
-                            + Arrays.stream(Drawn.Family.values())
-                                    .map(Drawn.Family::word)
+                            + Arrays.stream(GeneratedScenario.Family.values())
+                                    .map(GeneratedScenario.Family::word)
                                     .collect(Collectors.joining(", ")));
         }
         return f;
@@ -64,7 +64,7 @@
     public Integer call() {
         spec.commandLine()
                 .getOut()
-                .print(Drawn.of(
+                .print(GeneratedScenario.of(
                         family(spec, family), seed, atLeastOne(spec, instances), startMs < 0 ? -1 : startMs * 1000));
         spec.commandLine().getOut().flush();
         return CommandLine.KEPT;
--- a/src/main/java/mulleinfront/cli/Emulate.java
+++ b/src/main/java/mulleinfront/cli/Emulate.java
@@ -202,7 +202,7 @@
         boolean terminal = System.console() != null;
         PrintWriter err = spec.commandLine().getErr();
         long[] done = {0, 0};
-        List<Sweep.Played> all = Sweep.play(source, range[0], range[1], jobs, reference(), played -> {
+        List<Sweep.SeedResult> all = Sweep.play(source, range[0], range[1], jobs, reference(), played -> {
             done[0]++;
             done[1] += played.breaches() > 0 ? 1 : 0;
             if (terminal) {
@@ -216,18 +216,19 @@
         PrintWriter out = spec.commandLine().getOut();
         out.printf(Locale.ROOT, "%s, seeds %d..%d: mean service %.4f%n", name, range[0], range[1], Sweep.mean(all));
         StringBuilder worst = new StringBuilder();
-        for (Sweep.Played p : Sweep.worst(all, WORST)) {
+        for (Sweep.SeedResult p : Sweep.worst(all, WORST)) {
             worst.append(String.format(Locale.ROOT, " %d (%.4f)", p.seed(), p.service()));
         }
         out.printf(Locale.ROOT, "worst seeds:%s%n", worst);
         out.printf(
                 Locale.ROOT,
                 "goodput: mean %.3f, least %.3f; servers that fell over: %d%n",
-                all.stream().mapToDouble(Sweep.Played::goodput).average().orElse(0),
-                all.stream().mapToDouble(Sweep.Played::goodput).min().orElse(0),
-                all.stream().mapToInt(Sweep.Played::fell).sum());
+                all.stream().mapToDouble(Sweep.SeedResult::goodput).average().orElse(0),
+                all.stream().mapToDouble(Sweep.SeedResult::goodput).min().orElse(0),
+                all.stream().mapToInt(Sweep.SeedResult::fell).sum());
         Sweep.starts(all).forEach(out::println);
-        List<Sweep.Played> broken = all.stream().filter(p -> p.breaches() > 0).toList();
+        List<Sweep.SeedResult> broken =
+                all.stream().filter(p -> p.breaches() > 0).toList();
         if (broken.isEmpty()) {
             out.println("rules: all four kept under every seed");
         } else {
--- a/src/main/java/mulleinfront/cli/FleetCommand.java
+++ b/src/main/java/mulleinfront/cli/FleetCommand.java
@@ -257,7 +257,7 @@
                                     + " average, and known to have failed by all within %.0f s at the most among %d members%n",
                             read.figures().fleet(),
                             1.5 * read.figures().periodUs() / 1e6,
-                            read.figures().agreeWithinUs(members) / 1e6,
+                            read.figures().convergenceBoundUs(members) / 1e6,
                             members);
             spec.commandLine().getOut().flush();
             return CommandLine.KEPT;
--- a/src/main/java/mulleinfront/cli/HollowCommand.java
+++ b/src/main/java/mulleinfront/cli/HollowCommand.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import mulleinfront.proxy.Hollow;
+import mulleinfront.proxy.SimulatedMembers;
 import mulleinfront.settings.ControlFile;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -34,7 +34,7 @@
                 .filter(l -> !l.isBlank())
                 .map(Path::of)
                 .toList();
-        Hollow all = Hollow.start(files, loops, control == null ? null : ControlFile.load(control));
+        SimulatedMembers all = SimulatedMembers.start(files, loops, control == null ? null : ControlFile.load(control));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
                 all.leave();
--- a/src/main/java/mulleinfront/cli/KeepCommand.java
+++ b/src/main/java/mulleinfront/cli/KeepCommand.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import mulleinfront.handout.HandoutServer;
-import mulleinfront.keep.KeepSettings;
-import mulleinfront.keep.KeeperNode;
+import mulleinfront.keep.ReplicaNode;
+import mulleinfront.keep.ReplicaSettings;
 import mulleinfront.settings.BadFileException;
 import mulleinfront.settings.ControlFile;
 import picocli.CommandLine.Command;
@@ -63,21 +63,21 @@
         ControlFile.Machine own = file.machines().get(me - 1);
         TreeMap<String, InetSocketAddress> keepers = new TreeMap<>();
         file.machines().forEach(m -> keepers.put(m.name(), m.consensus()));
-        KeepSettings settings;
+        ReplicaSettings settings;
         try {
-            settings = new KeepSettings(own.name(), keepers, folder);
+            settings = new ReplicaSettings(own.name(), keepers, folder);
         } catch (IllegalArgumentException e) {
             throw new BadFileException(config + ": " + e.getMessage());
         }
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        KeeperNode node = new KeeperNode(settings, loop);
+        ReplicaNode node = new ReplicaNode(settings, loop);
         HandoutServer server;
         try {
             server = HandoutServer.start(
                     own.name(),
                     loop,
-                    own.door(),
+                    own.clientAddress(),
                     node,
                     file.handout(),
                     file.events() == null ? null : Path.of(file.events().replace("%n", own.name())));
--- a/src/main/java/mulleinfront/cli/Kit.java
+++ b/src/main/java/mulleinfront/cli/Kit.java
@@ -19,8 +19,8 @@
 import mulleinfront.emulator.Scenario;
 import mulleinfront.emulator.ScenarioReader;
 import mulleinfront.emulator.World;
+import mulleinfront.kit.KitResult;
 import mulleinfront.kit.RealRun;
-import mulleinfront.kit.Rehearsal;
 import mulleinfront.kit.Report;
 import mulleinfront.settings.BadFileException;
 import org.tomlj.Toml;
@@ -109,8 +109,8 @@
                 }
             });
             Runtime.getRuntime().addShutdownHook(hook);
-            Rehearsal on = run.play();
-            Rehearsal both = on.sockets() == null
+            KitResult on = run.play();
+            KitResult both = on.sockets() == null
                     ? on
                     : on.beside(World.of(scenario, seed, null).play());
             String text = Report.text(both, anyVersion);
--- a/src/main/java/mulleinfront/cli/SoakCommand.java
+++ b/src/main/java/mulleinfront/cli/SoakCommand.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
-import mulleinfront.emulator.Drawn;
+import mulleinfront.emulator.GeneratedScenario;
 import mulleinfront.kit.Soak;
 import mulleinfront.settings.BadFileException;
 import picocli.CommandLine.Command;
@@ -51,7 +51,7 @@
     @Option(
             names = "--length",
             paramLabel = "S",
-            defaultValue = "" + Drawn.SOAK_S,
+            defaultValue = "" + GeneratedScenario.SOAK_S,
             description = "how long clients ask for" + " each seed, seconds (default ${DEFAULT-VALUE})")
     private int lengthS;
 
--- a/src/main/java/mulleinfront/config/Handout.java
+++ b/src/main/java/mulleinfront/config/ConfigPublisher.java
@@ -14,7 +14,7 @@
  *
  * <p>Owned by one event loop, whose time is passed in, in microseconds.
  */
-public final class Handout {
+public final class ConfigPublisher {
     /** How often readers are looked at while there are any; part of the bound. */
     static final long TICK_US = 50_000;
     /** Pieces of a long line are not shorter: each has its own heads on the way. */
@@ -56,7 +56,7 @@
      * @param watching whether its watch is open here
      * @param heardUs when it was last heard
      */
-    public record Standing(String name, long at, boolean same, long sent, boolean watching, long heardUs) {}
+    public record SubscriberStatus(String name, long at, boolean same, long sent, boolean watching, long heardUs) {}
 
     /** One reader, and after its end what it last said. */
     private static final class Reader {
@@ -86,8 +86,8 @@
         }
     }
 
-    private final HandoutSettings settings;
-    private final Ledger ledger;
+    private final PublisherSettings settings;
+    private final VersionLog ledger;
     private final Wire wire;
     private final Map<Long, Reader> readers = new LinkedHashMap<>();
     /** By name, the oldest first; those whose watch has ended among them. */
@@ -108,11 +108,11 @@
     private boolean ticking;
 
     /** Creates a distributor without readers that serves the versions of the given ledger over the given wire. */
-    public Handout(HandoutSettings settings, Ledger ledger, Wire wire) {
+    public ConfigPublisher(PublisherSettings settings, VersionLog ledger, Wire wire) {
         this.settings = settings;
         this.ledger = ledger;
         this.wire = wire;
-        this.inTouch = ledger.inTouch();
+        this.inTouch = ledger.hasQuorumContact();
     }
 
     /**
@@ -129,12 +129,12 @@
         if (before != null && readers.containsKey(before.id)) {
             drop(before, "it watches anew");
         }
-        if (readers.size() >= settings.mostReaders()) {
+        if (readers.size() >= settings.maxSubscribers()) {
             return false;
         }
         Reader reader = new Reader(id, name, now);
         if (readers.isEmpty()) {
-            inTouch = ledger.inTouch();
+            inTouch = ledger.hasQuorumContact();
         }
         reader.allowance = settings.burst();
         reader.at = has;
@@ -164,8 +164,8 @@
 
     /** Those who went longest ago are forgotten, so that names can't fill the memory. */
     private void forget() {
-        if (known.size() > 2 * settings.mostReaders()) {
-            known.values().removeIf(r -> known.size() > settings.mostReaders() && !readers.containsKey(r.id));
+        if (known.size() > 2 * settings.maxSubscribers()) {
+            known.values().removeIf(r -> known.size() > settings.maxSubscribers() && !readers.containsKey(r.id));
         }
     }
 
@@ -202,11 +202,11 @@
     /** What was asked for by {@link Wire#wakeAt}. */
     public void onTimer(long now) {
         ticking = false;
-        inTouch = ledger.inTouch();
+        inTouch = ledger.hasQuorumContact();
         for (Reader reader : List.copyOf(readers.values())) {
-            if (now - reader.heardUs > settings.silentUs()) {
+            if (now - reader.heardUs > settings.subscriberTimeoutUs()) {
                 drop(reader, "silent");
-            } else if (reader.line != null && now - reader.begunUs > settings.patienceUs()) {
+            } else if (reader.line != null && now - reader.begunUs > settings.sendTimeoutUs()) {
                 drop(reader, "it does not read");
             } else {
                 pump(now, reader);
@@ -303,10 +303,10 @@
     }
 
     /** Who is at what, also those that have gone. */
-    public List<Standing> standings() {
-        List<Standing> all = new ArrayList<>();
+    public List<SubscriberStatus> subscribers() {
+        List<SubscriberStatus> all = new ArrayList<>();
         for (Reader r : known.values()) {
-            all.add(new Standing(r.name, r.at, r.same, r.sent, readers.containsKey(r.id), r.heardUs));
+            all.add(new SubscriberStatus(r.name, r.at, r.same, r.sent, readers.containsKey(r.id), r.heardUs));
         }
         return all;
     }
--- a/src/main/java/mulleinfront/config/Follower.java
+++ b/src/main/java/mulleinfront/config/ConfigSubscriber.java
@@ -8,7 +8,7 @@
  *
  * <p>Owned by one event loop, whose time is passed in, in microseconds.
  */
-public final class Follower {
+public final class ConfigSubscriber {
     /** Who begins, begins within this. */
     private static final long START_US = 100_000;
 
@@ -36,10 +36,10 @@
         void ask(int machine, long after, long checksum);
 
         /** Ends the watch that was asked for last. */
-        void hangUp();
+        void closeWatch();
 
         /** A version is in force from now on. */
-        void inForce(Version version);
+        void onActiveVersion(Version version);
 
         /** Says to the machine that is watched which version is in force. */
         void report(long number, long checksum);
@@ -48,7 +48,7 @@
         void wakeAt(long us);
     }
 
-    private final FollowerSettings settings;
+    private final SubscriberSettings settings;
     private final RandomGenerator random;
     private final Actions actions;
     /** Machines in the order in which this one tries them: those who lose one spread over the others. */
@@ -74,7 +74,7 @@
     private long wakeUs = Long.MAX_VALUE;
 
     /** @param kept the last good version, or {@link Version#NONE}; it is in force at once */
-    public Follower(FollowerSettings settings, Version kept, RandomGenerator random, Actions actions) {
+    public ConfigSubscriber(SubscriberSettings settings, Version kept, RandomGenerator random, Actions actions) {
         this.settings = settings;
         this.random = random;
         this.actions = actions;
@@ -97,13 +97,13 @@
     /** Ends for good; what is in force stays. */
     public void end() {
         if (state == State.ASKING || state == State.WATCHING) {
-            actions.hangUp();
+            actions.closeWatch();
         }
         state = State.ENDED;
     }
 
     /** The version in force. */
-    public Version inForce() {
+    public Version activeVersion() {
         return inForce;
     }
 
@@ -158,14 +158,14 @@
             inForce = taken;
             wantsWhole = false;
             failures = 0;
-        } catch (MisfitException e) {
+        } catch (VersionMismatchException e) {
             // Of this machine, or of the version held: another machine is asked, and for the whole.
             wantsWhole = true;
-            actions.hangUp();
+            actions.closeWatch();
             failed(now);
             return;
         }
-        actions.inForce(inForce);
+        actions.onActiveVersion(inForce);
         if (state == State.WATCHING) {
             report(now);
         }
@@ -199,7 +199,7 @@
             }
             case ASKING -> {
                 if (now >= askedUs + settings.connectUs()) {
-                    actions.hangUp();
+                    actions.closeWatch();
                     failed(now);
                 }
             }
@@ -211,11 +211,11 @@
 
     private void watch(long now) {
         if (now >= heardUs + settings.silenceUs()) {
-            actions.hangUp();
+            actions.closeWatch();
             failed(now);
         } else if (behindSinceUs >= 0 && now >= behindSinceUs + behindPatience()) {
             leftBehind++;
-            actions.hangUp();
+            actions.closeWatch();
             turn = (turn + 1) % order.length;
             state = State.WAITING;
             nextTryUs = now + random.nextLong(settings.spreadUs());
--- a/src/main/java/mulleinfront/config/Difference.java
+++ b/src/main/java/mulleinfront/config/Difference.java
@@ -73,12 +73,12 @@
      * The new version, if this leads to it from the one held; whole or not at all.
      *
      * @param held the version that the taker has; not looked at if this is the whole
-     * @throws MisfitException if it stands on another version, or what comes out is not what was handed out
+     * @throws VersionMismatchException if it stands on another version, or what comes out is not what was handed out
      */
-    public Version on(Version held) throws MisfitException {
+    public Version on(Version held) throws VersionMismatchException {
         Version base = isWhole() ? Version.NONE : held;
         if (base.number() != from) {
-            throw new MisfitException(
+            throw new VersionMismatchException(
                     "a difference from version " + from + " to " + to + " on version " + base.number());
         }
         TreeMap<String, String> entries = new TreeMap<>(base.entries());
@@ -86,7 +86,7 @@
         entries.putAll(changed);
         Version version = new Version(to, entries, why, decidedAtMillis);
         if (Checksum.of(version) != checksum) {
-            throw new MisfitException("version " + to + " is not what was handed out: its checksum differs");
+            throw new VersionMismatchException("version " + to + " is not what was handed out: its checksum differs");
         }
         return version;
     }
--- a/src/main/java/mulleinfront/config/HandoutSettings.java
+++ b/src/main/java/mulleinfront/config/PublisherSettings.java
@@ -12,9 +12,9 @@
  * @param patienceUs a difference that was not read to its end within so long is given up, microseconds
  * @param mostReaders readers at once
  */
-public record HandoutSettings(
-        long heartbeatUs, int bytesPerS, int burst, long silentUs, long patienceUs, int mostReaders) {
+public record PublisherSettings(
+        long heartbeatUs, int bytesPerS, int burst, long subscriberTimeoutUs, long sendTimeoutUs, int maxSubscribers) {
     /** Times that keep the bound of 6 s; see the design note for the sum. */
-    public static final HandoutSettings USUAL =
-            new HandoutSettings(500_000, 8_000, 2_000, 6_000_000, 30_000_000, 2_000);
+    public static final PublisherSettings DEFAULTS =
+            new PublisherSettings(500_000, 8_000, 2_000, 6_000_000, 30_000_000, 2_000);
 }
--- a/src/main/java/mulleinfront/config/FollowerSettings.java
+++ b/src/main/java/mulleinfront/config/SubscriberSettings.java
@@ -12,7 +12,7 @@
  * @param behindUs a machine that says of itself that it is behind is left after this
  * @param reportUs how often it is said again which version is in force
  */
-public record FollowerSettings(
+public record SubscriberSettings(
         int machines,
         long silenceUs,
         long connectUs,
@@ -23,7 +23,8 @@
         long reportUs) {
 
     /** Times that keep the bound of 6 s; see the design note for the sum. */
-    public static FollowerSettings usual(int machines) {
-        return new FollowerSettings(machines, 1_500_000, 500_000, 1_000_000, 500_000, 2_000_000, 1_000_000, 2_000_000);
+    public static SubscriberSettings defaults(int machines) {
+        return new SubscriberSettings(
+                machines, 1_500_000, 500_000, 1_000_000, 500_000, 2_000_000, 1_000_000, 2_000_000);
     }
 }
--- a/src/main/java/mulleinfront/config/MisfitException.java
+++ b/src/main/java/mulleinfront/config/VersionMismatchException.java
@@ -3,10 +3,10 @@
 /**
  * A difference that does not lead from the version held to the one it says: damaged, or of another history.
  */
-public final class MisfitException extends Exception {
+public final class VersionMismatchException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public MisfitException(String message) {
+    public VersionMismatchException(String message) {
         super(message);
     }
 }
--- a/src/main/java/mulleinfront/config/package-info.java
+++ b/src/main/java/mulleinfront/config/package-info.java
@@ -2,7 +2,7 @@
  * The configuration that the whole fleet goes by, without I/O: numbered versions, how one differs from
  * another, who hands them out and who takes them, whole or not at all.
  *
- * <p>{@link mulleinfront.config.Ledger} decides which version is the newest; whoever implements it does so by
+ * <p>{@link mulleinfront.config.VersionLog} decides which version is the newest; whoever implements it does so by
  * consensus of the control machines and says nothing before it is durable. All else here acts on what the
  * ledger says.
  *
--- a/src/main/java/mulleinfront/core/AgentBackoff.java
+++ b/src/main/java/mulleinfront/core/AgentBackoff.java
@@ -12,13 +12,13 @@
     private long nextUs;
 
     /** After a watch that had been answered was lost, microseconds. */
-    public long afterWatch() {
+    public long delayAfterWatchUs() {
         nextUs = FIRST_US;
         return 0;
     }
 
     /** After a call that nothing came of, microseconds. */
-    public long afterCall() {
+    public long delayAfterCallUs() {
         long delay = Math.max(FIRST_US, nextUs);
         nextUs = Math.min(MOST_US, 2 * delay);
         return delay;
--- a/src/main/java/mulleinfront/core/Core.java
+++ b/src/main/java/mulleinfront/core/Core.java
@@ -16,7 +16,7 @@
 import mulleinfront.Balancer.RequestClass;
 import mulleinfront.Balancer.Settings;
 import mulleinfront.Balancer.Source;
-import mulleinfront.Refusal;
+import mulleinfront.UnservedReason;
 
 /**
  * The life of requests in one client proxy. Events from the wires become the module's events, its decisions
@@ -45,7 +45,7 @@
     /** Until when attempts may be made by the list that is held. */
     private long listValidUntil = Long.MAX_VALUE;
 
-    private final Map<String, Exchange<Q, A>> open = new HashMap<>();
+    private final Map<String, RequestHandle<Q, A>> open = new HashMap<>();
     /** Hosts that the lists told so far say are ready, whether or not the module has taken note of it. */
     private final Map<String, Endpoint> ready = new HashMap<>();
     /** Events for the module and its actions, in order; see {@link #run}. */
@@ -60,14 +60,14 @@
     private long bornAt;
 
     /** Makes the module; a test's own can do what the real one never would. */
-    public interface Maker {
+    public interface BalancerFactory {
         /** The arguments are those of {@link Balancer#create}. */
         Balancer create(Settings settings, long seed, long now, Balancer.Actions actions);
     }
 
     /** A request taken and not yet forgotten. */
-    public static final class Exchange<Q, A> {
-        private final Caller<Q, A> caller;
+    public static final class RequestHandle<Q, A> {
+        private final ResponseHandler<Q, A> caller;
         private final Request request;
         private final RequestClass type;
         private final Q call;
@@ -106,7 +106,7 @@
          */
         private boolean streaming;
 
-        private Exchange(Caller<Q, A> caller, Request request, RequestClass type, Q call, long endAt) {
+        private RequestHandle(ResponseHandler<Q, A> caller, Request request, RequestClass type, Q call, long endAt) {
             this.caller = caller;
             this.request = request;
             this.type = type;
@@ -142,14 +142,14 @@
     }
 
     /** Makes the module; to be called once, before any event, and followed by {@link #perform}. */
-    public void begin(Maker maker, long seed) {
+    public void begin(BalancerFactory maker, long seed) {
         footprint = new Footprint(settings.instances(), seed);
         bornAt = time.now();
         balancer = maker.create(settings, seed, bornAt, this);
     }
 
     /** How many instances may be using the hosts now, as far as is known; at first as many as the settings say. */
-    public void living(int instances) {
+    public void setLiveInstances(int instances) {
         footprint.living(instances);
     }
 
@@ -166,25 +166,25 @@
      */
     public void run(Runnable task) {
         work.add(task);
-        perform();
+        processQueue();
     }
 
     /** Carries out what waits, unless that is being done. */
-    public void perform() {
+    public void processQueue() {
         if (working) {
             return;
         }
         working = true;
         try {
             for (Runnable next; (next = work.poll()) != null; ) {
-                perform(next);
+                processQueue(next);
             }
         } finally {
             working = false;
         }
     }
 
-    private void perform(Runnable task) {
+    private void processQueue(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | LinkageError e) {
@@ -198,7 +198,7 @@
      * A list or changes came. What it says of readiness holds from this call on, also for attempts whose
      * decision was made before; the module hears of it in its turn.
      */
-    public void listed(Source source, List<Endpoint> endpoints) {
+    public void onEndpointList(Source source, List<Endpoint> endpoints) {
         if (source != Source.DELTA) {
             ready.clear();
         }
@@ -221,7 +221,7 @@
     }
 
     /** Idle connections that the wire is to keep at most: see {@link Footprint}. */
-    public int mostIdle() {
+    public int maxIdleConnections() {
         return footprint.mostIdle(ready.size());
     }
 
@@ -274,9 +274,9 @@
      * No final answer is later than this, microseconds on the core's clock: of requests that are open, and of those
      * taken from now on.
      */
-    public void endBy(long at) {
+    public void setShutdownDeadline(long at) {
         lastAt = at;
-        for (Exchange<Q, A> x : open.values()) {
+        for (RequestHandle<Q, A> x : open.values()) {
             if (!x.answered && x.guardAt > at) {
                 x.endAt = Math.min(x.endAt, at);
                 x.guard.cancel();
@@ -285,23 +285,23 @@
         }
     }
 
-    private void guard(Exchange<Q, A> x, long delayUs) {
+    private void guard(RequestHandle<Q, A> x, long delayUs) {
         x.guardAt = time.now() + delayUs;
         x.guard = time.after(delayUs, () -> timeUp(x));
     }
 
     /** Whether a request of this id is open: its id may not be used again until that is over. */
-    public boolean holds(String requestId) {
+    public boolean isOpen(String requestId) {
         return open.containsKey(requestId);
     }
 
     /** Whether the lists told so far have a host that is ready. */
-    public boolean knowsHosts() {
+    public boolean hasReadyEndpoints() {
         return !ready.isEmpty();
     }
 
     /** Requests that are held: open ones, and those whose end the module has not heard of yet. */
-    public int held() {
+    public int openRequests() {
         return open.size();
     }
 
@@ -317,8 +317,8 @@
      * @param tenant position in the settings' tenants; ignored when there are none
      * @param repeat whether the client marks it as a repeat
      */
-    public void take(
-            Caller<Q, A> caller,
+    public void accept(
+            ResponseHandler<Q, A> caller,
             String id,
             int classIndex,
             String key,
@@ -328,7 +328,7 @@
             int tenant,
             boolean repeat,
             Q call) {
-        take(caller, id, classIndex, key, deadlineMs, at, expectedUs, tenant, repeat, call, false);
+        accept(caller, id, classIndex, key, deadlineMs, at, expectedUs, tenant, repeat, call, false);
     }
 
     /**
@@ -337,8 +337,8 @@
      *
      * @param reading whether it is
      */
-    public void take(
-            Caller<Q, A> caller,
+    public void accept(
+            ResponseHandler<Q, A> caller,
             String id,
             int classIndex,
             String key,
@@ -362,7 +362,7 @@
             return;
         }
         Request request = new Request(id, classIndex, key, budget, expectedUs, tenant, repeat);
-        Exchange<Q, A> x = new Exchange<>(caller, request, type, call, time.now() + Math.min(budget, most));
+        RequestHandle<Q, A> x = new RequestHandle<>(caller, request, type, call, time.now() + Math.min(budget, most));
         open.put(id, x);
         x.reading = reading;
         x.patience = patience;
@@ -375,12 +375,12 @@
     }
 
     /** When the time of a request's client is up, microseconds on the core's clock, whatever has begun of its answer. */
-    public long timeOf(Exchange<Q, A> x) {
+    public long timeLimitOf(RequestHandle<Q, A> x) {
         return x.guardAt;
     }
 
     /** The last byte of a request has been read: now its time begins. */
-    public void whole(Exchange<Q, A> x) {
+    public void requestComplete(RequestHandle<Q, A> x) {
         if (!x.reading || x.answered) {
             return;
         }
@@ -401,7 +401,7 @@
     }
 
     /** The caller has gone: it is told nothing, and what is out for it is called off. */
-    public void gone(Exchange<Q, A> x) {
+    public void abandoned(RequestHandle<Q, A> x) {
         if (!x.answered) {
             metrics.answers.add(Metrics.Answer.CLIENT_GONE);
         }
@@ -410,16 +410,16 @@
     }
 
     /** Whatever the module does, the caller has an answer in time, and a refusal only if that is true. */
-    private void timeUp(Exchange<Q, A> x) {
+    private void timeUp(RequestHandle<Q, A> x) {
         if (!x.answered) {
             metrics.answers.add(Metrics.Answer.TIME_UP);
             over(x);
             if (observer != null) {
-                observer.ended(
+                observer.requestUnserved(
                         time.now(),
-                        new Refusal(
+                        new UnservedReason(
                                 x.request.id(),
-                                Refusal.Cause.TIME,
+                                UnservedReason.Cause.TIME,
                                 x.request.classIndex(),
                                 x.type.worth(),
                                 time.now() - bornAt,
@@ -437,26 +437,26 @@
     }
 
     /** Whether another try is harmless: nothing has run or may yet, or it may run any number of times. */
-    private static boolean mayRefuse(Exchange<?, ?> x) {
+    private static boolean mayRefuse(RequestHandle<?, ?> x) {
         return x.type.effect() == Effect.RETRYABLE
                 || !x.mayHaveRun && x.out == null
                 || x.type.effect() == Effect.DEDUP && x.type.scope() == DedupScope.ALL;
     }
 
     /** Its final answer is being given. */
-    private void answering(Exchange<Q, A> x) {
+    private void answering(RequestHandle<Q, A> x) {
         guard.verify(RuleGuard.Check.ANSWER_OVERDUE, time.now() <= x.overdueAt, x.request.id());
     }
 
-    private void over(Exchange<Q, A> x) {
+    private void over(RequestHandle<Q, A> x) {
         x.answered = true;
         x.guard.cancel();
     }
 
-    private void tellGone(Exchange<Q, A> x) {
+    private void tellGone(RequestHandle<Q, A> x) {
         run(() -> {
             try {
-                balancer.onRequestGone(time.now(), x.request.id());
+                balancer.onRequestAbandoned(time.now(), x.request.id());
             } finally {
                 forget(x);
                 if (x.out != null && x.streaming) {
@@ -468,7 +468,7 @@
     }
 
     /** After the actions already decided: they may still name the request. */
-    private void forget(Exchange<Q, A> x) {
+    private void forget(RequestHandle<Q, A> x) {
         work.add(() -> open.remove(x.request.id(), x));
     }
 
@@ -477,14 +477,14 @@
     @Override
     public void send(String requestId, String endpointId, long timeoutUs) {
         work.add(() -> {
-            Exchange<Q, A> x = open.get(requestId);
+            RequestHandle<Q, A> x = open.get(requestId);
             if (x != null) {
                 attempt(x, endpointId, timeoutUs);
             }
         });
     }
 
-    private void attempt(Exchange<Q, A> x, String hostId, long timeoutUs) {
+    private void attempt(RequestHandle<Q, A> x, String hostId, long timeoutUs) {
         int number = x.attempts++;
         if (number > 0) {
             metrics.retries.add(x.lastOutcome);
@@ -498,23 +498,29 @@
                 || !guard.allows(
                         RuleGuard.Check.SEND_BESIDE_ANOTHER,
                         x.out == null && number < settings.limits().maxAttempts());
-        long within = x.reading ? Wire.OPEN : timeoutUs == 0 ? left : Math.min(left, timeoutUs);
+        long within = x.reading ? Wire.NO_TIMEOUT : timeoutUs == 0 ? left : Math.min(left, timeoutUs);
         Wire.Attempt made = vain
                 ? null
                 : wire.attempt(
-                        x.request.id(), number, hostId, x.call, within, () -> maySend(x, hostId), new Wire.End<>() {
+                        x.request.id(),
+                        number,
+                        hostId,
+                        x.call,
+                        within,
+                        () -> maySend(x, hostId),
+                        new Wire.AttemptListener<>() {
                             @Override
                             public void ended(Outcome outcome, A answer) {
                                 attemptEnded(x, number, sentAt, outcome, answer);
                             }
 
                             @Override
-                            public void reported(double held) {
+                            public void loadReported(double held) {
                                 Core.this.reported(hostId, held);
                             }
 
                             @Override
-                            public boolean begun(A answer) {
+                            public boolean responseStarted(A answer) {
                                 return attemptBegun(x, number, answer);
                             }
                         });
@@ -538,7 +544,7 @@
      * Asked when the first byte is about to leave: while a connection came up the request may have ended, its endpoint may
      * have been told to drain, and the window that was open when the repeat was decided may have closed.
      */
-    private boolean maySend(Exchange<Q, A> x, String hostId) {
+    private boolean maySend(RequestHandle<Q, A> x, String hostId) {
         Endpoint host = ready.get(hostId);
         return guard.allows(RuleGuard.Check.SEND_AFTER_ANSWER, !x.answered)
                 && guard.allows(RuleGuard.Check.START_AT_LEFT_ENDPOINT, host != null)
@@ -548,7 +554,7 @@
     }
 
     /** Whether an attempt there is harmless after those before. */
-    private boolean mayRepeat(Exchange<Q, A> x, Endpoint host) {
+    private boolean mayRepeat(RequestHandle<Q, A> x, Endpoint host) {
         if (!x.mayHaveRun || x.type.effect() == Effect.RETRYABLE) {
             return true;
         }
@@ -560,7 +566,7 @@
                         RuleGuard.Check.REPEAT_AFTER_WINDOW, time.now() < x.mayHaveRunAt + x.type.dedupWindowUs());
     }
 
-    private static boolean inGroup(Exchange<?, ?> x, Endpoint host) {
+    private static boolean inGroup(RequestHandle<?, ?> x, Endpoint host) {
         return switch (x.type.scope()) {
             case ALL -> true;
             case ZONE -> x.ranAt != null && x.ranAt.zone() == host.zone();
@@ -568,19 +574,19 @@
         };
     }
 
-    private boolean present(Exchange<Q, A> x) {
-        boolean is = x.caller.present();
+    private boolean present(RequestHandle<Q, A> x) {
+        boolean is = x.caller.stillWaiting();
         if (!is) {
-            gone(x);
+            abandoned(x);
         }
         return is;
     }
 
     private void reported(String hostId, double held) {
-        run(() -> balancer.onReport(time.now(), hostId, held));
+        run(() -> balancer.onLoadReport(time.now(), hostId, held));
     }
 
-    private boolean attemptBegun(Exchange<Q, A> x, int number, A answer) {
+    private boolean attemptBegun(RequestHandle<Q, A> x, int number, A answer) {
         if (x.answered) {
             return false;
         }
@@ -589,17 +595,17 @@
         x.begun = true;
         x.mayHaveRun = true;
         x.ranAt = x.outAt;
-        x.caller.begins(answer);
+        x.caller.responseStarted(answer);
         streams(x, number);
         return true;
     }
 
-    private void streams(Exchange<Q, A> x, int number) {
+    private void streams(RequestHandle<Q, A> x, int number) {
         x.streaming = true;
         run(() -> balancer.onStreamStarted(time.now(), x.request.id(), number));
     }
 
-    private void attemptEnded(Exchange<Q, A> x, int number, long sentAt, Outcome outcome, A answer) {
+    private void attemptEnded(RequestHandle<Q, A> x, int number, long sentAt, Outcome outcome, A answer) {
         x.out = null;
         if (!outcome.neverRan() && !x.mayHaveRun) {
             x.mayHaveRun = true;
@@ -618,7 +624,7 @@
         ended(x, number, sentAt, outcome);
     }
 
-    private void ended(Exchange<Q, A> x, int number, long sentAt, Outcome outcome) {
+    private void ended(RequestHandle<Q, A> x, int number, long sentAt, Outcome outcome) {
         boolean done = x.answered;
         x.lastOutcome = outcome;
         metrics.attempts.add(outcome);
@@ -629,7 +635,7 @@
     @Override
     public void cancel(String requestId, int number) {
         work.add(() -> {
-            Exchange<Q, A> x = open.get(requestId);
+            RequestHandle<Q, A> x = open.get(requestId);
             if (x != null && x.out != null && number == x.outNumber) {
                 x.out.cancel();
             }
@@ -639,7 +645,7 @@
     @Override
     public void refuse(String requestId, long retryAfterUs) {
         work.add(() -> {
-            Exchange<Q, A> x = conclude(requestId);
+            RequestHandle<Q, A> x = conclude(requestId);
             if (x != null) {
                 boolean harmless = mayRefuse(x);
                 metrics.answers.add(
@@ -656,7 +662,7 @@
     @Override
     public void fail(String requestId) {
         work.add(() -> {
-            Exchange<Q, A> x = conclude(requestId);
+            RequestHandle<Q, A> x = conclude(requestId);
             if (x != null) {
                 metrics.answers.add(Metrics.Answer.FAILED);
                 x.caller.failed(false);
@@ -665,8 +671,8 @@
     }
 
     /** The request that a last word is for; null if it has had one. */
-    private Exchange<Q, A> conclude(String requestId) {
-        Exchange<Q, A> x = open.get(requestId);
+    private RequestHandle<Q, A> conclude(String requestId) {
+        RequestHandle<Q, A> x = open.get(requestId);
         if (x == null || x.answered) {
             return null;
         }
@@ -684,14 +690,14 @@
                 run(() -> balancer.onProbeEnded(time.now(), endpointId, Outcome.IGNORED, 0));
                 return;
             }
-            wire.probe(endpointId, new Wire.End<>() {
+            wire.probe(endpointId, new Wire.AttemptListener<>() {
                 @Override
                 public void ended(Outcome outcome, A answer) {
                     run(() -> balancer.onProbeEnded(time.now(), endpointId, outcome, time.now() - sentAt));
                 }
 
                 @Override
-                public void reported(double held) {
+                public void loadReported(double held) {
                     Core.this.reported(endpointId, held);
                 }
             });
@@ -700,7 +706,7 @@
 
     @Override
     public void subscribe() {
-        subscribe(Wire.CALL_SILENCE_US);
+        subscribe(Wire.CALL_TIMEOUT_US);
     }
 
     @Override
@@ -714,9 +720,9 @@
     }
 
     @Override
-    public void listOverdue(Balancer.ListBound bound) {
+    public void onListExpired(Balancer.ListExpiryReason bound) {
         metrics.discovery.add(Metrics.Discovery.LIST_OVERDUE);
-        work.add(() -> wire.listOverdue(bound));
+        work.add(() -> wire.onListExpired(bound));
     }
 
     @Override
--- a/src/main/java/mulleinfront/core/Standing.java
+++ b/src/main/java/mulleinfront/core/LifecycleState.java
@@ -4,35 +4,35 @@
  * How a client proxy stands towards its clients, and what operators may make of it. It has no clock, thread or
  * I/O; whoever owns it tells it what happened and asks.
  */
-public final class Standing {
+public final class LifecycleState {
     /** Told when the word for operators changes. */
     public interface Listener {
         void changed(String from, String to);
     }
 
     private final Listener listener;
-    private String word = "starting";
+    private String stateName = "starting";
     /** Written by the owner alone; where a process has several, the one that operators ask reads the others'. */
     private volatile boolean listening;
 
-    private volatile boolean listed;
+    private volatile boolean endpointsListed;
     private volatile boolean quiesced;
     private volatile boolean ending;
 
-    public Standing() {
+    public LifecycleState() {
         this((from, to) -> {});
     }
 
     /** @param listener told of changes on the thread that makes them */
-    public Standing(Listener listener) {
+    public LifecycleState(Listener listener) {
         this.listener = listener;
     }
 
     private void tell() {
-        String now = word();
-        String before = word;
+        String now = stateName();
+        String before = stateName;
         if (!now.equals(before)) {
-            word = now;
+            stateName = now;
             listener.changed(before, now);
         }
     }
@@ -44,8 +44,8 @@
     }
 
     /** Whether there is a list that names hosts: without one no request can be served. */
-    public void listed(boolean any) {
-        listed = any;
+    public void endpointsListed(boolean any) {
+        endpointsListed = any;
         tell();
     }
 
@@ -69,21 +69,21 @@
 
     /** Whether clients should come: the answer of {@code /-/ready}. */
     public boolean ready() {
-        return listed && !quiesced && !ending;
+        return endpointsListed && !quiesced && !ending;
     }
 
     /** Whether a client should go: an answer is the last of its connection. */
-    public boolean sendsAway() {
+    public boolean closesConnections() {
         return quiesced || ending;
     }
 
     /** Whether this process takes clients now: what {@code health} asks. */
-    public boolean takesClients() {
+    public boolean acceptsClients() {
         return listening && ready();
     }
 
     /** One word for operators. */
-    public String word() {
-        return ending ? "ending" : quiesced ? "quiesced" : takesClients() ? "serving" : "starting";
+    public String stateName() {
+        return ending ? "ending" : quiesced ? "quiesced" : acceptsClients() ? "serving" : "starting";
     }
 }
--- a/src/main/java/mulleinfront/core/ListOrder.java
+++ b/src/main/java/mulleinfront/core/ListVersionFilter.java
@@ -11,7 +11,7 @@
  * late may tell something new of one host and something long overtaken of another: each host goes by the newest
  * version that named it. A whole list is the latest word of whoever sends it, whatever came before.
  */
-public final class ListOrder {
+public final class ListVersionFilter {
     /** Hosts whose last version is kept beyond the last whole list; those named longest ago are let go. */
     private static final int MOST = 4096;
 
@@ -26,7 +26,7 @@
     private int wholeSize;
 
     /** Nothing is known any more: another sender may count its versions in its own way. */
-    public void forget() {
+    public void reset() {
         versions.clear();
     }
 
@@ -39,7 +39,7 @@
      * @param id the host that an entry names
      * @return the entries that are news, in their order
      */
-    public <E> List<E> news(long version, boolean full, List<E> entries, Function<E, String> id) {
+    public <E> List<E> newEntries(long version, boolean full, List<E> entries, Function<E, String> id) {
         if (full) {
             versions.clear();
             wholeSize = entries.size();
--- a/src/main/java/mulleinfront/core/Metrics.java
+++ b/src/main/java/mulleinfront/core/Metrics.java
@@ -62,7 +62,7 @@
     public final EnumCounts<Discovery> discovery = new EnumCounts<>(Discovery.class);
 
     /** All that is not 0 in one line, such as {@code answers.served=12 retries.reset=1}. */
-    public String words() {
+    public String summary() {
         StringBuilder out = new StringBuilder();
         answers.appendTo(out, "answers");
         attempts.appendTo(out, "attempts");
--- a/src/main/java/mulleinfront/core/Silent.java
+++ b/src/main/java/mulleinfront/core/NoOpActions.java
@@ -3,7 +3,7 @@
 import mulleinfront.Balancer;
 
 /** Decisions that go nowhere, for whoever drives a module by itself and overrides those it wants to see. */
-public class Silent implements Balancer.Actions {
+public class NoOpActions implements Balancer.Actions {
     @Override
     public void send(String requestId, String endpointId, long timeoutUs) {}
 
--- a/src/main/java/mulleinfront/core/Caller.java
+++ b/src/main/java/mulleinfront/core/ResponseHandler.java
@@ -2,20 +2,20 @@
 
 /**
  * Whoever waits for the final answer of one request. It is told exactly one of {@link #served},
- * {@link #begins}, {@link #refused} and {@link #failed}, unless it has said {@link Core#gone} before.
+ * {@link #responseStarted}, {@link #refused} and {@link #failed}, unless it has said {@link Core#abandoned} before.
  *
  * @param <Q> a request as the wire carries it
  * @param <A> an answer as the wire brings it
  */
-public interface Caller<Q, A> {
+public interface ResponseHandler<Q, A> {
     /** The request is open: told before any answer, and not at all if it is refused before it opens. */
-    void opened(Core.Exchange<Q, A> exchange);
+    void opened(Core.RequestHandle<Q, A> exchange);
 
     /**
      * Asked right before an attempt's first byte leaves, whether the caller still waits: its leaving may have come and
-     * not been read yet. One that says no has gone by that, and does not say {@link Core#gone} besides.
+     * not been read yet. One that says no has gone by that, and does not say {@link Core#abandoned} besides.
      */
-    default boolean present() {
+    default boolean stillWaiting() {
         return true;
     }
 
@@ -24,9 +24,9 @@
 
     /**
      * A host's own answer has begun and the rest comes on it: this is the final answer, and what becomes of the rest
-     * is between the two wires. Only wires that say so themselves are told ({@link Wire.End#begun}).
+     * is between the two wires. Only wires that say so themselves are told ({@link Wire.AttemptListener#responseStarted}).
      */
-    default void begins(A answer) {
+    default void responseStarted(A answer) {
         throw new UnsupportedOperationException("no streams on this wire");
     }
 
--- a/src/main/java/mulleinfront/core/Refusals.java
+++ b/src/main/java/mulleinfront/core/UnservedCounts.java
@@ -3,28 +3,28 @@
 import java.util.List;
 import mulleinfront.Balancer;
 import mulleinfront.Balancer.RequestClass;
-import mulleinfront.Refusal;
-import mulleinfront.Refusal.Cause;
+import mulleinfront.UnservedReason;
+import mulleinfront.UnservedReason.Cause;
 
 /** Counts why requests were not served, by cause and class. It is made only where somebody asks. */
-public final class Refusals implements Balancer.Observer {
+public final class UnservedCounts implements Balancer.Observer {
     /** An instance this young has seen little of its hosts: its refusals are counted apart too, microseconds. */
-    public static final long YOUNG_US = 10_000_000;
+    public static final long RECENT_START_US = 10_000_000;
 
     private final List<RequestClass> classes;
     private final long[][] counts;
-    private final long[] young = new long[Cause.values().length];
+    private final long[] recentlyStarted = new long[Cause.values().length];
 
     /** @param classes the settings' */
-    public Refusals(List<RequestClass> classes) {
+    public UnservedCounts(List<RequestClass> classes) {
         this.classes = classes;
         this.counts = new long[Cause.values().length][classes.size()];
     }
 
     @Override
-    public void ended(long now, Refusal why) {
+    public void requestUnserved(long now, UnservedReason why) {
         counts[why.cause().ordinal()][why.classIndex()]++;
-        young[why.cause().ordinal()] += why.ageUs() < YOUNG_US ? 1 : 0;
+        recentlyStarted[why.cause().ordinal()] += why.instanceAgeUs() < RECENT_START_US ? 1 : 0;
     }
 
     /** Those of a cause, over all classes. */
@@ -37,14 +37,14 @@
     }
 
     /** Those of a cause by an instance in its first seconds. */
-    public long young(Cause cause) {
-        return young[cause.ordinal()];
+    public long recentlyStarted(Cause cause) {
+        return recentlyStarted[cause.ordinal()];
     }
 
     /** Adds what another has counted, of the same settings. */
-    public void add(Refusals other) {
+    public void add(UnservedCounts other) {
         for (int c = 0; c < counts.length; c++) {
-            young[c] += other.young[c];
+            recentlyStarted[c] += other.recentlyStarted[c];
             for (int k = 0; k < counts[c].length; k++) {
                 counts[c][k] += other.counts[c][k];
             }
@@ -52,16 +52,16 @@
     }
 
     /** In one line: {@code admission 12 (young 3; lookup 10, submit 2), time 1 (...)}; {@code none}. */
-    public String words() {
+    public String summary() {
         StringBuilder out = new StringBuilder();
         for (Cause c : Cause.values()) {
             if (of(c) > 0) {
                 out.append(out.length() == 0 ? "" : ", ")
-                        .append(c.word())
+                        .append(c.outputName())
                         .append(' ')
                         .append(of(c))
                         .append(" (young ")
-                        .append(young(c));
+                        .append(recentlyStarted(c));
                 for (int k = 0; k < classes.size(); k++) {
                     if (counts[c.ordinal()][k] > 0) {
                         out.append("; ")
--- a/src/main/java/mulleinfront/core/Wire.java
+++ b/src/main/java/mulleinfront/core/Wire.java
@@ -1,7 +1,7 @@
 package mulleinfront.core;
 
 import java.util.function.BooleanSupplier;
-import mulleinfront.Balancer.ListBound;
+import mulleinfront.Balancer.ListExpiryReason;
 import mulleinfront.Balancer.Outcome;
 
 /**
@@ -12,11 +12,11 @@
  */
 public interface Wire<Q, A> {
     /** Part of the settings' idle time after which a wire closes first: a host closes at the whole of it. */
-    double IDLE_PART = 0.75;
+    double IDLE_CLOSE_FRACTION = 0.75;
     /** How long a connection rests after an answer: what follows that unasked must not meet a new request. */
-    long REST_US = 3_000;
+    long CONNECTION_COOL_DOWN_US = 3_000;
     /** Fresh connections to one attempt, as long as they are reset before a request is written whole. */
-    int MOST_FRESH = 3;
+    int MAX_NEW_CONNECTIONS = 3;
     /** Discovery's heartbeat comes this often while nothing changes. */
     long HEARTBEAT_US = 2_000_000;
     /**
@@ -24,29 +24,29 @@
      * counts as told 6 s after it fell silent even if it never came, so by then the next call must have been
      * answered, with those of all others whose watches fell silent in the same moment.
      */
-    long SILENCE_US = 2_600_000;
+    long WATCH_TIMEOUT_US = 2_600_000;
     /**
      * The same of a call that nothing has come of yet: it may wait for its turn, and discovery gives up after
      * 2 or 3 s.
      */
-    long CALL_SILENCE_US = 3_500_000;
+    long CALL_TIMEOUT_US = 3_500_000;
     /** How long a list may take from the first byte of its answer, whatever heartbeats come before it. */
-    long LIST_PATIENCE_US = 3_200_000;
+    long LIST_TIMEOUT_US = 3_200_000;
     /** Discovery lets no call wait for longer, milliseconds: one that has brought nothing by then was taken by nobody. */
-    long LONGEST_WAIT_MS = 3_000;
+    long MAX_DISCOVERY_WAIT_MS = 3_000;
     /** The most that the first call after a move may go unanswered. */
-    long MOVED_SILENCE_US = 3_200_000;
+    long MOVED_CALL_TIMEOUT_US = 3_200_000;
 
     /** How long nothing may come of the first call where discovery, which is asked, has moved to. */
-    static long movedSilenceUs(long askWithinUs) {
-        return Math.min(MOVED_SILENCE_US, askWithinUs * 9 / 10);
+    static long movedCallTimeoutUs(long askWithinUs) {
+        return Math.min(MOVED_CALL_TIMEOUT_US, askWithinUs * 9 / 10);
     }
 
     /** No time of its own yet. */
-    long OPEN = Long.MAX_VALUE;
+    long NO_TIMEOUT = Long.MAX_VALUE;
 
     /** Told once how an attempt or a probe ended. */
-    interface End<A> {
+    interface AttemptListener<A> {
         /**
          * @param outcome what can be vouched for: {@link Outcome#neverRan} only if that is known
          * @param answer the host's answer if the outcome is {@link Outcome#OK}, else null; null too if it has
@@ -59,7 +59,7 @@
          *
          * @param held that many, all clients' together
          */
-        default void reported(double held) {}
+        default void loadReported(double held) {}
 
         /**
          * The host's answer has begun, and is passed on from here as it comes; the attempt goes on until
@@ -68,7 +68,7 @@
          * @param answer what there is of it
          * @return whether anybody takes it; if not, the attempt is to be given up
          */
-        default boolean begun(A answer) {
+        default boolean responseStarted(A answer) {
             return false;
         }
     }
@@ -100,10 +100,16 @@
      * @return the attempt, or null if the wire knows no such host
      */
     Attempt attempt(
-            String requestId, int number, String hostId, Q request, long timeoutUs, BooleanSupplier wanted, End<A> end);
+            String requestId,
+            int number,
+            String hostId,
+            Q request,
+            long timeoutUs,
+            BooleanSupplier wanted,
+            AttemptListener<A> end);
 
     /** Asks a host how it is; the end is told once, as {@link Outcome#IGNORED} if there is no such host. */
-    void probe(String hostId, End<A> end);
+    void probe(String hostId, AttemptListener<A> end);
 
     /**
      * Asks discovery for the list and for every change from here on.
@@ -113,5 +119,5 @@
     void subscribe(long patienceUs);
 
     /** The list that is held was not renewed in time: for the log alone. */
-    default void listOverdue(ListBound bound) {}
+    default void onListExpired(ListExpiryReason bound) {}
 }
--- a/src/main/java/mulleinfront/core/package-info.java
+++ b/src/main/java/mulleinfront/core/package-info.java
@@ -10,7 +10,7 @@
  * <p>The way of data: a front (HTTP/1.1 today) reads a request and calls {@code take}; the module decides
  * through {@link mulleinfront.Balancer.Actions}; the core starts an attempt on its
  * {@link mulleinfront.core.Wire}; its end comes back once; the module decides again; the
- * {@link mulleinfront.core.Caller} is told how the request ended.
+ * {@link mulleinfront.core.ResponseHandler} is told how the request ended.
  *
  * <p>May import the module ({@code mulleinfront}) and {@code java.util}, and nothing else: no socket, file,
  * thread or system clock. Time and timers are given by {@link mulleinfront.core.Time}, so the same core runs
--- a/src/main/java/mulleinfront/emulator/Account.java
+++ b/src/main/java/mulleinfront/emulator/Account.java
@@ -269,7 +269,7 @@
                         : world.scenario.tenants().get(a.tenant).name(),
                 a.proxy,
                 world.scenario.zones().get(world.zoneOf(a.proxy)),
-                a.type.aimUs() / 1e3,
+                a.type.targetLatencyUs() / 1e3,
                 a.bornAt / 1e6));
         for (String id : a.tried) {
             Story s = stories.get(id);
--- a/src/main/java/mulleinfront/emulator/Clients.java
+++ b/src/main/java/mulleinfront/emulator/Clients.java
@@ -92,7 +92,7 @@
         }
 
         long aimAt() {
-            return bornAt + type.aimUs();
+            return bornAt + type.targetLatencyUs();
         }
     }
 
--- a/src/main/java/mulleinfront/emulator/Compared.java
+++ b/src/main/java/mulleinfront/emulator/Compared.java
@@ -12,7 +12,7 @@
  * @param reference which one it is; null: the product
  * @param worlds what came of each seed
  */
-public record Compared(String name, Reference reference, List<Sweep.Played> worlds) {
+public record Compared(String name, Reference reference, List<Sweep.SeedResult> worlds) {
 
     /** The product first, then each reference in the order of what it sees. */
     public static List<Compared> play(Scenario scenario, long from, long to, int jobs) throws InterruptedException {
@@ -29,7 +29,7 @@
     }
 
     public double worst() {
-        return worlds.stream().mapToDouble(Sweep.Played::service).min().orElse(0);
+        return worlds.stream().mapToDouble(Sweep.SeedResult::service).min().orElse(0);
     }
 
     /** Seeds under which a rule was broken. */
@@ -71,7 +71,7 @@
                     c.mean(),
                     c.worst(),
                     c.worlds.stream()
-                            .mapToDouble(Sweep.Played::goodput)
+                            .mapToDouble(Sweep.SeedResult::goodput)
                             .average()
                             .orElse(0),
                     c.broken(),
--- a/src/main/java/mulleinfront/emulator/Troubles.java
+++ b/src/main/java/mulleinfront/emulator/DatagramFaults.java
@@ -7,19 +7,19 @@
 import mulleinfront.settings.Range;
 
 /** What happens to datagrams between client proxies now, and what becomes of one, on virtual time and on sockets. */
-public final class Troubles {
+public final class DatagramFaults {
     /** Datagrams remembered, so that old ones may come again. */
     private static final int REMEMBERED = 4_096;
     /** How much later a datagram is that others overtake, microseconds. */
     private static final Range OVERTAKEN = new Range(1_000, 50_000);
 
     private final Chance chance;
-    private final List<Trouble> on = new ArrayList<>();
+    private final List<DatagramFault> on = new ArrayList<>();
     private final List<Past> past = new ArrayList<>();
     private boolean remembers;
 
-    /** One that is on; see {@link PeerFaults#trouble}. */
-    public record Trouble(
+    /** One that is on; see {@link PeerFaults#beginFault}. */
+    public record DatagramFault(
             BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late) {
         private boolean about(int sender, int receiver) {
             return (from == null || sender >= 0 && from.get(sender)) && (to == null || to.get(receiver));
@@ -37,15 +37,15 @@
     /** One that came by. */
     public record Past(int from, int to, byte[] bytes) {}
 
-    public Troubles(Chance chance) {
+    public DatagramFaults(Chance chance) {
         this.chance = chance;
     }
 
-    public void begin(Trouble trouble) {
+    public void begin(DatagramFault trouble) {
         on.add(trouble);
     }
 
-    public void end(Trouble trouble) {
+    public void end(DatagramFault trouble) {
         on.remove(trouble);
     }
 
@@ -65,14 +65,14 @@
     }
 
     /** What becomes of a datagram: nothing, one or two copies. */
-    public List<Copy> fate(int from, int to, byte[] bytes, int length) {
+    public List<Copy> deliver(int from, int to, byte[] bytes, int length) {
         byte[] copy = Arrays.copyOf(bytes, length);
         if (remembers && past.size() < REMEMBERED) {
             past.add(new Past(from, to, copy));
         }
         long late = 0;
         boolean twice = false;
-        for (Trouble t : on) {
+        for (DatagramFault t : on) {
             if (!t.about(from, to)) {
                 continue;
             }
@@ -100,7 +100,7 @@
     }
 
     /** What somebody who knows nothing of the fleet may send: any bytes. */
-    public byte[] strange() {
+    public byte[] randomBytes() {
         byte[] bytes = new byte[chance.below(300)];
         for (int i = 0; i < bytes.length; i++) {
             bytes[i] = (byte) chance.below(256);
--- a/src/main/java/mulleinfront/emulator/DiscoveryClient.java
+++ b/src/main/java/mulleinfront/emulator/DiscoveryClient.java
@@ -11,7 +11,7 @@
 import mulleinfront.Balancer.Source;
 import mulleinfront.core.AgentBackoff;
 import mulleinfront.core.Core;
-import mulleinfront.core.ListOrder;
+import mulleinfront.core.ListVersionFilter;
 import mulleinfront.core.Time;
 import mulleinfront.core.Wire;
 
@@ -24,7 +24,7 @@
     private final Map<String, Integer> addresses = new HashMap<>();
     private Core<Call, Answer> core;
     private EmulatedWire wire;
-    private final ListOrder order = new ListOrder();
+    private final ListVersionFilter order = new ListVersionFilter();
     private final AgentBackoff agent = new AgentBackoff();
     private long version = -1;
     private Watch watch;
@@ -70,7 +70,7 @@
             world.audit.watchFailed(proxy, time.now(), false);
         }
         core.discoveryMoved(0);
-        watch(Wire.movedSilenceUs(world.scenario.rules().askWithinUs()));
+        watch(Wire.movedCallTimeoutUs(world.scenario.rules().askWithinUs()));
     }
 
     /** Takes over a list, first for the wire and then for the module. */
@@ -80,7 +80,7 @@
         version = whole ? news.version() : Math.max(version, news.version());
         Set<String> left = whole ? new HashSet<>(addresses.keySet()) : new HashSet<>();
         List<Endpoint> endpoints = new ArrayList<>();
-        for (Registry.Entry e : order.news(
+        for (Registry.Entry e : order.newEntries(
                 news.version(), whole, news.entries(), e -> e.endpoint().id())) {
             Endpoint endpoint = e.endpoint();
             endpoints.add(endpoint);
@@ -142,7 +142,7 @@
             heard = true;
             quiet();
             if (first) {
-                patience = time.after(Wire.LIST_PATIENCE_US, this::giveUp);
+                patience = time.after(Wire.LIST_TIMEOUT_US, this::giveUp);
             }
         }
 
@@ -158,7 +158,7 @@
         void silence(long agoUs) {
             quiet();
             heardAt = time.now() - agoUs;
-            patience = time.after(Wire.SILENCE_US - agoUs, this::giveUp);
+            patience = time.after(Wire.WATCH_TIMEOUT_US - agoUs, this::giveUp);
         }
 
         @Override
@@ -201,10 +201,10 @@
             world.audit.watchFailed(proxy, time.now(), !reset && !givenUp);
             if (!world.scenario.discovery().asked()) {
                 time.after(
-                        heard ? agent.afterWatch() : agent.afterCall(),
-                        () -> DiscoveryClient.this.watch(Wire.CALL_SILENCE_US));
+                        heard ? agent.delayAfterWatchUs() : agent.delayAfterCallUs(),
+                        () -> DiscoveryClient.this.watch(Wire.CALL_TIMEOUT_US));
             } else if (!heard) {
-                boolean silent = givenUp && time.now() - calledAt >= 1_000 * Wire.LONGEST_WAIT_MS;
+                boolean silent = givenUp && time.now() - calledAt >= 1_000 * Wire.MAX_DISCOVERY_WAIT_MS;
                 core.discoveryFailed(unreachable || silent);
             } else if (givenUp || reset) {
                 core.watchLost(heardAt == 0 ? 0 : time.now() - heardAt);
--- a/src/main/java/mulleinfront/emulator/EmulatedWire.java
+++ b/src/main/java/mulleinfront/emulator/EmulatedWire.java
@@ -60,7 +60,7 @@
         this.proxy = proxy;
         this.zone = zone;
         this.discovery = discovery;
-        this.idleUs = (long) (world.scenario.limits().connIdleUs() * IDLE_PART);
+        this.idleUs = (long) (world.scenario.limits().connIdleUs() * IDLE_CLOSE_FRACTION);
     }
 
     int zone() {
@@ -83,13 +83,13 @@
             Call call,
             long timeoutUs,
             BooleanSupplier wanted,
-            End<Answer> end) {
+            AttemptListener<Answer> end) {
         Integer address = discovery.address(hostId);
         return address == null ? null : new Attempt(requestId, number, address, call, timeoutUs, wanted, end);
     }
 
     @Override
-    public void probe(String hostId, End<Answer> end) {
+    public void probe(String hostId, AttemptListener<Answer> end) {
         Integer address = discovery.address(hostId);
         if (address == null) {
             end.ended(Outcome.IGNORED, null);
@@ -179,7 +179,7 @@
             return null;
         }
         for (Link link : links) {
-            if (time.now() - link.idleAt > REST_US) {
+            if (time.now() - link.idleAt > CONNECTION_COOL_DOWN_US) {
                 leaveIdle(link);
                 return link;
             }
@@ -222,7 +222,7 @@
         private final Hop hop;
 
         private final BooleanSupplier wanted;
-        private final End<Answer> end;
+        private final AttemptListener<Answer> end;
         private final long endsAt;
         private final Time.Timer timer;
         private Time.Timer dial;
@@ -244,7 +244,7 @@
                 Call call,
                 long timeoutUs,
                 BooleanSupplier wanted,
-                End<Answer> end) {
+                AttemptListener<Answer> end) {
             this.requestId = requestId;
             this.number = number;
             this.address = address;
@@ -335,7 +335,7 @@
                 // The host took the connection and not the whole request: that surely did not run.
                 close(to);
                 link = null;
-                if (fresh < MOST_FRESH) {
+                if (fresh < MAX_NEW_CONNECTIONS) {
                     connect();
                 } else {
                     finish(Outcome.CONNECT_ERROR, null);
@@ -434,7 +434,7 @@
         private void answered(Link to, ServerModel.End how, int inflight) {
             link = null;
             if (to.host.chance.happens(world.scenario.limits().reports())) {
-                end.reported(inflight);
+                end.loadReported(inflight);
             }
             if (to.host.address == address && to.host.life == to.life && !to.life.draining()) {
                 rest(to);
--- a/src/main/java/mulleinfront/emulator/Fitting.java
+++ b/src/main/java/mulleinfront/emulator/Fitting.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import mulleinfront.Balancer.Endpoint;
 import mulleinfront.Balancer.Source;
-import mulleinfront.core.Caller;
 import mulleinfront.core.Core;
+import mulleinfront.core.ResponseHandler;
 import mulleinfront.core.Time;
 import mulleinfront.core.Wire;
 
@@ -21,12 +21,12 @@
     }
 
     /** Whom the core answers. */
-    default Caller<Call, Answer> caller(Caller<Call, Answer> caller, Time time) {
+    default ResponseHandler<Call, Answer> caller(ResponseHandler<Call, Answer> caller, Time time) {
         return caller;
     }
 
     /** A list on its way to the core. */
     default void listed(Core<Call, Answer> core, Source source, List<Endpoint> endpoints, Time time) {
-        core.listed(source, endpoints);
+        core.onEndpointList(source, endpoints);
     }
 }
--- a/src/main/java/mulleinfront/emulator/FleetJudge.java
+++ b/src/main/java/mulleinfront/emulator/FleetAuditor.java
@@ -14,7 +14,7 @@
  * <p>What is held against a member has to have lasted for the stated bound, all that while with nothing changed for
  * those it is about: no process ended, begun or stood still, and no cut begun or healed among all.
  */
-public final class FleetJudge {
+public final class FleetAuditor {
     private static final int MOST_KEPT = 100;
 
     /** What is judged, by name. */
@@ -88,7 +88,7 @@
     /**
      * @param boundUs how long what is wrong may last
      */
-    public FleetJudge(int members, long boundUs, Links links) {
+    public FleetAuditor(int members, long boundUs, Links links) {
         this.members = members;
         this.boundUs = boundUs;
         this.links = links;
--- a/src/main/java/mulleinfront/emulator/FleetReport.java
+++ b/src/main/java/mulleinfront/emulator/FleetReport.java
@@ -15,7 +15,7 @@
  * @param even whether all who ran held one view at the end
  */
 public record FleetReport(
-        List<FleetJudge.Breach> breaches,
+        List<FleetAuditor.Breach> breaches,
         int breachCount,
         FleetRun.Figures figures,
         int members,
--- a/src/main/java/mulleinfront/emulator/FleetRun.java
+++ b/src/main/java/mulleinfront/emulator/FleetRun.java
@@ -7,11 +7,11 @@
 import java.util.function.IntFunction;
 import java.util.random.RandomGenerator;
 import mulleinfront.fleet.Change;
-import mulleinfront.fleet.Drop;
+import mulleinfront.fleet.DropReason;
 import mulleinfront.fleet.Fleet;
 import mulleinfront.fleet.FleetSettings;
 import mulleinfront.fleet.MemberState;
-import mulleinfront.fleet.Reach;
+import mulleinfront.fleet.Reachability;
 import mulleinfront.settings.Range;
 
 /**
@@ -29,7 +29,7 @@
         void changed(int observer, Change change);
 
         /** What an observer has in reach, or whether it finds its view settled, is not as it was. */
-        default void reach(int observer, long now, Reach reach, boolean settled) {}
+        default void reach(int observer, long now, Reachability reach, boolean settled) {}
     }
 
     private final EventQueue queue;
@@ -39,7 +39,7 @@
     private final Maker maker;
     private final Peer[] peers;
     private final long[] clockMs;
-    private final FleetJudge judge;
+    private final FleetAuditor judge;
     private final long lookEveryUs;
     private final List<Watch> watches = new ArrayList<>();
     private int cuts;
@@ -60,7 +60,7 @@
                     bytes + f.sentBytes(),
                     read + f.received(),
                     dropped + lost,
-                    withheld + f.withheld());
+                    withheld + f.rateLimitedDatagrams());
         }
     }
 
@@ -94,8 +94,8 @@
         this.maker = maker;
         this.peers = new Peer[members];
         this.clockMs = new long[members];
-        long bound = settings.apply(0).agreeWithinUs(members);
-        this.judge = new FleetJudge(members, bound, new FleetJudge.Links() {
+        long bound = settings.apply(0).convergenceBoundUs(members);
+        this.judge = new FleetAuditor(members, bound, new FleetAuditor.Links() {
             @Override
             public boolean pass(int from, int to) {
                 return network.troubles().passes(from, to);
@@ -119,7 +119,7 @@
         watches.add(watch);
     }
 
-    public FleetJudge judge() {
+    public FleetAuditor judge() {
         return judge;
     }
 
@@ -183,7 +183,7 @@
             }
 
             @Override
-            public void reach(long now, Reach reach, boolean settled, long digest) {
+            public void reach(long now, Reachability reach, boolean settled, long digest) {
                 watches.forEach(w -> w.reach(number, now, reach, settled));
             }
         });
@@ -239,8 +239,10 @@
     // ---- what happens on the way -----------------------------------------------------------------------
 
     @Override
-    public End trouble(BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late) {
-        Troubles.Trouble t = new Troubles.Trouble(from, to, lose, twice, overtaken, change, late);
+    public End beginFault(
+            BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late) {
+        DatagramFaults.DatagramFault t =
+                new DatagramFaults.DatagramFault(from, to, lose, twice, overtaken, change, late);
         network.troubles().begin(t);
         links(t.cut() ? 1 : 0);
         return () -> {
@@ -262,7 +264,7 @@
         queue.after(rememberUs, () -> {
             network.troubles().remember(false);
             every(perSecond, us, () -> {
-                Troubles.Past p = network.troubles().past();
+                DatagramFaults.Past p = network.troubles().past();
                 if (p != null) {
                     network.deliver(p.from(), p.to(), p.bytes(), 0);
                 }
@@ -278,7 +280,7 @@
                 () -> network.deliver(
                         PeerNetwork.STRANGER,
                         network.troubles().anybody(peers.length),
-                        network.troubles().strange(),
+                        network.troubles().randomBytes(),
                         0));
     }
 
@@ -313,7 +315,7 @@
     }
 
     /** Datagrams that members did not read, by reason. */
-    public long dropped(Drop why) {
+    public long dropped(DropReason why) {
         long sum = 0;
         for (Peer p : peers) {
             sum += p == null ? 0 : p.fleet().drops().getOrDefault(why, 0L);
--- a/src/main/java/mulleinfront/emulator/Drawn.java
+++ b/src/main/java/mulleinfront/emulator/GeneratedScenario.java
@@ -8,7 +8,7 @@
  * Deployments with their troubles drawn by seed from ranges, as scenario files: what is tried on a hundred of
  * them is not fitted to one. Equal families, seeds and sizes give equal files.
  */
-public final class Drawn {
+public final class GeneratedScenario {
     /** What happens in them. */
     public enum Family {
         /** Seven in ten client proxies are killed in the midst of a release of the servers. */
@@ -170,7 +170,7 @@
     private final Chance chance;
     private final StringBuilder out = new StringBuilder();
 
-    private Drawn(Family family, long seed) {
+    private GeneratedScenario(Family family, long seed) {
         this.chance = Chance.of(seed, family.word());
     }
 
@@ -182,7 +182,7 @@
      *        drawn
      */
     public static String of(Family family, long seed, int instances, long startUs) {
-        Drawn d = new Drawn(family, seed);
+        GeneratedScenario d = new GeneratedScenario(family, seed);
         return switch (family) {
             case HERD -> d.herd(seed, instances, startUs);
             case JAM -> d.jam(seed, instances, startUs);
@@ -197,10 +197,10 @@
      * @param alsoListed servers that whole lists name besides, all of them draining
      */
     public static String soak(long seed, int instances, int lengthS, int alsoListed) {
-        return new Drawn(Family.SOAK, seed).soakDay(seed, instances, lengthS, alsoListed);
+        return new GeneratedScenario(Family.SOAK, seed).soakDay(seed, instances, lengthS, alsoListed);
     }
 
-    private Drawn line(String form, Object... values) {
+    private GeneratedScenario line(String form, Object... values) {
         out.append(String.format(Locale.ROOT, form, values)).append('\n');
         return this;
     }
@@ -358,7 +358,7 @@
         return between(range[0], range[1]);
     }
 
-    private Drawn fault(String kind, double atS) {
+    private GeneratedScenario fault(String kind, double atS) {
         return line("%n[[fault]]%ndo = \"%s\"%nat = \"%s\"", kind, time(atS * 1e6));
     }
 
--- a/src/main/java/mulleinfront/emulator/GraphReader.java
+++ b/src/main/java/mulleinfront/emulator/GraphReader.java
@@ -39,7 +39,7 @@
         if (!world.isEmpty()) {
             Path beside = file.resolveSibling(world);
             base = Section.root(beside.toString(), ScenarioReader.text(beside), null);
-            if (base.table("scenario").says("world")) {
+            if (base.table("scenario").statesOwn("world")) {
                 throw new BadFileException(beside + ":1: scenario.world: stands on another world itself");
             }
         }
--- a/src/main/java/mulleinfront/emulator/GraphReport.java
+++ b/src/main/java/mulleinfront/emulator/GraphReport.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import mulleinfront.Refusal.Cause;
+import mulleinfront.UnservedReason.Cause;
 import mulleinfront.emulator.GraphTally.Deepest;
 import mulleinfront.emulator.GraphTally.Group;
 import mulleinfront.emulator.GraphTally.Second;
@@ -87,7 +87,7 @@
     public int fell() {
         int sum = 0;
         for (World.Result r : results) {
-            sum += r == null ? 0 : r.fell();
+            sum += r == null ? 0 : r.crashedServers();
         }
         return sum;
     }
@@ -165,7 +165,7 @@
         for (Cause c : Cause.values()) {
             if (s.causes[c.ordinal()] > 0) {
                 out.append(out.length() == 0 ? "" : ", ")
-                        .append(c.word())
+                        .append(c.outputName())
                         .append(' ')
                         .append(s.causes[c.ordinal()])
                         .append(" (young ")
@@ -551,8 +551,8 @@
             out.writeObjectFieldStart("given_up");
             for (Cause c : Cause.values()) {
                 if (s.causes[c.ordinal()] > 0) {
-                    out.writeNumberField(c.word(), s.causes[c.ordinal()]);
-                    out.writeNumberField(c.word() + "-young", s.young[c.ordinal()]);
+                    out.writeNumberField(c.outputName(), s.causes[c.ordinal()]);
+                    out.writeNumberField(c.outputName() + "-young", s.young[c.ordinal()]);
                 }
             }
             out.writeEndObject();
--- a/src/main/java/mulleinfront/emulator/GraphTally.java
+++ b/src/main/java/mulleinfront/emulator/GraphTally.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import mulleinfront.Refusal;
-import mulleinfront.core.Refusals;
+import mulleinfront.UnservedReason;
+import mulleinfront.core.UnservedCounts;
 
 /** Counts what the report on a graph of services needs, as it happens. */
 final class GraphTally {
@@ -70,8 +70,8 @@
         long calls;
         long refused;
         long notServed;
-        final long[] causes = new long[Refusal.Cause.values().length];
-        final long[] young = new long[Refusal.Cause.values().length];
+        final long[] causes = new long[UnservedReason.Cause.values().length];
+        final long[] young = new long[UnservedReason.Cause.values().length];
         /** Part of all cores that was busy. */
         double busy;
 
@@ -226,10 +226,10 @@
         }
     }
 
-    void unserved(long now, Refusal why) {
+    void unserved(long now, UnservedReason why) {
         Second s = second(now);
         s.causes[why.cause().ordinal()]++;
-        s.young[why.cause().ordinal()] += why.ageUs() < Refusals.YOUNG_US ? 1 : 0;
+        s.young[why.cause().ordinal()] += why.instanceAgeUs() < UnservedCounts.RECENT_START_US ? 1 : 0;
     }
 
     double service() {
--- a/src/main/java/mulleinfront/emulator/GraphWorld.java
+++ b/src/main/java/mulleinfront/emulator/GraphWorld.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import mulleinfront.Balancer;
 import mulleinfront.Balancer.Effect;
-import mulleinfront.Refusal;
+import mulleinfront.UnservedReason;
 import mulleinfront.core.Core;
 import mulleinfront.core.Time;
 
@@ -59,7 +59,12 @@
      * @param application what applications do with their calls
      */
     GraphWorld(
-            GraphSpec spec, long seed, Trace trace, Core.Maker maker, Fitting fitting, GraphApplication application) {
+            GraphSpec spec,
+            long seed,
+            Trace trace,
+            Core.BalancerFactory maker,
+            Fitting fitting,
+            GraphApplication application) {
         this.spec = spec;
         this.seed = seed;
         this.trace = trace;
@@ -149,7 +154,7 @@
         }
     }
 
-    private void buildService(CallGraph.Node node, Core.Maker maker, Fitting fitting) {
+    private void buildService(CallGraph.Node node, Core.BalancerFactory maker, Fitting fitting) {
         List<GraphMachine> callers = new ArrayList<>();
         for (GraphMachine m : machines) {
             if (m.node.calls().stream().anyMatch(e -> e.to() == node.number())) {
@@ -255,7 +260,7 @@
         }
 
         @Override
-        public void unserved(long now, Refusal why) {
+        public void unserved(long now, UnservedReason why) {
             tally.unserved(now, why);
         }
     }
@@ -313,7 +318,7 @@
                 key,
                 type.worth(),
                 now,
-                now + type.aimUs(),
+                now + type.targetLatencyUs(),
                 now + (long) (patience * type.deadlineUs()));
         tally.asked(r);
         if (m.down || m.away) {
--- a/src/main/java/mulleinfront/emulator/Stage.java
+++ b/src/main/java/mulleinfront/emulator/HybridSimulation.java
@@ -11,14 +11,14 @@
 
 /**
  * A world whose client proxies are elsewhere, as processes say, and whose time is somebody else's clock: the
- * same servers, clients, discovery, faults, auditor and report, with {@link Outside} carrying messages in and
+ * same servers, clients, discovery, faults, auditor and report, with {@link ExternalProxies} carrying messages in and
  * out. One thread calls it, and before each call it is brought up to date by {@link #runUntil}. What passes
  * the network here is delayed as the scenario says, beside what the real way takes.
  *
  * <p>It sees what the stand-ins see: an attempt counts when its last byte has come, and how an attempt that
  * the client proxy gave up ended is not known, so it may have run.
  */
-public final class Stage {
+public final class HybridSimulation {
     /**
      * How long an id is remembered after its try was made: attempts come no later than the longest patience.
      */
@@ -30,7 +30,7 @@
     private static final long CLOSING_US = 20_000;
 
     /** What carries messages between the world and the client proxies. */
-    public interface Outside {
+    public interface ExternalProxies {
         /** SIGKILL, and a start so long after it. */
         void kill(int proxy, long awayUs);
 
@@ -44,7 +44,7 @@
         void end(int proxy);
 
         /** So many clients connect to it and say nothing, for so long. */
-        void crowd(int proxy, int connections, long forUs);
+        void floodConnections(int proxy, int connections, long forUs);
 
         /** SIGHUP, with a configuration that names another address of discovery. */
         void reload(int proxy);
@@ -58,7 +58,7 @@
         /** The client of a try has gone. */
         void leave(int proxy, String id);
 
-        /** What {@link Stage#door} says of a server may have changed. */
+        /** What {@link HybridSimulation#connectBehaviour} says of a server may have changed. */
         void changed(int address);
 
         /** All connections to an address are reset. */
@@ -66,7 +66,7 @@
     }
 
     /** What a new connection to a server meets. */
-    public enum Door {
+    public enum ConnectBehaviour {
         OPEN,
         REFUSED,
         SILENT
@@ -76,14 +76,14 @@
     public record Listed(Endpoint endpoint, int address) {}
 
     /** A list, or what changed. */
-    public record Told(long version, boolean full, List<Listed> servers) {}
+    public record ListUpdate(long version, boolean full, List<Listed> servers) {}
 
     /** A try on its way to a client proxy. */
     public record Outgoing(
             int proxy, String id, int classIndex, String key, String effect, int tenant, long deadlineUs) {}
 
     private final World world;
-    private final Outside outside;
+    private final ExternalProxies outside;
     private final Map<String, Sent> tries = new HashMap<>();
     /** Client proxies that began with a list of no version that discovery still knows. */
     private final boolean[] ancient;
@@ -116,7 +116,7 @@
      *
      * @param slackUs what is granted beyond each time limit of the rules, for the way over real sockets
      */
-    public Stage(Scenario scenario, long seed, long slackUs, Outside outside) {
+    public HybridSimulation(Scenario scenario, long seed, long slackUs, ExternalProxies outside) {
         this.outside = outside;
         this.ancient = new boolean[scenario.proxies().count()];
         this.world = new World(
@@ -153,21 +153,21 @@
     // ---- client proxies ------------------------------------------------------------------------------
 
     /** The list that a client proxy that starts now finds, which is from now on what it was told. */
-    public Told begin(int proxy) {
+    public ListUpdate begin(int proxy) {
         Registry.News known = world.known();
         world.audit.proxyStarted(proxy, world.queue.now());
         world.audit.told(proxy, known.version(), Source.CACHED, known.entries(), world.queue.now());
         world.proxies.get(proxy).starts++;
         // A list so old that discovery no longer tells of changes since has no version that it knows.
         ancient[proxy] = known.version() < 0;
-        Told told = told(known);
-        return ancient[proxy] ? new Told(0, told.full(), told.servers()) : told;
+        ListUpdate told = told(known);
+        return ancient[proxy] ? new ListUpdate(0, told.full(), told.servers()) : told;
     }
 
-    private static Told told(Registry.News news) {
+    private static ListUpdate told(Registry.News news) {
         List<Listed> servers = new ArrayList<>();
         news.entries().forEach(e -> servers.add(new Listed(e.endpoint(), e.address())));
-        return new Told(news.version(), news.full(), servers);
+        return new ListUpdate(news.version(), news.full(), servers);
     }
 
     /**
@@ -214,7 +214,7 @@
 
             @Override
             void crowd(int connections, long forUs) {
-                outside.crowd(number, connections, forUs);
+                outside.floodConnections(number, connections, forUs);
             }
 
             @Override
@@ -326,18 +326,20 @@
     }
 
     /** What a client proxy's new connection to an address meets now. */
-    public Door door(int proxy, int address) {
+    public ConnectBehaviour connectBehaviour(int proxy, int address) {
         Host host = world.at(address);
         if (host == null || !world.network.passes(proxy, world.zoneOf(proxy), host)) {
-            return Door.SILENT;
+            return ConnectBehaviour.SILENT;
         }
-        return host.alive() && host.address == address ? Door.OPEN : Door.REFUSED;
+        return host.alive() && host.address == address ? ConnectBehaviour.OPEN : ConnectBehaviour.REFUSED;
     }
 
     /** A connection came up; null if the server takes no more, or resets it. */
     public Connection connect(int proxy, int address) {
         Host host = world.at(address);
-        if (door(proxy, address) != Door.OPEN || host.chance.happens(host.resetBefore) || !host.life.connect()) {
+        if (connectBehaviour(proxy, address) != ConnectBehaviour.OPEN
+                || host.chance.happens(host.resetBefore)
+                || !host.life.connect()) {
             return null;
         }
         return new Connection(proxy, host);
@@ -544,16 +546,16 @@
         /** The call is answered: from here on there are heartbeats. */
         void begin();
 
-        void told(Told news);
+        void told(ListUpdate news);
 
         /** Heartbeats stop, or go on. */
         void silent(boolean on);
 
         /** The first half of a list comes; the whole of it is told later. */
-        void begins(Told news);
+        void begins(ListUpdate news);
 
         /** A list breaks off in its midst, and the connection with it. */
-        void cutShort(Told news);
+        void cutShort(ListUpdate news);
 
         /**
          * The call or the watch has failed.
@@ -609,7 +611,7 @@
         @Override
         void hear(Registry.News news) {
             if (!over) {
-                lines.told(Stage.told(news));
+                lines.told(HybridSimulation.told(news));
                 world.audit.told(
                         proxy,
                         news.version(),
@@ -623,7 +625,7 @@
         @Override
         void begins(Registry.News news) {
             if (!over) {
-                lines.begins(Stage.told(news));
+                lines.begins(HybridSimulation.told(news));
             }
         }
 
@@ -638,7 +640,7 @@
         @Override
         void cutShort(Registry.News news) {
             if (!over) {
-                lines.cutShort(Stage.told(news));
+                lines.cutShort(HybridSimulation.told(news));
                 end();
                 world.audit.watchFailed(proxy, world.queue.now(), true);
             }
--- a/src/main/java/mulleinfront/emulator/Part.java
+++ b/src/main/java/mulleinfront/emulator/Part.java
@@ -1,6 +1,6 @@
 package mulleinfront.emulator;
 
-import mulleinfront.Refusal;
+import mulleinfront.UnservedReason;
 
 /**
  * What a world takes from the larger one that it is a part of, and tells it: there a world is one service,
@@ -32,5 +32,5 @@
     void ran(String effect, boolean dropped);
 
     /** A client proxy has given a request up, and says why. */
-    void unserved(long now, Refusal why);
+    void unserved(long now, UnservedReason why);
 }
--- a/src/main/java/mulleinfront/emulator/PeerFaults.java
+++ b/src/main/java/mulleinfront/emulator/PeerFaults.java
@@ -21,7 +21,7 @@
      * @param change part that has bytes changed, or is cut short
      * @param late how much later they come, microseconds
      */
-    End trouble(BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late);
+    End beginFault(BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late);
 
     /** Datagrams that come by are remembered for a time, and repeated from then on, so many a second. */
     void repeat(long rememberUs, double perSecond, long us);
@@ -33,10 +33,10 @@
     void clockJumps(int number, long ms);
 
     /** Nothing gets from some to others; if not one way only, nor back. */
-    default End cut(BitSet some, BitSet others, boolean oneWay) {
+    default End partition(BitSet some, BitSet others, boolean oneWay) {
         Range none = Range.of(0);
-        End there = trouble(some, others, 1, 0, 0, 0, none);
-        End back = oneWay ? () -> {} : trouble(others, some, 1, 0, 0, 0, none);
+        End there = beginFault(some, others, 1, 0, 0, 0, none);
+        End back = oneWay ? () -> {} : beginFault(others, some, 1, 0, 0, 0, none);
         return () -> {
             there.end();
             back.end();
--- a/src/main/java/mulleinfront/emulator/PeerNetwork.java
+++ b/src/main/java/mulleinfront/emulator/PeerNetwork.java
@@ -21,17 +21,17 @@
     private final EventQueue queue;
     private final Way way;
     private final Receiver[] receivers;
-    private final Troubles troubles;
+    private final DatagramFaults troubles;
 
     PeerNetwork(EventQueue queue, Chance chance, int peers, Way way) {
         this.queue = queue;
         this.way = way;
         this.receivers = new Receiver[peers];
-        this.troubles = new Troubles(chance);
+        this.troubles = new DatagramFaults(chance);
     }
 
     /** What happens on the way now. */
-    Troubles troubles() {
+    DatagramFaults troubles() {
         return troubles;
     }
 
@@ -42,7 +42,7 @@
 
     /** A datagram leaves an address. */
     void send(int from, int to, byte[] bytes, int length) {
-        for (Troubles.Copy copy : troubles.fate(from, to, bytes, length)) {
+        for (DatagramFaults.Copy copy : troubles.deliver(from, to, bytes, length)) {
             deliver(from, to, copy.bytes(), copy.lateUs());
         }
     }
--- a/src/main/java/mulleinfront/emulator/Proxy.java
+++ b/src/main/java/mulleinfront/emulator/Proxy.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import mulleinfront.Balancer.Source;
-import mulleinfront.core.Caller;
 import mulleinfront.core.Core;
+import mulleinfront.core.ResponseHandler;
 import mulleinfront.core.Time;
 import mulleinfront.core.Wire;
 import mulleinfront.fleet.Change;
@@ -23,11 +23,11 @@
     private final World world;
     private final int number;
     private final int zone;
-    private final Core.Maker maker;
+    private final Core.BalancerFactory maker;
     private final Chance chance;
     private Life life;
 
-    Proxy(World world, int number, int zone, Core.Maker maker) {
+    Proxy(World world, int number, int zone, Core.BalancerFactory maker) {
         this.world = world;
         this.number = number;
         this.zone = zone;
@@ -42,11 +42,11 @@
 
     @Override
     boolean knowsServers() {
-        return life != null && life.core.knowsHosts();
+        return life != null && life.core.hasReadyEndpoints();
     }
 
     int held() {
-        return life == null ? 0 : life.core.held();
+        return life == null ? 0 : life.core.openRequests();
     }
 
     int connections() {
@@ -168,11 +168,11 @@
         private final DiscoveryClient discovery = new DiscoveryClient(world, this, number, zone);
         private final EmulatedWire wire = new EmulatedWire(world, this, this, number, zone, discovery, this::mostIdle);
         private final Core<Call, Answer> core = new Core<>(
-                world.settings.of(number, world.settings.instances()),
+                world.settings.forInstance(number, world.settings.instances()),
                 this,
                 world.fitting.wire(wire, this),
                 world.audit::defect);
-        private final Map<Clients.Try, Core.Exchange<Call, Answer>> open = new LinkedHashMap<>();
+        private final Map<Clients.Try, Core.RequestHandle<Call, Answer>> open = new LinkedHashMap<>();
         /** Tries that wait for the CPU before the core hears of them. */
         private final Set<Clients.Try> waiting = new LinkedHashSet<>();
         /** Tries whose answers wait for it. */
@@ -190,7 +190,7 @@
         private boolean ending;
 
         private int mostIdle() {
-            return core.mostIdle();
+            return core.maxIdleConnections();
         }
 
         void begin(Registry.News known) {
@@ -199,9 +199,9 @@
             core.observe((now, why) -> world.unserved(number, now, why));
             discovery.take(known, Source.CACHED);
             if (!world.scenario.discovery().asked()) {
-                discovery.watch(Wire.CALL_SILENCE_US);
+                discovery.watch(Wire.CALL_TIMEOUT_US);
             }
-            core.perform();
+            core.processQueue();
         }
 
         @Override
@@ -252,13 +252,13 @@
 
         /** Whoever lives has a part of what the hosts bear. */
         private void share() {
-            core.living(world.fleet.member(number).living(now()));
+            core.setLiveInstances(world.fleet.member(number).liveMembers(now()));
             after(SHARE_US, this::share);
         }
 
         @Override
         public void changed(Change change) {
-            core.living(world.fleet.member(number).living(now()));
+            core.setLiveInstances(world.fleet.member(number).liveMembers(now()));
         }
 
         private void take(Clients.Try t) {
@@ -291,11 +291,11 @@
         }
 
         private void toCore(Clients.Try t, long now) {
-            core.take(
+            core.accept(
                     world.fitting.caller(
-                            new Caller<Call, Answer>() {
+                            new ResponseHandler<Call, Answer>() {
                                 @Override
-                                public void opened(Core.Exchange<Call, Answer> exchange) {
+                                public void opened(Core.RequestHandle<Call, Answer> exchange) {
                                     open.put(t, exchange);
                                 }
 
@@ -355,9 +355,9 @@
                 return;
             }
             world.audit.left(number, t.call.id(), now());
-            Core.Exchange<Call, Answer> exchange = open.remove(t);
+            Core.RequestHandle<Call, Answer> exchange = open.remove(t);
             if (exchange != null) {
-                core.gone(exchange);
+                core.abandoned(exchange);
             }
             waiting.remove(t);
             answering.remove(t);
--- a/src/main/java/mulleinfront/emulator/ReportWriter.java
+++ b/src/main/java/mulleinfront/emulator/ReportWriter.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
-import mulleinfront.Refusal;
+import mulleinfront.UnservedReason;
 import mulleinfront.emulator.ServiceReport.Part;
 
 /** A world's result as a page of text, and as JSON with the same figures. */
@@ -148,19 +148,20 @@
 
     /** What client proxies say themselves of why they gave requests up. */
     private static void unserved(StringBuilder out, ServiceReport s) {
-        if (Arrays.stream(Refusal.Cause.values()).allMatch(c -> s.unserved().of(c) == 0)) {
+        if (Arrays.stream(UnservedReason.Cause.values())
+                .allMatch(c -> s.unserved().of(c) == 0)) {
             return;
         }
         line(out, "");
         line(out, "%-30s %9s %9s  %s", "given up by client proxies", "requests", "young", "by window");
-        for (Refusal.Cause c : Refusal.Cause.values()) {
+        for (UnservedReason.Cause c : UnservedReason.Cause.values()) {
             if (s.unserved().of(c) > 0) {
                 line(
                         out,
                         "%-30s %9d %9d  %s",
-                        c.words(),
+                        c.description(),
                         s.unserved().of(c),
-                        s.unserved().young(c),
+                        s.unserved().recentlyStarted(c),
                         s.unservedIn().stream().map(w -> "" + w.of(c)).collect(Collectors.joining(" ")));
             }
         }
@@ -282,8 +283,8 @@
             counts(out, "tries", s.tries());
             counts(out, "attempts", s.outcomes());
             out.writeObjectFieldStart("given_up");
-            for (Refusal.Cause c : Refusal.Cause.values()) {
-                out.writeNumberField(c.word(), s.unserved().of(c));
+            for (UnservedReason.Cause c : UnservedReason.Cause.values()) {
+                out.writeNumberField(c.outputName(), s.unserved().of(c));
             }
             out.writeEndObject();
             counts(out, "counts", s.counts());
--- a/src/main/java/mulleinfront/emulator/Scenario.java
+++ b/src/main/java/mulleinfront/emulator/Scenario.java
@@ -168,7 +168,7 @@
     }
 
     /**
-     * A group of servers alike; the figures are those of {@link ServerModel.Machine}.
+     * A group of servers alike; the figures are those of {@link ServerModel.ProcessSettings}.
      *
      * @param count how many, numbered within the group and spread over the zones in turn
      * @param cell servers of a cell, numbered through all groups
--- a/src/main/java/mulleinfront/emulator/ScenarioReader.java
+++ b/src/main/java/mulleinfront/emulator/ScenarioReader.java
@@ -109,7 +109,7 @@
         }
         String[] found = worlds.find(world);
         Section base = Section.root(found[0], found[1], null);
-        if (base.table("scenario").says("world")) {
+        if (base.table("scenario").statesOwn("world")) {
             throw own.table("scenario").wrong("world", found[0] + " stands on another world itself");
         }
         return read(file, Section.root(file, text, base));
@@ -119,7 +119,7 @@
     static Scenario read(String file, Section root) throws BadFileException {
         Section head = root.table("scenario");
         head.text("world", "");
-        if (!head.says("title")) {
+        if (!head.statesOwn("title")) {
             throw head.wrong("missing title");
         }
         String title = head.text("title", null);
@@ -256,14 +256,14 @@
 
     private static Load load(Section s, List<Servers> servers, List<ClassSpec> classes) throws BadFileException {
         double full = Scenario.fullRate(servers, classes);
-        boolean byShare = s.says("of-capacity") || !s.says("rate") && s.has("of-capacity");
-        if (byShare && s.says("rate")) {
+        boolean byShare = s.statesOwn("of-capacity") || !s.statesOwn("rate") && s.has("of-capacity");
+        if (byShare && s.statesOwn("rate")) {
             throw s.wrong("rate", "of-capacity says how much already");
         }
-        s.pass(byShare ? "rate" : "of-capacity");
+        s.markRead(byShare ? "rate" : "of-capacity");
         double rate = byShare ? full * s.share("of-capacity", null, 100) : s.rate("rate", null);
         Shape shape = s.word("shape", Shape.STEADY, Shape.class);
-        double end = shape != Shape.RAMP && !s.says("end-rate") && !s.says("end-of-capacity")
+        double end = shape != Shape.RAMP && !s.statesOwn("end-rate") && !s.statesOwn("end-of-capacity")
                 ? rate
                 : s.has("end-of-capacity") ? full * s.share("end-of-capacity", null, 100) : s.rate("end-rate", rate);
         if (shape != Shape.RAMP && end != rate) {
--- a/src/main/java/mulleinfront/emulator/Script.java
+++ b/src/main/java/mulleinfront/emulator/Script.java
@@ -253,12 +253,12 @@
                 to = (BitSet) from.clone();
                 to.flip(0, world.proxies.size());
             }
-            PeerFaults.End end = world.peerFaults().cut(from, to, b.oneWay());
+            PeerFaults.End end = world.peerFaults().partition(from, to, b.oneWay());
             both(f, () -> {}, end::end);
             return;
         }
         PeerFaults.End end =
-                world.peerFaults().trouble(from, to, b.lose(), b.twice(), b.overtaken(), b.change(), b.late());
+                world.peerFaults().beginFault(from, to, b.lose(), b.twice(), b.overtaken(), b.change(), b.late());
         both(f, () -> {}, end::end);
     }
 
--- a/src/main/java/mulleinfront/emulator/ServiceReport.java
+++ b/src/main/java/mulleinfront/emulator/ServiceReport.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import mulleinfront.core.Refusals;
+import mulleinfront.core.UnservedCounts;
 
 /**
  * What clients had of a world, counted as the operators define it: worth answered within the aim over worth
@@ -46,8 +46,8 @@
         List<Server> servers,
         List<Happened> faults,
         LossReport losses,
-        Refusals unserved,
-        List<Refusals> unservedIn,
+        UnservedCounts unserved,
+        List<UnservedCounts> unservedIn,
         List<Starts> starts) {
 
     /**
--- a/src/main/java/mulleinfront/emulator/Sweep.java
+++ b/src/main/java/mulleinfront/emulator/Sweep.java
@@ -27,7 +27,7 @@
      * @param breach its first broken rule in words, or null
      * @param starts see {@link ServiceReport#starts}
      */
-    public record Played(
+    public record SeedResult(
             long seed,
             double service,
             double goodput,
@@ -42,11 +42,11 @@
         Scenario of(long seed);
 
         /** Deployments of a family. */
-        static Source drawn(Drawn.Family family, int instances, long startUs) {
+        static Source drawn(GeneratedScenario.Family family, int instances, long startUs) {
             return seed -> {
                 try {
                     return ScenarioReader.read(
-                            family.word() + "-" + seed, Drawn.of(family, seed, instances, startUs), world ->
+                            family.word() + "-" + seed, GeneratedScenario.of(family, seed, instances, startUs), world ->
                                     new String[] {world, ""});
                 } catch (BadFileException e) {
                     throw new IllegalStateException(e);
@@ -62,15 +62,15 @@
      * @param jobs worlds at once, at least 1
      * @param progress told of each world when it is done, in the order of the seeds
      */
-    public static List<Played> play(
-            Scenario scenario, long from, long to, int jobs, Reference balancer, Consumer<Played> progress)
+    public static List<SeedResult> play(
+            Scenario scenario, long from, long to, int jobs, Reference balancer, Consumer<SeedResult> progress)
             throws InterruptedException {
         return play(seed -> scenario, from, to, jobs, balancer, progress);
     }
 
     /** The same of scenarios that may differ by seed. */
-    public static List<Played> play(
-            Source source, long from, long to, int jobs, Reference balancer, Consumer<Played> progress)
+    public static List<SeedResult> play(
+            Source source, long from, long to, int jobs, Reference balancer, Consumer<SeedResult> progress)
             throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(jobs, task -> {
             Thread thread = new Thread(task, "world");
@@ -78,14 +78,14 @@
             return thread;
         });
         try {
-            List<Future<Played>> worlds = new ArrayList<>();
+            List<Future<SeedResult>> worlds = new ArrayList<>();
             for (long seed = from; seed <= to; seed++) {
                 long one = seed;
                 worlds.add(pool.submit(() -> play(source.of(one), one, balancer)));
             }
-            List<Played> all = new ArrayList<>();
-            for (Future<Played> world : worlds) {
-                Played played = world.get();
+            List<SeedResult> all = new ArrayList<>();
+            for (Future<SeedResult> world : worlds) {
+                SeedResult played = world.get();
                 all.add(played);
                 progress.accept(played);
             }
@@ -97,14 +97,14 @@
         }
     }
 
-    private static Played play(Scenario scenario, long seed, Reference balancer) {
+    private static SeedResult play(Scenario scenario, long seed, Reference balancer) {
         World world = balancer == null ? World.of(scenario, seed, null) : World.under(balancer, scenario, seed);
         World.Result r = world.play();
-        return new Played(
+        return new SeedResult(
                 seed,
                 r.service().service(),
                 r.goodput(),
-                r.fell(),
+                r.crashedServers(),
                 r.broken(),
                 r.firstBroken(),
                 r.sha256(),
@@ -112,9 +112,9 @@
     }
 
     /** The seeds of least service, the worst first. */
-    public static List<Played> worst(List<Played> all, int count) {
+    public static List<SeedResult> worst(List<SeedResult> all, int count) {
         return all.stream()
-                .sorted(Comparator.comparingDouble(Played::service).thenComparingLong(Played::seed))
+                .sorted(Comparator.comparingDouble(SeedResult::service).thenComparingLong(SeedResult::seed))
                 .limit(count)
                 .toList();
     }
@@ -123,7 +123,7 @@
      * A line for each kind of start, over all worlds: its part of the worth served, its part of tries
      * refused.
      */
-    public static List<String> starts(List<Played> all) {
+    public static List<String> starts(List<SeedResult> all) {
         List<String> lines = new ArrayList<>();
         for (int i = 0; !all.isEmpty() && i < all.get(0).starts().size(); i++) {
             int place = i;
@@ -149,7 +149,7 @@
         return lines;
     }
 
-    public static double mean(List<Played> all) {
-        return all.stream().mapToDouble(Played::service).average().orElse(0);
+    public static double mean(List<SeedResult> all) {
+        return all.stream().mapToDouble(SeedResult::service).average().orElse(0);
     }
 }
--- a/src/main/java/mulleinfront/emulator/Tally.java
+++ b/src/main/java/mulleinfront/emulator/Tally.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import mulleinfront.Balancer.Outcome;
 import mulleinfront.Balancer.RequestClass;
-import mulleinfront.Refusal;
-import mulleinfront.core.Refusals;
+import mulleinfront.UnservedReason;
+import mulleinfront.core.UnservedCounts;
 import mulleinfront.settings.Section;
 
 /** Counts what a service report needs, as it happens. */
@@ -41,9 +41,9 @@
     private long startsFrom = Long.MAX_VALUE;
     private long startsTo;
     /** Why client proxies gave requests up, in all and by window. */
-    private final Refusals unserved;
+    private final UnservedCounts unserved;
 
-    private final List<Refusals> unservedIn = new ArrayList<>();
+    private final List<UnservedCounts> unservedIn = new ArrayList<>();
 
     /** Worth asked for and earned, and times to the answer. */
     static final class Sum {
@@ -114,7 +114,7 @@
     /** A client proxy was started again. */
     void startedAgain(long now) {
         startsFrom = Math.min(startsFrom, now);
-        startsTo = now + Refusals.YOUNG_US;
+        startsTo = now + UnservedCounts.RECENT_START_US;
     }
 
     /** Which of the two a request counts for beside all; null: neither. */
@@ -122,7 +122,7 @@
         if (now < startsFrom || now > startsTo) {
             return null;
         }
-        return proxy.starts == 1 ? stayed : now - proxy.readyAt < Refusals.YOUNG_US ? restarted : null;
+        return proxy.starts == 1 ? stayed : now - proxy.readyAt < UnservedCounts.RECENT_START_US ? restarted : null;
     }
 
     double worth(Clients.Ask a) {
@@ -210,18 +210,18 @@
         lives.computeIfAbsent(host.id, id -> new ArrayList<>()).add(life);
     }
 
-    private Refusals refusals() {
-        return new Refusals(
+    private UnservedCounts refusals() {
+        return new UnservedCounts(
                 scenario.classes().stream().map(Scenario.ClassSpec::type).toList());
     }
 
-    void unserved(long now, Refusal why) {
-        unserved.ended(now, why);
+    void unserved(long now, UnservedReason why) {
+        unserved.requestUnserved(now, why);
         int place = (int) (now / WINDOW_US);
         while (unservedIn.size() <= place) {
             unservedIn.add(refusals());
         }
-        unservedIn.get(place).ended(now, why);
+        unservedIn.get(place).requestUnserved(now, why);
     }
 
     // ---- the report ----------------------------------------------------------------------------------
--- a/src/main/java/mulleinfront/emulator/Trace.java
+++ b/src/main/java/mulleinfront/emulator/Trace.java
@@ -16,7 +16,7 @@
 import mulleinfront.Balancer.Outcome;
 import mulleinfront.Balancer.Request;
 import mulleinfront.Balancer.Source;
-import mulleinfront.Refusal;
+import mulleinfront.UnservedReason;
 import mulleinfront.core.Core;
 import mulleinfront.fleet.Change;
 
@@ -98,7 +98,7 @@
                 .word(c.from().word())
                 .word(c.to().word())
                 .word(c.incarnation())
-                .word(c.word())
+                .word(c.sourceMember())
                 .word(c.cause().word())
                 .word(c.digest())
                 .end();
@@ -165,7 +165,7 @@
     }
 
     /** Why a request was given up: for readers of the file only, since it is no decision. */
-    void why(long now, int proxy, Refusal r) {
+    void why(long now, int proxy, UnservedReason r) {
         if (file == null) {
             return;
         }
@@ -177,11 +177,11 @@
                             now,
                             proxy,
                             r.requestId(),
-                            r.cause().word(),
+                            r.cause().outputName(),
                             r.worth(),
-                            r.ageUs(),
-                            r.bound(),
-                            r.madeFrom())
+                            r.instanceAgeUs(),
+                            r.limitReached(),
+                            r.detail())
                     .getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
             throw new UncheckedIOException("the trace: " + e.getMessage(), e);
@@ -189,7 +189,7 @@
     }
 
     /** A maker whose modules and their actions are written down under a client proxy's number. */
-    Core.Maker around(Core.Maker maker, int proxy, EventQueue time) {
+    Core.BalancerFactory around(Core.BalancerFactory maker, int proxy, EventQueue time) {
         return (settings, seed, now, actions) -> {
             begin(now, proxy, "start").word(seed).end();
             return new Told(maker.create(settings, seed, now, new Decided(actions, proxy, time)), proxy);
@@ -272,9 +272,9 @@
         }
 
         @Override
-        public void onRequestGone(long now, String requestId) {
+        public void onRequestAbandoned(long now, String requestId) {
             begin(now, proxy, "gone").word(requestId).end();
-            module.onRequestGone(now, requestId);
+            module.onRequestAbandoned(now, requestId);
         }
 
         @Override
@@ -290,15 +290,15 @@
                     .word(e.attempt())
                     .word(e.outcome().name())
                     .word(e.requestDone() ? "done" : "open")
-                    .word(e.lagUs())
+                    .word(e.latencyUs())
                     .end();
             module.onAttemptEnded(now, e);
         }
 
         @Override
-        public void onReport(long now, String endpointId, double held) {
+        public void onLoadReport(long now, String endpointId, double held) {
             begin(now, proxy, "report").word(endpointId).word((long) held).end();
-            module.onReport(now, endpointId, held);
+            module.onLoadReport(now, endpointId, held);
         }
 
         @Override
@@ -387,9 +387,9 @@
         }
 
         @Override
-        public void listOverdue(Balancer.ListBound bound) {
+        public void onListExpired(Balancer.ListExpiryReason bound) {
             action("list-overdue").word(bound.name()).end();
-            actions.listOverdue(bound);
+            actions.onListExpired(bound);
         }
 
         @Override
--- a/src/main/java/mulleinfront/emulator/TrueState.java
+++ b/src/main/java/mulleinfront/emulator/TrueState.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
-import mulleinfront.emulator.reference.Truth;
+import mulleinfront.emulator.reference.ServerKnowledge;
 
 /**
  * The true state of a world's servers, now or as it was some time ago. What it was is written down at even
@@ -28,7 +28,7 @@
         /** Time until work of this much would be done there, microseconds. */
         double answerUs(double work) {
             if (!answers || coreSpeed <= 0) {
-                return Truth.NEVER;
+                return ServerKnowledge.NEVER;
             }
             return (held < cores ? 0 : workAhead / (cores * coreSpeed)) + work / coreSpeed;
         }
@@ -71,11 +71,11 @@
     }
 
     /** What a client proxy in a zone would meet; ways to it are seen as they are. */
-    Truth from(int zone) {
+    ServerKnowledge from(int zone) {
         return (server, key, classIndex) -> {
             Host h = host(server);
             if (h == null || !h.alive() || !world.network.passes(zone, h)) {
-                return Truth.NEVER;
+                return ServerKnowledge.NEVER;
             }
             Seen seen = lateUs == 0 ? see(h) : looks.peek().servers.getOrDefault(h, Seen.AWAY);
             return seen.answerUs(world.scenario.classes().get(classIndex).workUs() * h.life.workLeftOf(key));
--- a/src/main/java/mulleinfront/emulator/World.java
+++ b/src/main/java/mulleinfront/emulator/World.java
@@ -8,10 +8,10 @@
 import mulleinfront.Balancer;
 import mulleinfront.Balancer.Availability;
 import mulleinfront.Balancer.DedupScope;
-import mulleinfront.Refusal;
+import mulleinfront.UnservedReason;
 import mulleinfront.core.Core;
 import mulleinfront.emulator.reference.Reference;
-import mulleinfront.emulator.reference.Truth;
+import mulleinfront.emulator.reference.ServerKnowledge;
 import mulleinfront.fleet.Fleet;
 import mulleinfront.fleet.FleetSettings;
 import mulleinfront.settings.Range;
@@ -41,7 +41,7 @@
     /** Whether client proxies may stand still. */
     final boolean pauses;
 
-    private final Stage outside;
+    private final HybridSimulation outside;
     /** What it takes from the larger world that it is a part of; null: it stands alone. */
     private final Part part;
 
@@ -52,7 +52,7 @@
     /** Makes the modules of a world's client proxies. */
     interface Makers {
         /** What makes the module of one of them, in its zone, at each of its starts. */
-        Core.Maker in(World world, int zone);
+        Core.BalancerFactory in(World world, int zone);
     }
 
     /**
@@ -60,14 +60,14 @@
      * @param maker makes each client proxy's module; a test's own can be broken on purpose
      * @param fitting joins each core with its parts; a test's own can be broken on purpose
      */
-    World(Scenario scenario, long seed, Trace trace, Core.Maker maker, Fitting fitting) {
+    World(Scenario scenario, long seed, Trace trace, Core.BalancerFactory maker, Fitting fitting) {
         this(scenario, seed, trace, (world, zone) -> maker, fitting, null);
     }
 
     /**
      * @param outside where the client proxies are and servers listen, or null: all of it is in here
      */
-    World(Scenario scenario, long seed, Trace trace, Makers makers, Fitting fitting, Stage outside) {
+    World(Scenario scenario, long seed, Trace trace, Makers makers, Fitting fitting, HybridSimulation outside) {
         this(scenario, seed, trace, makers, fitting, outside, null);
     }
 
@@ -75,7 +75,14 @@
      * @param part what it takes from the larger world that it is a part of, which makes its calls and its faults; or
      *        null: it stands alone
      */
-    World(Scenario scenario, long seed, Trace trace, Makers makers, Fitting fitting, Stage outside, Part part) {
+    World(
+            Scenario scenario,
+            long seed,
+            Trace trace,
+            Makers makers,
+            Fitting fitting,
+            HybridSimulation outside,
+            Part part) {
         this.part = part;
         this.queue = part == null ? new EventQueue() : part.queue();
         this.outside = outside;
@@ -126,7 +133,7 @@
         TrueState[] state = {null};
         return (world, zone) -> {
             state[0] = state[0] == null ? new TrueState(world, balancer.seesLateUs()) : state[0];
-            Truth truth = state[0].from(zone);
+            ServerKnowledge truth = state[0].from(zone);
             return (settings, seed, now, actions) -> balancer.make(settings, seed, actions, truth);
         };
     }
@@ -145,13 +152,13 @@
                 count,
                 i -> {
                     FleetSettings s =
-                            FleetSettings.usual(scenario.name(), "n" + i, i, count, spec.periodUs(), spec.goneUs());
-                    return spec.plain() ? s.plain() : s;
+                            FleetSettings.defaults(scenario.name(), "n" + i, i, count, spec.periodUs(), spec.goneUs());
+                    return spec.plain() ? s.withoutSuspicion() : s;
                 },
                 Fleet::new,
                 (from, to) -> network.delay(zoneOf(Math.max(0, from)), zoneOf(to)));
         if (spec.loss() > 0) {
-            run.trouble(null, null, spec.loss(), 0, 0, 0, Range.of(0));
+            run.beginFault(null, null, spec.loss(), 0, 0, 0, Range.of(0));
         }
         run.watch(trace::fleet);
         return run;
@@ -393,7 +400,7 @@
     }
 
     /** A client proxy has given a request up, and says why. */
-    void unserved(int proxy, long now, Refusal why) {
+    void unserved(int proxy, long now, UnservedReason why) {
         tally.unserved(now, why);
         if (part != null) {
             part.unserved(now, why);
@@ -489,7 +496,7 @@
         }
 
         /** Servers that fell over. */
-        public int fell() {
+        public int crashedServers() {
             return (int)
                     service.servers().stream().filter(s -> s.figures().fell).count();
         }
--- a/src/main/java/mulleinfront/emulator/reference/Plain.java
+++ b/src/main/java/mulleinfront/emulator/reference/Plain.java
@@ -46,7 +46,7 @@
             this.request = request;
             this.type = type;
             this.hash = hash;
-            this.aimAt = now + Math.min(type.aimUs(), request.budgetUs());
+            this.aimAt = now + Math.min(type.targetLatencyUs(), request.budgetUs());
         }
     }
 
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public void onRequestGone(long now, String requestId) {
+    public void onRequestAbandoned(long now, String requestId) {
         Open r = open.remove(requestId);
         if (r != null && r.last != null) {
             counted(r.last, -1);
--- a/src/main/java/mulleinfront/emulator/reference/Reference.java
+++ b/src/main/java/mulleinfront/emulator/reference/Reference.java
@@ -74,7 +74,7 @@
      *
      * @param truth what it is shown; null where {@link #seesLateUs} is negative
      */
-    public Balancer make(Settings settings, long seed, Actions actions, Truth truth) {
+    public Balancer make(Settings settings, long seed, Actions actions, ServerKnowledge truth) {
         return switch (this) {
             case RANDOM -> new Some(settings, seed, actions, 1);
             case ROUND_ROBIN -> new RoundRobin(settings, seed, actions);
@@ -173,11 +173,11 @@
     private static final class Seeing extends Plain {
         private static final double OWNERS_PART = 0.4;
         private static final int DRAWN = 3;
-        private final Truth truth;
+        private final ServerKnowledge truth;
         private final boolean all;
         private final Map<String, Integer> out = new HashMap<>();
 
-        Seeing(Settings settings, long seed, Actions actions, Truth truth, boolean all) {
+        Seeing(Settings settings, long seed, Actions actions, ServerKnowledge truth, boolean all) {
             super(settings, seed, actions);
             this.truth = truth;
             this.all = all;
@@ -224,7 +224,7 @@
 
         private double answerUs(Open r, Endpoint e) {
             return !allowed(r, e)
-                    ? Truth.NEVER
+                    ? ServerKnowledge.NEVER
                     : truth.answerUs(e.id(), r.request.key(), r.request.classIndex())
                             * (all ? 1 : 1 + out.getOrDefault(e.id(), 0));
         }
--- a/src/main/java/mulleinfront/emulator/reference/Truth.java
+++ b/src/main/java/mulleinfront/emulator/reference/ServerKnowledge.java
@@ -1,7 +1,7 @@
 package mulleinfront.emulator.reference;
 
 /** What is true of a world's servers, as one client proxy would meet them: now, or some time ago. */
-public interface Truth {
+public interface ServerKnowledge {
     /** Nothing sent there would be answered. */
     double NEVER = Double.POSITIVE_INFINITY;
 
--- a/src/main/java/mulleinfront/fleet/Change.java
+++ b/src/main/java/mulleinfront/fleet/Change.java
@@ -22,8 +22,8 @@
         MemberState from,
         MemberState to,
         long incarnation,
-        boolean reborn,
-        int word,
+        boolean newIncarnation,
+        int sourceMember,
         Cause cause,
         long digest) {
 
--- a/src/main/java/mulleinfront/fleet/Datagram.java
+++ b/src/main/java/mulleinfront/fleet/Datagram.java
@@ -188,27 +188,27 @@
         }
 
         /** Gives why it can't be read; null if it was. */
-        Drop read(byte[] bytes, int length) {
+        DropReason read(byte[] bytes, int length) {
             if (length > MOST) {
-                return Drop.TOO_LONG;
+                return DropReason.TOO_LONG;
             }
             if (length < HEAD + CHECK) {
-                return Drop.DAMAGED;
+                return DropReason.DAMAGED;
             }
             in = ByteBuffer.wrap(bytes, 0, length);
             if (in.getLong(length - CHECK) != HASH.hashBytesToLong(bytes, 0, length - CHECK)) {
-                return Drop.DAMAGED;
+                return DropReason.DAMAGED;
             }
             in.limit(length - CHECK);
             if (in.get() != version) {
-                return Drop.OTHER_VERSION;
+                return DropReason.OTHER_VERSION;
             }
             int what = in.get() & 0xff;
             if (in.getInt() != fleet) {
-                return Drop.OTHER_FLEET;
+                return DropReason.OTHER_FLEET;
             }
             if ((what & ~LEAVING) >= Kind.ALL.length) {
-                return Drop.MALFORMED;
+                return DropReason.MALFORMED;
             }
             kind = Kind.ALL[what & ~LEAVING];
             leaving = (what & LEAVING) != 0;
@@ -218,7 +218,7 @@
             view = in.getInt();
             bad = !Incarnation.plausible(incarnation);
             body();
-            return bad || in.hasRemaining() ? Drop.MALFORMED : null;
+            return bad || in.hasRemaining() ? DropReason.MALFORMED : null;
         }
 
         private void body() {
--- a/src/main/java/mulleinfront/fleet/Drop.java
+++ b/src/main/java/mulleinfront/fleet/DropReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why a datagram was not read. Each is counted; none changes anything else. */
-public enum Drop {
+public enum DropReason {
     /** Longer than the protocol allows. */
     TOO_LONG,
     /** Shorter than any, or its check does not fit: cut or changed on the way. */
--- a/src/main/java/mulleinfront/fleet/Fleet.java
+++ b/src/main/java/mulleinfront/fleet/Fleet.java
@@ -63,13 +63,13 @@
         void changed(Change change);
 
         /** Another part of the last settled fleet is in reach, or the view has settled or unsettled. */
-        default void reach(long now, Reach reach, boolean settled, long digest) {}
+        default void reach(long now, Reachability reach, boolean settled, long digest) {}
 
         /** Two members have one name: a mistake in somebody's settings. */
-        default void sameName(long now, String name, int one, int other) {}
+        default void duplicateName(long now, String name, int one, int other) {}
 
         /** This instance stood still for so long. */
-        default void stoodStill(long now, long us) {}
+        default void stalled(long now, long us) {}
     }
 
     private final FleetSettings s;
@@ -87,7 +87,7 @@
     private final Datagram.Reader reader;
     private final Map<Integer, String> names = new HashMap<>();
     private final BitSet nameTold = new BitSet();
-    private final Map<Drop, Long> drops = new EnumMap<>(Drop.class);
+    private final Map<DropReason, Long> drops = new EnumMap<>(DropReason.class);
     private final int[] picked = new int[Datagram.MOST / Datagram.RUMOUR];
     private long incarnation;
     private boolean leaving;
@@ -192,7 +192,7 @@
     }
 
     /** It is there again after all, before its process has ended. */
-    public void comeBack(long now) {
+    public void rejoin(long now) {
         if (leaving) {
             leaving = false;
             incarnation = Incarnation.next(incarnation);
@@ -234,7 +234,7 @@
     }
 
     /** By whose word. */
-    public int word(int member) {
+    public int sourceMember(int member) {
         return members.word(member);
     }
 
@@ -264,29 +264,29 @@
     }
 
     /** Whether nothing has changed for a while and those heard since hold the same. */
-    public boolean settled() {
+    public boolean converged() {
         return settling.settled();
     }
 
     /** Which part of the last settled fleet is in reach. */
-    public Reach reach() {
+    public Reachability reach() {
         return settling.reach();
     }
 
     /**
      * How many may be using the hosts now: who is there and, as long as it could be cut off only, who is not seen.
      */
-    public int living(long now) {
+    public int liveMembers(long now) {
         return settling.living(now);
     }
 
     /** How much this member doubts itself: 0 not at all. */
-    public int doubt() {
+    public int localHealth() {
         return health.doubt();
     }
 
     /** Datagrams that were not read, by reason. */
-    public Map<Drop, Long> drops() {
+    public Map<DropReason, Long> drops() {
         return new EnumMap<>(drops);
     }
 
@@ -304,7 +304,7 @@
     }
 
     /** Datagrams that the allowance held back. */
-    public long withheld() {
+    public long rateLimitedDatagrams() {
         return allowance.withheld();
     }
 
@@ -392,7 +392,7 @@
             return;
         }
         wakeAt = now;
-        listeners.forEach(l -> l.stoodStill(now, late));
+        listeners.forEach(l -> l.stalled(now, late));
         if (!s.selfDoubt()) {
             return;
         }
@@ -582,15 +582,15 @@
      */
     public void onDatagram(long now, int from, byte[] bytes, int length) {
         look(now);
-        Drop why = reader.read(bytes, length);
+        DropReason why = reader.read(bytes, length);
         if (why == null) {
             why = reader.from == s.number()
-                    ? Drop.OUR_NUMBER
+                    ? DropReason.OUR_NUMBER
                     : from < 0
-                            ? Drop.STRANGER
+                            ? DropReason.STRANGER
                             : reader.from != from
-                                    ? Drop.NOT_ITS_ADDRESS
-                                    : reader.to != s.number() ? Drop.NOT_FOR_US : null;
+                                    ? DropReason.NOT_ITS_ADDRESS
+                                    : reader.to != s.number() ? DropReason.NOT_FOR_US : null;
         }
         if (why != null) {
             drops.merge(why, 1L, Long::sum);
@@ -667,7 +667,7 @@
         for (int m = 0; m < members.size(); m++) {
             if (m != from && members.state(m).present() && name.equals(name(m))) {
                 int other = m;
-                listeners.forEach(l -> l.sameName(now, name, other, from));
+                listeners.forEach(l -> l.duplicateName(now, name, other, from));
             }
         }
     }
--- a/src/main/java/mulleinfront/fleet/FleetSettings.java
+++ b/src/main/java/mulleinfront/fleet/FleetSettings.java
@@ -72,7 +72,7 @@
      *
      * @param goneUs see above
      */
-    public static FleetSettings usual(String fleet, String name, int number, int peers, long periodUs, long goneUs) {
+    public static FleetSettings defaults(String fleet, String name, int number, int peers, long periodUs, long goneUs) {
         return new FleetSettings(
                 fleet,
                 name,
@@ -99,7 +99,7 @@
     }
 
     /** The same detector as it was first published: no suspicion, no doubt of itself. */
-    public FleetSettings plain() {
+    public FleetSettings withoutSuspicion() {
         return new FleetSettings(
                 fleet,
                 name,
@@ -146,7 +146,7 @@
      * twice as long where that one had a reason to doubt itself; the longest suspicion, if no second accuser comes
      * for long; and time for the news, and for a comparison of views where it misses somebody.
      */
-    public long agreeWithinUs(int members) {
+    public long convergenceBoundUs(int members) {
         double rounds = StrictMath.log(members + 1) / StrictMath.log(2);
         return (long) (4 * periodUs
                         + suspicionMost * leastSuspicionUs(members)
--- a/src/main/java/mulleinfront/fleet/Reach.java
+++ b/src/main/java/mulleinfront/fleet/Reachability.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Which part of the fleet, as it was last settled, one instance has in reach, itself included. */
-public enum Reach {
+public enum Reachability {
     /** No fleet was ever settled here: nothing can be said. */
     UNSETTLED,
     /** All that have not left. */
--- a/src/main/java/mulleinfront/fleet/Settling.java
+++ b/src/main/java/mulleinfront/fleet/Settling.java
@@ -27,7 +27,7 @@
     private long quietSince;
     private long forgetAt;
     private boolean settled;
-    private Reach reach = Reach.UNSETTLED;
+    private Reachability reach = Reachability.UNSETTLED;
 
     Settling(FleetSettings settings, Members members, long now) {
         this.s = settings;
@@ -67,7 +67,7 @@
         return settled;
     }
 
-    Reach reach() {
+    Reachability reach() {
         return reach;
     }
 
@@ -102,7 +102,7 @@
             forgetAt = now + s.goneUs() / FORGET_PART;
             forget(now);
         }
-        Reach before = reach;
+        Reachability before = reach;
         reach = part();
         return news || before != reach;
     }
@@ -126,18 +126,18 @@
         }
     }
 
-    private Reach part() {
+    private Reachability part() {
         int all = base.cardinality();
         if (all == 0) {
-            return Reach.UNSETTLED;
+            return Reachability.UNSETTLED;
         }
         return inReach == all
-                ? Reach.ALL
-                : inReach <= 1 ? Reach.ALONE : 2 * inReach > all ? Reach.MAJORITY : Reach.MINORITY;
+                ? Reachability.ALL
+                : inReach <= 1 ? Reachability.ALONE : 2 * inReach > all ? Reachability.MAJORITY : Reachability.MINORITY;
     }
 
     private boolean majority() {
-        return reach == Reach.ALL || reach == Reach.MAJORITY;
+        return reach == Reachability.ALL || reach == Reachability.MAJORITY;
     }
 
     /**
--- a/src/main/java/mulleinfront/follow/Following.java
+++ b/src/main/java/mulleinfront/follow/ConfigWatcher.java
@@ -30,16 +30,16 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import mulleinfront.config.Follower;
+import mulleinfront.config.ConfigSubscriber;
 import mulleinfront.config.Version;
 import mulleinfront.settings.ControlFile;
 import mulleinfront.settings.WatchLine;
 
 /**
- * This client proxy as a reader of the fleet's configuration: its {@link Follower} on the event loop's time,
+ * This client proxy as a reader of the fleet's configuration: its {@link ConfigSubscriber} on the event loop's time,
  * one watch of one control machine at a time, and the copy that it keeps. All of it runs on the event loop.
  */
-public final class Following implements Follower.Actions {
+public final class ConfigWatcher implements ConfigSubscriber.Actions {
     private static final int LONGEST_LINE = 4 * 1024 * 1024;
 
     /** Whoever acts on the fleet's configuration; called on the event loop. */
@@ -58,7 +58,7 @@
     private final String name;
     private final Listener listener;
     private final KeptCopy copy;
-    private final Follower follower;
+    private final ConfigSubscriber follower;
     private final long startNanos = System.nanoTime();
     private Watch watch;
     private Future<?> timer;
@@ -69,7 +69,7 @@
      * @param listener told of each version from the moment that it is in force
      * @throws IOException if there can't be a state folder where the file says
      */
-    public Following(
+    public ConfigWatcher(
             EventLoop loop, ByteBufAllocator buffers, ControlFile file, String name, long seed, Listener listener)
             throws IOException {
         this.loop = loop;
@@ -79,7 +79,7 @@
         this.copy =
                 file.state() == null ? null : new KeptCopy(Path.of(file.state().replace("%n", plain(name))));
         Version kept = copy == null ? Version.NONE : copy.load();
-        this.follower = new Follower(file.follow(), kept, new SplittableRandom(seed ^ name.hashCode()), this);
+        this.follower = new ConfigSubscriber(file.follow(), kept, new SplittableRandom(seed ^ name.hashCode()), this);
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -97,8 +97,8 @@
     /** Begins, with the kept version in force at once. */
     public void start() {
         loop.execute(() -> {
-            if (follower.inForce().number() > 0) {
-                listener.inForce(follower.inForce(), "kept");
+            if (follower.activeVersion().number() > 0) {
+                listener.inForce(follower.activeVersion(), "kept");
             }
             follower.start(now());
         });
@@ -113,8 +113,8 @@
     }
 
     /** The version in force; on the event loop. */
-    public Version inForce() {
-        return follower.inForce();
+    public Version activeVersion() {
+        return follower.activeVersion();
     }
 
     /** Whether the version in force may be behind, as far as this one can know; on the event loop. */
@@ -130,7 +130,7 @@
 
     @Override
     public void ask(int machine, long after, long checksum) {
-        InetSocketAddress address = machines.get(machine).door();
+        InetSocketAddress address = machines.get(machine).clientAddress();
         Watch asked = new Watch("POST /config/watch?name=" + URLEncoder.encode(name, StandardCharsets.US_ASCII)
                 + "&after=" + after + "&checksum="
                 + Long.toHexString(checksum) + " HTTP/1.1\r\nHost: " + NetUtil.toSocketAddressString(address)
@@ -144,7 +144,7 @@
     }
 
     @Override
-    public void hangUp() {
+    public void closeWatch() {
         if (watch != null) {
             Watch old = watch;
             watch = null;
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public void inForce(Version version) {
+    public void onActiveVersion(Version version) {
         if (copy != null) {
             copy.keep(version);
         }
@@ -237,7 +237,7 @@
             if (line.difference() != null) {
                 follower.difference(now(), line.difference());
             } else {
-                follower.heartbeat(now(), line.number(), line.inTouch());
+                follower.heartbeat(now(), line.number(), line.hasQuorumContact());
             }
         }
 
--- a/src/main/java/mulleinfront/gossip/EventLog.java
+++ b/src/main/java/mulleinfront/gossip/EventLog.java
@@ -12,7 +12,7 @@
 import java.util.Locale;
 import mulleinfront.fleet.Change;
 import mulleinfront.fleet.Fleet;
-import mulleinfront.fleet.Reach;
+import mulleinfront.fleet.Reachability;
 import org.slf4j.event.KeyValuePair;
 import org.slf4j.spi.LoggingEventBuilder;
 
@@ -97,15 +97,15 @@
                 .addKeyValue("from", c.from().word())
                 .addKeyValue("to", c.to().word())
                 .addKeyValue("incarnation", c.incarnation())
-                .addKeyValue("reborn", c.reborn() ? 1 : 0)
-                .addKeyValue("word", c.word())
+                .addKeyValue("reborn", c.newIncarnation() ? 1 : 0)
+                .addKeyValue("word", c.sourceMember())
                 .addKeyValue("cause", c.cause().word())
                 .addKeyValue("digest", c.digest())
                 .log("changed");
     }
 
     @Override
-    public void reach(long now, Reach reach, boolean settled, long digest) {
+    public void reach(long now, Reachability reach, boolean settled, long digest) {
         event().addKeyValue("reach", reach.word())
                 .addKeyValue("settled", settled ? 1 : 0)
                 .addKeyValue("digest", digest)
@@ -113,7 +113,7 @@
     }
 
     @Override
-    public void sameName(long now, String name, int one, int other) {
+    public void duplicateName(long now, String name, int one, int other) {
         event().addKeyValue("name", name)
                 .addKeyValue("one", one)
                 .addKeyValue("other", other)
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public void stoodStill(long now, long us) {
+    public void stalled(long now, long us) {
         event().addKeyValue("us", us).log("stood-still");
     }
 
--- a/src/main/java/mulleinfront/gossip/Membership.java
+++ b/src/main/java/mulleinfront/gossip/Membership.java
@@ -16,7 +16,7 @@
 import java.util.function.IntConsumer;
 import java.util.function.LongSupplier;
 import mulleinfront.fleet.Change;
-import mulleinfront.fleet.Drop;
+import mulleinfront.fleet.DropReason;
 import mulleinfront.fleet.Fleet;
 import mulleinfront.fleet.FleetSettings;
 import mulleinfront.fleet.MemberState;
@@ -77,12 +77,12 @@
         fleet.listen(new Fleet.Listener() {
             @Override
             public void changed(Change change) {
-                living.accept(fleet.living(clock.getAsLong()));
+                living.accept(fleet.liveMembers(clock.getAsLong()));
                 tell(change);
             }
 
             @Override
-            public void sameName(long now, String name, int one, int other) {
+            public void duplicateName(long now, String name, int one, int other) {
                 System.err.println(
                         "mulleinfront: two client proxies are called " + name + ": " + one + " and " + other);
             }
@@ -117,7 +117,7 @@
     }
 
     private void share() {
-        living.accept(fleet.living(clock.getAsLong()));
+        living.accept(fleet.liveMembers(clock.getAsLong()));
         loop.schedule(this::share, SHARE_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -133,10 +133,10 @@
     }
 
     /** It is there again after all. */
-    public void comeBack() {
+    public void rejoin() {
         left = false;
         if (open) {
-            fleet.comeBack(clock.getAsLong());
+            fleet.rejoin(clock.getAsLong());
         }
     }
 
@@ -192,7 +192,7 @@
                 out.writeStringField("from", c.from().word());
                 out.writeStringField("to", c.to().word());
                 out.writeNumberField("incarnation", c.incarnation());
-                out.writeNumberField("word", c.word());
+                out.writeNumberField("word", c.sourceMember());
                 out.writeStringField("cause", c.cause().word());
                 out.writeStringField("digest", Long.toHexString(c.digest()));
             });
@@ -212,17 +212,17 @@
             out.writeStringField("fleet", figures.fleet());
             out.writeNumberField("me", figures.number());
             out.writeStringField("reach", fleet.reach().word());
-            out.writeBooleanField("settled", fleet.settled());
+            out.writeBooleanField("settled", fleet.converged());
             out.writeNumberField("alive", fleet.count(MemberState.ALIVE));
             out.writeNumberField("agreeing", fleet.agreeing());
-            out.writeNumberField("living", fleet.living(now));
-            out.writeNumberField("doubt", fleet.doubt());
+            out.writeNumberField("living", fleet.liveMembers(now));
+            out.writeNumberField("doubt", fleet.localHealth());
             out.writeNumberField("changes", fleet.changes());
             out.writeStringField("digest", Long.toHexString(fleet.digest()));
             out.writeNumberField("sent", fleet.sentDatagrams());
             out.writeNumberField("sent_bytes", fleet.sentBytes());
             out.writeNumberField("read", fleet.received());
-            out.writeNumberField("held_back", fleet.withheld());
+            out.writeNumberField("held_back", fleet.rateLimitedDatagrams());
             out.writeNumberField("unsent", socket.unsent());
             out.writeObjectFieldStart("not_read");
             for (var drop : fleet.drops().entrySet()) {
@@ -238,7 +238,7 @@
                     out.writeStringField("state", fleet.state(m).word());
                     out.writeNumberField("since_ms", (now - fleet.since(m)) / 1_000);
                     out.writeNumberField("started_ms", fleet.startedMs(m));
-                    out.writeNumberField("word", fleet.word(m));
+                    out.writeNumberField("word", fleet.sourceMember(m));
                     out.writeEndObject();
                 }
             }
@@ -264,7 +264,7 @@
     }
 
     /** Datagrams that were not read, for tests. */
-    long notRead(Drop why) {
+    long notRead(DropReason why) {
         return fleet.drops().getOrDefault(why, 0L);
     }
 }
--- a/src/main/java/mulleinfront/handout/HandoutServer.java
+++ b/src/main/java/mulleinfront/handout/HandoutServer.java
@@ -41,12 +41,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import mulleinfront.config.ConfigPublisher;
 import mulleinfront.config.Difference;
-import mulleinfront.config.Handout;
-import mulleinfront.config.HandoutSettings;
-import mulleinfront.config.Ledger;
 import mulleinfront.config.Proposal;
+import mulleinfront.config.PublisherSettings;
 import mulleinfront.config.Version;
+import mulleinfront.config.VersionLog;
 import mulleinfront.settings.DifferenceLine;
 import mulleinfront.settings.WatchLine;
 
@@ -70,9 +70,9 @@
 
     private final String name;
     private final EventLoop loop;
-    private final Ledger ledger;
+    private final VersionLog ledger;
     private final HandoutLog log;
-    private final Handout handout;
+    private final ConfigPublisher handout;
     private final Map<Long, Channel> watches = new HashMap<>();
     private final long startNanos = System.nanoTime();
     private Future<?> timer;
@@ -80,12 +80,12 @@
     private long sentBytes;
     private Channel listener;
 
-    private HandoutServer(String name, EventLoop loop, Ledger ledger, HandoutSettings settings, HandoutLog log) {
+    private HandoutServer(String name, EventLoop loop, VersionLog ledger, PublisherSettings settings, HandoutLog log) {
         this.name = name;
         this.loop = loop;
         this.ledger = ledger;
         this.log = log;
-        this.handout = new Handout(settings, ledger, new Sockets());
+        this.handout = new ConfigPublisher(settings, ledger, new Sockets());
     }
 
     /**
@@ -98,8 +98,8 @@
             String name,
             EventLoop loop,
             InetSocketAddress address,
-            Ledger ledger,
-            HandoutSettings settings,
+            VersionLog ledger,
+            PublisherSettings settings,
             Path events)
             throws IOException {
         HandoutServer server = new HandoutServer(name, loop, ledger, settings, new HandoutLog(events, name));
@@ -163,7 +163,7 @@
     }
 
     /** What handing out acts by. */
-    private final class Sockets implements Handout.Wire {
+    private final class Sockets implements ConfigPublisher.Wire {
         @Override
         public byte[] line(Difference difference) {
             byte[] line = DifferenceLine.write(difference);
@@ -454,7 +454,7 @@
         return values.isEmpty() ? absent : values.get(0);
     }
 
-    private static String word(Ledger.What what) {
+    private static String word(VersionLog.ProposalOutcome what) {
         return what.name().toLowerCase(java.util.Locale.ROOT);
     }
 
@@ -465,10 +465,10 @@
         return WatchLine.object(json -> {
             json.writeStringField("machine", name);
             json.writeNumberField("newest", ledger.newest().number());
-            json.writeBooleanField("in_touch", ledger.inTouch());
+            json.writeBooleanField("in_touch", ledger.hasQuorumContact());
             json.writeNumberField("sent_bytes", sentBytes);
             json.writeArrayFieldStart("readers");
-            for (Handout.Standing s : handout.standings()) {
+            for (ConfigPublisher.SubscriberStatus s : handout.subscribers()) {
                 json.writeStartObject();
                 json.writeStringField("name", s.name());
                 json.writeNumberField("at", s.at());
--- a/src/main/java/mulleinfront/keep/Codec.java
+++ b/src/main/java/mulleinfront/keep/Codec.java
@@ -31,9 +31,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import mulleinfront.config.Ledger;
 import mulleinfront.config.Proposal;
 import mulleinfront.config.Version;
+import mulleinfront.config.VersionLog;
 
 /**
  * The library's messages and log entries as bytes, for the wire and for the disk: the fields of its model
@@ -430,11 +430,11 @@
         return read(bytes, Codec::proposal);
     }
 
-    static byte[] answer(Ledger.Answer answer) {
+    static byte[] answer(VersionLog.ProposalResult answer) {
         return bytes(out -> answer(out, answer));
     }
 
-    static Ledger.Answer answer(byte[] bytes) {
+    static VersionLog.ProposalResult answer(byte[] bytes) {
         return read(bytes, Codec::answer);
     }
 
@@ -450,21 +450,22 @@
         return new Proposal(text(in), in.readLong(), texts(in), text(in), in.readLong());
     }
 
-    private static void answer(DataOutputStream out, Ledger.Answer answer) throws IOException {
+    private static void answer(DataOutputStream out, VersionLog.ProposalResult answer) throws IOException {
         out.writeByte(answer.what().ordinal());
         out.writeLong(answer.number());
         text(out, answer.reason());
     }
 
-    private static Ledger.Answer answer(DataInputStream in) throws IOException {
-        return new Ledger.Answer(one(Ledger.What.values(), in.readUnsignedByte()), natural(in.readLong()), text(in));
+    private static VersionLog.ProposalResult answer(DataInputStream in) throws IOException {
+        return new VersionLog.ProposalResult(
+                one(VersionLog.ProposalOutcome.values(), in.readUnsignedByte()), natural(in.readLong()), text(in));
     }
 
     // ---- the register's snapshot
 
     /** The register's contents: the first part the ids, the others versions. */
     static List<byte[]> parts(
-            Collection<Version> versions, Map<String, Long> decided, Map<String, Ledger.Answer> refused) {
+            Collection<Version> versions, Map<String, Long> decided, Map<String, VersionLog.ProposalResult> refused) {
         List<byte[]> parts = new ArrayList<>();
         parts.add(bytes(out -> {
             out.writeInt(versions.size());
@@ -474,7 +475,7 @@
                 out.writeLong(e.getValue());
             }
             out.writeInt(refused.size());
-            for (Map.Entry<String, Ledger.Answer> e : refused.entrySet()) {
+            for (Map.Entry<String, VersionLog.ProposalResult> e : refused.entrySet()) {
                 text(out, e.getKey());
                 answer(out, e.getValue());
             }
@@ -509,7 +510,7 @@
             List<byte[]> parts,
             Consumer<Version> version,
             Map<String, Long> decided,
-            Map<String, Ledger.Answer> refused) {
+            Map<String, VersionLog.ProposalResult> refused) {
         if (parts.isEmpty()) {
             throw new IllegalArgumentException("a snapshot without parts");
         }
--- a/src/main/java/mulleinfront/keep/Keeper.java
+++ b/src/main/java/mulleinfront/keep/Keeper.java
@@ -31,9 +31,9 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import mulleinfront.config.Ledger;
 import mulleinfront.config.Proposal;
 import mulleinfront.config.Version;
+import mulleinfront.config.VersionLog;
 
 /**
  * One keeper's part in the consensus, without sockets, files, threads or a clock of its own: those are handed
@@ -42,10 +42,10 @@
  * <p>The library counts heartbeats in whole seconds. Its clock and timers here run {@value #PACE} times as
  * fast as real ones: a leader is heard every quarter of a second, and given up after one without.
  */
-final class Keeper implements Ledger {
+final class Keeper implements VersionLog {
     /** How many of the library's seconds pass in one. */
     static final int PACE = 4;
-    /** After how long a proposal is given up as {@link Ledger.What#UNKNOWN}, nanoseconds. */
+    /** After how long a proposal is given up as {@link VersionLog.ProposalOutcome#UNKNOWN}, nanoseconds. */
     static final long PROPOSAL_NANOS = TimeUnit.SECONDS.toNanos(3);
     /** Until a proposal that found no leader is tried again, nanoseconds. */
     private static final long AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
@@ -281,14 +281,14 @@
         }
     }
 
-    KeepStatus status() {
+    ReplicaStatus status() {
         String leader = leader();
-        KeepStatus.Role role = fault != null
-                ? KeepStatus.Role.STOPPED
+        ReplicaStatus.Role role = fault != null
+                ? ReplicaStatus.Role.STOPPED
                 : leader == null
-                        ? KeepStatus.Role.SEEKING
-                        : leader.equals(name) ? KeepStatus.Role.LEADER : KeepStatus.Role.FOLLOWER;
-        return new KeepStatus(name, role, node.getTerm().getTerm(), leader, newest().number(), fault);
+                        ? ReplicaStatus.Role.SEEKING
+                        : leader.equals(name) ? ReplicaStatus.Role.LEADER : ReplicaStatus.Role.FOLLOWER;
+        return new ReplicaStatus(name, role, node.getTerm().getTerm(), leader, newest().number(), fault);
     }
 
     private String leader() {
@@ -322,11 +322,11 @@
     }
 
     @Override
-    public void propose(Proposal asked, Consumer<Answer> answer) {
+    public void propose(Proposal asked, Consumer<ProposalResult> answer) {
         Proposal proposal;
         String wrong = Register.check(asked);
         if (wrong != null) {
-            timers.execute(() -> answer.accept(new Answer(What.REFUSED, newest().number(), wrong)));
+            timers.execute(() -> answer.accept(new ProposalResult(ProposalOutcome.REFUSED, newest().number(), wrong)));
             return;
         }
         // As the others will read it: this keeper must not apply anything else than they do.
@@ -343,10 +343,10 @@
      *
      * @param answer called once
      */
-    void proposeHere(Proposal proposal, Consumer<Answer> answer) {
+    void proposeHere(Proposal proposal, Consumer<ProposalResult> answer) {
         String wrong = Register.check(proposal);
         if (wrong != null) {
-            answer.accept(new Answer(What.REFUSED, newest().number(), wrong));
+            answer.accept(new ProposalResult(ProposalOutcome.REFUSED, newest().number(), wrong));
         } else if (!name.equals(leader())) {
             answer.accept(unknown("keeper " + name + " doesn't lead, " + leader() + " may"));
         } else {
@@ -354,18 +354,18 @@
         }
     }
 
-    private Answer unknown(String why) {
-        return new Answer(What.UNKNOWN, newest().number(), why);
+    private ProposalResult unknown(String why) {
+        return new ProposalResult(ProposalOutcome.UNKNOWN, newest().number(), why);
     }
 
     /** @param result called once, or never: what was decided, or null if that isn't known */
-    private void replicate(Proposal proposal, Consumer<Answer> result) {
+    private void replicate(Proposal proposal, Consumer<ProposalResult> result) {
         if (replicating >= MOST_REPLICATING) {
             result.accept(null);
             return;
         }
         replicating++;
-        node.<Answer>replicate(new Operation.Change(proposal)).whenComplete((done, failure) -> {
+        node.<ProposalResult>replicate(new Operation.Change(proposal)).whenComplete((done, failure) -> {
             replicating--;
             result.accept(failure == null && fault == null ? done.getResult() : null);
         });
@@ -376,10 +376,10 @@
      */
     private final class Attempts {
         private final Proposal proposal;
-        private final Consumer<Answer> answer;
+        private final Consumer<ProposalResult> answer;
         private boolean answered;
 
-        Attempts(Proposal proposal, Consumer<Answer> answer) {
+        Attempts(Proposal proposal, Consumer<ProposalResult> answer) {
             this.proposal = proposal;
             this.answer = answer;
         }
@@ -416,15 +416,15 @@
             }
         }
 
-        private void again(Answer result) {
-            if (result != null && result.what() != What.UNKNOWN) {
+        private void again(ProposalResult result) {
+            if (result != null && result.what() != ProposalOutcome.UNKNOWN) {
                 finish(result);
             } else if (!answered) {
                 timers.schedule(this::attempt, AGAIN_NANOS);
             }
         }
 
-        private void finish(Answer last) {
+        private void finish(ProposalResult last) {
             if (!answered) {
                 answered = true;
                 open--;
@@ -465,7 +465,7 @@
             if (!(operation instanceof Operation.Change change)) {
                 return null;
             }
-            Answer answer = applied.apply(change.proposal());
+            ProposalResult answer = applied.apply(change.proposal());
             decided(index);
             return answer;
         }
--- a/src/main/java/mulleinfront/keep/KeeperWire.java
+++ b/src/main/java/mulleinfront/keep/KeeperWire.java
@@ -38,8 +38,8 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import mulleinfront.config.Ledger;
 import mulleinfront.config.Proposal;
+import mulleinfront.config.VersionLog;
 
 /**
  * Messages between keepers: HTTP/1.1 POSTs with {@link Codec}'s bytes. A message of the consensus is answered
@@ -68,7 +68,7 @@
     private static final long SILENT_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final long RECONNECT_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-    private final KeepSettings settings;
+    private final ReplicaSettings settings;
     private final EventLoop loop;
     private final DiskLog log;
     private final Map<String, Line> lines = new HashMap<>();
@@ -80,7 +80,7 @@
     private boolean closed;
     private long bytesSent;
 
-    KeeperWire(KeepSettings settings, EventLoop loop, DiskLog log) {
+    KeeperWire(ReplicaSettings settings, EventLoop loop, DiskLog log) {
         this.settings = settings;
         this.loop = loop;
         this.log = log;
@@ -176,7 +176,7 @@
     }
 
     @Override
-    public void propose(String to, Proposal proposal, Consumer<Ledger.Answer> reply) {
+    public void propose(String to, Proposal proposal, Consumer<VersionLog.ProposalResult> reply) {
         if (closed || !lines.containsKey(to)) {
             reply.accept(null);
             return;
@@ -353,14 +353,14 @@
 
     /** A proposal sent on, until its one reply. */
     private final class Asking extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private final Consumer<Ledger.Answer> reply;
+        private final Consumer<VersionLog.ProposalResult> reply;
         private boolean finished;
 
-        Asking(Consumer<Ledger.Answer> reply) {
+        Asking(Consumer<VersionLog.ProposalResult> reply) {
             this.reply = reply;
         }
 
-        void finish(Ledger.Answer answer) {
+        void finish(VersionLog.ProposalResult answer) {
             if (!finished) {
                 finished = true;
                 reply.accept(answer);
@@ -369,7 +369,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            Ledger.Answer answer = null;
+            VersionLog.ProposalResult answer = null;
             if (response.status().equals(HttpResponseStatus.OK)) {
                 try {
                     answer = Codec.answer(ByteBufUtil.getBytes(response.content()));
--- a/src/main/java/mulleinfront/keep/Peers.java
+++ b/src/main/java/mulleinfront/keep/Peers.java
@@ -2,8 +2,8 @@
 
 import io.microraft.model.message.RaftMessage;
 import java.util.function.Consumer;
-import mulleinfront.config.Ledger;
 import mulleinfront.config.Proposal;
+import mulleinfront.config.VersionLog;
 
 /** The other keepers, as far as messages to them go; any of them may be lost, late or there twice. */
 interface Peers {
@@ -16,7 +16,7 @@
      * @param reply called once, within a second or when the answer has come: what it says, or null if nothing
      *        came
      */
-    void propose(String to, Proposal proposal, Consumer<Ledger.Answer> reply);
+    void propose(String to, Proposal proposal, Consumer<VersionLog.ProposalResult> reply);
 
     /** Whether messages got through lately, as far as is known. */
     boolean reachable(String keeper);
--- a/src/main/java/mulleinfront/keep/Register.java
+++ b/src/main/java/mulleinfront/keep/Register.java
@@ -6,9 +6,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mulleinfront.config.Ledger;
 import mulleinfront.config.Proposal;
 import mulleinfront.config.Version;
+import mulleinfront.config.VersionLog;
 
 /**
  * The state machine: each decided proposal makes the next version. Without I/O, clock or chance, so that
@@ -37,7 +37,7 @@
 
     private final ArrayDeque<Version> versions = new ArrayDeque<>();
     private final Map<String, Long> decided = new LinkedHashMap<>();
-    private final Map<String, Ledger.Answer> refused = new LinkedHashMap<>();
+    private final Map<String, VersionLog.ProposalResult> refused = new LinkedHashMap<>();
     private long bytes;
 
     /** @return why a proposal can be in no version, one line; null if it can */
@@ -62,19 +62,19 @@
     }
 
     /** Decides on a proposal; the same id gets the same answer again. */
-    Ledger.Answer apply(Proposal proposal) {
+    VersionLog.ProposalResult apply(Proposal proposal) {
         Long number = decided.get(proposal.id());
         if (number != null) {
             Version held = at(number);
             return held == null || held.entries().equals(proposal.entries())
-                    ? new Ledger.Answer(Ledger.What.DECIDED, number, "")
-                    : new Ledger.Answer(
-                            Ledger.What.REFUSED,
+                    ? new VersionLog.ProposalResult(VersionLog.ProposalOutcome.DECIDED, number, "")
+                    : new VersionLog.ProposalResult(
+                            VersionLog.ProposalOutcome.REFUSED,
                             number,
                             "the id " + proposal.id() + " was given to version " + number
                                     + ", which has other entries");
         }
-        Ledger.Answer before = refused.get(proposal.id());
+        VersionLog.ProposalResult before = refused.get(proposal.id());
         if (before != null) {
             return before;
         }
@@ -83,7 +83,8 @@
             wrong = "based on version " + proposal.basedOn() + ", the newest is " + newest().number();
         }
         if (wrong != null) {
-            Ledger.Answer answer = new Ledger.Answer(Ledger.What.REFUSED, newest().number(), wrong);
+            VersionLog.ProposalResult answer =
+                    new VersionLog.ProposalResult(VersionLog.ProposalOutcome.REFUSED, newest().number(), wrong);
             // One that no keeper may hold is refused before it is in the log; its id isn't worth the room.
             if (proposal.id().length() <= ID_CHARS) {
                 remember(refused, proposal.id(), answer, REFUSED);
@@ -93,7 +94,7 @@
         Version version = new Version(newest().number() + 1, proposal.entries(), proposal.why(), proposal.atMillis());
         hold(version);
         remember(decided, proposal.id(), version.number(), DECIDED);
-        return new Ledger.Answer(Ledger.What.DECIDED, version.number(), "");
+        return new VersionLog.ProposalResult(VersionLog.ProposalOutcome.DECIDED, version.number(), "");
     }
 
     private void hold(Version version) {
--- a/src/main/java/mulleinfront/keep/KeeperNode.java
+++ b/src/main/java/mulleinfront/keep/ReplicaNode.java
@@ -6,16 +6,16 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import mulleinfront.config.Ledger;
 import mulleinfront.config.Proposal;
 import mulleinfront.config.Version;
+import mulleinfront.config.VersionLog;
 
 /**
  * A keeper: consensus, log on disk and wire to the others, on one event loop of NIO. Every method but
  * {@link #KeeperNode} is called on that loop, and what is given to it is called back there. Saves are forced
  * to the disk on the loop too: it stands still meanwhile (some ms a decision).
  */
-public final class KeeperNode implements Ledger, AutoCloseable {
+public final class ReplicaNode implements VersionLog, AutoCloseable {
     private final DiskLog log;
     private final KeeperWire wire;
     private final Keeper keeper;
@@ -27,7 +27,7 @@
      * @throws IOException one line: the log can't be read whole or is another keeper's, or the address is
      *        taken
      */
-    public KeeperNode(KeepSettings settings, EventLoop loop) throws IOException {
+    public ReplicaNode(ReplicaSettings settings, EventLoop loop) throws IOException {
         log = new DiskLog(
                 settings.directory(), settings.name(), settings.keepers().keySet());
         try {
@@ -81,7 +81,7 @@
     }
 
     /** What it is now. */
-    public KeepStatus status() {
+    public ReplicaStatus status() {
         return keeper.status();
     }
 
@@ -111,15 +111,15 @@
     }
 
     @Override
-    public void propose(Proposal proposal, Consumer<Answer> answer) {
+    public void propose(Proposal proposal, Consumer<ProposalResult> answer) {
         keeper.propose(proposal, answer);
     }
 
     /** It leads, or has heard its leader within the time after which one is given up. */
     @Override
-    public boolean inTouch() {
-        KeepStatus.Role role = status().role();
-        return role == KeepStatus.Role.LEADER || role == KeepStatus.Role.FOLLOWER;
+    public boolean hasQuorumContact() {
+        ReplicaStatus.Role role = status().role();
+        return role == ReplicaStatus.Role.LEADER || role == ReplicaStatus.Role.FOLLOWER;
     }
 
     @Override
--- a/src/main/java/mulleinfront/keep/KeepSettings.java
+++ b/src/main/java/mulleinfront/keep/ReplicaSettings.java
@@ -13,9 +13,9 @@
  * @param keepers where each keeper hears the others, this one among them; three of them on loopback
  * @param directory where its log is; its own, made if it isn't there
  */
-public record KeepSettings(String name, SortedMap<String, InetSocketAddress> keepers, Path directory) {
+public record ReplicaSettings(String name, SortedMap<String, InetSocketAddress> keepers, Path directory) {
     /** @throws IllegalArgumentException one line, if these can't be */
-    public KeepSettings {
+    public ReplicaSettings {
         keepers = Collections.unmodifiableSortedMap(new TreeMap<>(keepers));
         if (keepers.size() != 3) {
             throw new IllegalArgumentException("there have to be 3 keepers, not " + keepers.size());
--- a/src/main/java/mulleinfront/keep/KeepStatus.java
+++ b/src/main/java/mulleinfront/keep/ReplicaStatus.java
@@ -10,7 +10,7 @@
  * @param newest number of the newest version it knows to be decided
  * @param fault why it has stopped taking part, one line; null if it takes part
  */
-public record KeepStatus(String name, Role role, int term, String leader, long newest, String fault) {
+public record ReplicaStatus(String name, Role role, int term, String leader, long newest, String fault) {
     /** What a keeper can be. */
     public enum Role {
         /** Proposals are decided through it. */
--- a/src/main/java/mulleinfront/kit/ClientDriver.java
+++ b/src/main/java/mulleinfront/kit/ClientDriver.java
@@ -23,8 +23,8 @@
 import java.util.concurrent.TimeUnit;
 import mulleinfront.Balancer.Effect;
 import mulleinfront.Balancer.RequestClass;
+import mulleinfront.emulator.HybridSimulation;
 import mulleinfront.emulator.Scenario;
-import mulleinfront.emulator.Stage;
 
 /**
  * The stage's clients on real sockets: an open loop, whose tries are sent when they are due and measured from then,
@@ -34,14 +34,14 @@
     private static final int MOST_BODY = 256 * 1024;
 
     private final WorldClock clock;
-    private final Stage stage;
+    private final HybridSimulation stage;
     private final Places places;
     private final Scenario scenario;
     private final Bootstrap bootstrap;
     private final Map<Integer, ArrayDeque<Connection>> idle = new HashMap<>();
     private final Map<String, Connection> open = new HashMap<>();
 
-    ClientDriver(WorldClock clock, Stage stage, Places places, Scenario scenario) {
+    ClientDriver(WorldClock clock, HybridSimulation stage, Places places, Scenario scenario) {
         this.clock = clock;
         this.stage = stage;
         this.places = places;
@@ -58,7 +58,7 @@
      *
      * @param openOnly whether nobody connects any more: it goes on a connection that is open, if there is one
      */
-    void send(Stage.Outgoing request, boolean openOnly) {
+    void send(HybridSimulation.Outgoing request, boolean openOnly) {
         ArrayDeque<Connection> rested = idle.computeIfAbsent(request.proxy(), p -> new ArrayDeque<>());
         for (Connection c; (c = rested.poll()) != null; ) {
             if (c.channel.isActive()) {
@@ -85,7 +85,7 @@
         }
     }
 
-    private void connect(Stage.Outgoing request) {
+    private void connect(HybridSimulation.Outgoing request) {
         Connection made = new Connection(request.proxy());
         open.put(request.id(), made);
         bootstrap
@@ -121,7 +121,7 @@
         }
     }
 
-    private String encode(Stage.Outgoing r) {
+    private String encode(HybridSimulation.Outgoing r) {
         RequestClass type = scenario.classes().get(r.classIndex()).type();
         StringBuilder out = new StringBuilder(320);
         out.append(type.effect() == Effect.RETRYABLE ? "GET" : "POST")
@@ -150,7 +150,7 @@
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int proxy;
         private Channel channel;
-        private Stage.Outgoing current;
+        private HybridSimulation.Outgoing current;
         /** The request that was answered last on it. */
         private String last;
 
@@ -160,7 +160,7 @@
             this.proxy = proxy;
         }
 
-        void write(Stage.Outgoing request, boolean again) {
+        void write(HybridSimulation.Outgoing request, boolean again) {
             current = request;
             reused = again;
             open.put(request.id(), this);
@@ -174,7 +174,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse in) {
-            Stage.Outgoing answered = current;
+            HybridSimulation.Outgoing answered = current;
             int status = in.status().code();
             if (status < 200) {
                 return;
@@ -211,7 +211,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             idle.getOrDefault(proxy, new ArrayDeque<>()).remove(this);
-            Stage.Outgoing lost = current;
+            HybridSimulation.Outgoing lost = current;
             current = null;
             if (lost == null) {
                 return;
--- a/src/main/java/mulleinfront/kit/DaemonProcess.java
+++ b/src/main/java/mulleinfront/kit/DaemonProcess.java
@@ -282,8 +282,8 @@
         out.writeNumberField("dedupWindowUs", c.dedupWindowUs());
         out.writeNumberField("worth", c.worth());
         out.writeNumberField("lateWorth", c.lateWorth());
-        out.writeNumberField("onTimeUs", c.aimUs());
-        out.writeNumberField("aimStretch", c.aimStretch());
+        out.writeNumberField("onTimeUs", c.targetLatencyUs());
+        out.writeNumberField("aimStretch", c.targetStretch());
         out.writeNumberField("deadlineUs", c.deadlineUs());
         out.writeEndObject();
     }
--- a/src/main/java/mulleinfront/kit/FleetTimeline.java
+++ b/src/main/java/mulleinfront/kit/FleetTimeline.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import mulleinfront.emulator.FleetJudge;
-import mulleinfront.emulator.Troubles;
+import mulleinfront.emulator.DatagramFaults;
+import mulleinfront.emulator.FleetAuditor;
 import mulleinfront.fleet.Change;
 import mulleinfront.fleet.MemberState;
 
@@ -31,15 +31,15 @@
 
     private final long boundUs;
     private final List<Event> events = new ArrayList<>();
-    private final List<Troubles.Trouble> cuts = new ArrayList<>();
-    private final FleetJudge judge;
+    private final List<DatagramFaults.DatagramFault> cuts = new ArrayList<>();
+    private final FleetAuditor judge;
     private long changes;
     private long now;
 
     /** @param boundUs how long what is wrong may last */
     FleetTimeline(int members, long boundUs) {
         this.boundUs = boundUs;
-        this.judge = new FleetJudge(members, boundUs, new FleetJudge.Links() {
+        this.judge = new FleetAuditor(members, boundUs, new FleetAuditor.Links() {
             @Override
             public boolean pass(int from, int to) {
                 return cuts.stream()
@@ -76,7 +76,7 @@
         add(() -> judge.stands(member, on, now));
     }
 
-    void cut(Troubles.Trouble trouble, boolean on) {
+    void cut(DatagramFaults.DatagramFault trouble, boolean on) {
         if (trouble.cut()) {
             add(() -> {
                 if (on) {
@@ -144,7 +144,7 @@
     }
 
     /** Plays all of it to the judge, up to an instant. */
-    FleetJudge judged(long untilMs) {
+    FleetAuditor judged(long untilMs) {
         List<Event> all;
         synchronized (this) {
             all = new ArrayList<>(events);
--- a/src/main/java/mulleinfront/kit/Rehearsal.java
+++ b/src/main/java/mulleinfront/kit/KitResult.java
@@ -14,7 +14,7 @@
  * @param daemonVersion the version that the client proxies said
  * @param kitVersion this program's
  */
-public record Rehearsal(
+public record KitResult(
         World.Result sockets,
         World.Result virtual,
         List<String> failures,
@@ -38,8 +38,8 @@
     public record Quarter(int descriptors, long residentKb, double cpuPart) {}
 
     /** The same with the day on virtual time beside it. */
-    public Rehearsal beside(World.Result virtualDay) {
-        return new Rehearsal(sockets, virtualDay, failures, quarters, lateMs, daemonVersion, kitVersion);
+    public KitResult beside(World.Result virtualDay) {
+        return new KitResult(sockets, virtualDay, failures, quarters, lateMs, daemonVersion, kitVersion);
     }
 
     /** What it comes to. A broken rule counts also on a busy machine only if that could not have made it. */
