--- a/src/main/java/mulleinfront/kit/PeerRelay.java
+++ b/src/main/java/mulleinfront/kit/PeerRelay.java
@@ -12,8 +12,8 @@
 import java.net.InetSocketAddress;
 import java.util.BitSet;
 import java.util.concurrent.TimeUnit;
+import mulleinfront.emulator.DatagramFaults;
 import mulleinfront.emulator.PeerFaults;
-import mulleinfront.emulator.Troubles;
 import mulleinfront.settings.Range;
 
 /**
@@ -24,18 +24,18 @@
 final class PeerRelay implements PeerFaults {
     /** Told of cuts that begin and end, for the judge. */
     interface Listener {
-        void cut(Troubles.Trouble trouble, boolean on);
+        void cut(DatagramFaults.DatagramFault trouble, boolean on);
     }
 
     private final EventLoop loop;
     private final Places places;
     private final Channel[][] ways;
     private Channel nobody;
-    private final Troubles troubles;
+    private final DatagramFaults troubles;
     private final Listener listener;
     private boolean closed;
 
-    PeerRelay(EventLoop loop, Places places, int peers, Troubles troubles, Listener listener) {
+    PeerRelay(EventLoop loop, Places places, int peers, DatagramFaults troubles, Listener listener) {
         this.loop = loop;
         this.places = places;
         this.ways = new Channel[peers][peers];
@@ -100,7 +100,7 @@
             }
             byte[] bytes = new byte[in.content().readableBytes()];
             in.content().readBytes(bytes);
-            for (Troubles.Copy copy : troubles.fate(from, to, bytes, bytes.length)) {
+            for (DatagramFaults.Copy copy : troubles.deliver(from, to, bytes, bytes.length)) {
                 if (copy.lateUs() == 0) {
                     deliver(from, to, copy.bytes());
                 } else {
@@ -122,8 +122,10 @@
     }
 
     @Override
-    public End trouble(BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late) {
-        Troubles.Trouble t = new Troubles.Trouble(from, to, lose, twice, overtaken, change, late);
+    public End beginFault(
+            BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late) {
+        DatagramFaults.DatagramFault t =
+                new DatagramFaults.DatagramFault(from, to, lose, twice, overtaken, change, late);
         troubles.begin(t);
         listener.cut(t, true);
         return () -> {
@@ -139,7 +141,7 @@
                 () -> {
                     troubles.remember(false);
                     every(perSecond, us, () -> {
-                        Troubles.Past p = troubles.past();
+                        DatagramFaults.Past p = troubles.past();
                         if (p != null) {
                             deliver(p.from(), p.to(), p.bytes());
                         }
@@ -155,7 +157,8 @@
                 perSecond,
                 us,
                 () -> nobody.writeAndFlush(new DatagramPacket(
-                        Unpooled.wrappedBuffer(troubles.strange()), places.peerListen(troubles.anybody(ways.length)))));
+                        Unpooled.wrappedBuffer(troubles.randomBytes()),
+                        places.peerListen(troubles.anybody(ways.length)))));
     }
 
     private void every(double perSecond, long us, Runnable what) {
--- a/src/main/java/mulleinfront/kit/RealRun.java
+++ b/src/main/java/mulleinfront/kit/RealRun.java
@@ -20,12 +20,12 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import mulleinfront.emulator.Chance;
-import mulleinfront.emulator.FleetJudge;
+import mulleinfront.emulator.DatagramFaults;
+import mulleinfront.emulator.FleetAuditor;
 import mulleinfront.emulator.FleetReport;
+import mulleinfront.emulator.HybridSimulation;
 import mulleinfront.emulator.PeerFaults;
 import mulleinfront.emulator.Scenario;
-import mulleinfront.emulator.Stage;
-import mulleinfront.emulator.Troubles;
 import mulleinfront.emulator.World;
 import mulleinfront.fleet.FleetSettings;
 import mulleinfront.settings.BadFileException;
@@ -33,7 +33,7 @@
 import mulleinfront.settings.Version;
 
 /** One scenario on real sockets against client proxies that run as processes. Played once. */
-public final class RealRun implements Stage.Outside {
+public final class RealRun implements HybridSimulation.ExternalProxies {
     /** Protocol: each time limit is 50 ms longer on sockets. */
     private static final long SLACK_US = 50_000;
     /** What the judge of the fleet grants for processes that wait for a core, microseconds. */
@@ -58,7 +58,7 @@
     private final Path folder;
     private final Consumer<String> progress;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final Stage stage;
+    private final HybridSimulation stage;
     private final WorldClock clock;
     private final Places places;
     private final StandInServers servers;
@@ -115,7 +115,7 @@
         this.openOnly = new boolean[daemons.length];
         this.away = new long[daemons.length];
         this.moved = new boolean[daemons.length];
-        this.stage = new Stage(scenario, seed, SLACK_US, this);
+        this.stage = new HybridSimulation(scenario, seed, SLACK_US, this);
         this.clock = new WorldClock(group.next(), stage);
         this.servers = new StandInServers(clock, stage, places, daemons.length);
         this.discovery = new StandInDiscovery(clock, stage, places, scenario);
@@ -126,17 +126,17 @@
             fleetFile = null;
         } else {
             long period = scenario.peers().periodUs();
-            long bound = FleetSettings.usual(
+            long bound = FleetSettings.defaults(
                                     "kit",
                                     "n",
                                     0,
                                     daemons.length,
                                     period,
                                     scenario.peers().goneUs())
-                            .agreeWithinUs(daemons.length)
+                            .convergenceBoundUs(daemons.length)
                     + JUDGE_SLACK_US;
             this.timeline = new FleetTimeline(daemons.length, bound);
-            Troubles troubles = new Troubles(Chance.of(seed, "datagrams"));
+            DatagramFaults troubles = new DatagramFaults(Chance.of(seed, "datagrams"));
             this.relay = new PeerRelay(group.next(), places, daemons.length, troubles, timeline::cut);
             this.fleetFile = Files.writeString(
                     folder.resolve("fleet.toml"),
@@ -148,7 +148,7 @@
                             scenario.peers().goneUs(),
                             folder.toAbsolutePath().resolve("fleet-%n.json")));
             if (scenario.peers().loss() > 0) {
-                relay.trouble(null, null, scenario.peers().loss(), 0, 0, 0, Range.of(0));
+                relay.beginFault(null, null, scenario.peers().loss(), 0, 0, 0, Range.of(0));
             }
         }
     }
@@ -197,7 +197,7 @@
     }
 
     /** Plays it to its end, or until {@link #interrupt}; no process is left when it returns. */
-    public Rehearsal play() throws IOException, InterruptedException {
+    public KitResult play() throws IOException, InterruptedException {
         String version = Version.OWN;
         World.Result result = null;
         try {
@@ -244,9 +244,9 @@
         if (result != null && timeline != null) {
             result = result.withFleet(judged());
         }
-        List<Rehearsal.Quarter> quarters = quarters();
+        List<KitResult.Quarter> quarters = quarters();
         leaks(quarters);
-        return new Rehearsal(
+        return new KitResult(
                 result,
                 null,
                 List.copyOf(failures),
@@ -260,7 +260,7 @@
         for (int i = 0; i < daemons.length; i++) {
             timeline.read(i, folder.resolve("fleet-n" + i + ".json"));
         }
-        FleetJudge judge = timeline.judged(endedAtMs);
+        FleetAuditor judge = timeline.judged(endedAtMs);
         if (timeline.changes() == 0) {
             failures.add("client proxies kept no event log: is the command that starts them one that knows fleets?");
         }
@@ -363,8 +363,8 @@
         }
     }
 
-    private List<Rehearsal.Quarter> quarters() {
-        List<Rehearsal.Quarter> all = new ArrayList<>();
+    private List<KitResult.Quarter> quarters() {
+        List<KitResult.Quarter> all = new ArrayList<>();
         int each = samples.size() / QUARTERS;
         for (int q = 0; q < QUARTERS && each > 1; q++) {
             List<List<DaemonProcess.Sample>> part = samples.subList(q * each, (q + 1) * each);
@@ -386,13 +386,13 @@
                     counted++;
                 }
             }
-            all.add(new Rehearsal.Quarter(descriptors, kb, counted == 0 ? 0 : cpu / counted));
+            all.add(new KitResult.Quarter(descriptors, kb, counted == 0 ? 0 : cpu / counted));
         }
         return all;
     }
 
     /** The last quarter holds the time after the load; growth in each of those before it is none of the load's doing. */
-    private void leaks(List<Rehearsal.Quarter> q) {
+    private void leaks(List<KitResult.Quarter> q) {
         boolean grows = q.size() == QUARTERS;
         for (int i = 1; grows && i < QUARTERS - 1; i++) {
             grows = q.get(i).descriptors() > LEAK * q.get(i - 1).descriptors() + LEAK_LEAST;
@@ -416,7 +416,7 @@
 
     // ---- what the world does; on the event loop --------------------------------------------------------
 
-    private void launch(int proxy, Stage.Told known) throws IOException {
+    private void launch(int proxy, HybridSimulation.ListUpdate known) throws IOException {
         known.servers().forEach(s -> servers.changed(s.address()));
         DaemonProcess d = new DaemonProcess(proxy, command, root, folder, config(proxy, known), places.daemon(proxy));
         daemons[proxy] = d;
@@ -424,7 +424,7 @@
         d.onExit(code -> clock.loop.execute(() -> exited(d, code)));
     }
 
-    private String config(int proxy, Stage.Told known) throws IOException {
+    private String config(int proxy, HybridSimulation.ListUpdate known) throws IOException {
         return DaemonProcess.config(
                 scenario,
                 proxy,
@@ -553,7 +553,7 @@
     }
 
     @Override
-    public void crowd(int proxy, int connections, long forUs) {
+    public void floodConnections(int proxy, int connections, long forUs) {
         if (up[proxy]) {
             clients.crowd(proxy, connections, forUs);
         }
@@ -564,7 +564,7 @@
         try {
             if (up[proxy]) {
                 moved[proxy] = !moved[proxy];
-                daemons[proxy].reload(config(proxy, new Stage.Told(0, true, List.of())));
+                daemons[proxy].reload(config(proxy, new HybridSimulation.ListUpdate(0, true, List.of())));
             }
         } catch (IOException e) {
             failures.add("client proxy " + proxy + " could not be told of its configuration: " + e.getMessage());
@@ -572,7 +572,7 @@
     }
 
     @Override
-    public void send(Stage.Outgoing request) {
+    public void send(HybridSimulation.Outgoing request) {
         clients.send(request, openOnly[request.proxy()]);
     }
 
--- a/src/main/java/mulleinfront/kit/Report.java
+++ b/src/main/java/mulleinfront/kit/Report.java
@@ -18,7 +18,7 @@
     private Report() {}
 
     /** The page; the verdict comes last. */
-    public static String text(Rehearsal r, boolean anyVersion) {
+    public static String text(KitResult r, boolean anyVersion) {
         StringBuilder out = new StringBuilder();
         if (r.sockets() != null) {
             out.append(ReportWriter.text(r.sockets())).append('\n');
@@ -37,7 +37,7 @@
                     r.lateMs()[1],
                     r.lateMs()[2]);
             int quarter = 1;
-            for (Rehearsal.Quarter q : r.quarters()) {
+            for (KitResult.Quarter q : r.quarters()) {
                 line(
                         out,
                         "quarter %d: at most %d descriptors and %.1f MB in a client proxy, %.0f%% of a core each",
@@ -56,7 +56,7 @@
     }
 
     /** One object; {@code sockets} is the emulator's report, absent if nothing was played. */
-    public static void json(Rehearsal r, boolean anyVersion, OutputStream to) throws IOException {
+    public static void json(KitResult r, boolean anyVersion, OutputStream to) throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(to).useDefaultPrettyPrinter()) {
             out.writeStartObject();
             out.writeStringField(
@@ -70,7 +70,7 @@
             }
             out.writeEndArray();
             out.writeArrayFieldStart("quarters");
-            for (Rehearsal.Quarter q : r.quarters()) {
+            for (KitResult.Quarter q : r.quarters()) {
                 out.writeStartObject();
                 out.writeNumberField("descriptors", q.descriptors());
                 out.writeNumberField("resident_kb", q.residentKb());
@@ -97,11 +97,11 @@
     }
 
     /** A case for each rule, one for the processes and one for whether the run says anything. */
-    public static void junit(String name, Rehearsal r, boolean anyVersion, OutputStream to) throws IOException {
-        Rehearsal.Verdict verdict = r.verdict(anyVersion);
+    public static void junit(String name, KitResult r, boolean anyVersion, OutputStream to) throws IOException {
+        KitResult.Verdict verdict = r.verdict(anyVersion);
         boolean judged = r.sockets() != null
-                && verdict != Rehearsal.Verdict.TOO_BUSY
-                && verdict != Rehearsal.Verdict.WRONG_VERSION;
+                && verdict != KitResult.Verdict.TOO_BUSY
+                && verdict != KitResult.Verdict.WRONG_VERSION;
         try {
             XMLStreamWriter out = XMLOutputFactory.newInstance().createXMLStreamWriter(to, "UTF-8");
             out.writeStartDocument("UTF-8", "1.0");
@@ -127,7 +127,7 @@
                     out,
                     name,
                     "the run says something",
-                    judged || verdict == Rehearsal.Verdict.FAILED ? null : words(r, anyVersion),
+                    judged || verdict == KitResult.Verdict.FAILED ? null : words(r, anyVersion),
                     true);
             out.writeEndElement();
             out.writeEndDocument();
@@ -152,7 +152,7 @@
         out.writeEndElement();
     }
 
-    private static String words(Rehearsal r, boolean anyVersion) {
+    private static String words(KitResult r, boolean anyVersion) {
         return switch (r.verdict(anyVersion)) {
             case KEPT -> "all four rules kept";
             case RULE_BROKEN -> r.sockets().broken() + " broken rules, the first of them above";
@@ -163,7 +163,7 @@
                         "none: the machine was too busy (stand-ins %.1f ms late at p99,"
                                 + " %.0f ms at most); end what else runs, or take a smaller scenario",
                         r.lateMs()[1],
-                        Rehearsal.BUSY_P99_MS);
+                        KitResult.BUSY_P99_MS);
             case WRONG_VERSION ->
                 "none: use the kit in the daemon's own jar (java -jar ITS-JAR kit ...), or" + " --any-version";
         };
--- a/src/main/java/mulleinfront/kit/ScaleRun.java
+++ b/src/main/java/mulleinfront/kit/ScaleRun.java
@@ -251,8 +251,8 @@
         this.observed = Files.writeString(
                 folder.resolve("fleet-events.toml"),
                 file + "events = \"" + folder.toAbsolutePath().resolve("fleet-%n.json") + "\"\n");
-        this.agreeMs = FleetSettings.usual("scale", "n", 0, plan.members(), plan.periodMs() * 1000L, 600_000_000L)
-                        .agreeWithinUs(plan.members())
+        this.agreeMs = FleetSettings.defaults("scale", "n", 0, plan.members(), plan.periodMs() * 1000L, 600_000_000L)
+                        .convergenceBoundUs(plan.members())
                 / 1000;
     }
 
--- a/src/main/java/mulleinfront/kit/Soak.java
+++ b/src/main/java/mulleinfront/kit/Soak.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import mulleinfront.emulator.Drawn;
+import mulleinfront.emulator.GeneratedScenario;
 import mulleinfront.emulator.ScenarioReader;
 import mulleinfront.settings.BadFileException;
 
@@ -36,7 +36,9 @@
         /** Rejects what can't be played. */
         public Plan {
             need(instances >= 1, "--instances: at least 1");
-            need(lengthS >= Drawn.LEAST_SOAK_S, "--length: at least " + Drawn.LEAST_SOAK_S + " seconds");
+            need(
+                    lengthS >= GeneratedScenario.LEAST_SOAK_S,
+                    "--length: at least " + GeneratedScenario.LEAST_SOAK_S + " seconds");
             need(alsoListed >= 0, "--also-listed: at least 0");
         }
 
@@ -53,7 +55,7 @@
      * @param rehearsal what the judge of the rules saw
      * @param violations lines of the processes' logs in which they say that they broke a rule
      */
-    public record Played(long seed, Rehearsal rehearsal, List<String> violations) {
+    public record Played(long seed, KitResult rehearsal, List<String> violations) {
         /** What failed, in lines; empty if nothing did. */
         public List<String> failures() {
             List<String> all = new ArrayList<>(rehearsal.failures());
@@ -66,7 +68,7 @@
 
         /** Whether the machine was too busy for its verdict to say anything. */
         public boolean tooBusy() {
-            return rehearsal.verdict(true) == Rehearsal.Verdict.TOO_BUSY;
+            return rehearsal.verdict(true) == KitResult.Verdict.TOO_BUSY;
         }
     }
 
@@ -89,8 +91,8 @@
     public Played play(long seed, Path folder) throws IOException, InterruptedException, BadFileException {
         Files.createDirectories(folder);
         Path file = folder.resolve("soak-" + seed + ".toml");
-        Files.writeString(file, Drawn.soak(seed, plan.instances(), plan.lengthS(), plan.alsoListed()));
-        Rehearsal rehearsal = new RealRun(ScenarioReader.read(file), seed, command, root, folder, progress).play();
+        Files.writeString(file, GeneratedScenario.soak(seed, plan.instances(), plan.lengthS(), plan.alsoListed()));
+        KitResult rehearsal = new RealRun(ScenarioReader.read(file), seed, command, root, folder, progress).play();
         return new Played(seed, rehearsal, violations(folder));
     }
 
--- a/src/main/java/mulleinfront/kit/StandInDiscovery.java
+++ b/src/main/java/mulleinfront/kit/StandInDiscovery.java
@@ -27,8 +27,8 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import mulleinfront.Balancer.Endpoint;
+import mulleinfront.emulator.HybridSimulation;
 import mulleinfront.emulator.Scenario;
-import mulleinfront.emulator.Stage;
 
 /** The stage's discovery as PROTOCOL has it, at an address of its own for each client proxy: lists, watches, heartbeats. */
 final class StandInDiscovery {
@@ -36,12 +36,12 @@
     private static final JsonFactory JSON = new JsonFactory();
 
     private final WorldClock clock;
-    private final Stage stage;
+    private final HybridSimulation stage;
     private final Places places;
     private final Scenario scenario;
     private final List<Channel> listeners = new ArrayList<>();
 
-    StandInDiscovery(WorldClock clock, Stage stage, Places places, Scenario scenario) {
+    StandInDiscovery(WorldClock clock, HybridSimulation stage, Places places, Scenario scenario) {
         this.clock = clock;
         this.stage = stage;
         this.places = places;
@@ -75,7 +75,7 @@
     }
 
     /** A list in discovery's form, one line without its end. */
-    String line(int proxy, Stage.Told told) {
+    String line(int proxy, HybridSimulation.ListUpdate told) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
             write(out, proxy, told);
@@ -85,12 +85,12 @@
         return bytes.toString(StandardCharsets.UTF_8);
     }
 
-    private void write(JsonGenerator out, int proxy, Stage.Told told) throws IOException {
+    private void write(JsonGenerator out, int proxy, HybridSimulation.ListUpdate told) throws IOException {
         out.writeStartObject();
         out.writeNumberField("version", told.version());
         out.writeBooleanField("full", told.full());
         out.writeArrayFieldStart("servers");
-        for (Stage.Listed s : told.servers()) {
+        for (HybridSimulation.Listed s : told.servers()) {
             Endpoint e = s.endpoint();
             out.writeStartObject();
             out.writeStringField("id", e.id());
@@ -130,10 +130,10 @@
     }
 
     /** One call, and the watch that it becomes. */
-    private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> implements Stage.Lines {
+    private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> implements HybridSimulation.Lines {
         private final int proxy;
         private ChannelHandlerContext ctx;
-        private Stage.Watch watch;
+        private HybridSimulation.Watch watch;
         private ScheduledFuture<?> heartbeat;
         private boolean answered;
         private boolean silent;
@@ -174,14 +174,14 @@
         }
 
         @Override
-        public void begins(Stage.Told news) {
+        public void begins(HybridSimulation.ListUpdate news) {
             String text = line(proxy, news);
             halfTold = text.length() / 2;
             chunk(text.substring(0, halfTold));
         }
 
         @Override
-        public void told(Stage.Told news) {
+        public void told(HybridSimulation.ListUpdate news) {
             String rest = line(proxy, news).substring(halfTold) + "\n";
             halfTold = 0;
             chunk(rest);
@@ -196,7 +196,7 @@
         }
 
         @Override
-        public void cutShort(Stage.Told news) {
+        public void cutShort(HybridSimulation.ListUpdate news) {
             String text = line(proxy, news);
             write(Integer.toHexString(text.length()) + "\r\n" + text.substring(0, text.length() / 2));
             ctx.close();
--- a/src/main/java/mulleinfront/kit/StandInServers.java
+++ b/src/main/java/mulleinfront/kit/StandInServers.java
@@ -25,8 +25,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import mulleinfront.emulator.Stage;
-import mulleinfront.emulator.Stage.Door;
+import mulleinfront.emulator.HybridSimulation;
+import mulleinfront.emulator.HybridSimulation.ConnectBehaviour;
 
 /**
  * The stage's servers on real sockets, as PROTOCOL has them: for each client proxy and server an address that listens,
@@ -37,13 +37,13 @@
     private static final int MOST_BODY = 256 * 1024;
 
     private final WorldClock clock;
-    private final Stage stage;
+    private final HybridSimulation stage;
     private final Places places;
     private final int proxies;
     private final Map<Integer, Pair[]> byAddress = new HashMap<>();
     private volatile IOException broken;
 
-    StandInServers(WorldClock clock, Stage stage, Places places, int proxies) {
+    StandInServers(WorldClock clock, HybridSimulation stage, Places places, int proxies) {
         this.clock = clock;
         this.stage = stage;
         this.places = places;
@@ -55,7 +55,7 @@
         private final int proxy;
         private final int address;
         private final Set<Channel> connections = new HashSet<>();
-        private Door door = Door.REFUSED;
+        private ConnectBehaviour door = ConnectBehaviour.REFUSED;
         private Channel listener;
         private BlackHole hole;
 
@@ -64,11 +64,11 @@
             this.address = address;
         }
 
-        void become(Door now) {
+        void become(ConnectBehaviour now) {
             if (now == door) {
                 return;
             }
-            boolean back = door == Door.SILENT && now == Door.OPEN;
+            boolean back = door == ConnectBehaviour.SILENT && now == ConnectBehaviour.OPEN;
             shut();
             door = now;
             open(REBINDS);
@@ -79,19 +79,19 @@
 
         /** A listener that was closed holds its port until the loop has been round once: then it is asked for again. */
         private void open(int tries) {
-            Door meant = door;
-            if (meant == Door.SILENT) {
+            ConnectBehaviour meant = door;
+            if (meant == ConnectBehaviour.SILENT) {
                 try {
                     hole = new BlackHole(places.server(proxy, address));
                 } catch (IOException e) {
                     again(meant, tries, e);
                 }
-            } else if (meant == Door.OPEN) {
+            } else if (meant == ConnectBehaviour.OPEN) {
                 listen(tries);
             }
         }
 
-        private void again(Door meant, int tries, Throwable why) {
+        private void again(ConnectBehaviour meant, int tries, Throwable why) {
             if (tries == 0) {
                 failed(new IOException("can't listen on " + places.server(proxy, address) + ": " + why.getMessage()));
             } else {
@@ -139,7 +139,7 @@
             bound.addListener(f -> {
                 if (!f.isSuccess() && listener == bound.channel()) {
                     listener = null;
-                    again(Door.OPEN, tries, f.cause());
+                    again(ConnectBehaviour.OPEN, tries, f.cause());
                 }
             });
         }
@@ -151,7 +151,7 @@
         }
 
         boolean silent() {
-            return door == Door.SILENT;
+            return door == ConnectBehaviour.SILENT;
         }
     }
 
@@ -178,7 +178,7 @@
             return made;
         });
         for (Pair p : pairs) {
-            p.become(stage.door(p.proxy, address));
+            p.become(stage.connectBehaviour(p.proxy, address));
         }
     }
 
@@ -231,7 +231,7 @@
     private final class Server extends ChannelInboundHandlerAdapter {
         private final Pair pair;
         private final List<FullHttpRequest> ahead = new ArrayList<>();
-        private Stage.Connection connection;
+        private HybridSimulation.Connection connection;
         private boolean busy;
 
         Server(Pair pair) {
@@ -268,7 +268,7 @@
             String effect = request.headers().get("Idempotency-Key");
             boolean probe = request.uri().startsWith("/-/");
             request.release();
-            Stage.Reply reply = new Stage.Reply() {
+            HybridSimulation.Reply reply = new HybridSimulation.Reply() {
                 @Override
                 public void answer(int status, boolean notRun) {
                     busy = false;
--- a/src/main/java/mulleinfront/kit/WorldClock.java
+++ b/src/main/java/mulleinfront/kit/WorldClock.java
@@ -3,7 +3,7 @@
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import mulleinfront.emulator.Stage;
+import mulleinfront.emulator.HybridSimulation;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -14,7 +14,7 @@
     private static final long MOST_LATE_US = 60_000_000;
 
     final EventLoop loop;
-    private final Stage stage;
+    private final HybridSimulation stage;
     private final Histogram late = new Histogram(MOST_LATE_US, 2);
     private long startNanos;
     private long startMillis;
@@ -25,7 +25,7 @@
     private long armedAt = Long.MAX_VALUE;
     private ScheduledFuture<?> armed;
 
-    WorldClock(EventLoop loop, Stage stage) {
+    WorldClock(EventLoop loop, HybridSimulation stage) {
         this.loop = loop;
         this.stage = stage;
     }
--- a/src/main/java/mulleinfront/kit/package-info.java
+++ b/src/main/java/mulleinfront/kit/package-info.java
@@ -3,7 +3,7 @@
  * run as processes, so that what is rehearsed is what is deployed.
  *
  * <p>The way of data: {@code RealRun} starts the {@code DaemonProcess}es and then the clock of a
- * {@link mulleinfront.emulator.Stage}, which holds the same servers, clients, discovery, faults, auditor and report as
+ * {@link mulleinfront.emulator.HybridSimulation}, which holds the same servers, clients, discovery, faults, auditor and report as
  * on virtual time. {@code ClientDriver} carries its tries to the client proxies and their answers back,
  * {@code StandInServers} the attempts that come to its servers, {@code StandInDiscovery} its lists. All of that is one
  * event loop ({@code WorldClock}); processes are watched from another thread. At the end the {@code Outcome} says
--- a/src/main/java/mulleinfront/manage/Calls.java
+++ b/src/main/java/mulleinfront/manage/CommandHandler.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /** What operators may call, and the words of the answers: {@code +OK ...} or {@code -ERR ...}, one line each. */
-public final class Calls {
+public final class CommandHandler {
     /** The longest line that is a call, its end not counted; more is no call whatever follows. */
     public static final int LONGEST = 256;
 
@@ -51,7 +51,7 @@
 
     private final Process process;
 
-    public Calls(Process process) {
+    public CommandHandler(Process process) {
         this.process = process;
     }
 
--- a/src/main/java/mulleinfront/manage/ManagementServer.java
+++ b/src/main/java/mulleinfront/manage/ManagementServer.java
@@ -35,9 +35,9 @@
 
     private final ArrayDeque<Channel> callers = new ArrayDeque<>();
     private final EventLoop loop;
-    private final Calls calls;
+    private final CommandHandler calls;
 
-    private ManagementServer(EventLoop loop, Calls calls) {
+    private ManagementServer(EventLoop loop, CommandHandler calls) {
         this.loop = loop;
         this.calls = calls;
     }
@@ -49,7 +49,7 @@
      * @return done when it listens, or failed if the address can't be had
      */
     public static ChannelFuture listen(
-            EventLoop loop, InetSocketAddress address, ByteBufAllocator buffers, Calls calls) {
+            EventLoop loop, InetSocketAddress address, ByteBufAllocator buffers, CommandHandler calls) {
         ManagementServer server = new ManagementServer(loop, calls);
         return new ServerBootstrap()
                 .group(loop)
@@ -83,16 +83,16 @@
     }
 
     /** Makes a connection one that carries a call. */
-    public static void answerOn(Channel channel, Calls calls) {
-        channel.pipeline().addLast(new LineBasedFrameDecoder(Calls.LONGEST), new Caller(calls));
+    public static void answerOn(Channel channel, CommandHandler calls) {
+        channel.pipeline().addLast(new LineBasedFrameDecoder(CommandHandler.LONGEST), new Caller(calls));
     }
 
     /** One connection: the first line is answered, what follows it is not read. */
     private static final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
-        private final Calls calls;
+        private final CommandHandler calls;
         private boolean told;
 
-        Caller(Calls calls) {
+        Caller(CommandHandler calls) {
             this.calls = calls;
         }
 
@@ -124,7 +124,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!told) {
-                tell(ctx, "-ERR a call has " + Calls.LONGEST + " characters at most");
+                tell(ctx, "-ERR a call has " + CommandHandler.LONGEST + " characters at most");
             }
         }
 
--- a/src/main/java/mulleinfront/proxy/ClientProxy.java
+++ b/src/main/java/mulleinfront/proxy/ClientProxy.java
@@ -36,14 +36,14 @@
 import mulleinfront.Balancer.Source;
 import mulleinfront.core.AgentBackoff;
 import mulleinfront.core.Core;
+import mulleinfront.core.LifecycleState;
 import mulleinfront.core.Metrics;
-import mulleinfront.core.Refusals;
-import mulleinfront.core.Standing;
 import mulleinfront.core.Time;
+import mulleinfront.core.UnservedCounts;
 import mulleinfront.core.Wire;
-import mulleinfront.follow.Following;
+import mulleinfront.follow.ConfigWatcher;
 import mulleinfront.gossip.Membership;
-import mulleinfront.manage.Calls;
+import mulleinfront.manage.CommandHandler;
 import mulleinfront.manage.ManagementServer;
 import mulleinfront.settings.Config;
 import mulleinfront.settings.ControlFile;
@@ -87,20 +87,20 @@
     private final Frontend frontend;
     private final Core<Call, Upstream.Answer> core;
     private final Map<String, Integer> classes = new HashMap<>();
-    private final Standing standing;
+    private final LifecycleState standing;
     private final Metrics metrics = new Metrics();
     private final AgentBackoff agent = new AgentBackoff();
     private final EventLog log;
-    private String loggedMetrics = metrics.words();
+    private String loggedMetrics = metrics.summary();
     /** A listening socket that the platform handed over, until it is taken up. */
     private ServerSocketChannel inherited;
 
     private Channel management;
-    private Refusals refusals;
+    private UnservedCounts refusals;
     /** What it is in a fleet; null while it is in none, and then nothing of that is loaded. */
     private Membership membership;
     /** The fleet's configuration; null while it is not watched, and then nothing of that is loaded. */
-    private Following following;
+    private ConfigWatcher following;
     /** Where discovery is by this process's own configuration. */
     private InetSocketAddress ownDiscovery;
 
@@ -109,8 +109,8 @@
         this.ownDiscovery = config.discovery();
         this.group = group;
         this.loop = group.next();
-        this.log = new EventLog(config.settings().me());
-        this.standing = new Standing(log::state);
+        this.log = new EventLog(config.settings().instanceNumber());
+        this.standing = new LifecycleState(log::state);
         int half = Math.max(1, (config.sockets() - OWN_SOCKETS) / 2);
         this.upstream = new Upstream(
                 loop, config.dialTimeoutUs(), config.settings().limits().connIdleUs(), half, this::mostIdle, metrics);
@@ -118,24 +118,24 @@
         this.discovery = new Discovery(config, loop, upstream, log, metrics.discovery, new Discovery.Listener() {
             @Override
             public void listed(Source source, List<Endpoint> endpoints) {
-                core.listed(source, endpoints);
-                standing.listed(discovery.holdsList());
+                core.onEndpointList(source, endpoints);
+                standing.endpointsListed(discovery.holdsList());
                 adopt();
             }
 
             @Override
             public void failed(boolean unreachable) {
-                askAgain(() -> core.discoveryFailed(unreachable), agent.afterCall());
+                askAgain(() -> core.discoveryFailed(unreachable), agent.delayAfterCallUs());
             }
 
             @Override
             public void lost(long silentUs) {
-                askAgain(() -> core.watchLost(silentUs), agent.afterWatch());
+                askAgain(() -> core.watchLost(silentUs), agent.delayAfterWatchUs());
             }
 
             @Override
             public void ended() {
-                askAgain(core::watchEnded, agent.afterWatch());
+                askAgain(core::watchEnded, agent.delayAfterWatchUs());
             }
 
             @Override
@@ -174,13 +174,13 @@
                 Call call,
                 long timeoutUs,
                 BooleanSupplier wanted,
-                End<Upstream.Answer> end) {
+                AttemptListener<Upstream.Answer> end) {
             Upstream.Host host = discovery.host(hostId);
             return host == null ? null : upstream.attempt(host, call, timeoutUs, wanted, end);
         }
 
         @Override
-        public void probe(String hostId, End<Upstream.Answer> end) {
+        public void probe(String hostId, AttemptListener<Upstream.Answer> end) {
             Upstream.Host host = discovery.host(hostId);
             if (host == null) {
                 end.ended(Outcome.IGNORED, null);
@@ -196,13 +196,13 @@
         }
 
         @Override
-        public void listOverdue(Balancer.ListBound bound) {
+        public void onListExpired(Balancer.ListExpiryReason bound) {
             log.listOverdue(bound);
         }
     }
 
     private int mostIdle() {
-        return core.mostIdle();
+        return core.maxIdleConnections();
     }
 
     private static void defect(Throwable e) {
@@ -279,7 +279,7 @@
                     .submit(() -> {
                         proxy.discovery.take(Rehearsal.self(at.getAddress(), proxy.port()), Source.FULL);
                         // What listens is no client proxy, whatever its list says.
-                        proxy.standing.listed(false);
+                        proxy.standing.endpointsListed(false);
                         return new Rehearsal.Rounds(
                                         proxy.loop,
                                         proxy.upstream,
@@ -298,17 +298,21 @@
         }
     }
 
-    static ClientProxy start(Config config, Core.Maker maker) throws Exception {
+    static ClientProxy start(Config config, Core.BalancerFactory maker) throws Exception {
         return start(config, maker, false, null, begun -> {});
     }
 
-    /** One of many in a process, on event loops that they share: {@link Hollow}. */
+    /** One of many in a process, on event loops that they share: {@link SimulatedMembers}. */
     static ClientProxy hollow(Config config, EventLoopGroup shared) throws Exception {
         return start(config, Balancer::create, false, null, begun -> {}, shared);
     }
 
     private static ClientProxy start(
-            Config config, Core.Maker maker, boolean shared, ServerSocketChannel inherited, Consumer<ClientProxy> begun)
+            Config config,
+            Core.BalancerFactory maker,
+            boolean shared,
+            ServerSocketChannel inherited,
+            Consumer<ClientProxy> begun)
             throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
@@ -321,7 +325,7 @@
 
     private static ClientProxy start(
             Config config,
-            Core.Maker maker,
+            Core.BalancerFactory maker,
             boolean shared,
             ServerSocketChannel inherited,
             Consumer<ClientProxy> begun,
@@ -382,13 +386,13 @@
             proxies.forEach(ClientProxy::countRefusals);
             Operated process = first.new Operated(proxies);
             first.management = first.bound(
-                    () -> ManagementServer.listen(first.loop, at, Upstream.BUFFERS, new Calls(process)), at);
+                    () -> ManagementServer.listen(first.loop, at, Upstream.BUFFERS, new CommandHandler(process)), at);
         }
     }
 
     /** Makes it a member of a fleet; others hear of it as soon as its address can be had. */
     public void join(FleetFile file) throws IOException {
-        membership = Membership.join(loop, Upstream.BUFFERS, clock::now, config.seed(), file, core::living);
+        membership = Membership.join(loop, Upstream.BUFFERS, clock::now, config.seed(), file, core::setLiveInstances);
     }
 
     /** Says to the fleet that it goes, if it is in one. */
@@ -404,7 +408,7 @@
      */
     public void follow(ControlFile file, String name, List<ClientProxy> all) throws IOException {
         String[] before = {null};
-        following = new Following(loop, Upstream.BUFFERS, file, name, config.seed(), (version, how) -> {
+        following = new ConfigWatcher(loop, Upstream.BUFFERS, file, name, config.seed(), (version, how) -> {
             System.err.println("mulleinfront: configuration version " + version.number() + " in force, " + how);
             String now = version.entries().get("discovery");
             if (!Objects.equals(now, before[0])) {
@@ -429,12 +433,12 @@
 
     /** Only where somebody may ask: nothing of it is loaded elsewhere. */
     private void countRefusals() {
-        refusals = new Refusals(config.settings().classes());
+        refusals = new UnservedCounts(config.settings().classes());
         loop.execute(() -> core.observe(refusals));
     }
 
     /** What operators call, for all client proxies of a process. */
-    private final class Operated implements Calls.Process {
+    private final class Operated implements CommandHandler.Process {
         private final List<ClientProxy> all;
 
         Operated(List<ClientProxy> all) {
@@ -443,25 +447,25 @@
 
         @Override
         public boolean takesClients() {
-            return all.stream().allMatch(p -> p.standing.takesClients());
+            return all.stream().allMatch(p -> p.standing.acceptsClients());
         }
 
         @Override
         public String standing() {
-            return standing.word();
+            return standing.stateName();
         }
 
         @Override
         public String metrics() {
-            return all.stream().map(p -> p.metrics.words()).collect(Collectors.joining("; "));
+            return all.stream().map(p -> p.metrics.summary()).collect(Collectors.joining("; "));
         }
 
         /** Counters of other event loops are read as they are at some moment of late. */
         @Override
         public String refusals() {
-            Refusals sum = new Refusals(config.settings().classes());
+            UnservedCounts sum = new UnservedCounts(config.settings().classes());
             all.stream().filter(p -> p.refusals != null).forEach(p -> sum.add(p.refusals));
-            return sum.words();
+            return sum.summary();
         }
 
         @Override
@@ -473,7 +477,7 @@
         public void resume() {
             each(p -> p.standing.resume());
             if (membership != null) {
-                membership.comeBack();
+                membership.rejoin();
             }
         }
 
@@ -484,7 +488,7 @@
 
         @Override
         public boolean leave() {
-            boolean may = standing.sendsAway();
+            boolean may = standing.closesConnections();
             if (may) {
                 membership.leave();
             }
@@ -513,7 +517,7 @@
         }
     }
 
-    private void begin(Core.Maker maker, ServerSocketChannel handedOver) {
+    private void begin(Core.BalancerFactory maker, ServerSocketChannel handedOver) {
         inherited = handedOver;
         log.started(config.settings());
         metrics.guard.listen(log::violation);
@@ -525,15 +529,15 @@
         } else {
             // What the agent has counts as told from the first moment on, and the list of the configuration may be old:
             // that one is for an agent that is silent, since it has learnt nothing then.
-            discovery.watch(Wire.CALL_SILENCE_US);
+            discovery.watch(Wire.CALL_TIMEOUT_US);
             loop.schedule(this::goByKnown, AGENT_WAIT_MS, TimeUnit.MILLISECONDS);
         }
-        core.perform();
+        core.processQueue();
     }
 
     /** Only what has changed since the last line. */
     private void logMetrics() {
-        String now = metrics.words();
+        String now = metrics.summary();
         if (!now.equals(loggedMetrics)) {
             loggedMetrics = now;
             log.metrics(now);
@@ -620,7 +624,7 @@
         if (config.settings().subscribe()) {
             tell.run();
         } else {
-            loop.schedule(() -> discovery.watch(Wire.CALL_SILENCE_US), agentDelayUs, TimeUnit.MICROSECONDS);
+            loop.schedule(() -> discovery.watch(Wire.CALL_TIMEOUT_US), agentDelayUs, TimeUnit.MICROSECONDS);
         }
     }
 
@@ -640,7 +644,7 @@
         String tenantName = single(h, "X-Tenant");
         int tenant = tenantName == null ? -1 : config.tenants().indexOf(tenantName);
         boolean known = !h.contains("X-Tenant") || config.tenants().isEmpty() || tenant >= 0;
-        boolean fresh = id != null && !id.isEmpty() && !core.holds(id);
+        boolean fresh = id != null && !id.isEmpty() && !core.isOpen(id);
         if (!fresh
                 || classIndex == null
                 || deadlineMs < 1
@@ -654,7 +658,7 @@
             key = String.join(",", h.getAll("X-Key"));
         }
         Call call = Call.of(in, body);
-        core.take(
+        core.accept(
                 client,
                 id,
                 classIndex,
@@ -669,8 +673,8 @@
     }
 
     /** The last byte of a request that went on while it came has been read. */
-    void whole(Core.Exchange<Call, Upstream.Answer> x) {
-        core.whole(x);
+    void whole(Core.RequestHandle<Call, Upstream.Answer> x) {
+        core.requestComplete(x);
     }
 
     /**
@@ -684,13 +688,13 @@
                 .max()
                 .orElse(0);
         long left = Math.min(MOST_END_US, longest) + LAST_US;
-        core.endBy(clock.now() + left);
+        core.setShutdownDeadline(clock.now() + left);
         return left;
     }
 
     /** When the time of a request's client is up, microseconds on the clock of {@link #now}. */
-    long timeOf(Core.Exchange<Call, Upstream.Answer> x) {
-        return core.timeOf(x);
+    long timeOf(Core.RequestHandle<Call, Upstream.Answer> x) {
+        return core.timeLimitOf(x);
     }
 
     /** When whoever is refused for what it sent ahead may come again, microseconds; 0: no advice. */
@@ -699,8 +703,8 @@
     }
 
     /** The client closed its connection. */
-    void gone(Core.Exchange<Call, Upstream.Answer> x) {
-        core.gone(x);
+    void gone(Core.RequestHandle<Call, Upstream.Answer> x) {
+        core.abandoned(x);
     }
 
     /** What the method and its headers say of a repeat; null if they say nothing that the protocol knows. */
--- a/src/main/java/mulleinfront/proxy/Discovery.java
+++ b/src/main/java/mulleinfront/proxy/Discovery.java
@@ -27,7 +27,7 @@
 import mulleinfront.Balancer.Endpoint;
 import mulleinfront.Balancer.Source;
 import mulleinfront.core.EnumCounts;
-import mulleinfront.core.ListOrder;
+import mulleinfront.core.ListVersionFilter;
 import mulleinfront.core.Metrics;
 import mulleinfront.core.Wire;
 import mulleinfront.settings.Config;
@@ -38,7 +38,7 @@
  * failed, once; when to ask again is the module's to say, since discovery has little capacity.
  */
 final class Discovery {
-    static final long SILENCE_MS = Wire.SILENCE_US / 1000;
+    static final long SILENCE_MS = Wire.WATCH_TIMEOUT_US / 1000;
     /** News counts as told 4 s after a move: within that time a silent new address is asked again. */
     private static final long MOVED_SILENCE_MS = 1_800;
 
@@ -85,7 +85,7 @@
     private final Map<String, Integer> zones = new HashMap<>();
 
     private final Map<String, Integer> kinds = new HashMap<>();
-    private final ListOrder order = new ListOrder();
+    private final ListVersionFilter order = new ListVersionFilter();
     private long version = -1;
     private boolean heardAny;
     private Watch watch;
@@ -185,14 +185,14 @@
         moved = false;
         stop();
         version = -1;
-        order.forget();
+        order.reset();
         listener.calledElsewhere((System.nanoTime() - movedNanos) / 1000);
-        ask(pushed ? MOVED_SILENCE_MS : TimeUnit.MICROSECONDS.toMillis(Wire.movedSilenceUs(askWithinUs)));
+        ask(pushed ? MOVED_SILENCE_MS : TimeUnit.MICROSECONDS.toMillis(Wire.movedCallTimeoutUs(askWithinUs)));
     }
 
     /** How long a call's list may take, or stop halfway: twice as long after each call whose list was not finished. */
     private long listPatienceMs() {
-        return TimeUnit.MICROSECONDS.toMillis(Wire.LIST_PATIENCE_US) << unfinishedLists;
+        return TimeUnit.MICROSECONDS.toMillis(Wire.LIST_TIMEOUT_US) << unfinishedLists;
     }
 
     private void ask(long patienceMs) {
@@ -224,7 +224,7 @@
         version = whole ? listing.version() : Math.max(version, listing.version());
         List<Endpoint> endpoints = new ArrayList<>();
         Map<String, Upstream.Host> left = source == Source.DELTA ? new HashMap<>() : new HashMap<>(hosts);
-        for (Listing.Entry e : order.news(listing.version(), whole, listing.entries(), Listing.Entry::id)) {
+        for (Listing.Entry e : order.newEntries(listing.version(), whole, listing.entries(), Listing.Entry::id)) {
             left.remove(e.id());
             endpoints.add(new Endpoint(
                     e.id(),
@@ -393,7 +393,7 @@
          */
         private boolean nobodyTookIt(Throwable cause) {
             boolean atOnce = sinceBeginMs() < WAIT_MS;
-            boolean silent = cause instanceof ReadTimeoutException && sinceBeginMs() >= Wire.LONGEST_WAIT_MS;
+            boolean silent = cause instanceof ReadTimeoutException && sinceBeginMs() >= Wire.MAX_DISCOVERY_WAIT_MS;
             return !silence.heard() && (!connected || atOnce || silent);
         }
     }
--- a/src/main/java/mulleinfront/proxy/EventLog.java
+++ b/src/main/java/mulleinfront/proxy/EventLog.java
@@ -93,7 +93,7 @@
     }
 
     /** The list held had to be renewed by now, whatever became of calls: nothing is sent by it until it is. */
-    void listOverdue(Balancer.ListBound bound) {
+    void listOverdue(Balancer.ListExpiryReason bound) {
         line(event("list_overdue").append(" bound=").append(bound.name().toLowerCase(Locale.ROOT)));
     }
 
--- a/src/main/java/mulleinfront/proxy/Frontend.java
+++ b/src/main/java/mulleinfront/proxy/Frontend.java
@@ -37,14 +37,14 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import mulleinfront.core.Caller;
 import mulleinfront.core.Core;
 import mulleinfront.core.EnumCounts;
+import mulleinfront.core.LifecycleState;
 import mulleinfront.core.Metrics;
 import mulleinfront.core.Metrics.Close;
+import mulleinfront.core.ResponseHandler;
 import mulleinfront.core.RuleGuard;
-import mulleinfront.core.Standing;
-import mulleinfront.manage.Calls;
+import mulleinfront.manage.CommandHandler;
 import mulleinfront.manage.ManagementServer;
 import mulleinfront.settings.Version;
 
@@ -117,7 +117,7 @@
 
     private long held;
     private final LoopStall stall = new LoopStall(TimeUnit.MILLISECONDS.toMicros(SWEEP_MS), System.nanoTime());
-    private final Standing standing;
+    private final LifecycleState standing;
     private ClientChannel.Listener server;
     private boolean sweeping;
     private boolean deaf;
@@ -125,7 +125,7 @@
     private long lastReadNanos;
     private long lastAnswerNanos;
 
-    Frontend(ClientProxy proxy, Standing standing, EventLoop loop, int mostClients, Metrics metrics) {
+    Frontend(ClientProxy proxy, LifecycleState standing, EventLoop loop, int mostClients, Metrics metrics) {
         this.closes = metrics.clientCloses;
         this.guard = metrics.guard;
         this.mostClients = mostClients;
@@ -141,7 +141,7 @@
      * @param shared whether others listen there too, each with its own part of the connections
      * @param door the operators' who may call there too, since it is their address; null if it is not
      */
-    ChannelFuture listen(InetSocketAddress address, boolean shared, Calls.Process door) {
+    ChannelFuture listen(InetSocketAddress address, boolean shared, CommandHandler.Process door) {
         ServerBootstrap server = bootstrap(door).channelFactory(() -> new ClientChannel.Listener(null, this::hold));
         if (shared) {
             server.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
@@ -159,7 +159,7 @@
                 .channel();
     }
 
-    private ServerBootstrap bootstrap(Calls.Process door) {
+    private ServerBootstrap bootstrap(CommandHandler.Process door) {
         if (!sweeping) {
             sweeping = true;
             loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
@@ -193,9 +193,9 @@
 
     /** Tells operators from the rehearsal's own requests: a method has capitals, a call has none. */
     private final class Divide extends ByteToMessageDecoder {
-        private final Calls.Process door;
+        private final CommandHandler.Process door;
 
-        Divide(Calls.Process door) {
+        Divide(CommandHandler.Process door) {
             this.door = door;
         }
 
@@ -204,7 +204,7 @@
             if (Character.isUpperCase(in.getByte(in.readerIndex()))) {
                 serve(ctx.channel());
             } else {
-                ManagementServer.answerOn(ctx.channel(), new Calls(door));
+                ManagementServer.answerOn(ctx.channel(), new CommandHandler(door));
             }
             ctx.pipeline().remove(this);
         }
@@ -295,7 +295,8 @@
     }
 
     /** One connection of the application. */
-    final class Client extends SimpleChannelInboundHandler<HttpObject> implements Caller<Call, Upstream.Answer> {
+    final class Client extends SimpleChannelInboundHandler<HttpObject>
+            implements ResponseHandler<Call, Upstream.Answer> {
         private final ClientChannel channel;
         private final ArrayDeque<Ahead> ahead = new ArrayDeque<>();
         private int aheadBytes;
@@ -329,7 +330,7 @@
         /** When the first byte of the request being read came; 0 if nothing of one has. */
         private long startedAt;
 
-        private Core.Exchange<Call, Upstream.Answer> exchange;
+        private Core.RequestHandle<Call, Upstream.Answer> exchange;
 
         /** A request as read; or what is to be said of one that can't be, or of so many that were too much. */
         private record Ahead(HttpRequest head, byte[] body, long at, HttpResponseStatus error, int shed) {
@@ -372,7 +373,7 @@
                 return startedAt == 0 || silent > HALF_WAY_MS || now > lastReadNanos;
             }
             if (startedAt == 0) {
-                return silent > (standing.sendsAway() ? SENT_AWAY_MS : QUIET_MS);
+                return silent > (standing.closesConnections() ? SENT_AWAY_MS : QUIET_MS);
             }
             return silent > QUIET_MS || head == null && TimeUnit.NANOSECONDS.toMillis(now - startedAt) > HEAD_MS;
         }
@@ -532,7 +533,7 @@
 
         /** Ends an open request whose client does not do its part. */
         private void giveUp(HttpResponseStatus status) {
-            Core.Exchange<Call, Upstream.Answer> x = exchange;
+            Core.RequestHandle<Call, Upstream.Answer> x = exchange;
             answer(status);
             if (x != null) {
                 proxy.gone(x);
@@ -640,12 +641,12 @@
 
         /** The request at hand is open until {@link #answer}. */
         @Override
-        public void opened(Core.Exchange<Call, Upstream.Answer> exchange) {
+        public void opened(Core.RequestHandle<Call, Upstream.Answer> exchange) {
             this.exchange = exchange;
         }
 
         @Override
-        public boolean present() {
+        public boolean stillWaiting() {
             if (!channel.left()) {
                 return true;
             }
@@ -661,7 +662,7 @@
 
         /** The rest goes on at the client's pace; where it breaks off, so does the connection, before any end of it. */
         @Override
-        public void begins(Upstream.Answer answer) {
+        public void responseStarted(Upstream.Answer answer) {
             boolean last = isLast();
             boolean chunked = answer.rest().length() < 0 && !old;
             boolean untilClose = answer.rest().length() < 0 && old;
@@ -748,7 +749,8 @@
         /** In a crowd nobody keeps what others wait for: clients may hold only so many connections as well. */
         private boolean isLast() {
             return !keepAlive
-                    || ahead.isEmpty() && (standing.sendsAway() || clients.size() - parting.size() > mostClients / 2);
+                    || ahead.isEmpty()
+                            && (standing.closesConnections() || clients.size() - parting.size() > mostClients / 2);
         }
 
         @Override
--- a/src/main/java/mulleinfront/proxy/Rehearsal.java
+++ b/src/main/java/mulleinfront/proxy/Rehearsal.java
@@ -19,7 +19,7 @@
 import mulleinfront.Balancer.Request;
 import mulleinfront.Balancer.RequestClass;
 import mulleinfront.Balancer.Source;
-import mulleinfront.core.Silent;
+import mulleinfront.core.NoOpActions;
 import mulleinfront.settings.Config;
 import mulleinfront.settings.Listing;
 
@@ -63,7 +63,7 @@
     static void decide(Balancer.Settings settings) {
         ArrayDeque<AttemptEnd> ends = new ArrayDeque<>();
         long now = 1_000_000;
-        Balancer module = Balancer.create(settings, 1, now, new Silent() {
+        Balancer module = Balancer.create(settings, 1, now, new NoOpActions() {
             @Override
             public void send(String requestId, String endpointId, long timeoutUs) {
                 ends.add(new AttemptEnd(requestId, 0, Outcome.OK, true, 20_000));
@@ -118,7 +118,7 @@
             }
 
             @Override
-            public void onRequestGone(long now, String requestId) {}
+            public void onRequestAbandoned(long now, String requestId) {}
 
             @Override
             public void onStreamStarted(long now, String requestId, int attempt) {}
--- a/src/main/java/mulleinfront/proxy/Serve.java
+++ b/src/main/java/mulleinfront/proxy/Serve.java
@@ -22,7 +22,7 @@
 import mulleinfront.settings.Config;
 import mulleinfront.settings.ControlFile;
 import mulleinfront.settings.FleetFile;
-import mulleinfront.settings.Machine;
+import mulleinfront.settings.ProcessSettings;
 import sun.misc.Signal;
 
 /** {@code serve} and {@code rehearse}: client proxies as a process, with its signals, log and end. */
@@ -62,7 +62,7 @@
         try {
             List<ClientProxy> proxies = machine == null
                     ? List.of(ClientProxy.start(config, inherited, begun::add))
-                    : start(config, Machine.load(Path.of(machine)), begun::add);
+                    : start(config, ProcessSettings.load(Path.of(machine)), begun::add);
             ClientProxy.operate(proxies);
             proxies.forEach(proxy -> proxy.processStarted(ProcessStart.agoUs()));
             if (member != null) {
@@ -97,11 +97,11 @@
     }
 
     /** Starts the client proxies of a machine file; they listen on one port. */
-    public static List<ClientProxy> start(Config config, Machine machine) throws Exception {
+    public static List<ClientProxy> start(Config config, ProcessSettings machine) throws Exception {
         return start(config, machine, begun -> {});
     }
 
-    private static List<ClientProxy> start(Config config, Machine machine, Consumer<ClientProxy> begun)
+    private static List<ClientProxy> start(Config config, ProcessSettings machine, Consumer<ClientProxy> begun)
             throws Exception {
         return ClientProxy.startAll(
                 machine.split(
@@ -113,7 +113,7 @@
      * Starts as a client proxy does, refuses one request for want of hosts and ends: while it does, the build
      * lets the JVM note which classes a start needs, so that the deployed one has them at hand.
      */
-    public static void rehearse() throws Exception {
+    public static void warmUp() throws Exception {
         logPlainly();
         try (InputStream sample = Serve.class.getResourceAsStream("/rehearsal.json")) {
             ClientProxy proxy = ClientProxy.start(Config.parse(sample.readAllBytes()));
@@ -134,7 +134,7 @@
             Config changed = Config.load(file);
             proxies.forEach(proxy -> proxy.reload(changed));
         } catch (IOException | RuntimeException e) {
-            System.err.println("mulleinfront: the configuration stays as it was: " + Config.plain(e));
+            System.err.println("mulleinfront: the configuration stays as it was: " + Config.rootCauseMessage(e));
         }
     }
 
--- a/src/main/java/mulleinfront/proxy/Hollow.java
+++ b/src/main/java/mulleinfront/proxy/SimulatedMembers.java
@@ -19,14 +19,14 @@
  * the fleet, its watch of the fleet's configuration, its door for clients and hosts. What it leaves out: a JVM of its own, the rehearsal of its code before it
  * is ready, the drain at its end, the operators' door, and, since nobody calls, the data path's load.
  */
-public final class Hollow {
+public final class SimulatedMembers {
     /** After they have said that they leave, the news get this long to go out. */
     private static final long LEAVE_MS = 300;
 
     private final List<ClientProxy> proxies = new ArrayList<>();
     private final EventLoopGroup group;
 
-    private Hollow(int loops) {
+    private SimulatedMembers(int loops) {
         this.group = new MultiThreadIoEventLoopGroup(loops, NioIoHandler.newFactory());
     }
 
@@ -38,8 +38,8 @@
      * @param control where the fleet's configuration is watched; null: it is not
      * @throws IOException if one can't be read or taken, or an address can't be had
      */
-    public static Hollow start(List<Path> files, int loops, ControlFile control) throws Exception {
-        Hollow all = new Hollow(loops);
+    public static SimulatedMembers start(List<Path> files, int loops, ControlFile control) throws Exception {
+        SimulatedMembers all = new SimulatedMembers(loops);
         try {
             for (Path file : files) {
                 Config config = Config.load(file.toString());
--- a/src/main/java/mulleinfront/proxy/Upstream.java
+++ b/src/main/java/mulleinfront/proxy/Upstream.java
@@ -52,7 +52,7 @@
  */
 final class Upstream {
     private static final long SWEEP_MS = 100;
-    private static final long REST_NANOS = Wire.REST_US * 1000;
+    private static final long REST_NANOS = Wire.CONNECTION_COOL_DOWN_US * 1000;
     /** Interim answers (1xx) to one request; more of them is noise. */
     private static final int MOST_INTERIM = 16;
     /**
@@ -113,7 +113,7 @@
         this.guard = metrics.guard;
         this.mostIdle = mostIdle;
         this.mostConnections = mostConnections;
-        this.mostIdleNanos = (long) (connIdleUs * 1000 * Wire.IDLE_PART);
+        this.mostIdleNanos = (long) (connIdleUs * 1000 * Wire.IDLE_CLOSE_FRACTION);
         this.idleNanos = mostIdleNanos;
         this.bootstrap = new Bootstrap()
                 .group(loop)
@@ -173,7 +173,7 @@
      *
      * @param wanted whether it may still be sent
      */
-    Attempt attempt(Host host, Call call, long timeoutUs, BooleanSupplier wanted, Wire.End<Answer> end) {
+    Attempt attempt(Host host, Call call, long timeoutUs, BooleanSupplier wanted, Wire.AttemptListener<Answer> end) {
         if (call.rest() != null && call.rest().given()) {
             // Part of the body has gone to another host and is not kept.
             return null;
@@ -219,7 +219,7 @@
         private final Call call;
         private long endNanos;
         private final BooleanSupplier wanted;
-        private final Wire.End<Answer> end;
+        private final Wire.AttemptListener<Answer> end;
         private ScheduledFuture<?> timer;
         private ChannelFuture connecting;
         private Connection connection;
@@ -229,12 +229,13 @@
         private long writtenAt;
         private boolean over;
 
-        private Attempt(Host host, Call call, long timeoutUs, BooleanSupplier wanted, Wire.End<Answer> end) {
+        private Attempt(
+                Host host, Call call, long timeoutUs, BooleanSupplier wanted, Wire.AttemptListener<Answer> end) {
             this.host = host;
             this.call = call;
             this.wanted = wanted;
             this.end = end;
-            if (timeoutUs != Wire.OPEN) {
+            if (timeoutUs != Wire.NO_TIMEOUT) {
                 endWithin(timeoutUs);
             }
         }
@@ -293,7 +294,7 @@
                     up.channel().close();
                 } else if (f.isSuccess()) {
                     write(made, false);
-                } else if (resetAtOnce(f.cause()) && fresh < Wire.MOST_FRESH) {
+                } else if (resetAtOnce(f.cause()) && fresh < Wire.MAX_NEW_CONNECTIONS) {
                     connect();
                 } else {
                     finish(ownFailure(f.cause()) ? Outcome.IGNORED : Outcome.CONNECT_ERROR, null);
@@ -316,7 +317,7 @@
             }
             if (!c.leadsToHost()) {
                 release();
-                if (fresh < Wire.MOST_FRESH) {
+                if (fresh < Wire.MAX_NEW_CONNECTIONS) {
                     connect();
                 } else {
                     finish(Outcome.CONNECT_ERROR, null);
@@ -341,7 +342,7 @@
                 if (f.isSuccess() || over) {
                     return;
                 }
-                if (reused || fresh < Wire.MOST_FRESH) {
+                if (reused || fresh < Wire.MAX_NEW_CONNECTIONS) {
                     idleFor = 0;
                     release();
                     connect();
@@ -387,7 +388,7 @@
             if (timer != null) {
                 timer.cancel(false);
             }
-            return end.begun(answer);
+            return end.responseStarted(answer);
         }
 
         /** Stops waiting: the connection goes with the attempt, so that the host stops too. */
@@ -714,7 +715,7 @@
                 }
                 double held = LoadReport.held(said);
                 if (held >= 0) {
-                    ended.end.reported(held);
+                    ended.end.loadReported(held);
                 }
                 ended.connection = null;
                 ended.finish(how, what);
--- a/src/main/java/mulleinfront/settings/Config.java
+++ b/src/main/java/mulleinfront/settings/Config.java
@@ -47,7 +47,7 @@
         Listing known,
         String fleet) {
 
-    /** What the program is sized for as deployed; a lower limit is kept, a higher one used only by {@link Machine}. */
+    /** What the program is sized for as deployed; a lower limit is kept, a higher one used only by {@link ProcessSettings}. */
     private static final int MOST_SOCKETS = 1024;
     /** Seeds of loops differ by this, as those of {@link java.util.SplittableRandom} do. */
     private static final long SEED_STEP = 0x9e3779b97f4a7c15L;
@@ -67,7 +67,7 @@
         try {
             return parse(Files.readAllBytes(Path.of(path)));
         } catch (IOException | IllegalArgumentException e) {
-            throw new IOException(path + ": " + plain(e), e);
+            throw new IOException(path + ": " + rootCauseMessage(e), e);
         }
     }
 
@@ -151,8 +151,8 @@
 
     /** One of several client proxies in a process, each an instance to the module. */
     Config part(int number, int of, int itsSockets) {
-        int me = settings.me() < 0 ? -1 : settings.me() * of + number;
-        Settings shared = settings.of(me, settings.instances() * of);
+        int me = settings.instanceNumber() < 0 ? -1 : settings.instanceNumber() * of + number;
+        Settings shared = settings.forInstance(me, settings.instances() * of);
         return new Config(
                 listen,
                 management,
@@ -208,7 +208,7 @@
     }
 
     /** One plain line that says what went wrong. */
-    public static String plain(Exception e) {
+    public static String rootCauseMessage(Exception e) {
         String text = e instanceof JsonProcessingException j
                 ? "malformed input: " + j.getOriginalMessage()
                 : String.valueOf(e.getMessage());
--- a/src/main/java/mulleinfront/settings/ControlFile.java
+++ b/src/main/java/mulleinfront/settings/ControlFile.java
@@ -9,8 +9,8 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import mulleinfront.config.FollowerSettings;
-import mulleinfront.config.HandoutSettings;
+import mulleinfront.config.PublisherSettings;
+import mulleinfront.config.SubscriberSettings;
 
 /**
  * Where the control machines are, how they hand the configuration out and how client proxies follow them.
@@ -24,7 +24,7 @@
  * @param events file of a control machine's event log, {@code %n} its name; null: none is kept
  */
 public record ControlFile(
-        List<Machine> machines, HandoutSettings handout, FollowerSettings follow, String state, String events) {
+        List<Machine> machines, PublisherSettings handout, SubscriberSettings follow, String state, String events) {
 
     /**
      * One control machine.
@@ -33,7 +33,7 @@
      * @param consensus where the other control machines reach it
      * @param door where client proxies and operators do
      */
-    public record Machine(String name, InetSocketAddress consensus, InetSocketAddress door) {}
+    public record Machine(String name, InetSocketAddress consensus, InetSocketAddress clientAddress) {}
 
     /** Reads such a file; whatever can't be gone by is said with file, line and reason. */
     public static ControlFile load(Path file) throws BadFileException {
@@ -52,7 +52,7 @@
             if (!seen.add(m.consensus())) {
                 throw s.wrong("consensus", "something else has this address");
             }
-            if (!seen.add(m.door())) {
+            if (!seen.add(m.clientAddress())) {
                 throw s.wrong("door", "something else has this address");
             }
             s.done();
@@ -61,8 +61,8 @@
         if (machines.size() != 3) {
             throw root.wrong("machine", "there must be three [[machine]], not " + machines.size());
         }
-        HandoutSettings handout = handout(root.table("handout"));
-        FollowerSettings follow = follow(root.table("follow"), machines.size(), handout.heartbeatUs());
+        PublisherSettings handout = handout(root.table("handout"));
+        SubscriberSettings follow = follow(root.table("follow"), machines.size(), handout.heartbeatUs());
         String state = root.text("state", "");
         String events = root.text("events", "");
         root.done();
@@ -74,23 +74,23 @@
                 events.isEmpty() ? null : events);
     }
 
-    private static HandoutSettings handout(Section s) throws BadFileException {
-        HandoutSettings usual = HandoutSettings.USUAL;
+    private static PublisherSettings handout(Section s) throws BadFileException {
+        PublisherSettings usual = PublisherSettings.DEFAULTS;
         long heartbeat = within(s, "heartbeat", usual.heartbeatUs(), 50_000, 60_000_000);
         double rate = s.rate("bytes", (double) usual.bytesPerS());
         if (rate < 1_000 || rate > 10_000_000) {
             throw s.wrong("bytes", "must be from 1000/s to 10000000/s");
         }
         int burst = s.count("burst", usual.burst(), 1_200);
-        long silent = within(s, "reader-silence", usual.silentUs(), heartbeat, 3_600_000_000L);
-        long patience = within(s, "reader-patience", usual.patienceUs(), 1_000_000, 3_600_000_000L);
-        int readers = s.count("readers", usual.mostReaders(), 1);
+        long silent = within(s, "reader-silence", usual.subscriberTimeoutUs(), heartbeat, 3_600_000_000L);
+        long patience = within(s, "reader-patience", usual.sendTimeoutUs(), 1_000_000, 3_600_000_000L);
+        int readers = s.count("readers", usual.maxSubscribers(), 1);
         s.done();
-        return new HandoutSettings(heartbeat, (int) rate, burst, silent, patience, readers);
+        return new PublisherSettings(heartbeat, (int) rate, burst, silent, patience, readers);
     }
 
-    private static FollowerSettings follow(Section s, int machines, long heartbeatUs) throws BadFileException {
-        FollowerSettings usual = FollowerSettings.usual(machines);
+    private static SubscriberSettings follow(Section s, int machines, long heartbeatUs) throws BadFileException {
+        SubscriberSettings usual = SubscriberSettings.defaults(machines);
         long silence = within(s, "silence", usual.silenceUs(), 2 * heartbeatUs, 3_600_000_000L);
         long connect = within(s, "connect", usual.connectUs(), 10_000, silence);
         long spread = within(s, "spread", usual.spreadUs(), 1_000, 60_000_000);
@@ -99,7 +99,7 @@
         long behind = within(s, "behind", usual.behindUs(), 1_000, 60_000_000);
         long report = within(s, "report", usual.reportUs(), 50_000, 60_000_000);
         s.done();
-        return new FollowerSettings(machines, silence, connect, spread, retry, mostRetry, behind, report);
+        return new SubscriberSettings(machines, silence, connect, spread, retry, mostRetry, behind, report);
     }
 
     private static long within(Section s, String key, long absent, long least, long most) throws BadFileException {
--- a/src/main/java/mulleinfront/settings/DifferenceLine.java
+++ b/src/main/java/mulleinfront/settings/DifferenceLine.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import mulleinfront.config.Difference;
-import mulleinfront.config.MisfitException;
 import mulleinfront.config.Version;
+import mulleinfront.config.VersionMismatchException;
 
 /** Differences as a line of JSON: on a watch, and over nothing as the copy that a client proxy keeps. */
 public final class DifferenceLine {
@@ -136,8 +136,8 @@
                 throw new IOException("it is not a whole version");
             }
             return d.on(Version.NONE);
-        } catch (JsonProcessingException | MisfitException e) {
-            throw new IOException(Config.plain(e), e);
+        } catch (JsonProcessingException | VersionMismatchException e) {
+            throw new IOException(Config.rootCauseMessage(e), e);
         }
     }
 }
--- a/src/main/java/mulleinfront/settings/FleetFile.java
+++ b/src/main/java/mulleinfront/settings/FleetFile.java
@@ -68,7 +68,7 @@
         }
         long period = within(root, "period", 1_000_000, LEAST_PERIOD_US, MOST_PERIOD_US);
         long gone = within(root, "gone-after", 600_000_000, 10 * period, Long.MAX_VALUE);
-        FleetSettings usual = FleetSettings.usual(
+        FleetSettings usual = FleetSettings.defaults(
                 fleet, place.name(), place.number(), place.peers().size(), period, gone);
         long conclude = within(root, "conclude", usual.concludeUs(), 2, period);
         long answer = within(root, "answer", Math.min(usual.answerUs(), conclude / 2), 1, conclude - 1);
--- a/src/main/java/mulleinfront/settings/Machine.java
+++ b/src/main/java/mulleinfront/settings/ProcessSettings.java
@@ -14,7 +14,7 @@
  *        watch of discovery
  * @param sockets descriptors at most, whatever the configuration's limits allow; 0: as many as those allow
  */
-public record Machine(int loops, int sockets) {
+public record ProcessSettings(int loops, int sockets) {
     /** The most event loops that are of use: each is a thread that wants a core. */
     public static final int MOST_LOOPS = 64;
     /**
@@ -28,7 +28,7 @@
      *
      * @throws BadFileException saying file, line and reason
      */
-    public static Machine load(Path file) throws BadFileException {
+    public static ProcessSettings load(Path file) throws BadFileException {
         String text;
         try {
             text = Files.readString(file);
@@ -42,7 +42,7 @@
         if (loops > MOST_LOOPS) {
             throw root.wrong("loops", "must be " + MOST_LOOPS + " at most");
         }
-        Machine machine = new Machine(loops, root.count("sockets", 0, 0));
+        ProcessSettings machine = new ProcessSettings(loops, root.count("sockets", 0, 0));
         root.done();
         return machine;
     }
--- a/src/main/java/mulleinfront/settings/Section.java
+++ b/src/main/java/mulleinfront/settings/Section.java
@@ -56,17 +56,17 @@
     }
 
     /** Whether the file itself says it, rather than the one that it stands on. */
-    public boolean says(String key) {
+    public boolean statesOwn(String key) {
         return table.contains(List.of(key));
     }
 
     /** It may be there and does not count: the file says in another way what the one under it says by this. */
-    public void pass(String key) {
+    public void markRead(String key) {
         asked.add(key);
     }
 
     public boolean has(String key) {
-        return says(key) || base != null && base.has(key);
+        return statesOwn(key) || base != null && base.has(key);
     }
 
     /** Returns the subtable of this key, which is empty if the file has none. */
@@ -107,12 +107,12 @@
     /** The same, but none of the file that this one stands on. */
     public List<Section> ownTables(String key) throws BadFileException {
         asked.add(key);
-        return says(key) ? tables(key) : List.of();
+        return statesOwn(key) ? tables(key) : List.of();
     }
 
     /** Creates, without throwing it, an exception that names the file, the line, the key and the reason. */
     public BadFileException wrong(String key, String reason) {
-        if (!says(key) && base != null && base.has(key)) {
+        if (!statesOwn(key) && base != null && base.has(key)) {
             return base.wrong(key, reason);
         }
         return new BadFileException(
--- a/src/main/java/mulleinfront/settings/WatchLine.java
+++ b/src/main/java/mulleinfront/settings/WatchLine.java
@@ -22,7 +22,7 @@
  * @param inTouch whether the machine has heard of a majority lately
  * @param checksum of what the reader has in force
  */
-public record WatchLine(Difference difference, long number, boolean inTouch, long checksum) {
+public record WatchLine(Difference difference, long number, boolean hasQuorumContact, long checksum) {
 
     /** Writes fields of an object. */
     public interface Fields {
--- a/src/test/java/mulleinfront/CallScheduleTest.java
+++ b/src/test/java/mulleinfront/CallScheduleTest.java
@@ -15,7 +15,7 @@
     private static final long NOW = 1_796_169_600L * S + 123_457;
 
     private static CallSchedule of(int me, int instances, long seed) {
-        return new CallSchedule(Rig.settings(true, Rig.SAFE).of(me, instances), 16, seed, NOW);
+        return new CallSchedule(Rig.settings(true, Rig.SAFE).forInstance(me, instances), 16, seed, NOW);
     }
 
     @Test
@@ -91,7 +91,7 @@
     void theTimeForAskingIsTheSettingsWhateverDiscoveryBears(long askWithinUs) {
         for (int i = 0; i < 100; i++) {
             CallSchedule one = new CallSchedule(
-                    Rig.settings(true, Rig.SAFE).asking(askWithinUs).of(i, 100), 16, i, NOW);
+                    Rig.settings(true, Rig.SAFE).asking(askWithinUs).forInstance(i, 100), 16, i, NOW);
             assertTrue(one.atStart(NOW, true) < NOW + askWithinUs, "at the start");
             one.called(NOW);
             // An answer takes a second: calls of all would take far longer than there is time.
@@ -121,7 +121,7 @@
     @Test
     void whereTheTimeForAskingIsShortPatienceGrowsUntilSomethingComesThrough() {
         CallSchedule one =
-                new CallSchedule(Rig.settings(true, Rig.SAFE).asking(S).of(0, 5), 16, 1, NOW);
+                new CallSchedule(Rig.settings(true, Rig.SAFE).asking(S).forInstance(0, 5), 16, 1, NOW);
         long now = NOW;
         for (int calls = 0; calls < 3; calls++) {
             one.called(now);
--- a/src/test/java/mulleinfront/FleetTest.java
+++ b/src/test/java/mulleinfront/FleetTest.java
@@ -182,7 +182,7 @@
         rig.request(0, "k", 1_900_000);
         for (int i = 0; i < 2_000; i++) {
             rig.balancer.onRequest(rig.now, new Request("x" + i, 0, "k" + i, 1_000_000, 0, 0, false));
-            rig.balancer.onRequestGone(rig.now, "x" + i);
+            rig.balancer.onRequestAbandoned(rig.now, "x" + i);
         }
         rig.balancer.onEndpoints(rig.now, Source.FULL, List.of());
         String id = rig.request(0, "k", 1_000_000);
@@ -226,7 +226,7 @@
             String id = rig.request(0, "k", 130_000);
             assertEquals(owner, rig.at(id));
             rig.pass(130_000);
-            rig.balancer.onRequestGone(rig.now, id);
+            rig.balancer.onRequestAbandoned(rig.now, id);
             rig.end(id, Outcome.CANCELED, 130_000);
         }
         assertEquals(owner, rig.serve(0, "k"));
--- a/src/test/java/mulleinfront/ListDeadlineTest.java
+++ b/src/test/java/mulleinfront/ListDeadlineTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import mulleinfront.Balancer.ListBound;
+import mulleinfront.Balancer.ListExpiryReason;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -30,7 +30,7 @@
         deadline.called(LOST + 2 * S);
         deadline.waitedInVain();
         assertEquals(LOST + ListDeadline.WATCH_ENDED_US, deadline.toldBy());
-        assertEquals(ListBound.WATCH_ENDED, deadline.bound());
+        assertEquals(ListExpiryReason.WATCH_ENDED, deadline.bound());
     }
 
     @Test
@@ -47,7 +47,7 @@
         deadline.called(LOST + S);
         deadline.refused();
         assertEquals(LOST - 2 * S + ListDeadline.REACHABLE_US, deadline.toldBy());
-        assertEquals(ListBound.REACHABLE, deadline.bound());
+        assertEquals(ListExpiryReason.REACHABLE, deadline.bound());
     }
 
     @Test
@@ -58,7 +58,7 @@
         assertEquals(LOST + S, brief.toldBy());
         brief.called(LOST + S / 2);
         assertEquals(LOST + S / 2 + S, brief.toldBy());
-        assertEquals(ListBound.ASK_WITHIN, brief.bound());
+        assertEquals(ListExpiryReason.ASK_WITHIN, brief.bound());
         brief.refused();
         assertEquals(LOST + S / 2 + 4 * S, brief.toldBy());
     }
@@ -141,7 +141,7 @@
         deadline.moved(LOST);
         deadline.called(LOST + S);
         assertEquals(LOST + ListDeadline.MOVED_US, deadline.toldBy());
-        assertEquals(ListBound.MOVED, deadline.bound());
+        assertEquals(ListExpiryReason.MOVED, deadline.bound());
         deadline.moved(LOST + 2 * S);
         assertEquals(LOST + ListDeadline.MOVED_US, deadline.toldBy());
         deadline.renewed();
--- a/src/test/java/mulleinfront/LogicTest.java
+++ b/src/test/java/mulleinfront/LogicTest.java
@@ -342,14 +342,14 @@
     void unknownAndRepeatedEventsDoNoHarm() {
         Rig rig = new Rig(Rig.SAFE).endpoints(3);
         rig.end("nobody", Outcome.FAILED, 1);
-        rig.balancer.onRequestGone(rig.now, "nobody");
+        rig.balancer.onRequestAbandoned(rig.now, "nobody");
         rig.balancer.onStreamStarted(rig.now, "nobody", 3);
         String id = rig.request(0, "k", 1_000_000);
         rig.end(id, Outcome.OK, 1_000);
         int before = rig.log.size();
         rig.end(id, Outcome.OK, 1_000);
         rig.end(id, Outcome.FAILED, 1_000);
-        rig.balancer.onRequestGone(rig.now, id);
+        rig.balancer.onRequestAbandoned(rig.now, id);
         assertEquals(before, rig.log.size());
     }
 
@@ -400,7 +400,7 @@
         String id = rig.request(0, "k", 1_000_000);
         rig.balancer.onStreamStarted(rig.now + 10_000, id, 0);
         rig.pass(3_000_000);
-        rig.balancer.onRequestGone(rig.now, id);
+        rig.balancer.onRequestAbandoned(rig.now, id);
         assertFalse(rig.log.contains("cancel " + id + " 0"), rig.log.toString());
     }
 
--- a/src/test/java/mulleinfront/OverdueListTest.java
+++ b/src/test/java/mulleinfront/OverdueListTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import mulleinfront.Balancer.ListBound;
+import mulleinfront.Balancer.ListExpiryReason;
 import mulleinfront.Balancer.Outcome;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -73,7 +73,7 @@
         rig.pass(500_000);
         assertEquals(
                 1, rig.log.stream().filter(l -> l.startsWith("list-overdue")).count());
-        assertTrue(rig.log.contains("list-overdue " + ListBound.WATCH_ENDED));
+        assertTrue(rig.log.contains("list-overdue " + ListExpiryReason.WATCH_ENDED));
     }
 
     /** Discovery is down: what it has can not be told, and clients are served by the list that there is. */
--- a/src/test/java/mulleinfront/RefusalTest.java
+++ b/src/test/java/mulleinfront/RefusalTest.java
@@ -9,12 +9,12 @@
 import mulleinfront.Balancer.Endpoint;
 import mulleinfront.Balancer.Outcome;
 import mulleinfront.Balancer.Source;
-import mulleinfront.Refusal.Cause;
+import mulleinfront.UnservedReason.Cause;
 import org.junit.jupiter.api.Test;
 
 /** What the module says of requests that it gives up, and that saying it changes nothing. */
 class RefusalTest {
-    private final List<Refusal> told = new ArrayList<>();
+    private final List<UnservedReason> told = new ArrayList<>();
 
     private Rig rig(boolean many) {
         Rig rig = new Rig(
@@ -26,7 +26,7 @@
         return rig;
     }
 
-    private Refusal last(Rig rig, String id) {
+    private UnservedReason last(Rig rig, String id) {
         rig.pass(600_000);
         assertTrue(rig.finals.containsKey(id), id + " is still open");
         return told.stream()
@@ -54,7 +54,7 @@
         for (int i = 0; i < 3; i++) {
             cold.starts("e" + i);
         }
-        Refusal short1 = null;
+        UnservedReason short1 = null;
         for (int i = 0; i < 40 && (short1 == null || short1.cause() != Cause.COLD); i++) {
             String id = cold.request(0, "k" + i, 1_000_000);
             if (cold.at(id) == null) {
@@ -66,12 +66,12 @@
         Rig busy = rig(true).endpoints(3);
         busy.serve(0, "k");
         for (int i = 0; i < 3; i++) {
-            busy.balancer.onReport(busy.now, "e" + i, 90);
+            busy.balancer.onLoadReport(busy.now, "e" + i, 90);
         }
         busy.pass(100_000);
-        Refusal refused = last(busy, busy.request(0, "k", 1_000_000));
+        UnservedReason refused = last(busy, busy.request(0, "k", 1_000_000));
         assertEquals(Cause.ADMISSION, refused.cause());
-        assertTrue(refused.bound() < 0.2, "the share admitted: " + refused.bound());
+        assertTrue(refused.limitReached() < 0.2, "the share admitted: " + refused.limitReached());
 
         Rig owners = rig(true).endpoints(80);
         List<String> held = new ArrayList<>();
@@ -79,16 +79,16 @@
         while (owners.at(taken) != null) {
             owners.end(taken, Outcome.OK, 20_000);
             held.add(owners.at(taken));
-            held.forEach(e -> owners.balancer.onReport(owners.now, e, 12));
+            held.forEach(e -> owners.balancer.onLoadReport(owners.now, e, 12));
             for (int i = 0; i < 80; i++) {
                 if (!held.contains("e" + i)) {
-                    owners.balancer.onReport(owners.now, "e" + i, 0);
+                    owners.balancer.onLoadReport(owners.now, "e" + i, 0);
                 }
             }
             owners.pass(30_000);
             taken = owners.request(0, "k", 1_000_000);
         }
-        Refusal overload = last(owners, taken);
+        UnservedReason overload = last(owners, taken);
         assertEquals(Cause.OVERLOAD, overload.cause());
         assertEquals(1, overload.worth());
 
@@ -137,7 +137,7 @@
             String id = rig.request(i % 3, "k" + i % 17, 1_000_000);
             if (rig.at(id) != null) {
                 rig.pass(7_000 + i % 5 * 40_000);
-                rig.balancer.onReport(rig.now, rig.at(id), i % 23);
+                rig.balancer.onLoadReport(rig.now, rig.at(id), i % 23);
                 rig.end(id, i % 7 == 0 ? Outcome.QUEUE_FULL : i % 11 == 0 ? Outcome.RESET : Outcome.OK, 7_000);
             }
             rig.pass(3_000);
--- a/src/test/java/mulleinfront/ReportsTest.java
+++ b/src/test/java/mulleinfront/ReportsTest.java
@@ -27,7 +27,7 @@
 
     private static void say(Rig rig, int endpoints, double held) {
         for (int i = 0; i < endpoints; i++) {
-            rig.balancer.onReport(rig.now, "e" + i, held);
+            rig.balancer.onLoadReport(rig.now, "e" + i, held);
         }
     }
 
@@ -40,7 +40,7 @@
             Rig rig = one(i, 12);
             String owner = rig.serve(0, "key");
             say(rig, 12, 1);
-            rig.balancer.onReport(rig.now, owner, held);
+            rig.balancer.onLoadReport(rig.now, owner, held);
             String id = rig.request(0, "key", 2_000_000);
             stayed += owner.equals(rig.at(id)) ? 1 : 0;
         }
@@ -142,7 +142,7 @@
     @Test
     void nonsenseAndStrangersAreIgnored() {
         Rig rig = one(3, 3);
-        rig.balancer.onReport(rig.now, "nobody", 5);
+        rig.balancer.onLoadReport(rig.now, "nobody", 5);
         assertTrue(rig.serve(0, "key") != null);
     }
 
@@ -160,7 +160,7 @@
                 rig.pass(20_000);
                 rig.end(id, Outcome.OK, 20_000);
                 say(rig, 60, 0);
-                busy.forEach(b -> rig.balancer.onReport(rig.now, b, 9));
+                busy.forEach(b -> rig.balancer.onLoadReport(rig.now, b, 9));
             }
             busy.forEach(b -> met.merge(b, 1, Integer::sum));
         }
--- a/src/test/java/mulleinfront/Rig.java
+++ b/src/test/java/mulleinfront/Rig.java
@@ -165,7 +165,7 @@
     }
 
     @Override
-    public void listOverdue(Balancer.ListBound bound) {
+    public void onListExpired(Balancer.ListExpiryReason bound) {
         log.add("list-overdue " + bound);
     }
 
--- a/src/test/java/mulleinfront/RulesTest.java
+++ b/src/test/java/mulleinfront/RulesTest.java
@@ -203,7 +203,7 @@
                 if (random.nextInt(60) == 0 && !s.done) {
                     s.done = true;
                     c.finals++;
-                    balancer.onRequestGone(c.now, id);
+                    balancer.onRequestAbandoned(c.now, id);
                 }
             }
         }
@@ -221,7 +221,7 @@
             if (!e.getValue().done && c.now > e.getValue().deadline) {
                 e.getValue().done = true;
                 c.finals++;
-                balancer.onRequestGone(c.now, e.getKey());
+                balancer.onRequestAbandoned(c.now, e.getKey());
             }
         }
     }
--- a/src/test/java/mulleinfront/bench/CapacityPageTest.java
+++ b/src/test/java/mulleinfront/bench/CapacityPageTest.java
@@ -90,7 +90,7 @@
                 .filter(c -> "Wire.SILENCE_US".equals(c.source()))
                 .toList();
         assertTrue(!silences.isEmpty());
-        silences.forEach(c -> assertEquals(Wire.SILENCE_US / 1e6, c.given()));
+        silences.forEach(c -> assertEquals(Wire.WATCH_TIMEOUT_US / 1e6, c.given()));
     }
 
     @Test
--- a/src/test/java/mulleinfront/benchlink/AdapterTest.java
+++ b/src/test/java/mulleinfront/benchlink/AdapterTest.java
@@ -121,8 +121,8 @@
             batch(1, BOOT + ",{\"m\":\"ENDED\",\"outcome\":\"?\"}")
         }) {
             Exception e = assertThrows(IOException.class, () -> play(bad), bad);
-            assertFalse(Config.plain(e).contains("\n"));
-            assertTrue(Config.plain(e).startsWith("malformed input: "), Config.plain(e));
+            assertFalse(Config.rootCauseMessage(e).contains("\n"));
+            assertTrue(Config.rootCauseMessage(e).startsWith("malformed input: "), Config.rootCauseMessage(e));
         }
     }
 }
--- a/src/test/java/mulleinfront/config/DifferenceTest.java
+++ b/src/test/java/mulleinfront/config/DifferenceTest.java
@@ -36,11 +36,11 @@
     @Test
     void aDifferenceFitsNoOtherVersionAndNoOtherHistory() {
         Difference d = Difference.between(THREE, NINE);
-        assertThrows(MisfitException.class, () -> d.on(version(4, THREE.entries())));
-        assertThrows(MisfitException.class, () -> d.on(version(3, Map.of("a", "2", "b", "2", "gone", "x"))));
+        assertThrows(VersionMismatchException.class, () -> d.on(version(4, THREE.entries())));
+        assertThrows(VersionMismatchException.class, () -> d.on(version(3, Map.of("a", "2", "b", "2", "gone", "x"))));
         Difference lacks = new Difference(
                 3, 9, new TreeMap<>(Map.of("b", "3")), d.removed(), d.why(), d.decidedAtMillis(), d.checksum());
-        assertThrows(MisfitException.class, () -> lacks.on(THREE));
+        assertThrows(VersionMismatchException.class, () -> lacks.on(THREE));
     }
 
     @Test
--- a/src/test/java/mulleinfront/config/FollowerTest.java
+++ b/src/test/java/mulleinfront/config/FollowerTest.java
@@ -17,7 +17,7 @@
     private static final long S = 1_000_000;
 
     private final List<String> did = new ArrayList<>();
-    private Follower follower;
+    private ConfigSubscriber follower;
     private long now;
     private long wake;
 
@@ -27,32 +27,33 @@
 
     @BeforeEach
     void begin() {
-        follower = new Follower(FollowerSettings.usual(3), version(5), new SplittableRandom(1), new Follower.Actions() {
-            @Override
-            public void ask(int machine, long after, long checksum) {
-                did.add("ask " + machine + " after " + after);
-            }
-
-            @Override
-            public void hangUp() {
-                did.add("hang up");
-            }
-
-            @Override
-            public void inForce(Version version) {
-                did.add("in force " + version.number());
-            }
-
-            @Override
-            public void report(long number, long checksum) {
-                did.add("report " + number);
-            }
-
-            @Override
-            public void wakeAt(long us) {
-                wake = us;
-            }
-        });
+        follower = new ConfigSubscriber(
+                SubscriberSettings.defaults(3), version(5), new SplittableRandom(1), new ConfigSubscriber.Actions() {
+                    @Override
+                    public void ask(int machine, long after, long checksum) {
+                        did.add("ask " + machine + " after " + after);
+                    }
+
+                    @Override
+                    public void closeWatch() {
+                        did.add("hang up");
+                    }
+
+                    @Override
+                    public void onActiveVersion(Version version) {
+                        did.add("in force " + version.number());
+                    }
+
+                    @Override
+                    public void report(long number, long checksum) {
+                        did.add("report " + number);
+                    }
+
+                    @Override
+                    public void wakeAt(long us) {
+                        wake = us;
+                    }
+                });
         follower.start(now);
         now = wake;
         follower.onTimer(now);
@@ -76,12 +77,12 @@
     /** Lets time pass until it asks, which it must within a second. */
     private void passUntilItAsks() {
         long end = now + S;
-        while (follower.state() != Follower.State.ASKING && wake <= end) {
+        while (follower.state() != ConfigSubscriber.State.ASKING && wake <= end) {
             now = wake;
             wake = Long.MAX_VALUE;
             follower.onTimer(now);
         }
-        assertEquals(Follower.State.ASKING, follower.state());
+        assertEquals(ConfigSubscriber.State.ASKING, follower.state());
     }
 
     @Test
@@ -90,7 +91,7 @@
         follower.difference(now, Difference.between(version(2), version(4)));
         follower.difference(now, Difference.whole(version(5)));
         assertEquals(List.of(), did);
-        assertEquals(version(5), follower.inForce());
+        assertEquals(version(5), follower.activeVersion());
         follower.difference(now, Difference.between(version(5), version(6)));
         assertEquals(List.of("in force 6", "report 6"), did);
     }
@@ -100,13 +101,13 @@
         int first = follower.machine();
         follower.difference(now, Difference.between(version(4), version(7)));
         assertEquals(List.of("hang up"), did);
-        assertEquals(version(5), follower.inForce());
+        assertEquals(version(5), follower.activeVersion());
         passUntilItAsks();
         assertNotEquals(first, follower.machine());
         assertEquals("ask " + follower.machine() + " after 0", did.get(1));
         follower.heard(now);
         follower.difference(now, Difference.whole(version(7)));
-        assertEquals(version(7), follower.inForce());
+        assertEquals(version(7), follower.activeVersion());
     }
 
     @Test
@@ -130,7 +131,7 @@
         assertTrue(!did.contains("hang up"), did.toString());
         follower.heard(now);
         follower.difference(now, Difference.between(version(5), version(9)));
-        assertEquals(9, follower.inForce().number());
+        assertEquals(9, follower.activeVersion().number());
     }
 
     @Test
@@ -138,10 +139,10 @@
         int left = 0;
         long[] at = new long[5];
         for (int i = 0; i < 100 && left < at.length; i++) {
-            if (follower.state() == Follower.State.ASKING) {
+            if (follower.state() == ConfigSubscriber.State.ASKING) {
                 follower.heard(now);
             }
-            if (follower.state() == Follower.State.WATCHING) {
+            if (follower.state() == ConfigSubscriber.State.WATCHING) {
                 follower.heard(now);
                 follower.heartbeat(now, 5, false);
                 assertTrue(follower.mayBeBehind());
@@ -165,6 +166,6 @@
         follower.lost(now);
         follower.onTimer(now + 10 * S);
         assertEquals(List.of("hang up"), did);
-        assertEquals(5, follower.inForce().number());
+        assertEquals(5, follower.activeVersion().number());
     }
 }
--- a/src/test/java/mulleinfront/config/HandoutHardTest.java
+++ b/src/test/java/mulleinfront/config/HandoutHardTest.java
@@ -121,7 +121,7 @@
         w.run(S);
         assertTrue(
                 w.machines.stream()
-                        .flatMap(m -> m.handout().standings().stream())
+                        .flatMap(m -> m.handout().subscribers().stream())
                         .anyMatch(s -> s.name().equals("n1") && s.watching() && s.at() == 1 && !s.same()),
                 "it is seen");
         w.propose(w.changed(2));
@@ -152,8 +152,8 @@
         many.start();
         w.run(S);
         assertEquals(wholes + 1, w.wholes);
-        assertEquals(101, few.follower.inForce().number());
-        assertEquals(101, many.follower.inForce().number());
+        assertEquals(101, few.follower.activeVersion().number());
+        assertEquals(101, many.follower.activeVersion().number());
         w.check();
     }
 
@@ -169,13 +169,13 @@
         assertEquals(List.of(1L), p.history);
         assertTrue(
                 w.machines.stream()
-                        .flatMap(m -> m.handout().standings().stream())
+                        .flatMap(m -> m.handout().subscribers().stream())
                         .anyMatch(s -> s.name().equals("n5") && !s.watching() && s.at() == 1),
                 "it is known to be behind");
         p.goOn();
         long on = w.time.now();
         w.run(BOUND);
-        assertEquals(4, p.follower.inForce().number());
+        assertEquals(4, p.follower.activeVersion().number());
         assertTrue(p.at(4) - on <= 3 * S, "took " + (p.at(4) - on));
         w.check();
     }
@@ -193,10 +193,10 @@
             w.run(3 * S);
             for (Proxy p : w.proxies) {
                 if (HandoutWorld.region(p.zone) == 0) {
-                    assertEquals(11, p.follower.inForce().number(), "in the majority's region: " + p.number);
+                    assertEquals(11, p.follower.activeVersion().number(), "in the majority's region: " + p.number);
                     assertFalse(p.follower.mayBeBehind());
                 } else {
-                    assertEquals(1, p.follower.inForce().number(), "cut off: " + p.number);
+                    assertEquals(1, p.follower.activeVersion().number(), "cut off: " + p.number);
                     assertTrue(p.follower.mayBeBehind(), "and knows it: " + p.number);
                 }
             }
@@ -298,7 +298,7 @@
     // ---- the serving side by itself ------------------------------------------------------------------
 
     /** One version after the other, decided by the test. */
-    private static final class Log implements Ledger {
+    private static final class Log implements VersionLog {
         final List<Version> all = new ArrayList<>(List.of(Version.NONE));
 
         @Override
@@ -312,7 +312,7 @@
         }
 
         @Override
-        public void propose(Proposal proposal, Consumer<Answer> answer) {
+        public void propose(Proposal proposal, Consumer<ProposalResult> answer) {
             all.add(new Version(all.size(), proposal.entries(), proposal.why(), proposal.atMillis()));
         }
 
@@ -321,7 +321,7 @@
     }
 
     /** What was sent to whom. */
-    private static final class Sent implements Handout.Wire {
+    private static final class Sent implements ConfigPublisher.Wire {
         final Map<Long, Long> bytes = new TreeMap<>();
         final List<String> closed = new ArrayList<>();
         int lines;
@@ -355,7 +355,7 @@
     void oneThatTakesAByteASecondCostsNobodyElseAndIsGivenUp() {
         Log log = new Log();
         Sent sent = new Sent();
-        Handout handout = new Handout(HandoutSettings.USUAL, log, sent);
+        ConfigPublisher handout = new ConfigPublisher(PublisherSettings.DEFAULTS, log, sent);
         SplittableRandom random = new SplittableRandom(1);
         TreeMap<String, String> entries = new TreeMap<>();
         for (int i = 0; i < 300; i++) {
@@ -392,7 +392,7 @@
     void whoHasMoreThanAMachineIsSentNothingOlder() {
         Log log = new Log();
         Sent sent = new Sent();
-        Handout handout = new Handout(HandoutSettings.USUAL, log, sent);
+        ConfigPublisher handout = new ConfigPublisher(PublisherSettings.DEFAULTS, log, sent);
         log.propose(new Proposal("a", -1, new TreeMap<>(Map.of("k", "v")), "", 0), a -> {});
         assertTrue(handout.open(0, 1, "ahead", 3, 77));
         for (long now = 0; now < 3 * S; now += S / 20) {
@@ -406,7 +406,7 @@
     void whoWatchesAnewHasOneWatchAndWhoIsSilentNone() {
         Log log = new Log();
         Sent sent = new Sent();
-        Handout handout = new Handout(HandoutSettings.USUAL, log, sent);
+        ConfigPublisher handout = new ConfigPublisher(PublisherSettings.DEFAULTS, log, sent);
         assertTrue(handout.open(0, 1, "n", 0, 0));
         assertTrue(handout.open(S, 2, "n", 0, 0));
         assertEquals(List.of("1 it watches anew"), sent.closed);
@@ -414,13 +414,14 @@
         assertEquals(1, handout.readers(), "the end of the old one is not the new one's");
         handout.onTimer(8 * S);
         assertEquals(List.of("1 it watches anew", "2 silent"), sent.closed);
-        assertEquals(1, handout.standings().size(), "known all the same");
-        assertFalse(handout.standings().get(0).watching());
+        assertEquals(1, handout.subscribers().size(), "known all the same");
+        assertFalse(handout.subscribers().get(0).watching());
     }
 
     @Test
     void thereIsRoomForSoManyAndNoMore() {
-        Handout handout = new Handout(new HandoutSettings(S, 1_000, 1_000, S, S, 2), new Log(), new Sent());
+        ConfigPublisher handout =
+                new ConfigPublisher(new PublisherSettings(S, 1_000, 1_000, S, S, 2), new Log(), new Sent());
         assertTrue(handout.open(0, 1, "a", 0, 0));
         assertTrue(handout.open(0, 2, "b", 0, 0));
         assertFalse(handout.open(0, 3, "c", 0, 0));
@@ -430,6 +431,6 @@
             assertTrue(handout.open(0, i, "x" + i, 0, 0));
             handout.closed(i);
         }
-        assertTrue(handout.standings().size() <= 5, handout.standings().size() + " names kept");
+        assertTrue(handout.subscribers().size() <= 5, handout.subscribers().size() + " names kept");
     }
 }
--- a/src/test/java/mulleinfront/config/HandoutWorld.java
+++ b/src/test/java/mulleinfront/config/HandoutWorld.java
@@ -15,8 +15,8 @@
 import mulleinfront.settings.DifferenceLine;
 
 /**
- * Three control machines and many client proxies on virtual time: the product's {@link Handout} and
- * {@link Follower}, and models of what lies between them. Regions have zones; a message takes its time, now
+ * Three control machines and many client proxies on virtual time: the product's {@link ConfigPublisher} and
+ * {@link ConfigSubscriber}, and models of what lies between them. Regions have zones; a message takes its time, now
  * and then a lost segment's too; what is cut off hears nothing and is told nothing of it.
  *
  * <p>The ledger is modelled by its times: a proposal is decided when a majority has it, the others learn of
@@ -45,7 +45,7 @@
     final List<Version> decided = new ArrayList<>();
 
     final List<Long> proposedUs = new ArrayList<>();
-    final HandoutSettings settings;
+    final PublisherSettings settings;
     boolean regionsApart;
     Broken broken = Broken.NONE;
     /** Lines of differences that were written for readers, each for all who stand at one place. */
@@ -66,10 +66,10 @@
     final List<String> faults = new ArrayList<>();
 
     HandoutWorld(long seed, int count) {
-        this(seed, count, HandoutSettings.USUAL);
+        this(seed, count, PublisherSettings.DEFAULTS);
     }
 
-    HandoutWorld(long seed, int count, HandoutSettings settings) {
+    HandoutWorld(long seed, int count, PublisherSettings settings) {
         chance = new SplittableRandom(seed);
         this.settings = settings;
         decided.add(Version.NONE);
@@ -186,7 +186,7 @@
      * A simulated control machine: it has a replica of the ledger and distributes its versions to the client
      * proxies.
      */
-    final class Machine implements Ledger, Handout.Wire {
+    final class Machine implements VersionLog, ConfigPublisher.Wire {
         final int number;
         final int zone;
         boolean alive = true;
@@ -197,7 +197,7 @@
         /** Since when it has had no majority; below 0: it has one. */
         private long alone = -1;
 
-        private Handout handout = new Handout(settings, this, this);
+        private ConfigPublisher handout = new ConfigPublisher(settings, this, this);
         private final Map<Long, Connection> open = new HashMap<>();
         private long wake = Long.MAX_VALUE;
         private EventQueue.Timer timer;
@@ -227,7 +227,7 @@
         void start() {
             alive = true;
             dark = false;
-            handout = new Handout(settings, this, this);
+            handout = new ConfigPublisher(settings, this, this);
             time.after(500_000, () -> {
                 if (majority(machines.get(leader))) {
                     catchUp();
@@ -235,7 +235,7 @@
             });
         }
 
-        Handout handout() {
+        ConfigPublisher handout() {
             return handout;
         }
 
@@ -250,7 +250,7 @@
         }
 
         @Override
-        public boolean inTouch() {
+        public boolean hasQuorumContact() {
             if (majority(this)) {
                 alone = -1;
             } else if (alone < 0) {
@@ -260,7 +260,7 @@
         }
 
         @Override
-        public void propose(Proposal proposal, Consumer<Answer> answer) {
+        public void propose(Proposal proposal, Consumer<ProposalResult> answer) {
             throw new UnsupportedOperationException();
         }
 
@@ -302,7 +302,7 @@
             if (timer != null) {
                 timer.cancel();
             }
-            Handout asked = handout;
+            ConfigPublisher asked = handout;
             timer = time.after(us - time.now(), () -> {
                 if (alive && handout == asked) {
                     handout.onTimer(time.now());
@@ -391,7 +391,7 @@
     // ---- client proxies ------------------------------------------------------------------------------
 
     /** A simulated client proxy that watches a control machine and applies the versions it receives. */
-    final class Proxy implements Follower.Actions {
+    final class Proxy implements ConfigSubscriber.Actions {
         final int number;
         final int zone;
         boolean alive;
@@ -399,7 +399,7 @@
         private boolean stopped;
 
         private final List<Runnable> missed = new ArrayList<>();
-        Follower follower;
+        ConfigSubscriber follower;
         private Connection connection;
         private EventQueue.Timer timer;
         /** What it keeps on its disk. */
@@ -421,9 +421,9 @@
 
         void start() {
             alive = true;
-            follower = new Follower(FollowerSettings.usual(MACHINES), kept, chance.split(), this);
+            follower = new ConfigSubscriber(SubscriberSettings.defaults(MACHINES), kept, chance.split(), this);
             if (kept.number() > 0) {
-                inForce(kept);
+                onActiveVersion(kept);
             }
             follower.start(time.now());
         }
@@ -486,7 +486,7 @@
         }
 
         @Override
-        public void hangUp() {
+        public void closeWatch() {
             if (connection != null) {
                 connection.end(true);
                 connection = null;
@@ -539,8 +539,8 @@
                     int comma = text.indexOf(',');
                     long newest = Long.parseLong(text.substring(10, comma));
                     if (broken == Broken.GOES_BACK
-                            && newest < follower.inForce().number()) {
-                        inForce(decided.get((int) newest));
+                            && newest < follower.activeVersion().number()) {
+                        onActiveVersion(decided.get((int) newest));
                     }
                     follower.heartbeat(time.now(), newest, text.contains("true"));
                 } else {
@@ -563,8 +563,8 @@
                 half.pollLastEntry();
             }
             Difference part = new Difference(d.from(), d.to(), half, d.removed(), d.why(), d.decidedAtMillis(), 0);
-            TreeMap<String, String> entries =
-                    new TreeMap<>(d.isWhole() ? Map.of() : follower.inForce().entries());
+            TreeMap<String, String> entries = new TreeMap<>(
+                    d.isWhole() ? Map.of() : follower.activeVersion().entries());
             entries.keySet().removeAll(part.removed());
             entries.putAll(half);
             return new Difference(
@@ -578,7 +578,7 @@
         }
 
         @Override
-        public void inForce(Version version) {
+        public void onActiveVersion(Version version) {
             kept = version;
             history.add(version.number());
             historyUs.add(time.now());
@@ -601,7 +601,7 @@
             if (timer != null) {
                 timer.cancel();
             }
-            Follower asked = follower;
+            ConfigSubscriber asked = follower;
             timer = time.after(
                     us - time.now(),
                     () -> run(() -> {
@@ -641,7 +641,7 @@
                 }
             }
             if (p.follower != null) {
-                Version v = p.follower.inForce();
+                Version v = p.follower.activeVersion();
                 if (!v.equals(decided.get((int) v.number()))) {
                     throw new AssertionError(
                             "client proxy " + p.number + " has a version " + v.number() + " of its own");
--- a/src/test/java/mulleinfront/core/CoreTest.java
+++ b/src/test/java/mulleinfront/core/CoreTest.java
@@ -41,7 +41,7 @@
     private Actions module;
     private boolean cancels = true;
     private boolean present = true;
-    private Core.Exchange<String, String> exchange;
+    private Core.RequestHandle<String, String> exchange;
     private final Metrics metrics = new Metrics();
     private final Core<String, String> core = new Core<>(settings(), time, new ScriptedWire(), defects::add, metrics);
 
@@ -75,7 +75,7 @@
     }
 
     private void list(Availability state) {
-        core.listed(
+        core.onEndpointList(
                 Source.FULL,
                 List.of(new Endpoint("h", 0, 0, 0, state, 1, 0), new Endpoint("i", 0, 0, 0, Availability.READY, 1, 0)));
     }
@@ -90,7 +90,7 @@
                 String call,
                 long timeoutUs,
                 BooleanSupplier wanted,
-                End<String> end) {
+                AttemptListener<String> end) {
             if (!hostId.equals("h") && !hostId.equals("i")) {
                 return null;
             }
@@ -100,7 +100,7 @@
         }
 
         @Override
-        public void probe(String hostId, End<String> end) {
+        public void probe(String hostId, AttemptListener<String> end) {
             end.ended(Outcome.IGNORED, null);
         }
 
@@ -114,10 +114,10 @@
     private final class Attempt implements Wire.Attempt {
         private final String name;
         private final BooleanSupplier wanted;
-        private final Wire.End<String> end;
+        private final Wire.AttemptListener<String> end;
         private boolean over;
 
-        Attempt(String name, BooleanSupplier wanted, Wire.End<String> end) {
+        Attempt(String name, BooleanSupplier wanted, Wire.AttemptListener<String> end) {
             this.name = name;
             this.wanted = wanted;
             this.end = end;
@@ -174,7 +174,7 @@
         }
 
         @Override
-        public void onRequestGone(long now, String requestId) {
+        public void onRequestAbandoned(long now, String requestId) {
             log.add("gone " + requestId);
             if (cancels) {
                 module.cancel(requestId, 0);
@@ -203,15 +203,15 @@
         }
     }
 
-    private Caller<String, String> caller() {
-        return new Caller<>() {
+    private ResponseHandler<String, String> caller() {
+        return new ResponseHandler<>() {
             @Override
-            public void opened(Core.Exchange<String, String> x) {
+            public void opened(Core.RequestHandle<String, String> x) {
                 exchange = x;
             }
 
             @Override
-            public boolean present() {
+            public boolean stillWaiting() {
                 return present;
             }
 
@@ -221,7 +221,7 @@
             }
 
             @Override
-            public void begins(String answer) {
+            public void responseStarted(String answer) {
                 log.add("BEGINS " + answer);
             }
 
@@ -238,7 +238,7 @@
     }
 
     private void take(int type, long deadlineMs) {
-        core.take(caller(), "r", type, "k", deadlineMs, time.now(), 0, 0, false, "call");
+        core.accept(caller(), "r", type, "k", deadlineMs, time.now(), 0, 0, false, "call");
     }
 
     private void sent(int type) {
@@ -257,7 +257,7 @@
         log.clear();
         time.runUntil(time.now() + 10_000_000);
         said();
-        assertEquals(0, core.held());
+        assertEquals(0, core.openRequests());
     }
 
     // ---- what a module may not do --------------------------------------------------------------------
@@ -283,7 +283,7 @@
 
     @Test
     void aKeyedRequestThatMayHaveRunStaysInItsGroup() {
-        core.listed(
+        core.onEndpointList(
                 Source.FULL,
                 List.of(
                         new Endpoint("h", 0, 0, 0, Availability.READY, 1, 0),
@@ -319,7 +319,7 @@
 
     private void takeReading(int type) {
         onRequest = r -> module.send(r.id(), "h", 0);
-        core.take(caller(), "r", type, "k", 1_000, time.now(), 0, 0, false, "call", true);
+        core.accept(caller(), "r", type, "k", 1_000, time.now(), 0, 0, false, "call", true);
         said("start r/0@h", "streams 0");
         log.clear();
     }
@@ -329,10 +329,10 @@
         takeReading(UNSAFE);
         time.runUntil(5_000 * MS);
         said();
-        core.whole(exchange);
+        core.requestComplete(exchange);
         said("within 965");
         log.clear();
-        core.whole(exchange);
+        core.requestComplete(exchange);
         said();
         time.runUntil(5_975 * MS);
         said("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
@@ -346,7 +346,7 @@
             budgets.add(r.budgetUs());
             module.send(r.id(), "h", 0);
         };
-        core.endBy(time.now() + 300 * MS);
+        core.setShutdownDeadline(time.now() + 300 * MS);
         take(UNSAFE, 1_000);
         log.clear();
         time.runUntil(300 * MS);
@@ -362,7 +362,7 @@
     void anEndThatIsSetHoldsForWhatIsOpenToo() {
         sent(UNSAFE);
         time.runUntil(100 * MS);
-        core.endBy(time.now() + 300 * MS);
+        core.setShutdownDeadline(time.now() + 300 * MS);
         time.runUntil(400 * MS - 1);
         said();
         time.runUntil(400 * MS);
@@ -373,7 +373,7 @@
     @Test
     void anEndThatIsSetHoldsForWhatIsStillBeingReadToo() {
         takeReading(UNSAFE);
-        core.endBy(time.now() + 300 * MS);
+        core.setShutdownDeadline(time.now() + 300 * MS);
         time.runUntil(300 * MS);
         said("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
         nothingFollows();
@@ -382,7 +382,7 @@
     @Test
     void anEndThatIsLaterThanTheClientsOwnChangesNothing() {
         sent(UNSAFE);
-        core.endBy(time.now() + 3_000 * MS);
+        core.setShutdownDeadline(time.now() + 3_000 * MS);
         time.runUntil(975 * MS);
         said("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
         nothingFollows();
@@ -391,7 +391,7 @@
     @Test
     void aRequestThatIsBeingReadGoesWithItsClient() {
         takeReading(UNSAFE);
-        core.gone(exchange);
+        core.abandoned(exchange);
         said("gone r", "cancelled r/0@h", "ended 0 CANCELED done");
         nothingFollows();
     }
@@ -400,9 +400,9 @@
     void soItDoesOnceItHasComeInWholeThoughTheModuleLeavesItAlone() {
         cancels = false;
         takeReading(UNSAFE);
-        core.whole(exchange);
+        core.requestComplete(exchange);
         log.clear();
-        core.gone(exchange);
+        core.abandoned(exchange);
         said("gone r", "cancelled r/0@h", "ended 0 CANCELED done");
         nothingFollows();
     }
@@ -411,12 +411,12 @@
     void anAnswerThatHasBegunIsTheFinalOneHoweverItEnds() {
         for (Outcome outcome : List.of(Outcome.OK, Outcome.RESET, Outcome.FAILED)) {
             sent(SAFE);
-            assertTrue(attempts.get(attempts.size() - 1).end.begun("half"));
+            assertTrue(attempts.get(attempts.size() - 1).end.responseStarted("half"));
             said("BEGINS half", "streams 0");
             log.clear();
             time.runUntil(time.now() + 20_000 * MS);
             said();
-            assertEquals(1, core.held(), "its id may not be used again meanwhile");
+            assertEquals(1, core.openRequests(), "its id may not be used again meanwhile");
             attempts.get(attempts.size() - 1).end(outcome);
             said("ended 0 " + outcome + " done");
             nothingFollows();
@@ -426,18 +426,18 @@
     @Test
     void anAnswerThatBeginsTooLateIsTakenByNobody() {
         sent(UNSAFE);
-        core.gone(exchange);
+        core.abandoned(exchange);
         log.clear();
-        assertEquals(false, attempts.get(0).end.begun("half"));
+        assertEquals(false, attempts.get(0).end.responseStarted("half"));
         said();
     }
 
     @Test
     void aClientThatLeavesItsAnswerEndsTheAttempt() {
         sent(UNSAFE);
-        attempts.get(0).end.begun("half");
+        attempts.get(0).end.responseStarted("half");
         log.clear();
-        core.gone(exchange);
+        core.abandoned(exchange);
         said("gone r", "cancelled r/0@h", "ended 0 CANCELED done");
         nothingFollows();
     }
@@ -558,7 +558,7 @@
     @Test
     void nothingIsWrittenOnceTheClientLeftWhileTheConnectionComesUp() {
         sent(UNSAFE);
-        core.gone(exchange);
+        core.abandoned(exchange);
         attempts.get(0).write();
         said("gone r", "cancelled r/0@h", "ended 0 CANCELED done");
         nothingFollows();
@@ -673,9 +673,9 @@
     @Test
     void aDeadlineThatHasPassedOnArrivalIsRefusedUnseen() {
         time.runUntil(5_000 * MS);
-        core.take(caller(), "r", UNSAFE, "k", 1_000, time.now() - 999 * MS, 0, 0, false, "call");
+        core.accept(caller(), "r", UNSAFE, "k", 1_000, time.now() - 999 * MS, 0, 0, false, "call");
         said("REFUSED 2000000");
-        assertEquals(0, core.held());
+        assertEquals(0, core.openRequests());
     }
 
     @Test
--- a/src/test/java/mulleinfront/core/ListOrderTest.java
+++ b/src/test/java/mulleinfront/core/ListOrderTest.java
@@ -12,10 +12,10 @@
 
 /** Lists that come out of order: each host goes by the newest version that named it. */
 class ListOrderTest {
-    private final ListOrder order = new ListOrder();
+    private final ListVersionFilter order = new ListVersionFilter();
 
     private List<String> news(long version, boolean full, String... hosts) {
-        return order.news(version, full, List.of(hosts), h -> h);
+        return order.newEntries(version, full, List.of(hosts), h -> h);
     }
 
     @Test
@@ -31,7 +31,7 @@
         news(9, false, "a");
         assertEquals(List.of("a"), news(3, true, "a"));
         assertEquals(List.of("a"), news(4, false, "a"));
-        order.forget();
+        order.reset();
         assertEquals(List.of("a"), news(1, false, "a"));
     }
 
@@ -53,10 +53,11 @@
             }
             List<Integer> versions = new ArrayList<>(List.of(1, 2, 3, 4, 5));
             Collections.shuffle(versions, random);
-            ListOrder shuffled = new ListOrder();
+            ListVersionFilter shuffled = new ListVersionFilter();
             Map<String, Integer> held = new HashMap<>();
             for (int version : versions) {
-                shuffled.news(version, false, lists.get(version - 1), h -> h).forEach(h -> held.put(h, version));
+                shuffled.newEntries(version, false, lists.get(version - 1), h -> h)
+                        .forEach(h -> held.put(h, version));
             }
             assertEquals(truth, held, "seed " + seed + ", in the order " + versions);
         }
@@ -67,7 +68,7 @@
         for (int i = 0; i < 50_000; i++) {
             news(i, false, "host" + i);
         }
-        java.lang.reflect.Field versions = ListOrder.class.getDeclaredField("versions");
+        java.lang.reflect.Field versions = ListVersionFilter.class.getDeclaredField("versions");
         versions.setAccessible(true);
         assertEquals(4096, ((Map<?, ?>) versions.get(order)).size());
     }
--- a/src/test/java/mulleinfront/core/StandingTest.java
+++ b/src/test/java/mulleinfront/core/StandingTest.java
@@ -8,38 +8,38 @@
 
 /** Transitions of a client proxy's readiness: starting, ready, quiesced and ending. */
 class StandingTest {
-    private final Standing standing = new Standing();
+    private final LifecycleState standing = new LifecycleState();
 
     @Test
     void clientsAreTakenWhenThereIsAnAddressAndAList() {
-        assertEquals("starting", standing.word());
-        standing.listed(true);
+        assertEquals("starting", standing.stateName());
+        standing.endpointsListed(true);
         assertTrue(standing.ready(), "where it is asked at the clients' address it listens there");
-        assertFalse(standing.takesClients());
+        assertFalse(standing.acceptsClients());
         standing.listening();
-        assertTrue(standing.takesClients());
-        standing.listed(false);
+        assertTrue(standing.acceptsClients());
+        standing.endpointsListed(false);
         assertFalse(standing.ready());
-        assertFalse(standing.takesClients());
-        assertFalse(standing.sendsAway(), "clients that are there may wait for a list");
+        assertFalse(standing.acceptsClients());
+        assertFalse(standing.closesConnections(), "clients that are there may wait for a list");
     }
 
     @Test
     void quiesceLeadsBackAndTheEndDoesNot() {
-        standing.listed(true);
+        standing.endpointsListed(true);
         standing.listening();
         standing.quiesce();
         standing.quiesce();
         assertFalse(standing.ready());
-        assertTrue(standing.sendsAway());
-        assertEquals("quiesced", standing.word());
+        assertTrue(standing.closesConnections());
+        assertEquals("quiesced", standing.stateName());
         standing.resume();
-        assertTrue(standing.takesClients());
-        assertFalse(standing.sendsAway());
+        assertTrue(standing.acceptsClients());
+        assertFalse(standing.closesConnections());
         standing.ending();
         standing.resume();
         assertFalse(standing.ready());
-        assertTrue(standing.sendsAway());
-        assertEquals("ending", standing.word());
+        assertTrue(standing.closesConnections());
+        assertEquals("ending", standing.stateName());
     }
 }
--- a/src/test/java/mulleinfront/emulator/AuditorTest.java
+++ b/src/test/java/mulleinfront/emulator/AuditorTest.java
@@ -45,12 +45,12 @@
             """;
 
     /** The same with servers that go on serving while they drain, as some do: only the client keeps rule 3. */
-    private static World.Result play(Core.Maker maker, Fitting fitting) throws Exception {
+    private static World.Result play(Core.BalancerFactory maker, Fitting fitting) throws Exception {
         return Worlds.world(Worlds.of(ROUGH), 1, maker, fitting).play();
     }
 
     static Stream<Arguments> broken() {
-        Core.Maker real = Balancer::create;
+        Core.BalancerFactory real = Balancer::create;
         return Stream.of(
                 Arguments.of("forgets a request", Rule.LOST, "not answered", real, Broken.forgets()),
                 Arguments.of("answers twice", Rule.LOST, "answered twice", real, Broken.answersTwice()),
@@ -60,13 +60,13 @@
                         "resends a payout",
                         Rule.TWICE,
                         "sent again though attempt",
-                        (Core.Maker) Broken::resendsPayouts,
+                        (Core.BalancerFactory) Broken::resendsPayouts,
                         Broken.writesUnasked()),
                 Arguments.of(
                         "resends outside the group",
                         Rule.TWICE,
                         "outside the group",
-                        (Core.Maker) Broken::leavesTheGroup,
+                        (Core.BalancerFactory) Broken::leavesTheGroup,
                         Broken.writesUnasked()),
                 Arguments.of(
                         "calls failures harmless",
@@ -79,26 +79,26 @@
                         "is deaf to drains",
                         Rule.DRAINS,
                         "after being told",
-                        (Core.Maker) Broken::deafToDrains,
+                        (Core.BalancerFactory) Broken::deafToDrains,
                         Broken.writesUnasked()),
                 Arguments.of("hears of lists late", Rule.DRAINS, "after being told", real, Broken.hearsOfListsLate()),
                 Arguments.of(
                         "floods the newest",
                         Rule.COLD,
                         "times what it can do while cold",
-                        (Core.Maker) Broken::floodsTheNewest,
+                        (Core.BalancerFactory) Broken::floodsTheNewest,
                         Fitting.PLAIN),
                 Arguments.of(
                         "favours the newest",
                         Rule.COLD,
                         "times what it can do while cold",
-                        (Core.Maker) Broken::favoursTheNewest,
+                        (Core.BalancerFactory) Broken::favoursTheNewest,
                         Fitting.PLAIN));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("broken")
-    void catches(String name, Rule rule, String words, Core.Maker maker, Fitting fitting) throws Exception {
+    void catches(String name, Rule rule, String words, Core.BalancerFactory maker, Fitting fitting) throws Exception {
         World.Result result = play(maker, fitting);
         List<Breach> found =
                 result.breaches().stream().filter(b -> b.rule() == rule).toList();
@@ -126,8 +126,8 @@
 
     @Test
     void theCoresGuardStopsAModuleThatRepeatsOrSendsWhatItMayNot() throws Exception {
-        for (Core.Maker broken :
-                List.<Core.Maker>of(Broken::resendsPayouts, Broken::leavesTheGroup, Broken::deafToDrains)) {
+        for (Core.BalancerFactory broken :
+                List.<Core.BalancerFactory>of(Broken::resendsPayouts, Broken::leavesTheGroup, Broken::deafToDrains)) {
             assertEquals(List.of(), play(broken, Fitting.PLAIN).breaches());
         }
     }
--- a/src/test/java/mulleinfront/emulator/Broken.java
+++ b/src/test/java/mulleinfront/emulator/Broken.java
@@ -20,8 +20,8 @@
 import mulleinfront.Balancer.RequestClass;
 import mulleinfront.Balancer.Settings;
 import mulleinfront.Balancer.Source;
-import mulleinfront.core.Caller;
 import mulleinfront.core.Core;
+import mulleinfront.core.ResponseHandler;
 import mulleinfront.core.Time;
 import mulleinfront.core.Wire;
 
@@ -81,8 +81,8 @@
         }
 
         @Override
-        public void onRequestGone(long now, String requestId) {
-            real.onRequestGone(now, requestId);
+        public void onRequestAbandoned(long now, String requestId) {
+            real.onRequestAbandoned(now, requestId);
         }
 
         @Override
@@ -96,8 +96,8 @@
         }
 
         @Override
-        public void onReport(long now, String endpointId, double held) {
-            real.onReport(now, endpointId, held);
+        public void onLoadReport(long now, String endpointId, double held) {
+            real.onLoadReport(now, endpointId, held);
         }
 
         @Override
@@ -166,7 +166,7 @@
                                 0,
                                 c.worth(),
                                 c.lateWorth(),
-                                c.aimUs(),
+                                c.targetLatencyUs(),
                                 0,
                                 c.deadlineUs())),
                 seed,
@@ -188,7 +188,7 @@
                                         c.dedupWindowUs(),
                                         c.worth(),
                                         c.lateWorth(),
-                                        c.aimUs(),
+                                        c.targetLatencyUs(),
                                         0,
                                         c.deadlineUs())),
                 seed,
@@ -285,7 +285,7 @@
                         settings.weightsVary(),
                         settings.limits(),
                         settings.contract(),
-                        settings.me()),
+                        settings.instanceNumber()),
                 seed,
                 now,
                 actions);
@@ -306,15 +306,15 @@
     // ---- cores ---------------------------------------------------------------------------------------
 
     /** A caller whose words a subclass may change. */
-    private static class Told implements Caller<Call, Answer> {
-        final Caller<Call, Answer> to;
+    private static class Told implements ResponseHandler<Call, Answer> {
+        final ResponseHandler<Call, Answer> to;
 
-        Told(Caller<Call, Answer> to) {
+        Told(ResponseHandler<Call, Answer> to) {
             this.to = to;
         }
 
         @Override
-        public void opened(Core.Exchange<Call, Answer> exchange) {
+        public void opened(Core.RequestHandle<Call, Answer> exchange) {
             to.opened(exchange);
         }
 
@@ -334,10 +334,11 @@
         }
     }
 
-    private static Fitting caller(java.util.function.BiFunction<Caller<Call, Answer>, Time, Caller<Call, Answer>> as) {
+    private static Fitting caller(
+            java.util.function.BiFunction<ResponseHandler<Call, Answer>, Time, ResponseHandler<Call, Answer>> as) {
         return new Fitting() {
             @Override
-            public Caller<Call, Answer> caller(Caller<Call, Answer> caller, Time time) {
+            public ResponseHandler<Call, Answer> caller(ResponseHandler<Call, Answer> caller, Time time) {
                 return as.apply(caller, time);
             }
         };
@@ -403,7 +404,7 @@
                 Call call,
                 long timeoutUs,
                 BooleanSupplier wanted,
-                Wire.End<Answer> end);
+                Wire.AttemptListener<Answer> end);
     }
 
     private static Fitting wire(Made made) {
@@ -419,12 +420,12 @@
                             Call call,
                             long timeoutUs,
                             BooleanSupplier wanted,
-                            End<Answer> end) {
+                            AttemptListener<Answer> end) {
                         return made.attempt(wire, time, requestId, number, hostId, call, timeoutUs, wanted, end);
                     }
 
                     @Override
-                    public void probe(String hostId, End<Answer> end) {
+                    public void probe(String hostId, AttemptListener<Answer> end) {
                         wire.probe(hostId, end);
                     }
 
@@ -489,7 +490,7 @@
         return new Fitting() {
             @Override
             public void listed(Core<Call, Answer> core, Source source, List<Endpoint> endpoints, Time time) {
-                time.after(source == Source.CACHED ? 0 : 2_000_000, () -> core.listed(source, endpoints));
+                time.after(source == Source.CACHED ? 0 : 2_000_000, () -> core.onEndpointList(source, endpoints));
             }
         };
     }
--- a/src/test/java/mulleinfront/emulator/ColdHostsTest.java
+++ b/src/test/java/mulleinfront/emulator/ColdHostsTest.java
@@ -36,7 +36,7 @@
         private String where = "nothing was sent to any cold host";
         private long counted;
 
-        Core.Maker around(double balancers) {
+        Core.BalancerFactory around(double balancers) {
             return Noted.maker(
                     s -> new Settings(
                             s.classes(),
--- a/src/test/java/mulleinfront/emulator/DiscoveryBoundTest.java
+++ b/src/test/java/mulleinfront/emulator/DiscoveryBoundTest.java
@@ -97,7 +97,7 @@
                                 .anyMatch(e -> e.id().equals("new-0") && e.availability() == Availability.DRAINING)) {
                             told.putIfAbsent(core, time.now());
                         }
-                        core.listed(source, entries);
+                        core.onEndpointList(source, entries);
                     }
                 });
         Host drains = world.hosts.get(0);
--- a/src/test/java/mulleinfront/emulator/GraphWorldTest.java
+++ b/src/test/java/mulleinfront/emulator/GraphWorldTest.java
@@ -44,7 +44,7 @@
     }
 
     private static GraphWorld world(
-            GraphSpec spec, long seed, Core.Maker maker, Fitting fitting, GraphApplication application) {
+            GraphSpec spec, long seed, Core.BalancerFactory maker, Fitting fitting, GraphApplication application) {
         return new GraphWorld(spec, seed, new Trace(null), maker, fitting, application);
     }
 
--- a/src/test/java/mulleinfront/emulator/HerdTest.java
+++ b/src/test/java/mulleinfront/emulator/HerdTest.java
@@ -55,7 +55,7 @@
             throws Exception {
         World.Result r = Worlds.play(herd(instances, proxies, faults).replace("\"%s\"", "\"" + load + "\""), seed);
         assertEquals(List.of(), r.breaches());
-        assertEquals(0, r.fell());
+        assertEquals(0, r.crashedServers());
         return r;
     }
 
--- a/src/test/java/mulleinfront/emulator/Noted.java
+++ b/src/test/java/mulleinfront/emulator/Noted.java
@@ -27,7 +27,7 @@
      * @param told what the modules are to be told of the settings
      * @param notes makes the notes of an instance
      */
-    static Core.Maker maker(UnaryOperator<Settings> told, Supplier<Notes> notes) {
+    static Core.BalancerFactory maker(UnaryOperator<Settings> told, Supplier<Notes> notes) {
         return (settings, seed, at, actions) -> {
             Notes noted = notes.get();
             long[] now = {at};
--- a/src/test/java/mulleinfront/emulator/SoakRangesTest.java
+++ b/src/test/java/mulleinfront/emulator/SoakRangesTest.java
@@ -19,30 +19,46 @@
     void callsOfAllTakeLessAndMoreThanWhatCountsFromTheEndOfAWatch() {
         within(
                 "2 s after the end of a watch",
-                Drawn.ALL_CALL_US[0],
+                GeneratedScenario.ALL_CALL_US[0],
                 ToldDeadlines.WATCH_ENDED_US,
-                Drawn.ALL_CALL_US[1]);
-        within("6 s in which all is told", Drawn.ALL_CALL_US[0], ToldDeadlines.REACHABLE_US, Drawn.ALL_CALL_US[1]);
+                GeneratedScenario.ALL_CALL_US[1]);
+        within(
+                "6 s in which all is told",
+                GeneratedScenario.ALL_CALL_US[0],
+                ToldDeadlines.REACHABLE_US,
+                GeneratedScenario.ALL_CALL_US[1]);
     }
 
     @Test
     void answersComeBeforeAndAfterACallIsGivenUp() {
-        within("patience of a call", 0, Wire.CALL_SILENCE_US, Drawn.CALL_TIMEOUT_US[1] + Drawn.MOST_LATE_US);
+        within(
+                "patience of a call",
+                0,
+                Wire.CALL_TIMEOUT_US,
+                GeneratedScenario.CALL_TIMEOUT_US[1] + GeneratedScenario.MOST_LATE_US);
         within(
                 "patience of a call after a move",
                 0,
-                Wire.MOVED_SILENCE_US,
-                Drawn.CALL_TIMEOUT_US[1] + Drawn.MOST_LATE_US);
+                Wire.MOVED_CALL_TIMEOUT_US,
+                GeneratedScenario.CALL_TIMEOUT_US[1] + GeneratedScenario.MOST_LATE_US);
     }
 
     @Test
     void listsStopForLessAndMoreThanTheSilenceOfAWatch() {
-        within("silence of a watch", Drawn.LIST_PAUSE_US[0], Wire.SILENCE_US, Drawn.LIST_PAUSE_US[1]);
-        within("patience of a list", Drawn.LIST_PAUSE_US[0], Wire.LIST_PATIENCE_US, Drawn.LIST_PAUSE_US[1]);
+        within(
+                "silence of a watch",
+                GeneratedScenario.LIST_PAUSE_US[0],
+                Wire.WATCH_TIMEOUT_US,
+                GeneratedScenario.LIST_PAUSE_US[1]);
+        within(
+                "patience of a list",
+                GeneratedScenario.LIST_PAUSE_US[0],
+                Wire.LIST_TIMEOUT_US,
+                GeneratedScenario.LIST_PAUSE_US[1]);
     }
 
     @Test
     void outagesAreLongerThanWhatIsToldAndAllWaitsTogether() {
-        within("an outage", 0, ToldDeadlines.REACHABLE_US + Wire.CALL_SILENCE_US, Drawn.MOST_OUTAGE_US);
+        within("an outage", 0, ToldDeadlines.REACHABLE_US + Wire.CALL_TIMEOUT_US, GeneratedScenario.MOST_OUTAGE_US);
     }
 }
--- a/src/test/java/mulleinfront/emulator/WorldTest.java
+++ b/src/test/java/mulleinfront/emulator/WorldTest.java
@@ -311,11 +311,11 @@
     @Test
     void sweepsDoNotDependOnHowManyWorldsArePlayedAtOnce() throws Exception {
         Scenario scenario = Worlds.of("length = \"5s\"\n");
-        List<Sweep.Played> one = Sweep.play(scenario, 3, 10, 1, null, p -> {});
+        List<Sweep.SeedResult> one = Sweep.play(scenario, 3, 10, 1, null, p -> {});
         assertEquals(one, Sweep.play(scenario, 3, 10, 5, null, p -> {}));
         assertEquals(Worlds.world(scenario, 4).play().sha256(), one.get(1).sha256());
         assertEquals(
-                one.stream().mapToDouble(Sweep.Played::service).min().orElseThrow(),
+                one.stream().mapToDouble(Sweep.SeedResult::service).min().orElseThrow(),
                 Sweep.worst(one, 3).get(0).service());
     }
 
--- a/src/test/java/mulleinfront/emulator/Worlds.java
+++ b/src/test/java/mulleinfront/emulator/Worlds.java
@@ -39,7 +39,7 @@
         return world(scenario, seed, Balancer::create, Fitting.PLAIN);
     }
 
-    static World world(Scenario scenario, long seed, Core.Maker maker, Fitting fitting) {
+    static World world(Scenario scenario, long seed, Core.BalancerFactory maker, Fitting fitting) {
         return new World(scenario, seed, new Trace(null), maker, fitting);
     }
 
--- a/src/test/java/mulleinfront/fleet/BrokenFleetTest.java
+++ b/src/test/java/mulleinfront/fleet/BrokenFleetTest.java
@@ -8,7 +8,7 @@
 
 import java.util.List;
 import java.util.random.RandomGenerator;
-import mulleinfront.emulator.FleetJudge.Rule;
+import mulleinfront.emulator.FleetAuditor.Rule;
 import mulleinfront.emulator.FleetRun;
 import org.junit.jupiter.api.Test;
 
@@ -172,13 +172,13 @@
         for (long seed = 1; seed <= 3; seed++) {
             for (boolean p : new boolean[] {false, true}) {
                 FleetRun run = Rounds.settle(
-                        FleetRun.alone(30, seed, i -> p ? settings(i, 30).plain() : settings(i, 30)));
+                        FleetRun.alone(30, seed, i -> p ? settings(i, 30).withoutSuspicion() : settings(i, 30)));
                 run.watch((observer, c) -> {
                     if (c.to() == MemberState.FAILED && run.up(c.member())) {
                         (p ? plain : full)[0]++;
                     }
                 });
-                run.trouble(null, null, 0.3, 0, 0, 0, NO_TIME);
+                run.beginFault(null, null, 0.3, 0, 0, 0, NO_TIME);
                 run.run(60 * S);
             }
         }
--- a/src/test/java/mulleinfront/fleet/DatagramTest.java
+++ b/src/test/java/mulleinfront/fleet/DatagramTest.java
@@ -112,22 +112,22 @@
     @Test
     void whatIsNotOursIsNamed() {
         byte[] good = ofEachKind().get(0);
-        assertEquals(Drop.TOO_LONG, reader().read(new byte[300], 300));
-        assertEquals(Drop.DAMAGED, reader().read(new byte[10], 10));
-        assertEquals(Drop.DAMAGED, reader().read(good, good.length - 1));
-        assertEquals(Drop.OTHER_FLEET, new Reader(Datagram.VERSION, FLEET + 1).read(good, good.length));
-        assertEquals(Drop.OTHER_VERSION, new Reader(Datagram.VERSION + 1, FLEET).read(good, good.length));
+        assertEquals(DropReason.TOO_LONG, reader().read(new byte[300], 300));
+        assertEquals(DropReason.DAMAGED, reader().read(new byte[10], 10));
+        assertEquals(DropReason.DAMAGED, reader().read(good, good.length - 1));
+        assertEquals(DropReason.OTHER_FLEET, new Reader(Datagram.VERSION, FLEET + 1).read(good, good.length));
+        assertEquals(DropReason.OTHER_VERSION, new Reader(Datagram.VERSION + 1, FLEET).read(good, good.length));
         Writer later = writer().begin(Kind.PING, 5, Incarnation.MOST + 1, false, 0)
                 .number(1)
                 .name(null);
         byte[] forged = bytes(later);
-        assertEquals(Drop.MALFORMED, reader().read(forged, forged.length), "no member can have started then");
+        assertEquals(DropReason.MALFORMED, reader().read(forged, forged.length), "no member can have started then");
     }
 
     /** A member that three others are known to, and what it has come to believe by then. */
     private static Fleet member(long[] now, int[] sent) {
         Fleet fleet = new Fleet(
-                FleetSettings.usual("test", "n5", 5, 40, 1_000_000, 600_000_000),
+                FleetSettings.defaults("test", "n5", 5, 40, 1_000_000, 600_000_000),
                 new SplittableRandom(1),
                 now[0],
                 1_796_083_200_000L,
@@ -150,7 +150,7 @@
         List<byte[]> good = ofEachKind();
         long[] now = {0};
         Fleet fleet = member(now, new int[1]);
-        Map<Drop, Integer> why = new EnumMap<>(Drop.class);
+        Map<DropReason, Integer> why = new EnumMap<>(DropReason.class);
         long changes = fleet.changes();
         for (int i = 0; i < 100_000; i++) {
             byte[] bytes = mutated(good.get(random.nextInt(good.size())), random);
--- a/src/test/java/mulleinfront/fleet/ExploreTest.java
+++ b/src/test/java/mulleinfront/fleet/ExploreTest.java
@@ -72,7 +72,7 @@
             wakes[i] = Long.MAX_VALUE;
             up[i] = true;
             fleets[i] = new Fleet(
-                    FleetSettings.usual("t", "n" + i, i, MEMBERS, S, 600 * S),
+                    FleetSettings.defaults("t", "n" + i, i, MEMBERS, S, 600 * S),
                     chances[i],
                     now,
                     1_000_000 + now / 1_000,
--- a/src/test/java/mulleinfront/fleet/HardCasesTest.java
+++ b/src/test/java/mulleinfront/fleet/HardCasesTest.java
@@ -51,17 +51,17 @@
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void aCutOfFiveToFourThatHealsAfterTwentySeconds(long seed) {
         FleetRun run = settled(9, seed);
-        assertEquals(Reach.ALL, run.member(0).reach());
-        PeerFaults.End cut = run.cut(members(0, 5), members(5, 9), false);
+        assertEquals(Reachability.ALL, run.member(0).reach());
+        PeerFaults.End cut = run.partition(members(0, 5), members(5, 9), false);
         run.run(20 * S);
-        assertEquals(Reach.MAJORITY, run.member(0).reach());
-        assertEquals(Reach.MINORITY, run.member(8).reach());
-        assertEquals(9, run.member(0).living(run.now()), "the unseen may be on the other side, and use the hosts");
-        assertEquals(9, run.member(8).living(run.now()));
+        assertEquals(Reachability.MAJORITY, run.member(0).reach());
+        assertEquals(Reachability.MINORITY, run.member(8).reach());
+        assertEquals(9, run.member(0).liveMembers(run.now()), "the unseen may be on the other side, and use the hosts");
+        assertEquals(9, run.member(8).liveMembers(run.now()));
         cut.end();
         run.run(20 * S);
         assertEquals(9, run.member(4).count(MemberState.ALIVE));
-        assertEquals(Reach.ALL, run.member(8).reach());
+        assertEquals(Reachability.ALL, run.member(8).reach());
         run.run(bound(9));
         kept(run);
     }
@@ -70,7 +70,7 @@
     @ValueSource(booleans = {true, false})
     void oneCutOffInOneDirectionOnly(boolean hears) {
         FleetRun run = settled(9, 1);
-        PeerFaults.End cut = hears ? run.cut(one(3), inverse(3), true) : run.cut(inverse(3), one(3), true);
+        PeerFaults.End cut = hears ? run.partition(one(3), inverse(3), true) : run.partition(inverse(3), one(3), true);
         run.run(bound(9) + 10 * S);
         // Whom others can't have an answer from is not there, whichever way is cut.
         assertEquals(8, run.believing(3, MemberState.FAILED));
@@ -91,7 +91,7 @@
     void twoThatCannotReachEachOtherAreHeldAliveByOthersWord(long seed) {
         FleetRun run = settled(9, seed);
         int[] wrong = falselyFailed(run);
-        run.cut(one(0), one(1), false);
+        run.partition(one(0), one(1), false);
         run.run(120 * S);
         assertEquals(0, wrong[0]);
         assertEquals(MemberState.ALIVE, run.member(0).state(1));
@@ -110,7 +110,7 @@
         });
         run.stop(4, seconds * S);
         run.run(seconds * S + 2 * S);
-        assertTrue(seconds < 5 || run.member(4).doubt() > 0, "it doubts itself");
+        assertTrue(seconds < 5 || run.member(4).localHealth() > 0, "it doubts itself");
         run.run(20 * S);
         assertEquals(List.of(), blamed);
         assertEquals(9, run.believing(4, MemberState.ALIVE));
@@ -122,7 +122,7 @@
     @ValueSource(longs = {1, 2, 3})
     void allRestartedByTenthsWhileAFifthOfDatagramsIsLost(long seed) {
         FleetRun run = settled(20, seed);
-        run.trouble(null, null, 0.2, 0, 0, 0, NO_TIME);
+        run.beginFault(null, null, 0.2, 0, 0, 0, NO_TIME);
         for (int i = 0; i < 20; i++) {
             int number = i;
             long at = 3 * S * (i / 2);
@@ -140,7 +140,7 @@
     void oneThatComesBackBeforeAnybodyNoticedIsKnownToBeAnotherProcess() {
         FleetRun run = settled(9, 1);
         int[] reborn = {0};
-        run.watch((observer, c) -> reborn[0] += c.member() == 2 && c.reborn() ? 1 : 0);
+        run.watch((observer, c) -> reborn[0] += c.member() == 2 && c.newIncarnation() ? 1 : 0);
         run.kill(2);
         run.run(S / 10);
         run.start(2);
@@ -157,7 +157,7 @@
         FleetRun run = FleetRun.alone(
                 members,
                 1,
-                i -> i == 7 ? FleetSettings.usual("test", "n5", 7, members, S, 600 * S) : settings(i, members));
+                i -> i == 7 ? FleetSettings.defaults("test", "n5", 7, members, S, 600 * S) : settings(i, members));
         List<String> said = new ArrayList<>();
         Rounds.settle(run);
         run.member(0).listen(new Fleet.Listener() {
@@ -165,7 +165,7 @@
             public void changed(Change change) {}
 
             @Override
-            public void sameName(long now, String name, int one, int other) {
+            public void duplicateName(long now, String name, int one, int other) {
                 said.add(name + " " + Math.min(one, other) + " " + Math.max(one, other));
             }
         });
@@ -175,7 +175,7 @@
         run.run(bound(members) + 20 * S);
         assertEquals(MemberState.ALIVE, run.member(0).state(3));
         assertEquals(MemberState.FAILED, run.member(0).state(8));
-        assertTrue(run.dropped(Drop.NOT_ITS_ADDRESS) > 0);
+        assertTrue(run.dropped(DropReason.NOT_ITS_ADDRESS) > 0);
         assertTrue(said.isEmpty() || said.contains("n5 5 7"), said.toString());
         assertEquals("n5", run.member(0).name(5));
         assertEquals("n5", run.member(0).name(7));
@@ -190,10 +190,10 @@
         run.start(
                 6,
                 (s, random, now, wall, out) ->
-                        new Fleet(FleetSettings.usual("other", "x", 6, 9, S, 600 * S), random, now, wall, out));
+                        new Fleet(FleetSettings.defaults("other", "x", 6, 9, S, 600 * S), random, now, wall, out));
         run.run(bound(9));
         assertEquals(8, run.believing(6, MemberState.FAILED));
-        assertTrue(run.dropped(Drop.OTHER_FLEET) > 0);
+        assertTrue(run.dropped(DropReason.OTHER_FLEET) > 0);
     }
 
     @ParameterizedTest
@@ -222,7 +222,7 @@
     void aMinuteOfLosingThreeInTenTakesNobodyOut(long seed) {
         FleetRun run = settled(20, seed);
         int[] wrong = falselyFailed(run);
-        PeerFaults.End loss = run.trouble(null, null, 0.3, 0, 0, 0, NO_TIME);
+        PeerFaults.End loss = run.beginFault(null, null, 0.3, 0, 0, 0, NO_TIME);
         run.run(60 * S);
         loss.end();
         run.run(20 * S);
@@ -255,7 +255,7 @@
         run.run(40 * S);
         assertEquals(changes, run.member(4).changes());
         assertTrue(run.figures().dropped() > 300_000);
-        assertEquals(Reach.ALL, run.member(4).reach());
+        assertEquals(Reachability.ALL, run.member(4).reach());
         kept(run);
     }
 
@@ -269,10 +269,10 @@
         run.run(30 * S);
         assertTrue(run.even());
         assertEquals(6, run.member(3).count(MemberState.ALIVE));
-        assertEquals(Reach.ALL, run.member(3).reach(), "nobody was ever there whom it has lost");
-        assertEquals(listed, run.member(3).living(run.now()), "for now they may be there and cut off");
+        assertEquals(Reachability.ALL, run.member(3).reach(), "nobody was ever there whom it has lost");
+        assertEquals(listed, run.member(3).liveMembers(run.now()), "for now they may be there and cut off");
         run.run(600 * S);
-        assertEquals(6, run.member(3).living(run.now()));
+        assertEquals(6, run.member(3).liveMembers(run.now()));
         kept(run);
     }
 
@@ -286,8 +286,8 @@
         run.run(60 * S);
         for (int i = 0; i < 10; i++) {
             assertEquals(5, run.member(i).count(MemberState.ALIVE), "member " + i);
-            assertTrue(run.member(i).drops().get(Drop.OTHER_VERSION) > 0);
-            assertEquals(10, run.member(i).living(run.now()), "the others may use the hosts all the same");
+            assertTrue(run.member(i).drops().get(DropReason.OTHER_VERSION) > 0);
+            assertEquals(10, run.member(i).liveMembers(run.now()), "the others may use the hosts all the same");
         }
     }
 
@@ -302,10 +302,10 @@
     @Test
     void halfOfTwoHundredCutFromTheOtherHalfAndHealed() {
         FleetRun run = settled(200, 1);
-        PeerFaults.End cut = run.cut(members(0, 100), members(100, 200), false);
+        PeerFaults.End cut = run.partition(members(0, 100), members(100, 200), false);
         run.run(bound(200) + 10 * S);
         assertEquals(100, run.member(0).count(MemberState.FAILED));
-        assertEquals(Reach.MINORITY, run.member(0).reach(), "a half is no majority");
+        assertEquals(Reachability.MINORITY, run.member(0).reach(), "a half is no majority");
         cut.end();
         run.run(40 * S);
         assertTrue(run.even());
@@ -319,29 +319,29 @@
         run.leave(7);
         run.run(2 * S);
         assertEquals(20, run.believing(7, MemberState.LEFT));
-        assertEquals(19, run.member(0).living(run.now()));
-        assertEquals(Reach.ALL, run.member(0).reach());
+        assertEquals(19, run.member(0).liveMembers(run.now()));
+        assertEquals(Reachability.ALL, run.member(0).reach());
         run.kill(7);
         run.run(bound(20));
         assertEquals(0, run.believing(7, MemberState.FAILED));
         run.start(7);
         run.run(10 * S);
         assertEquals(20, run.believing(7, MemberState.ALIVE));
-        assertEquals(20, run.member(0).living(run.now()));
+        assertEquals(20, run.member(0).liveMembers(run.now()));
         kept(run);
     }
 
     @Test
     void whoeverIsNotSeenForLongCountsNoMoreWhereAMajorityIs() {
         int members = 9;
-        FleetRun run = FleetRun.alone(members, 1, i -> FleetSettings.usual("test", "n" + i, i, members, S, 60 * S));
+        FleetRun run = FleetRun.alone(members, 1, i -> FleetSettings.defaults("test", "n" + i, i, members, S, 60 * S));
         Rounds.settle(run);
-        run.cut(members(0, 5), members(5, 9), false);
+        run.partition(members(0, 5), members(5, 9), false);
         run.run(50 * S);
-        assertEquals(9, run.member(0).living(run.now()));
+        assertEquals(9, run.member(0).liveMembers(run.now()));
         run.run(60 * S);
-        assertEquals(5, run.member(0).living(run.now()), "the time that a cut may last is over");
-        assertEquals(9, run.member(8).living(run.now()), "a minority never takes itself for all");
+        assertEquals(5, run.member(0).liveMembers(run.now()), "the time that a cut may last is over");
+        assertEquals(9, run.member(8).liveMembers(run.now()), "a minority never takes itself for all");
     }
 
     @Test
--- a/src/test/java/mulleinfront/fleet/Rounds.java
+++ b/src/test/java/mulleinfront/fleet/Rounds.java
@@ -12,7 +12,7 @@
     private Rounds() {}
 
     static FleetSettings settings(int number, int members) {
-        return FleetSettings.usual("test", "n" + number, number, members, S, 600 * S);
+        return FleetSettings.defaults("test", "n" + number, number, members, S, 600 * S);
     }
 
     /** Members that have not started. */
@@ -46,6 +46,6 @@
 
     /** How long what is wrong may last. */
     static long bound(int members) {
-        return settings(0, members).agreeWithinUs(members);
+        return settings(0, members).convergenceBoundUs(members);
     }
 }
--- a/src/test/java/mulleinfront/keep/CodecTest.java
+++ b/src/test/java/mulleinfront/keep/CodecTest.java
@@ -14,8 +14,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
-import mulleinfront.config.Ledger;
 import mulleinfront.config.Proposal;
+import mulleinfront.config.VersionLog;
 import org.junit.jupiter.api.Test;
 
 /** Messages, entries and answers as bytes and back. */
@@ -199,8 +199,8 @@
     void proposalsAndAnswersComeBackTheSame() {
         Proposal proposal = Trio.proposal("p", -1, "ż\u0000\ud83d\ude00");
         assertEquals(proposal, Codec.proposal(Codec.proposal(proposal)));
-        for (Ledger.What what : Ledger.What.values()) {
-            Ledger.Answer answer = new Ledger.Answer(what, 5, "why");
+        for (VersionLog.ProposalOutcome what : VersionLog.ProposalOutcome.values()) {
+            VersionLog.ProposalResult answer = new VersionLog.ProposalResult(what, 5, "why");
             assertEquals(answer, Codec.answer(Codec.answer(answer)));
         }
         byte[] other = Codec.proposal(proposal);
--- a/src/test/java/mulleinfront/keep/KeepWorld.java
+++ b/src/test/java/mulleinfront/keep/KeepWorld.java
@@ -11,10 +11,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import mulleinfront.config.Ledger;
-import mulleinfront.config.Ledger.What;
 import mulleinfront.config.Proposal;
 import mulleinfront.config.Version;
+import mulleinfront.config.VersionLog;
+import mulleinfront.config.VersionLog.ProposalOutcome;
 
 /**
  * Three keepers on virtual time, with messages lost, late, twice and out of order, keepers that crash and
@@ -53,7 +53,7 @@
     private final class Proposer {
         final Proposal proposal;
         int asked;
-        Ledger.Answer last;
+        VersionLog.ProposalResult last;
 
         Proposer(Proposal proposal) {
             this.proposal = proposal;
@@ -83,19 +83,19 @@
                 if (!answered[0]) {
                     judge(!machine.up || machine.run != run, "no answer in bounded time");
                     answered[0] = true;
-                    settle(new Ledger.Answer(What.UNKNOWN, 0, ""));
+                    settle(new VersionLog.ProposalResult(ProposalOutcome.UNKNOWN, 0, ""));
                 }
             });
         }
 
-        private void settle(Ledger.Answer answer) {
-            if (answer.what() == What.UNKNOWN) {
+        private void settle(VersionLog.ProposalResult answer) {
+            if (answer.what() == ProposalOutcome.UNKNOWN) {
                 after(millis(10 + random.nextInt(500)), this::ask);
                 return;
             }
             last = answer;
             open--;
-            if (answer.what() == What.DECIDED) {
+            if (answer.what() == ProposalOutcome.DECIDED) {
                 decided++;
                 Version version = truth.get(answer.number());
                 judge(
@@ -186,10 +186,10 @@
         }
 
         @Override
-        public void propose(String to, Proposal proposal, Consumer<Ledger.Answer> reply) {
+        public void propose(String to, Proposal proposal, Consumer<VersionLog.ProposalResult> reply) {
             int mine = run;
             boolean[] replied = {false};
-            Consumer<Ledger.Answer> once = answer -> {
+            Consumer<VersionLog.ProposalResult> once = answer -> {
                 if (!replied[0] && run == mine) {
                     replied[0] = true;
                     reply.accept(answer);
@@ -338,7 +338,7 @@
             Long number = numbers.get(p.proposal.id());
             boolean is = number != null;
             judge(
-                    p.last == null || is == (p.last.what() == What.DECIDED),
+                    p.last == null || is == (p.last.what() == ProposalOutcome.DECIDED),
                     p.proposal.id() + " was said to be " + p.last + ", and is version " + number);
         }
         return newest;
--- a/src/test/java/mulleinfront/keep/KeeperNodeTest.java
+++ b/src/test/java/mulleinfront/keep/KeeperNodeTest.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import mulleinfront.config.Ledger.Answer;
-import mulleinfront.config.Ledger.What;
 import mulleinfront.config.Version;
+import mulleinfront.config.VersionLog.ProposalOutcome;
+import mulleinfront.config.VersionLog.ProposalResult;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -29,7 +29,7 @@
             long number = 0;
             for (String name : Trio.NAMES) {
                 assertEquals(
-                        new Answer(What.DECIDED, ++number, ""),
+                        new ProposalResult(ProposalOutcome.DECIDED, ++number, ""),
                         trio.settle(name, Trio.proposal("p-" + name, -1, name)));
             }
             for (String name : Trio.NAMES) {
@@ -49,14 +49,16 @@
         try (Trio trio = Trio.started(home)) {
             assertEquals(1, trio.settle("k1", Trio.proposal("one", 0, "a")).number());
             for (String name : Trio.NAMES) {
-                assertEquals(new Answer(What.DECIDED, 1, ""), trio.settle(name, Trio.proposal("one", 0, "a")));
+                assertEquals(
+                        new ProposalResult(ProposalOutcome.DECIDED, 1, ""),
+                        trio.settle(name, Trio.proposal("one", 0, "a")));
             }
             assertEquals(
-                    new Answer(What.REFUSED, 1, "based on version 0, the newest is 1"),
+                    new ProposalResult(ProposalOutcome.REFUSED, 1, "based on version 0, the newest is 1"),
                     trio.settle("k2", Trio.proposal("two", 0, "b")));
             assertEquals(2, trio.settle("k3", Trio.proposal("three", 1, "c")).number());
             assertEquals(
-                    new Answer(What.REFUSED, 1, "based on version 0, the newest is 1"),
+                    new ProposalResult(ProposalOutcome.REFUSED, 1, "based on version 0, the newest is 1"),
                     trio.settle("k1", Trio.proposal("two", 0, "b")));
         }
     }
@@ -66,18 +68,20 @@
         try (Trio trio = Trio.started(home)) {
             trio.settle("k1", Trio.proposal("before", 0, "a"));
             String leader = trio.leader();
-            KeeperNode node = trio.nodes.remove(leader);
-            CompletableFuture<Answer> answer = new CompletableFuture<>();
+            ReplicaNode node = trio.nodes.remove(leader);
+            CompletableFuture<ProposalResult> answer = new CompletableFuture<>();
             trio.on(leader, () -> {
                 // In one go of the loop: the leader appends and sends, and can hear no answer before its end.
                 node.propose(Trio.proposal("middle", 1, "b"), answer::complete);
                 node.close();
                 return null;
             });
-            Answer first = answer.get(10, TimeUnit.SECONDS);
-            assertEquals(What.UNKNOWN, first.what(), first.toString());
+            ProposalResult first = answer.get(10, TimeUnit.SECONDS);
+            assertEquals(ProposalOutcome.UNKNOWN, first.what(), first.toString());
             String other = trio.other();
-            assertEquals(new Answer(What.DECIDED, 2, ""), trio.settle(other, Trio.proposal("middle", 1, "b")));
+            assertEquals(
+                    new ProposalResult(ProposalOutcome.DECIDED, 2, ""),
+                    trio.settle(other, Trio.proposal("middle", 1, "b")));
             assertEquals(
                     3,
                     trio.settle(trio.other(other), Trio.proposal("after", 2, "c"))
@@ -87,7 +91,9 @@
                 number = trio.next(leader).number();
             }
             assertEquals("c", trio.newest(leader).entries().get("limit"));
-            assertEquals(new Answer(What.DECIDED, 2, ""), trio.settle(leader, Trio.proposal("middle", 1, "b")));
+            assertEquals(
+                    new ProposalResult(ProposalOutcome.DECIDED, 2, ""),
+                    trio.settle(leader, Trio.proposal("middle", 1, "b")));
         }
     }
 
@@ -98,7 +104,9 @@
             String leader = trio.leader();
             trio.stop(leader);
             // One answer, without being asked again: what a proposer sees of a leader's end is some time.
-            assertEquals(new Answer(What.DECIDED, 2, ""), trio.propose(trio.other(), Trio.proposal("during", 1, "b")));
+            assertEquals(
+                    new ProposalResult(ProposalOutcome.DECIDED, 2, ""),
+                    trio.propose(trio.other(), Trio.proposal("during", 1, "b")));
         }
     }
 
@@ -110,13 +118,15 @@
             String follower = trio.other(leader);
             trio.stop(trio.other(leader, follower));
             trio.stop(follower);
-            Answer answer = trio.propose(leader, Trio.proposal("two", 1, "b"));
-            assertEquals(What.UNKNOWN, answer.what(), answer.toString());
+            ProposalResult answer = trio.propose(leader, Trio.proposal("two", 1, "b"));
+            assertEquals(ProposalOutcome.UNKNOWN, answer.what(), answer.toString());
             assertEquals(1, answer.number());
             assertEquals(1, trio.newest(leader).number());
             assertNull(trio.on(leader, () -> trio.nodes.get(leader).at(2)));
             trio.start(follower);
-            assertEquals(new Answer(What.DECIDED, 2, ""), trio.settle(leader, Trio.proposal("two", 1, "b")));
+            assertEquals(
+                    new ProposalResult(ProposalOutcome.DECIDED, 2, ""),
+                    trio.settle(leader, Trio.proposal("two", 1, "b")));
         }
     }
 
@@ -166,7 +176,9 @@
                 assertEquals("v" + number, next.entries().get("limit"));
                 number++;
             }
-            assertEquals(new Answer(What.DECIDED, 2, ""), trio.settle(away, Trio.proposal("p1", 1, "v1")));
+            assertEquals(
+                    new ProposalResult(ProposalOutcome.DECIDED, 2, ""),
+                    trio.settle(away, Trio.proposal("p1", 1, "v1")));
         }
     }
 
@@ -186,7 +198,7 @@
             // A change after it has gone: the others make durable what they had heard of it.
             trio.settle(trio.other(), Trio.proposal("four", 3, "d"));
             copy(copy, trio.directory(old));
-            KeeperNode node = trio.start(old);
+            ReplicaNode node = trio.start(old);
             long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
             while (trio.status(old).fault() == null && System.nanoTime() < deadline) {
                 Thread.onSpinWait();
@@ -195,9 +207,9 @@
             assertTrue(
                     trio.status(old).fault().contains("your directory is an older copy"),
                     trio.status(old).fault());
-            assertEquals(KeepStatus.Role.STOPPED, trio.status(old).role());
+            assertEquals(ReplicaStatus.Role.STOPPED, trio.status(old).role());
             assertEquals(
-                    What.UNKNOWN,
+                    ProposalOutcome.UNKNOWN,
                     trio.propose(old, Trio.proposal("five", 4, "e")).what());
             assertEquals(
                     5,
--- a/src/test/java/mulleinfront/keep/RegisterTest.java
+++ b/src/test/java/mulleinfront/keep/RegisterTest.java
@@ -9,16 +9,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import mulleinfront.config.Ledger.Answer;
-import mulleinfront.config.Ledger.What;
 import mulleinfront.config.Proposal;
 import mulleinfront.config.Version;
+import mulleinfront.config.VersionLog.ProposalOutcome;
+import mulleinfront.config.VersionLog.ProposalResult;
 import org.junit.jupiter.api.Test;
 
 /** The state machine alone. */
 class RegisterTest {
-    private static Answer decided(long number) {
-        return new Answer(What.DECIDED, number, "");
+    private static ProposalResult decided(long number) {
+        return new ProposalResult(ProposalOutcome.DECIDED, number, "");
     }
 
     private static Proposal sized(String id, int characters) {
@@ -46,8 +46,8 @@
         register.apply(Trio.proposal("a", -1, "1"));
         register.apply(Trio.proposal("b", -1, "2"));
         assertEquals(decided(1), register.apply(Trio.proposal("a", -1, "1")));
-        Answer refused = register.apply(Trio.proposal("early", 5, "1"));
-        assertEquals(new Answer(What.REFUSED, 2, "based on version 5, the newest is 2"), refused);
+        ProposalResult refused = register.apply(Trio.proposal("early", 5, "1"));
+        assertEquals(new ProposalResult(ProposalOutcome.REFUSED, 2, "based on version 5, the newest is 2"), refused);
         for (int i = 3; i <= 5; i++) {
             register.apply(Trio.proposal("p" + i, -1, "" + i));
         }
@@ -59,8 +59,8 @@
     void anIdForOtherEntriesIsRefused() {
         Register register = new Register();
         register.apply(Trio.proposal("a", -1, "1"));
-        Answer answer = register.apply(Trio.proposal("a", -1, "2"));
-        assertEquals(What.REFUSED, answer.what());
+        ProposalResult answer = register.apply(Trio.proposal("a", -1, "2"));
+        assertEquals(ProposalOutcome.REFUSED, answer.what());
         assertTrue(answer.reason().startsWith("the id a was given to version 1"), answer.reason());
         assertEquals(1, register.newest().number());
     }
@@ -69,14 +69,16 @@
     void whatIsTooLargeOrNotOneLineIsRefused() {
         Register register = new Register();
         assertEquals(
-                What.REFUSED,
+                ProposalOutcome.REFUSED,
                 register.apply(sized("big", Register.VERSION_BYTES)).what());
-        assertEquals(What.REFUSED, register.apply(Trio.proposal("", -1, "1")).what());
         assertEquals(
-                What.REFUSED,
+                ProposalOutcome.REFUSED,
+                register.apply(Trio.proposal("", -1, "1")).what());
+        assertEquals(
+                ProposalOutcome.REFUSED,
                 register.apply(Trio.proposal("i".repeat(101), -1, "1")).what());
         assertEquals(
-                What.REFUSED,
+                ProposalOutcome.REFUSED,
                 register.apply(new Proposal("two", -1, new TreeMap<>(), "one\ntwo", 0))
                         .what());
         assertEquals(0, register.newest().number());
--- a/src/test/java/mulleinfront/keep/Trio.java
+++ b/src/test/java/mulleinfront/keep/Trio.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import mulleinfront.config.Ledger;
 import mulleinfront.config.Proposal;
 import mulleinfront.config.Version;
+import mulleinfront.config.VersionLog;
 
 /** Three keepers on loopback sockets, each on an event loop and in a directory of its own. */
 final class Trio implements AutoCloseable {
@@ -27,7 +27,7 @@
     private static final int PATIENCE_SECONDS = 20;
 
     final SortedMap<String, InetSocketAddress> addresses = new TreeMap<>();
-    final Map<String, KeeperNode> nodes = new HashMap<>();
+    final Map<String, ReplicaNode> nodes = new HashMap<>();
     /** What each heard since it was started, in order. */
     final Map<String, BlockingQueue<Version>> heard = new HashMap<>();
 
@@ -56,9 +56,9 @@
         return home.resolve(name);
     }
 
-    KeeperNode start(String name) throws Exception {
-        KeeperNode node = new KeeperNode(
-                new KeepSettings(name, addresses, directory(name)),
+    ReplicaNode start(String name) throws Exception {
+        ReplicaNode node = new ReplicaNode(
+                new ReplicaSettings(name, addresses, directory(name)),
                 loops.get(name).next());
         nodes.put(name, node);
         BlockingQueue<Version> queue = new LinkedBlockingQueue<>();
@@ -77,7 +77,7 @@
     }
 
     void stop(String name) throws Exception {
-        KeeperNode node = nodes.remove(name);
+        ReplicaNode node = nodes.remove(name);
         if (node != null) {
             on(name, () -> {
                 node.close();
@@ -92,9 +92,9 @@
         return new Proposal(id, basedOn, entries, "because of " + id, 1_700_000_000_000L);
     }
 
-    CompletableFuture<Ledger.Answer> proposing(String at, Proposal proposal) throws Exception {
-        CompletableFuture<Ledger.Answer> answer = new CompletableFuture<>();
-        KeeperNode node = nodes.get(at);
+    CompletableFuture<VersionLog.ProposalResult> proposing(String at, Proposal proposal) throws Exception {
+        CompletableFuture<VersionLog.ProposalResult> answer = new CompletableFuture<>();
+        ReplicaNode node = nodes.get(at);
         on(at, () -> {
             node.propose(proposal, answer::complete);
             return null;
@@ -102,16 +102,16 @@
         return answer;
     }
 
-    Ledger.Answer propose(String at, Proposal proposal) throws Exception {
+    VersionLog.ProposalResult propose(String at, Proposal proposal) throws Exception {
         return proposing(at, proposal).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
     }
 
     /** Proposes under one id until it is known what became of it. */
-    Ledger.Answer settle(String at, Proposal proposal) throws Exception {
-        Ledger.Answer answer;
+    VersionLog.ProposalResult settle(String at, Proposal proposal) throws Exception {
+        VersionLog.ProposalResult answer;
         do {
             answer = propose(at, proposal);
-        } while (answer.what() == Ledger.What.UNKNOWN);
+        } while (answer.what() == VersionLog.ProposalOutcome.UNKNOWN);
         return answer;
     }
 
@@ -124,20 +124,20 @@
         return version;
     }
 
-    KeepStatus status(String name) throws Exception {
-        KeeperNode node = nodes.get(name);
+    ReplicaStatus status(String name) throws Exception {
+        ReplicaNode node = nodes.get(name);
         return on(name, node::status);
     }
 
     Version newest(String name) throws Exception {
-        KeeperNode node = nodes.get(name);
+        ReplicaNode node = nodes.get(name);
         return on(name, node::newest);
     }
 
     /** The one that leads by its own word; a change must have been decided before. */
     String leader() throws Exception {
         for (String name : NAMES) {
-            if (nodes.containsKey(name) && status(name).role() == KeepStatus.Role.LEADER) {
+            if (nodes.containsKey(name) && status(name).role() == ReplicaStatus.Role.LEADER) {
                 return name;
             }
         }
--- a/src/test/java/mulleinfront/kit/FleetProcessesTest.java
+++ b/src/test/java/mulleinfront/kit/FleetProcessesTest.java
@@ -6,7 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import mulleinfront.emulator.FleetJudge;
+import mulleinfront.emulator.FleetAuditor;
 import mulleinfront.emulator.ScenarioReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -26,7 +26,7 @@
     @TempDir
     Path folder;
 
-    private Rehearsal play(String lines) throws Exception {
+    private KitResult play(String lines) throws Exception {
         Path file = Files.writeString(
                 folder.resolve("day.toml"),
                 "[scenario]\ntitle = \"a test\"\nworld = \""
@@ -43,7 +43,7 @@
 
     @Test
     void nineProcessesThreeKilledAtOnceThenACutThatHeals() throws Exception {
-        Rehearsal r = play("""
+        KitResult r = play("""
                 length = "42s"
                 settle = "3s"
                 [load]
@@ -83,7 +83,7 @@
 
     @Test
     void theJudgeFindsAProcessThatLies() throws Exception {
-        Rehearsal r = play("""
+        KitResult r = play("""
                 length = "16s"
                 settle = "1s"
                 [proxies]
@@ -104,9 +104,9 @@
         timeline.read(0, lie);
         timeline.read(1, folder.resolve("fleet-n1.json"));
         timeline.read(2, folder.resolve("fleet-n2.json"));
-        FleetJudge judge = timeline.judged(System.currentTimeMillis());
+        FleetAuditor judge = timeline.judged(System.currentTimeMillis());
         assertTrue(
-                judge.breaches().stream().anyMatch(b -> b.rule() == FleetJudge.Rule.CALLED_FAILED),
+                judge.breaches().stream().anyMatch(b -> b.rule() == FleetAuditor.Rule.CALLED_FAILED),
                 judge.breaches().toString());
     }
 
--- a/src/test/java/mulleinfront/kit/RealRunTest.java
+++ b/src/test/java/mulleinfront/kit/RealRunTest.java
@@ -49,7 +49,7 @@
         return new RealRun(scenario(lines), 1, command, Path.of("").toAbsolutePath(), folder, line -> {});
     }
 
-    private static void kept(Rehearsal r) {
+    private static void kept(KitResult r) {
         assertEquals(List.of(), r.failures());
         assertEquals(List.of(), r.sockets().breaches());
         assertTrue(r.sockets().service().tries().get("served") > 0);
@@ -63,7 +63,7 @@
 
     @Test
     void aDayOfTroublesKeepsTheRulesAndServersDoWhatTheScenarioSays() throws Exception {
-        Rehearsal r = run(DAEMON, """
+        KitResult r = run(DAEMON, """
                 length = "9s"
                 [proxies]
                 count = 2
@@ -142,8 +142,8 @@
         }
         assertEquals(2, ended.size());
         for (Object r : ended) {
-            assertTrue(r instanceof Rehearsal, r.toString());
-            kept((Rehearsal) r);
+            assertTrue(r instanceof KitResult, r.toString());
+            kept((KitResult) r);
         }
     }
 
@@ -156,7 +156,7 @@
         "answers-twice,LOST,answered"
     })
     void brokenDaemonsAreCaughtByName(String fault, Rule rule, String words) throws Exception {
-        Rehearsal r = run(BROKEN + fault, """
+        KitResult r = run(BROKEN + fault, """
                 length = "3s"
                 [proxies]
                 count = 1
@@ -201,7 +201,7 @@
     @Test
     void oneThatGoesOnSendingToADrainingServerIsCaught() throws Exception {
         // It never listens to discovery: what discovery has to tell counts as told all the same.
-        Rehearsal r = run(BROKEN + "none", """
+        KitResult r = run(BROKEN + "none", """
                 length = "14s"
                 [proxies]
                 count = 1
@@ -219,7 +219,7 @@
 
     @Test
     void oneThatFloodsAColdServerIsCaught() throws Exception {
-        Rehearsal r = run(BROKEN + "floods", """
+        KitResult r = run(BROKEN + "floods", """
                 length = "7s"
                 [proxies]
                 count = 1
@@ -236,7 +236,7 @@
 
     @Test
     void oneThatEndsAtOnceOnSigtermLosesWhatItHad() throws Exception {
-        Rehearsal r = run(BROKEN + "none", """
+        KitResult r = run(BROKEN + "none", """
                 length = "4s"
                 [proxies]
                 count = 1
@@ -260,7 +260,7 @@
 
     @Test
     void oneThatLeaksIsCaught() throws Exception {
-        Rehearsal r = run(BROKEN + "leaks", "length = \"12s\"\n[proxies]\ncount = 1\n[load]\nrate = \"40/s\"\n")
+        KitResult r = run(BROKEN + "leaks", "length = \"12s\"\n[proxies]\ncount = 1\n[load]\nrate = \"40/s\"\n")
                 .play();
         assertTrue(
                 r.failures().stream().anyMatch(f -> f.startsWith("client proxies leak")),
@@ -271,9 +271,9 @@
     void anotherVersionIsNotJudgedUnlessAskedTo() throws Exception {
         String command = BROKEN + "other-version";
         String lines = "length = \"1s\"\n[proxies]\ncount = 1\n[load]\nrate = \"20/s\"\n";
-        Rehearsal not = run(command, lines).play();
+        KitResult not = run(command, lines).play();
         assertNull(not.sockets());
-        assertEquals(Rehearsal.Verdict.WRONG_VERSION, not.verdict(false));
+        assertEquals(KitResult.Verdict.WRONG_VERSION, not.verdict(false));
         ByteArrayOutputStream xml = new ByteArrayOutputStream();
         Report.junit("day", not, false, xml);
         assertEquals(4, xml.toString(StandardCharsets.UTF_8).split("<skipped", -1).length - 1, "no rule is judged");
@@ -281,7 +281,7 @@
         String text = Report.text(not, false);
         assertTrue(text.contains("the daemon says 9.9.9, this kit is " + not.kitVersion()), text);
         assertTrue(text.contains("--any-version"), text);
-        Rehearsal all = run(command, lines).anyVersion().play();
+        KitResult all = run(command, lines).anyVersion().play();
         assertNotNull(all.sockets());
         assertTrue(Report.text(all, true).contains("versions differ"));
     }
@@ -289,24 +289,24 @@
     @Test
     void aDaemonThatNeverGetsReadyEndsOrWillNotEndIsSaid() throws Exception {
         String lines = "length = \"3s\"\n[proxies]\ncount = 1\n[load]\nrate = \"20/s\"\n";
-        Rehearsal silent = run("exec sleep 600", lines).patience(1_000, 5_000).play();
-        assertEquals(Rehearsal.Verdict.FAILED, silent.verdict(false));
+        KitResult silent = run("exec sleep 600", lines).patience(1_000, 5_000).play();
+        assertEquals(KitResult.Verdict.FAILED, silent.verdict(false));
         assertTrue(
                 silent.failures().get(0).startsWith("client proxy 0 never got ready"),
                 silent.failures().toString());
-        Rehearsal gone = run("echo no way; exit 7", lines).play();
+        KitResult gone = run("echo no way; exit 7", lines).play();
         assertTrue(
                 gone.failures().get(0).contains("it ended: ")
                         && gone.failures().get(0).contains("no way"),
                 gone.failures().toString());
-        Rehearsal middle = run(
+        KitResult middle = run(
                         "(sleep 3; kill -9 $$) & " + BROKEN + "none",
                         "length = \"6s\"\n[proxies]\ncount = 1\n[load]\nrate = \"20/s\"\n")
                 .play();
         assertTrue(
                 middle.failures().stream().anyMatch(f -> f.contains("ended by itself, exit code 137")),
                 middle.failures().toString());
-        Rehearsal deaf = run("trap '' TERM; " + BROKEN + "none", lines)
+        KitResult deaf = run("trap '' TERM; " + BROKEN + "none", lines)
                 .patience(60_000, 500)
                 .play();
         assertTrue(
--- a/src/test/java/mulleinfront/kit/SoakTest.java
+++ b/src/test/java/mulleinfront/kit/SoakTest.java
@@ -8,7 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import mulleinfront.emulator.Drawn;
+import mulleinfront.emulator.GeneratedScenario;
 import mulleinfront.emulator.ScenarioReader;
 import mulleinfront.proxy.DeafToEndsDaemon;
 import org.junit.jupiter.api.Test;
@@ -56,8 +56,8 @@
     @Test
     void equalSeedsDrawEqualDaysAndAllCanBeRead() throws Exception {
         for (long seed = 1; seed <= 50; seed++) {
-            String text = Drawn.soak(seed, 24, 60, 0);
-            assertEquals(text, Drawn.soak(seed, 24, 60, 0));
+            String text = GeneratedScenario.soak(seed, 24, 60, 0);
+            assertEquals(text, GeneratedScenario.soak(seed, 24, 60, 0));
             Path file = Files.writeString(folder.resolve("drawn.toml"), text);
             assertTrue(ScenarioReader.read(file).faults().size() > 10, "seed " + seed);
         }
--- a/src/test/java/mulleinfront/kit/StaleListTest.java
+++ b/src/test/java/mulleinfront/kit/StaleListTest.java
@@ -49,7 +49,7 @@
                 folder.resolve("day.toml"),
                 "[scenario]\ntitle = \"a test\"\nworld = \""
                         + Path.of("scenarios/calm.toml").toAbsolutePath() + "\"\n" + WORLD + lines + DRAIN);
-        Rehearsal r =
+        KitResult r =
                 new RealRun(ScenarioReader.read(file), 1, DAEMON, Path.of("").toAbsolutePath(), folder, l -> {}).play();
         assertEquals(List.of(), r.failures());
         assertEquals(
--- a/src/test/java/mulleinfront/proxy/ControlMachines.java
+++ b/src/test/java/mulleinfront/proxy/ControlMachines.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import mulleinfront.cli.CommandLine;
-import mulleinfront.follow.Following;
+import mulleinfront.follow.ConfigWatcher;
 import mulleinfront.settings.ControlFile;
 
 /**
@@ -32,7 +32,7 @@
     static final class Reader {
         final List<Long> history = new CopyOnWriteArrayList<>();
         final List<Long> atNanos = new CopyOnWriteArrayList<>();
-        Following following;
+        ConfigWatcher following;
         EventLoop loop;
 
         long newest() {
@@ -148,7 +148,7 @@
             Reader reader = new Reader();
             EventLoop loop = group.next();
             reader.loop = loop;
-            reader.following = new Following(
+            reader.following = new ConfigWatcher(
                     loop,
                     UnpooledByteBufAllocator.DEFAULT,
                     control,
@@ -211,7 +211,7 @@
     }
 
     InetSocketAddress door(int machine) throws Exception {
-        return ControlFile.load(file).machines().get(machine - 1).door();
+        return ControlFile.load(file).machines().get(machine - 1).clientAddress();
     }
 
     @Override
--- a/src/test/java/mulleinfront/proxy/GoneTest.java
+++ b/src/test/java/mulleinfront/proxy/GoneTest.java
@@ -87,7 +87,7 @@
     private void warm(Server host) throws Exception {
         module.onRequest = r -> module.actions.send(r.id(), "s", 0);
         assertEquals(200, client().safe("warm", 20_000).read().status());
-        long rested = System.nanoTime() + 2_000 * Wire.REST_US;
+        long rested = System.nanoTime() + 2_000 * Wire.CONNECTION_COOL_DOWN_US;
         Peers.next(host.seen, "the warm one");
         Peers.next(module.ends, "its end");
         while (System.nanoTime() < rested) {
--- a/src/test/java/mulleinfront/proxy/ProxyRig.java
+++ b/src/test/java/mulleinfront/proxy/ProxyRig.java
@@ -63,7 +63,7 @@
         }
 
         @Override
-        public void onRequestGone(long now, String requestId) {
+        public void onRequestAbandoned(long now, String requestId) {
             gone.add(requestId);
             actions.cancel(requestId, 0);
         }
@@ -72,7 +72,7 @@
         public void onStreamStarted(long now, String requestId, int attempt) {}
 
         @Override
-        public void onReport(long now, String endpointId, double held) {
+        public void onLoadReport(long now, String endpointId, double held) {
             told.add(endpointId + " holds " + held);
         }
 
--- a/src/test/java/mulleinfront/settings/ControlFileTest.java
+++ b/src/test/java/mulleinfront/settings/ControlFileTest.java
@@ -7,8 +7,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import mulleinfront.config.FollowerSettings;
-import mulleinfront.config.HandoutSettings;
+import mulleinfront.config.PublisherSettings;
+import mulleinfront.config.SubscriberSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -37,8 +37,8 @@
     @Test
     void theDeployFileSaysWhatTheNoteReckonsWith() throws Exception {
         ControlFile file = ControlFile.load(Path.of("deploy/control.toml"));
-        assertEquals(HandoutSettings.USUAL, file.handout());
-        assertEquals(FollowerSettings.usual(3), file.follow());
+        assertEquals(PublisherSettings.DEFAULTS, file.handout());
+        assertEquals(SubscriberSettings.defaults(3), file.follow());
         assertNull(file.state());
         assertNull(file.events());
     }
--- a/src/test/java/mulleinfront/settings/MachineTest.java
+++ b/src/test/java/mulleinfront/settings/MachineTest.java
@@ -17,8 +17,8 @@
     @TempDir
     Path folder;
 
-    private Machine read(String text) throws Exception {
-        return Machine.load(Files.writeString(folder.resolve("m.toml"), text));
+    private ProcessSettings read(String text) throws Exception {
+        return ProcessSettings.load(Files.writeString(folder.resolve("m.toml"), text));
     }
 
     private void refused(String text, String reason) {
@@ -29,8 +29,8 @@
 
     @Test
     void theFileIsReadStrictly() throws Exception {
-        assertEquals(new Machine(1, 0), read(""));
-        assertEquals(new Machine(4, 9000), read("loops = 4\nsockets = 9000\n"));
+        assertEquals(new ProcessSettings(1, 0), read(""));
+        assertEquals(new ProcessSettings(4, 9000), read("loops = 4\nsockets = 9000\n"));
         refused("loops = 0", "m.toml:1: loops: must be a whole number, 1 or more");
         refused("\nloops = 65", "m.toml:2: loops: must be 64 at most");
         refused("loops = \"4\"", "m.toml:1: loops: must be a whole number, 1 or more");
@@ -38,23 +38,23 @@
         assertTrue(assertThrows(BadFileException.class, () -> read("loops = "))
                 .getMessage()
                 .contains("m.toml:1: "));
-        assertTrue(assertThrows(BadFileException.class, () -> Machine.load(folder.resolve("none.toml")))
+        assertTrue(assertThrows(BadFileException.class, () -> ProcessSettings.load(folder.resolve("none.toml")))
                 .getMessage()
                 .endsWith("none.toml: no such file"));
     }
 
     @Test
     void descriptorsAreBoundByLimitFileAndHeap() {
-        assertEquals(1024, new Machine(1, 0).mostSockets(1024, 96 * MB), "as deployed");
-        assertEquals(1024, new Machine(1, 0).mostSockets(9000, 96 * MB), "the heap bears no more");
-        assertEquals(9000, new Machine(1, 0).mostSockets(9000, 2048 * MB));
-        assertEquals(500, new Machine(1, 500).mostSockets(9000, 2048 * MB));
+        assertEquals(1024, new ProcessSettings(1, 0).mostSockets(1024, 96 * MB), "as deployed");
+        assertEquals(1024, new ProcessSettings(1, 0).mostSockets(9000, 96 * MB), "the heap bears no more");
+        assertEquals(9000, new ProcessSettings(1, 0).mostSockets(9000, 2048 * MB));
+        assertEquals(500, new ProcessSettings(1, 500).mostSockets(9000, 2048 * MB));
     }
 
     @Test
     void eachLoopIsAnInstanceWithItsPart() throws Exception {
         Config config = Config.load("deploy/sample-config.json");
-        List<Config> four = new Machine(4, 0).split(config, 96 * MB, 48, 16);
+        List<Config> four = new ProcessSettings(4, 0).split(config, 96 * MB, 48, 16);
         assertEquals(4, four.size());
         for (Config c : four) {
             assertEquals(4 * config.settings().instances(), c.settings().instances());
@@ -63,7 +63,7 @@
         }
         assertEquals(4, four.stream().map(Config::seed).distinct().count());
         assertEquals(config.seed(), four.get(0).seed());
-        assertTrue(assertThrows(BadFileException.class, () -> new Machine(64, 0).split(config, 96 * MB, 48, 16))
+        assertTrue(assertThrows(BadFileException.class, () -> new ProcessSettings(64, 0).split(config, 96 * MB, 48, 16))
                 .getMessage()
                 .startsWith("loops: 64 event loops need more than the 1024 descriptors"));
     }
