--- a/src/main/java/mulleinfront/fleet/Change.java
+++ b/src/main/java/mulleinfront/fleet/Change.java
@@ -1,19 +1,19 @@
 package mulleinfront.fleet;
 
 /**
- * A change of what one instance believes of a member.
+ * A change of a member's recorded state in the local view of one instance.
  *
- * @param number of this change, from 1, one more with each: whoever acts on changes can tell an older view from
- *        one it has acted on
- * @param atUs when, by the instance's own clock, microseconds
- * @param member whom it is about
- * @param from what was believed before
- * @param to what is believed now
- * @param incarnation the member's, that the new belief is of
- * @param reborn whether that is another process than the one before
- * @param word by whose word: the member's that said so first, or did not get an answer
- * @param cause how this instance came to it
- * @param digest of the view after it
+ * @param number sequence number of this change, from 1: a listener can tell an older view from the one it has already
+ *        acted on
+ * @param atUs time of the change by the instance's own clock, microseconds
+ * @param member number of the member
+ * @param from state recorded before
+ * @param to state recorded now
+ * @param incarnation the member's incarnation to which the new state applies
+ * @param newProcess whether the incarnation belongs to another process of the member than the previous one
+ * @param sourceMember the member that first reported the state, or whose probe was not answered
+ * @param cause how this instance learned of the state
+ * @param digest digest of the view after the change
  */
 public record Change(
         long number,
@@ -22,27 +22,27 @@
         MemberState from,
         MemberState to,
         long incarnation,
-        boolean newIncarnation,
+        boolean newProcess,
         int sourceMember,
         Cause cause,
         long digest) {
 
-    /** How an instance comes to believe something. */
+    /** How an instance learned of a member's state. */
     public enum Cause {
-        /** The member said it itself, to this instance. */
+        /** A message from the member itself. */
         ITS_WORD,
-        /** It was passed on with other messages. */
+        /** A gossip update or an indirect ack from another member. */
         HEARSAY,
-        /** It came out when two compared their views. */
+        /** Anti-entropy: a comparison of two views. */
         EXCHANGE,
-        /** It did not answer this instance, nor those who asked for it. */
+        /** The member answered neither the probe of this instance nor the indirect probes. */
         NO_ANSWER,
-        /** It was suspected for long enough. */
+        /** The suspicion timeout expired. */
         TIME,
-        /** This instance says it of itself. */
+        /** This instance changed its own state. */
         OWN;
 
-        /** One word for people and logs. */
+        /** The name written to logs and operator output. */
         public String word() {
             return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
         }
--- a/src/main/java/mulleinfront/fleet/Datagram.java
+++ b/src/main/java/mulleinfront/fleet/Datagram.java
@@ -5,49 +5,47 @@
 import java.nio.ByteBuffer;
 
 /**
- * The datagrams between members: how they lie in at most 256 bytes. All numbers are big-endian.
+ * Encoding of the datagrams between members, at most 256 bytes each. All integers are big-endian.
  *
  * <pre>
  *  0         1         2              6         8         10                   18        22           n-8
  *  +---------+---------+--------------+---------+---------+--------------------+---------+--- ... ----+---------+
- *  | version | kind    | fleet        | from    | to      | incarnation        | view    | body       | check   |
+ *  | version | kind    | fleet        | from    | to      | incarnation        | view    | body       | checksum|
  *  | 1       | 1       | 4            | 2       | 2       | of the sender, 8   | 4       | 0 to 226   | 8       |
  *  +---------+---------+--------------+---------+---------+--------------------+---------+--- ... ----+---------+
  * </pre>
  *
- * Kind: the high bit says that the sender is leaving. Fleet: a hash of the fleet's name. From, to: numbers of
- * members. View: the low half of the sender's digest. Check: XXH3-64 of all before it; it stands there, and the
- * version in front, in every version of the wire.
+ * Kind: the high bit is set while the sender is leaving. Fleet: a hash of the fleet's name. From, to: numbers of
+ * members. View: the low 32 bits of the digest of the sender's view. Checksum: XXH3-64 of all preceding bytes. The
+ * checksum at the end and the version at the start keep their places in every protocol version.
  *
  * <pre>
- *  PING, ACK   nonce 4 | length of name 1 | name | rumours
- *  ASK         nonce 4 | target 2 | rumours            ping that one for me
- *  ACK_FOR     nonce 4 | target 2 | its incarnation 8  it answered
- *  NACK        nonce 4 | target 2                      it did not, but I am here
- *  GOSSIP      rumours
- *  NODES       { level 1 | index 2 | 16 sums of children, 4 each } ...
- *  RECORDS     want 1 | { leaf 2 | members of it, a bit each, 2 | { state 1 | incarnation 8 } ... } ...
- *  rumour      member 2 | state 1 | by whose word 2 | incarnation 8
+ *  PING, ACK   nonce 4 | length of name 1 | name | updates
+ *  ASK         nonce 4 | target 2 | updates                 request for an indirect ping of the target
+ *  ACK_FOR     nonce 4 | target 2 | target's incarnation 8  the target answered the indirect ping
+ *  NACK        nonce 4 | target 2                           no ack from the target; the helper itself is reachable
+ *  GOSSIP      updates
+ *  NODES       { level 1 | index 2 | digests of the 16 children, 4 each } ...
+ *  RECORDS     reply wanted 1 | { leaf 2 | bit mask of its members 2 | { state 1 | incarnation 8 } ... } ...
+ *  update      member 2 | state 1 | source member 2 | incarnation 8
  * </pre>
  */
 final class Datagram {
-    /** Protocol: the most that a datagram between client proxies may hold. */
-    static final int MOST = 256;
+    /** Largest datagram that the protocol allows between client proxies. */
+    static final int MAX_BYTES = 256;
 
     static final int VERSION = 1;
-    static final int HEAD = 22;
-    static final int CHECK = 8;
-    static final int RUMOUR = 13;
-    static final int NODE = 3 + 4 * Members.FAN;
-    static final int LEAF = 4;
-    static final int RECORD = 9;
-    /** The longest name that is told. */
-    static final int LONGEST_NAME = 32;
-
-    private static final int LEAVING = 0x80;
+    static final int HEADER_BYTES = 22;
+    static final int CHECKSUM_BYTES = 8;
+    static final int UPDATE_BYTES = 13;
+    static final int NODE_BYTES = 3 + 4 * Members.FANOUT;
+    static final int LEAF_HEADER_BYTES = 4;
+    static final int RECORD_BYTES = 9;
+    static final int MAX_NAME_CHARACTERS = 32;
+    private static final int LEAVING_FLAG = 0x80;
     private static final Hasher64 HASH = Hashing.xxh3_64();
 
-    /** What a datagram is for. */
+    /** Message types; the ordinal is the code on the wire. */
     enum Kind {
         PING,
         ACK,
@@ -63,30 +61,30 @@
 
     private Datagram() {}
 
-    /** A fleet's name on the wire. */
-    static int fleet(String name) {
+    /** Hash that stands for the fleet's name on the wire. */
+    static int fleetHash(String name) {
         return HASH.hashCharsToInt(name);
     }
 
-    /** Builds one datagram after the other in one buffer. */
+    /** Encodes datagrams one at a time into a reused buffer. */
     static final class Writer {
-        final byte[] bytes = new byte[MOST];
+        final byte[] bytes = new byte[MAX_BYTES];
         private final ByteBuffer out = ByteBuffer.wrap(bytes);
         private final int version;
-        private final int fleet;
+        private final int fleetHash;
         private final int from;
 
-        Writer(int version, int fleet, int from) {
+        Writer(int version, int fleetHash, int from) {
             this.version = version;
-            this.fleet = fleet;
+            this.fleetHash = fleetHash;
             this.from = from;
         }
 
         Writer begin(Kind kind, int to, long incarnation, boolean leaving, int view) {
-            out.clear().limit(MOST - CHECK);
+            out.clear().limit(MAX_BYTES - CHECKSUM_BYTES);
             out.put((byte) version)
-                    .put((byte) (kind.ordinal() | (leaving ? LEAVING : 0)))
-                    .putInt(fleet)
+                    .put((byte) (kind.ordinal() | (leaving ? LEAVING_FLAG : 0)))
+                    .putInt(fleetHash)
                     .putShort((short) from)
                     .putShort((short) to)
                     .putLong(incarnation)
@@ -94,36 +92,36 @@
             return this;
         }
 
-        /** Bytes that the body may still take. */
-        int room() {
+        /** Bytes left for the body. */
+        int remainingBytes() {
             return out.remaining();
         }
 
-        boolean empty() {
-            return out.position() == HEAD;
+        boolean isEmpty() {
+            return out.position() == HEADER_BYTES;
         }
 
-        Writer number(int value) {
+        Writer putInt(int value) {
             out.putInt(value);
             return this;
         }
 
-        Writer member(int number) {
-            out.putShort((short) number);
+        Writer putShort(int value) {
+            out.putShort((short) value);
             return this;
         }
 
-        Writer incarnation(long value) {
+        Writer putLong(long value) {
             out.putLong(value);
             return this;
         }
 
-        Writer small(int value) {
+        Writer putByte(int value) {
             out.put((byte) value);
             return this;
         }
 
-        /** @param name of printable ASCII; null: it is not told */
+        /** @param name printable ASCII; null to send an empty name */
         Writer name(String name) {
             int length = name == null ? 0 : name.length();
             out.put((byte) length);
@@ -133,186 +131,189 @@
             return this;
         }
 
-        Writer rumour(int member, MemberState state, int word, long incarnation) {
-            return member(member).small(state.ordinal()).member(word).incarnation(incarnation);
+        Writer putUpdate(int member, MemberState state, int source, long incarnation) {
+            return putShort(member).putByte(state.ordinal()).putShort(source).putLong(incarnation);
         }
 
-        /** Adds the check; gives the whole length. */
+        /** Appends the checksum and returns the length of the datagram. */
         int finish() {
             int length = out.position();
-            out.limit(MOST);
+            out.limit(MAX_BYTES);
             out.putLong(HASH.hashBytesToLong(bytes, 0, length));
-            return length + CHECK;
+            return length + CHECKSUM_BYTES;
         }
     }
 
-    /** Reads one datagram after the other: whole, or not at all. */
+    /** Decodes datagrams one at a time; the fields hold the last one that was valid as a whole. */
     static final class Reader {
-        /** The most entries of one kind that fit. */
-        private static final int ENTRIES = (MOST - HEAD - CHECK) / RECORD;
+        /** Upper bound on the entries of one type in a datagram. */
+        private static final int MAX_ENTRIES = (MAX_BYTES - HEADER_BYTES - CHECKSUM_BYTES) / RECORD_BYTES;
 
         Kind kind;
-        int from;
-        int to;
+        int sender;
+        int recipient;
         long incarnation;
         boolean leaving;
-        int view;
+        int viewDigest;
         int nonce;
         String name;
         int target;
         long targetIncarnation;
-        boolean want;
-        /** Rumours, or records. */
-        int entries;
-
-        final int[] member = new int[ENTRIES];
-        final MemberState[] state = new MemberState[ENTRIES];
-        final int[] word = new int[ENTRIES];
-        final long[] entryIncarnation = new long[ENTRIES];
-        /** Nodes, or leaves of records with a bit for each member that is told. */
+        boolean replyWanted;
+        /** Number of updates, or of records. */
+        int entryCount;
+
+        final int[] entryMember = new int[MAX_ENTRIES];
+        final MemberState[] entryState = new MemberState[MAX_ENTRIES];
+        final int[] entrySource = new int[MAX_ENTRIES];
+        final long[] entryIncarnation = new long[MAX_ENTRIES];
+        /** Number of nodes, or of leaves with a bit mask of the members that have a record. */
         int nodes;
 
-        final int[] level = new int[ENTRIES];
-        final int[] index = new int[ENTRIES];
-        final int[] mask = new int[ENTRIES];
-        final int[][] sums = new int[(MOST - HEAD - CHECK) / NODE][Members.FAN];
+        final int[] nodeLevel = new int[MAX_ENTRIES];
+        final int[] nodeIndex = new int[MAX_ENTRIES];
+        final int[] leafMask = new int[MAX_ENTRIES];
+        final int[][] childDigests = new int[(MAX_BYTES - HEADER_BYTES - CHECKSUM_BYTES) / NODE_BYTES][Members.FANOUT];
 
         private final int version;
-        private final int fleet;
+        private final int fleetHash;
         private ByteBuffer in;
-        private boolean bad;
+        private boolean malformed;
 
-        Reader(int version, int fleet) {
+        Reader(int version, int fleetHash) {
             this.version = version;
-            this.fleet = fleet;
+            this.fleetHash = fleetHash;
         }
 
-        /** Gives why it can't be read; null if it was. */
+        /** Returns the reason why the datagram is invalid; null if it was read. */
         DropReason read(byte[] bytes, int length) {
-            if (length > MOST) {
+            if (length > MAX_BYTES) {
                 return DropReason.TOO_LONG;
             }
-            if (length < HEAD + CHECK) {
+            if (length < HEADER_BYTES + CHECKSUM_BYTES) {
                 return DropReason.DAMAGED;
             }
             in = ByteBuffer.wrap(bytes, 0, length);
-            if (in.getLong(length - CHECK) != HASH.hashBytesToLong(bytes, 0, length - CHECK)) {
+            if (in.getLong(length - CHECKSUM_BYTES) != HASH.hashBytesToLong(bytes, 0, length - CHECKSUM_BYTES)) {
                 return DropReason.DAMAGED;
             }
-            in.limit(length - CHECK);
+            in.limit(length - CHECKSUM_BYTES);
             if (in.get() != version) {
                 return DropReason.OTHER_VERSION;
             }
-            int what = in.get() & 0xff;
-            if (in.getInt() != fleet) {
+            int kindCode = in.get() & 0xff;
+            if (in.getInt() != fleetHash) {
                 return DropReason.OTHER_FLEET;
             }
-            if ((what & ~LEAVING) >= Kind.ALL.length) {
+            if ((kindCode & ~LEAVING_FLAG) >= Kind.ALL.length) {
                 return DropReason.MALFORMED;
             }
-            kind = Kind.ALL[what & ~LEAVING];
-            leaving = (what & LEAVING) != 0;
-            from = in.getShort() & 0xffff;
-            to = in.getShort() & 0xffff;
+            kind = Kind.ALL[kindCode & ~LEAVING_FLAG];
+            leaving = (kindCode & LEAVING_FLAG) != 0;
+            sender = in.getShort() & 0xffff;
+            recipient = in.getShort() & 0xffff;
             incarnation = in.getLong();
-            view = in.getInt();
-            bad = !Incarnation.plausible(incarnation);
-            body();
-            return bad || in.hasRemaining() ? DropReason.MALFORMED : null;
+            viewDigest = in.getInt();
+            malformed = !Incarnation.isValid(incarnation);
+            readBody();
+            return malformed || in.hasRemaining() ? DropReason.MALFORMED : null;
         }
 
-        private void body() {
-            entries = 0;
+        private void readBody() {
+            entryCount = 0;
             nodes = 0;
             name = null;
             switch (kind) {
                 case PING, ACK -> {
-                    nonce = need(4) ? in.getInt() : 0;
+                    nonce = require(4) ? in.getInt() : 0;
                     name();
-                    rumours();
+                    readUpdates();
                 }
                 case ASK, NACK, ACK_FOR -> {
-                    nonce = need(4) ? in.getInt() : 0;
-                    target = need(2) ? in.getShort() & 0xffff : 0;
-                    targetIncarnation = kind == Kind.ACK_FOR && need(8) ? in.getLong() : Incarnation.NONE;
-                    bad |= kind == Kind.ACK_FOR && !Incarnation.plausible(targetIncarnation);
+                    nonce = require(4) ? in.getInt() : 0;
+                    target = require(2) ? in.getShort() & 0xffff : 0;
+                    targetIncarnation = kind == Kind.ACK_FOR && require(8) ? in.getLong() : Incarnation.NONE;
+                    malformed |= kind == Kind.ACK_FOR && !Incarnation.isValid(targetIncarnation);
                     if (kind == Kind.ASK) {
-                        rumours();
+                        readUpdates();
                     }
                 }
-                case GOSSIP -> rumours();
-                case NODES -> nodes();
-                case RECORDS -> records();
+                case GOSSIP -> readUpdates();
+                case NODES -> readNodes();
+                case RECORDS -> readRecords();
             }
         }
 
-        private boolean need(int bytes) {
-            bad |= in.remaining() < bytes;
-            return !bad;
+        private boolean require(int bytes) {
+            malformed |= in.remaining() < bytes;
+            return !malformed;
         }
 
         private void name() {
-            int length = need(1) ? in.get() & 0xff : 0;
-            if (length == 0 || length > LONGEST_NAME || !need(length)) {
-                bad |= length > LONGEST_NAME;
+            int length = require(1) ? in.get() & 0xff : 0;
+            if (length == 0 || length > MAX_NAME_CHARACTERS || !require(length)) {
+                malformed |= length > MAX_NAME_CHARACTERS;
                 return;
             }
             StringBuilder text = new StringBuilder(length);
             for (int i = 0; i < length; i++) {
                 char c = (char) (in.get() & 0xff);
-                bad |= c <= ' ' || c > '~';
+                malformed |= c <= ' ' || c > '~';
                 text.append(c);
             }
             name = text.toString();
         }
 
-        private void rumours() {
-            while (!bad && in.hasRemaining() && need(RUMOUR)) {
-                member[entries] = in.getShort() & 0xffff;
+        private void readUpdates() {
+            while (!malformed && in.hasRemaining() && require(UPDATE_BYTES)) {
+                entryMember[entryCount] = in.getShort() & 0xffff;
                 int code = in.get();
-                word[entries] = in.getShort() & 0xffff;
-                entry(code);
+                entrySource[entryCount] = in.getShort() & 0xffff;
+                readEntry(code);
             }
         }
 
-        private void entry(int code) {
-            state[entries] = MemberState.of(code);
-            entryIncarnation[entries] = in.getLong();
-            bad |= code <= MemberState.UNKNOWN.ordinal()
-                    || state[entries] == null
-                    || !Incarnation.plausible(entryIncarnation[entries]);
-            entries++;
+        private void readEntry(int code) {
+            entryState[entryCount] = MemberState.fromCode(code);
+            entryIncarnation[entryCount] = in.getLong();
+            malformed |= code <= MemberState.UNKNOWN.ordinal()
+                    || entryState[entryCount] == null
+                    || !Incarnation.isValid(entryIncarnation[entryCount]);
+            entryCount++;
         }
 
-        private void nodes() {
-            while (!bad && in.hasRemaining() && need(NODE)) {
-                level[nodes] = in.get() & 0xff;
-                index[nodes] = in.getShort() & 0xffff;
-                bad |= level[nodes] < 1 || level[nodes] > Members.TOP || index[nodes] >= Members.width(level[nodes]);
-                for (int i = 0; i < Members.FAN; i++) {
-                    sums[nodes][i] = in.getInt();
+        private void readNodes() {
+            while (!malformed && in.hasRemaining() && require(NODE_BYTES)) {
+                nodeLevel[nodes] = in.get() & 0xff;
+                nodeIndex[nodes] = in.getShort() & 0xffff;
+                malformed |= nodeLevel[nodes] < 1
+                        || nodeLevel[nodes] > Members.TOP_LEVEL
+                        || nodeIndex[nodes] >= Members.nodeCount(nodeLevel[nodes]);
+                for (int i = 0; i < Members.FANOUT; i++) {
+                    childDigests[nodes][i] = in.getInt();
                 }
                 nodes++;
             }
         }
 
-        private void records() {
-            int wanted = need(1) ? in.get() : 0;
-            want = wanted == 1;
-            bad |= wanted < 0 || wanted > 1;
-            while (!bad && in.hasRemaining() && need(LEAF)) {
-                index[nodes] = in.getShort() & 0xffff;
-                mask[nodes] = in.getShort() & 0xffff;
-                bad |= index[nodes] >= Members.width(0) || !need(Integer.bitCount(mask[nodes]) * RECORD);
-                for (int i = 0; i < Members.FAN && !bad; i++) {
-                    if ((mask[nodes] >> i & 1) != 0) {
-                        member[entries] = index[nodes] * Members.FAN + i;
-                        word[entries] = from;
-                        entry(in.get());
+        private void readRecords() {
+            int replyCode = require(1) ? in.get() : 0;
+            replyWanted = replyCode == 1;
+            malformed |= replyCode < 0 || replyCode > 1;
+            while (!malformed && in.hasRemaining() && require(LEAF_HEADER_BYTES)) {
+                nodeIndex[nodes] = in.getShort() & 0xffff;
+                leafMask[nodes] = in.getShort() & 0xffff;
+                malformed |= nodeIndex[nodes] >= Members.nodeCount(0)
+                        || !require(Integer.bitCount(leafMask[nodes]) * RECORD_BYTES);
+                for (int i = 0; i < Members.FANOUT && !malformed; i++) {
+                    if ((leafMask[nodes] >> i & 1) != 0) {
+                        entryMember[entryCount] = nodeIndex[nodes] * Members.FANOUT + i;
+                        entrySource[entryCount] = sender;
+                        readEntry(in.get());
                     }
                 }
                 nodes++;
-                bad |= nodes == ENTRIES && in.hasRemaining();
+                malformed |= nodes == MAX_ENTRIES && in.hasRemaining();
             }
         }
     }
--- a/src/main/java/mulleinfront/fleet/DropReason.java
+++ b/src/main/java/mulleinfront/fleet/DropReason.java
@@ -2,28 +2,28 @@
 
 import java.util.Locale;
 
-/** Why a datagram was not read. Each is counted; none changes anything else. */
+/** Why a datagram was discarded. A discarded datagram is counted and has no other effect. */
 public enum DropReason {
-    /** Longer than the protocol allows. */
+    /** It is longer than the protocol allows. */
     TOO_LONG,
-    /** Shorter than any, or its check does not fit: cut or changed on the way. */
+    /** It is shorter than the header and checksum, or the checksum is wrong: truncated or corrupted in transit. */
     DAMAGED,
-    /** Of another fleet. */
+    /** It belongs to another fleet. */
     OTHER_FLEET,
-    /** Of a version of the wire that is not spoken here. */
+    /** Its protocol version is not supported. */
     OTHER_VERSION,
-    /** From an address that is no peer's. */
+    /** It came from an address that belongs to no peer. */
     STRANGER,
-    /** It says that it is from another than the one whose address it came from. */
+    /** Its sender number does not match the peer whose address it came from. */
     NOT_ITS_ADDRESS,
-    /** Somebody says that it is this instance. */
+    /** It carries the number of this instance as its sender. */
     OUR_NUMBER,
-    /** Meant for whoever had this address before. */
+    /** It is addressed to another member, which may have had this address before. */
     NOT_FOR_US,
-    /** Whole, and not a message. */
+    /** The checksum is right, but the content is not a valid message. */
     MALFORMED;
 
-    /** One word for people and logs. */
+    /** The name written to logs and operator output. */
     public String word() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/src/main/java/mulleinfront/fleet/Fleet.java
+++ b/src/main/java/mulleinfront/fleet/Fleet.java
@@ -10,206 +10,208 @@
 import java.util.Map;
 import java.util.function.IntPredicate;
 import java.util.random.RandomGenerator;
-import mulleinfront.fleet.Allowance.Use;
 import mulleinfront.fleet.Change.Cause;
 import mulleinfront.fleet.Datagram.Kind;
+import mulleinfront.fleet.TokenBucket.Priority;
 
 /**
- * One member of a fleet: who is there, who has failed, who left. It has no clock, thread or I/O; whoever owns it
- * tells it of datagrams and of time, on one thread, and sends what it is given.
+ * One member of the fleet: holds the local view of all members and runs the failure detector. It has no clock, thread
+ * or I/O: its owner calls it on one thread with datagrams and the time, and sends the datagrams that it produces.
  *
- * <p>In each period it pings one other. Who does not answer is pinged again and by some others; who answers none
- * of them is suspected, and has failed unless it says in time that it lives (SWIM, DSN 2002). A member that does
- * not hear what it should doubts itself first and gives others more time, and where it stood still it judges
- * nobody by what it missed (Lifeguard, DSN 2018). Words about members travel with all messages and by rounds of
- * their own while there is news; where two views differ all the same they are compared from the top of a tree of
- * digests, in messages that each stand for themselves, so that any of them may be lost. Those who have failed are
- * tried again now and then, so that two halves find each other when a cut heals.
+ * <p>In each period it probes one other member with a ping. If no ack arrives, it pings the target again and asks other
+ * members for indirect probes. A target that answers none of them is suspected, and is recorded as failed unless it
+ * refutes the suspicion in time (SWIM, DSN 2002). A member that misses expected acks lowers its own local health and
+ * so gives others more time, and after a stall it ignores the acks missed during the stall (Lifeguard, DSN 2018).
+ *
+ * <p>Updates about members are piggybacked on pings, acks and requests for indirect probes, and sent in gossip rounds
+ * while there are any. Views that still differ are reconciled by anti-entropy over a tree of digests; each of its
+ * messages is complete in itself, so any of them may be lost. Failed members are pinged at long intervals, so that the
+ * two sides of a network partition find each other after it heals.
  */
 public class Fleet {
-    /** Time between the first pings of one that knows nobody, and the longest, microseconds. */
-    private static final long JOIN_US = 500_000;
-
-    private static final long MOST_JOIN_US = 5_000_000;
-    private static final double JOIN_GROWS = 1.5;
-    /** How many listed peers it pings at a time until it knows somebody. */
-    private static final int JOIN_WITH = 3;
-    /** How many are told at once by one that leaves. */
-    private static final int LEAVE_TO = 8;
-    /** Pings for others that may be open at once. */
-    private static final int MOST_RELAYS = 64;
-    /** A timer later than this part of a period tells that this instance stood still. */
-    private static final int STILL_PART = 4;
-    /** Pings a second to one that has failed, by all together. */
-    private static final double RETRIES_PER_S = 1;
-
-    /** Where messages go. Calls come only from within a call of the fleet's. */
+    /** First and longest interval between pings to peers that were never heard from, and its growth factor. */
+    private static final long INITIAL_JOIN_INTERVAL_US = 500_000;
+
+    private static final long MAX_JOIN_INTERVAL_US = 5_000_000;
+    private static final double JOIN_INTERVAL_GROWTH = 1.5;
+    /** Peers never heard from that are pinged at once. */
+    private static final int JOIN_PINGS = 3;
+    /** Gossip messages that a leaving member sends at once. */
+    private static final int LEAVE_MESSAGES = 8;
+    /** Indirect probes for other members that may be pending at once. */
+    private static final int MAX_INDIRECT_PROBES = 64;
+    /** A timer late by more than the period divided by this number indicates a stall of this instance. */
+    private static final int STALL_PERIOD_DIVISOR = 4;
+    /** Largest rate of pings to one failed or unknown peer from all members together. */
+    private static final double MAX_RECONNECT_PINGS_PER_S = 1;
+
+    /** Sends datagrams and sets the timer; called only during a call to the fleet. */
     public interface Actions {
         /**
          * Sends a datagram; it may be lost.
          *
          * @param member number of a listed peer
-         * @param bytes read or copied before this returns
+         * @param bytes a reused buffer: it must be read or copied before this method returns
          */
         void send(int member, byte[] bytes, int length);
 
-        /** Asks for {@link Fleet#onTimer} at this time or soon after. */
+        /** Requests a call to {@link Fleet#onTimer} at this time or soon after. */
         void wakeAt(long atUs);
     }
 
-    /** Told of what changes, in the order of the changes' numbers; may not call back into the fleet. */
+    /** Notified of changes in the order of their numbers; must not call methods that change the fleet. */
     public interface Listener {
-        /** A member is believed to be something else than before. */
+        /** The recorded state of a member, or the process that it belongs to, has changed. */
         void changed(Change change);
 
-        /** Another part of the last settled fleet is in reach, or the view has settled or unsettled. */
-        default void reach(long now, Reachability reach, boolean settled, long digest) {}
+        /** The reachable part of the fleet has changed, or the view has converged or ceased to be converged. */
+        default void reach(long now, Reachability reachability, boolean converged, long digest) {}
 
-        /** Two members have one name: a mistake in somebody's settings. */
-        default void duplicateName(long now, String name, int one, int other) {}
+        /** Two members have the same name, which is a configuration error. */
+        default void duplicateName(long now, String name, int first, int second) {}
 
-        /** This instance stood still for so long. */
-        default void stalled(long now, long us) {}
+        /** This instance stalled for this time, microseconds. */
+        default void stalled(long now, long stallUs) {}
     }
 
-    private final FleetSettings s;
+    private final FleetSettings settings;
     private final RandomGenerator random;
-    private final Actions out;
+    private final Actions actions;
     private final List<Listener> listeners = new ArrayList<>();
     private final Members members;
-    private final Rumours rumours = new Rumours();
+    private final GossipQueue gossipQueue = new GossipQueue();
     private final Suspicions suspicions = new Suspicions();
-    private final Health health;
-    private final Allowance allowance;
-    private final Settling settling;
-    private final Exchange exchange;
+    private final LocalHealth localHealth;
+    private final TokenBucket tokenBucket;
+    private final Convergence convergence;
+    private final AntiEntropy antiEntropy;
     private final Datagram.Writer writer;
     private final Datagram.Reader reader;
     private final Map<Integer, String> names = new HashMap<>();
-    private final BitSet nameTold = new BitSet();
+    private final BitSet nameReceivedBy = new BitSet();
     private final Map<DropReason, Long> drops = new EnumMap<>(DropReason.class);
-    private final int[] picked = new int[Datagram.MOST / Datagram.RUMOUR];
+    private final int[] selectedMembers = new int[Datagram.MAX_BYTES / Datagram.UPDATE_BYTES];
     private long incarnation;
     private boolean leaving;
-    private long changes;
+    private long lastChange;
     private long sentDatagrams;
     private long sentBytes;
     private long received;
 
-    /** Others in the order in which they are pinged. */
-    private int[] order = new int[0];
+    /** Other members in the order in which they are probed. */
+    private int[] probeOrder = new int[0];
 
-    private int orderSize;
-    private int orderAt;
+    private int probeOrderSize;
+    private int probeOrderPosition;
     private Probe probe;
-    private final Map<Integer, Relay> relays = new HashMap<>();
-    private long probeAt;
-    private long newsAt;
-    private long retryAt;
-    private long joinAt;
-    private long joinWait = JOIN_US;
-    private long wakeAt = Long.MAX_VALUE;
-
-    /** A ping that waits for its answer. */
+    private final Map<Integer, IndirectProbe> indirectProbes = new HashMap<>();
+    private long nextProbeAt;
+    private long nextGossipAt;
+    private long nextReconnectAt;
+    private long nextJoinAt;
+    private long joinIntervalUs = INITIAL_JOIN_INTERVAL_US;
+    private long timerAt = Long.MAX_VALUE;
+
+    /** The probe of the current period, waiting for its ack. */
     private static final class Probe {
         private final int target;
         private final int nonce;
-        private final long askAt;
-        private final long endAt;
-        private boolean asked;
-        private int helpers;
-        private int nacks;
+        private final long indirectAt;
+        private final long deadlineAt;
+        private boolean indirectSent;
+        private int helperCount;
+        private int nackCount;
 
-        Probe(int target, int nonce, long askAt, long endAt) {
+        Probe(int target, int nonce, long indirectAt, long deadlineAt) {
             this.target = target;
             this.nonce = nonce;
-            this.askAt = askAt;
-            this.endAt = endAt;
+            this.indirectAt = indirectAt;
+            this.deadlineAt = deadlineAt;
         }
     }
 
-    /** A ping for another. */
-    private record Relay(int origin, int nonce, int target, long endAt) {}
+    /** An indirect probe on behalf of another member, the origin. */
+    private record IndirectProbe(int origin, int nonce, int target, long deadlineAt) {}
 
     /**
-     * @param settings what to go by
-     * @param random this member's own chance
-     * @param now any clock that never runs back, microseconds
-     * @param wallClockMs milliseconds since 1970, as this machine has them
+     * @param settings parameters of this member
+     * @param random source of randomness of this member only
+     * @param now time of a monotonic clock with any origin, microseconds
+     * @param wallClockMs wall-clock time of this machine, milliseconds since 1970
      */
-    public Fleet(FleetSettings settings, RandomGenerator random, long now, long wallClockMs, Actions out) {
-        this(settings, Datagram.VERSION, random, now, wallClockMs, out);
+    public Fleet(FleetSettings settings, RandomGenerator random, long now, long wallClockMs, Actions actions) {
+        this(settings, Datagram.VERSION, random, now, wallClockMs, actions);
     }
 
-    /** One that speaks another version of the wire. */
-    Fleet(FleetSettings settings, int version, RandomGenerator random, long now, long wallClockMs, Actions out) {
-        this.s = settings;
+    /** Creates a member with a given protocol version. */
+    Fleet(FleetSettings settings, int version, RandomGenerator random, long now, long wallClockMs, Actions actions) {
+        this.settings = settings;
         this.random = random;
-        this.out = out;
+        this.actions = actions;
         this.members = new Members(settings.peers());
-        this.health = new Health(settings.selfDoubt());
-        this.allowance = new Allowance(settings.datagramsPerS(), settings.bytesPerS(), now);
-        this.settling = new Settling(settings, members, now);
-        int fleet = Datagram.fleet(settings.fleet());
-        this.writer = new Datagram.Writer(version, fleet, settings.number());
-        this.reader = new Datagram.Reader(version, fleet);
-        this.exchange = new Exchange(this, members, random);
-        this.incarnation = Incarnation.starting(wallClockMs);
-        this.probeAt = now + (long) (settings.periodUs() * random.nextDouble());
-        this.retryAt = now + settings.retryUs();
-        this.joinAt = now;
-        this.newsAt = now;
-    }
-
-    /** Tells somebody of all changes from here on. */
+        this.localHealth = new LocalHealth(settings.selfDoubt());
+        this.tokenBucket = new TokenBucket(settings.datagramsPerS(), settings.bytesPerS(), now);
+        this.convergence = new Convergence(settings, members, now);
+        int fleetHash = Datagram.fleetHash(settings.fleet());
+        this.writer = new Datagram.Writer(version, fleetHash, settings.number());
+        this.reader = new Datagram.Reader(version, fleetHash);
+        this.antiEntropy = new AntiEntropy(this, members, random);
+        this.incarnation = Incarnation.ofProcessStart(wallClockMs);
+        this.nextProbeAt = now + (long) (settings.periodUs() * random.nextDouble());
+        this.nextReconnectAt = now + settings.retryUs();
+        this.nextJoinAt = now;
+        this.nextGossipAt = now;
+    }
+
+    /** Adds a listener, which is notified of all later changes. */
     public void listen(Listener listener) {
         listeners.add(listener);
     }
 
-    /** Begins: others are told that this member is there. */
+    /** Joins the fleet. */
     public void start(long now) {
-        wakeAt = Long.MAX_VALUE;
-        members.set(s.number(), incarnation, MemberState.ALIVE, s.number(), now);
-        told(now, s.number(), MemberState.UNKNOWN, false, Cause.OWN);
-        arm(now);
+        timerAt = Long.MAX_VALUE;
+        members.record(settings.number(), incarnation, MemberState.ALIVE, settings.number(), now);
+        notifyChange(now, settings.number(), MemberState.UNKNOWN, false, Cause.OWN);
+        scheduleTimer(now);
     }
 
-    /** Tells others that this member goes, on purpose; it answers them until it is gone. */
+    /** Announces that this member leaves on purpose; it keeps answering until its process ends. */
     public void leave(long now) {
         if (leaving) {
             return;
         }
         leaving = true;
         probe = null;
-        set(s.number(), incarnation, MemberState.LEFT, s.number(), Cause.OWN, now);
-        for (int i = 0; i < LEAVE_TO; i++) {
-            int to = anyPresent(-1);
+        record(settings.number(), incarnation, MemberState.LEFT, settings.number(), Cause.OWN, now);
+        for (int i = 0; i < LEAVE_MESSAGES; i++) {
+            int to = randomPresentPeer(-1);
             if (to >= 0) {
-                gossip(to, now);
+                sendGossip(to, now);
             }
         }
-        arm(now);
+        scheduleTimer(now);
     }
 
-    /** It is there again after all, before its process has ended. */
+    /** Joins the fleet again after {@link #leave}, in the same process. */
     public void rejoin(long now) {
         if (leaving) {
             leaving = false;
             incarnation = Incarnation.next(incarnation);
-            probeAt = now;
-            set(s.number(), incarnation, MemberState.ALIVE, s.number(), Cause.OWN, now);
-            arm(now);
+            nextProbeAt = now;
+            record(settings.number(), incarnation, MemberState.ALIVE, settings.number(), Cause.OWN, now);
+            scheduleTimer(now);
         }
     }
 
-    // ---- what is known -------------------------------------------------------------------------------
+    // ---- local view ----------------------------------------------------------------------------------
 
-    /** This member's number. */
+    /** Number of this member. */
     public int number() {
-        return s.number();
+        return settings.number();
     }
 
-    /** Members from 0 up that are listed or were heard of. */
+    /** Size of the view by member number from 0: listed peers, and higher numbers found in updates. */
     public int size() {
         return members.size();
     }
@@ -218,74 +220,75 @@
         return members.state(member);
     }
 
-    /** The member's own count of its lives and refutations; 0 if it was never heard of. */
+    /** Incarnation of a member; 0 if it was never heard from. */
     public long incarnation(int member) {
         return members.incarnation(member);
     }
 
-    /** When its process started by its own clock, milliseconds since 1970; 0 if it was never heard of. */
+    /** Start time of a member's process by its own clock, milliseconds since 1970; 0 if it was never heard from. */
     public long startedMs(int member) {
         return Incarnation.startedMs(members.incarnation(member));
     }
 
-    /** Since when this is believed, microseconds of the owner's clock. */
-    public long since(int member) {
-        return members.since(member);
+    /** Time of the last change of a member's recorded state, microseconds of the owner's clock. */
+    public long stateSince(int member) {
+        return members.stateSince(member);
     }
 
-    /** By whose word. */
+    /** The member from which the recorded state came. */
     public int sourceMember(int member) {
-        return members.word(member);
+        return members.sourceMember(member);
     }
 
-    /** Its name; null if it has not told it to this instance. */
+    /** Name of a member; null if this instance has not received it. */
     public String name(int member) {
-        return member == s.number() ? s.name() : names.get(member);
+        return member == settings.number() ? settings.name() : names.get(member);
     }
 
-    /** How many are believed to be something. */
+    /** Number of members recorded in this state. */
     public int count(MemberState state) {
         return members.count(state);
     }
 
-    /** Digest of the view of who is there; equal views have equal ones. */
+    /** Digest of the local view; equal views have equal digests. */
     public long digest() {
         return members.digest();
     }
 
-    /** The number of the last change; whoever acts on a view may compare it. */
-    public long changes() {
-        return changes;
+    /** Number of the last change; comparing it tells whether the view has changed since. */
+    public long lastChange() {
+        return lastChange;
     }
 
-    /** Members present, this one among them, that were last heard to hold an equal view. */
-    public int agreeing() {
-        return settling.agreeing() + 1;
+    /** Number of members whose last message carried a view equal to the local one, including this member. */
+    public int agreeingMembers() {
+        return convergence.agreeingMembers() + 1;
     }
 
-    /** Whether nothing has changed for a while and those heard since hold the same. */
+    /** Whether the view has been stable for some time and the members heard from since then have an equal view. */
     public boolean converged() {
-        return settling.settled();
+        return convergence.converged();
     }
 
-    /** Which part of the last settled fleet is in reach. */
-    public Reachability reach() {
-        return settling.reach();
+    /** The part of the last converged fleet that is reachable. */
+    public Reachability reachability() {
+        return convergence.reachability();
     }
 
     /**
-     * How many may be using the hosts now: who is there and, as long as it could be cut off only, who is not seen.
+     * Number of members that may be using the endpoints now: the present ones, and those not seen that may only be
+     * partitioned.
      */
     public int liveMembers(long now) {
-        return settling.living(now);
+        return convergence.liveMembers(now);
     }
 
-    /** How much this member doubts itself: 0 not at all. */
+    /** Local health score of this member: 0 when healthy, higher when expected messages are missing. */
     public int localHealth() {
-        return health.doubt();
+        return localHealth.score();
     }
 
-    /** Datagrams that were not read, by reason. */
+    /** Number of discarded datagrams, by reason. */
     public Map<DropReason, Long> drops() {
         return new EnumMap<>(drops);
     }
@@ -298,275 +301,300 @@
         return sentBytes;
     }
 
-    /** Datagrams that were read. */
+    /** Number of valid datagrams received. */
     public long received() {
         return received;
     }
 
-    /** Datagrams that the allowance held back. */
+    /** Number of datagrams that the token bucket did not allow. */
     public long rateLimitedDatagrams() {
-        return allowance.withheld();
+        return tokenBucket.rejectedDatagrams();
     }
 
     /**
-     * All that decides what this member does next, but for chance and the allowance: two that are alike here do the same.
-     * Times are said as they lie before or after now.
+     * Appends the state that determines what this member does next, except for randomness and the token bucket: members
+     * with equal descriptions behave alike. Times are relative to now.
      */
-    void describe(StringBuilder to, long now) {
-        to.append(incarnation)
+    void describe(StringBuilder description, long now) {
+        description
+                .append(incarnation)
                 .append(leaving ? 'l' : 'h')
-                .append(health.doubt())
+                .append(localHealth.score())
                 .append(' ')
-                .append(joinWait);
-        for (long at : new long[] {probeAt, newsAt, retryAt, joinAt, wakeAt, suspicions.nextAt()}) {
-            to.append(',').append(at == Long.MAX_VALUE ? -1 : Math.max(-1, at - now));
-        }
-        for (int m = 0; m < members.size(); m++) {
-            to.append(';')
-                    .append(members.state(m).ordinal())
+                .append(joinIntervalUs);
+        for (long time :
+                new long[] {nextProbeAt, nextGossipAt, nextReconnectAt, nextJoinAt, timerAt, suspicions.nextDeadline()
+                }) {
+            description.append(',').append(time == Long.MAX_VALUE ? -1 : Math.max(-1, time - now));
+        }
+        for (int member = 0; member < members.size(); member++) {
+            description
+                    .append(';')
+                    .append(members.state(member).ordinal())
                     .append('/')
-                    .append(members.incarnation(m))
+                    .append(members.incarnation(member))
                     .append('/')
-                    .append(suspicions.accuser(m))
+                    .append(suspicions.lastConfirmingMember(member))
                     .append('/')
-                    .append(rumours.times(m));
+                    .append(gossipQueue.sendCount(member));
         }
         if (probe != null) {
-            to.append('p')
+            description
+                    .append('p')
                     .append(probe.target)
-                    .append(probe.asked)
-                    .append(probe.helpers)
-                    .append(probe.nacks)
-                    .append(probe.endAt - now);
+                    .append(probe.indirectSent)
+                    .append(probe.helperCount)
+                    .append(probe.nackCount)
+                    .append(probe.deadlineAt - now);
         }
-        relays.values().stream()
-                .sorted(Comparator.comparingLong(Relay::endAt))
-                .forEach(r ->
-                        to.append('r').append(r.origin()).append(r.target()).append(r.endAt() - now));
-        to.append('o').append(orderAt);
-        for (int i = 0; i < orderSize; i++) {
-            to.append(order[i]);
+        indirectProbes.values().stream()
+                .sorted(Comparator.comparingLong(IndirectProbe::deadlineAt))
+                .forEach(indirectProbe -> description
+                        .append('r')
+                        .append(indirectProbe.origin())
+                        .append(indirectProbe.target())
+                        .append(indirectProbe.deadlineAt() - now));
+        description.append('o').append(probeOrderPosition);
+        for (int i = 0; i < probeOrderSize; i++) {
+            description.append(probeOrder[i]);
         }
     }
 
     // ---- time ----------------------------------------------------------------------------------------
 
-    /** The time last asked for has come; an early or extra call does no harm. */
+    /** Called when the requested time has come; an early or additional call does no harm. */
     public void onTimer(long now) {
-        look(now);
-        if (now >= wakeAt) {
-            wakeAt = Long.MAX_VALUE;
-        }
-        if (probe != null && now >= probe.endAt) {
-            unanswered(now);
-        } else if (probe != null && !probe.asked && now >= probe.askAt) {
-            askOthers(now);
-        }
-        if (now >= probeAt && !leaving) {
-            probe(now);
-        }
-        for (int m; (m = suspicions.due(now)) >= 0; ) {
-            set(m, members.incarnation(m), MemberState.FAILED, members.word(m), Cause.TIME, now);
+        detectStall(now);
+        if (now >= timerAt) {
+            timerAt = Long.MAX_VALUE;
+        }
+        if (probe != null && now >= probe.deadlineAt) {
+            onProbeTimeout(now);
+        } else if (probe != null && !probe.indirectSent && now >= probe.indirectAt) {
+            sendIndirectProbes(now);
+        }
+        if (now >= nextProbeAt && !leaving) {
+            startProbe(now);
+        }
+        for (int member; (member = suspicions.expireNext(now)) >= 0; ) {
+            record(
+                    member,
+                    members.incarnation(member),
+                    MemberState.FAILED,
+                    members.sourceMember(member),
+                    Cause.TIME,
+                    now);
         }
-        if (!relays.isEmpty()) {
-            relays.values().removeIf(r -> now >= r.endAt() && nack(r, now));
+        if (!indirectProbes.isEmpty()) {
+            indirectProbes
+                    .values()
+                    .removeIf(indirectProbe -> now >= indirectProbe.deadlineAt() && sendNack(indirectProbe, now));
         }
-        if (now >= newsAt && !rumours.isEmpty()) {
-            newsAt = now + s.newsUs();
-            passOn(now);
+        if (now >= nextGossipAt && !gossipQueue.isEmpty()) {
+            nextGossipAt = now + settings.newsUs();
+            sendGossipRound(now);
         }
-        if (now >= joinAt && joins()) {
-            join(now);
+        if (now >= nextJoinAt && isJoining()) {
+            pingUnknownPeers(now);
         }
-        if (!leaving && now >= retryAt) {
-            retry(now);
+        if (!leaving && now >= nextReconnectAt) {
+            pingAbsentPeer(now);
         }
-        settle(now);
-        arm(now);
+        updateConvergence(now);
+        scheduleTimer(now);
     }
 
-    /** A timer long overdue tells that this instance stood still: nothing is judged by what it missed. */
-    private void look(long now) {
-        long late = now - wakeAt;
-        if (wakeAt == Long.MAX_VALUE || late <= s.periodUs() / STILL_PART) {
+    /** Detects a stall of this instance by an overdue timer; missed acks of that time must not cause suspicions. */
+    private void detectStall(long now) {
+        long overdueUs = now - timerAt;
+        if (timerAt == Long.MAX_VALUE || overdueUs <= settings.periodUs() / STALL_PERIOD_DIVISOR) {
             return;
         }
-        wakeAt = now;
-        listeners.forEach(l -> l.stalled(now, late));
-        if (!s.selfDoubt()) {
+        timerAt = now;
+        listeners.forEach(listener -> listener.stalled(now, overdueUs));
+        if (!settings.selfDoubt()) {
             return;
         }
-        health.worse((int) Math.min(Health.MOST, 1 + late / s.periodUs()));
-        suspicions.extend(late);
-        settling.extend(now);
+        localHealth.degrade((int) Math.min(LocalHealth.MAX_SCORE, 1 + overdueUs / settings.periodUs()));
+        suspicions.extendDeadlines(overdueUs);
+        convergence.onStall(now);
         probe = null;
-        probeAt = Math.max(probeAt, now);
-        relays.clear();
+        nextProbeAt = Math.max(nextProbeAt, now);
+        indirectProbes.clear();
     }
 
-    private void arm(long now) {
-        long next = Math.min(suspicions.nextAt(), settling.nextAt(now));
+    private void scheduleTimer(long now) {
+        long nextAt = Math.min(suspicions.nextDeadline(), convergence.nextAt(now));
         if (probe != null) {
-            next = Math.min(next, probe.asked ? probe.endAt : probe.askAt);
+            nextAt = Math.min(nextAt, probe.indirectSent ? probe.deadlineAt : probe.indirectAt);
         }
-        if (!rumours.isEmpty()) {
-            next = Math.min(next, newsAt);
+        if (!gossipQueue.isEmpty()) {
+            nextAt = Math.min(nextAt, nextGossipAt);
         }
         if (!leaving) {
-            next = Math.min(next, Math.min(probeAt, retryAt));
-            next = joins() ? Math.min(next, joinAt) : next;
+            nextAt = Math.min(nextAt, Math.min(nextProbeAt, nextReconnectAt));
+            nextAt = isJoining() ? Math.min(nextAt, nextJoinAt) : nextAt;
         }
-        for (Relay r : relays.values()) {
-            next = Math.min(next, r.endAt());
+        for (IndirectProbe indirectProbe : indirectProbes.values()) {
+            nextAt = Math.min(nextAt, indirectProbe.deadlineAt());
         }
-        next = Math.max(next, now + 1);
-        if (next < wakeAt) {
-            wakeAt = next;
-            out.wakeAt(next);
+        nextAt = Math.max(nextAt, now + 1);
+        if (nextAt < timerAt) {
+            timerAt = nextAt;
+            actions.wakeAt(nextAt);
         }
     }
 
-    // ---- pings ---------------------------------------------------------------------------------------
+    // ---- probes --------------------------------------------------------------------------------------
 
-    private void probe(long now) {
-        probeAt = now + health.stretched(s.periodUs());
-        int target = next();
-        if (target < 0 || !allowance.allows(Use.PROBE, now)) {
+    private void startProbe(long now) {
+        nextProbeAt = now + localHealth.scaled(settings.periodUs());
+        int target = nextProbeTarget();
+        if (target < 0 || !tokenBucket.allows(Priority.PROBE, now)) {
             return;
         }
         probe = new Probe(
-                target, random.nextInt(), now + health.stretched(s.answerUs()), now + health.stretched(s.concludeUs()));
-        ping(target, probe.nonce, now);
+                target,
+                random.nextInt(),
+                now + localHealth.scaled(settings.answerUs()),
+                now + localHealth.scaled(settings.concludeUs()));
+        sendPing(target, probe.nonce, now);
     }
 
-    /** The next one in turn that is there; all are drawn anew when all have had theirs. */
-    private int next() {
+    /** Next present member in the probe order, which is shuffled again after each round; -1 if there is none. */
+    private int nextProbeTarget() {
         for (int pass = 0; pass < 2; pass++) {
-            while (orderAt < orderSize) {
-                int m = order[orderAt++];
-                if (members.state(m).present()) {
-                    return m;
+            while (probeOrderPosition < probeOrderSize) {
+                int member = probeOrder[probeOrderPosition++];
+                if (members.state(member).isPresent()) {
+                    return member;
                 }
             }
-            shuffle();
+            shuffleProbeOrder();
         }
         return -1;
     }
 
-    private void shuffle() {
-        orderSize = 0;
-        orderAt = 0;
-        for (int m = 0; m < s.peers(); m++) {
-            if (members.state(m).present()) {
-                enrol(m);
+    private void shuffleProbeOrder() {
+        probeOrderSize = 0;
+        probeOrderPosition = 0;
+        for (int member = 0; member < settings.peers(); member++) {
+            if (members.state(member).isPresent()) {
+                insertIntoProbeOrder(member);
             }
         }
     }
 
-    /** Puts one in at a place drawn among those whose turn is still to come. */
-    private void enrol(int member) {
-        if (member == s.number() || member >= s.peers()) {
+    /** Inserts a member at a random position of the rest of the probe order. */
+    private void insertIntoProbeOrder(int member) {
+        if (member == settings.number() || member >= settings.peers()) {
             return;
         }
-        if (orderSize == order.length) {
-            order = Arrays.copyOf(order, Math.max(8, 2 * orderSize));
+        if (probeOrderSize == probeOrder.length) {
+            probeOrder = Arrays.copyOf(probeOrder, Math.max(8, 2 * probeOrderSize));
         }
-        int at = orderAt + random.nextInt(orderSize - orderAt + 1);
-        order[orderSize++] = order[at];
-        order[at] = member;
+        int position = probeOrderPosition + random.nextInt(probeOrderSize - probeOrderPosition + 1);
+        probeOrder[probeOrderSize++] = probeOrder[position];
+        probeOrder[position] = member;
     }
 
-    private void ping(int to, int nonce, long now) {
-        begin(Kind.PING, to).number(nonce).name(nameTold.get(to) ? null : s.name());
-        send(to, now, true);
+    private void sendPing(int to, int nonce, long now) {
+        beginDatagram(Kind.PING, to).putInt(nonce).name(nameReceivedBy.get(to) ? null : settings.name());
+        sendDatagram(to, now, true);
     }
 
-    private void askOthers(long now) {
-        probe.asked = true;
-        if (allowance.allows(Use.PROBE, now)) {
-            ping(probe.target, probe.nonce, now);
+    private void sendIndirectProbes(long now) {
+        probe.indirectSent = true;
+        if (tokenBucket.allows(Priority.PROBE, now)) {
+            sendPing(probe.target, probe.nonce, now);
         }
         BitSet chosen = new BitSet();
-        for (int i = 0; i < s.helpers() && allowance.allows(Use.NEWS, now); i++) {
-            int helper = anyPresent(probe.target);
+        for (int i = 0; i < settings.helpers() && tokenBucket.allows(Priority.GOSSIP, now); i++) {
+            int helper = randomPresentPeer(probe.target);
             if (helper >= 0 && !chosen.get(helper)) {
                 chosen.set(helper);
-                probe.helpers++;
-                begin(Kind.ASK, helper).number(probe.nonce).member(probe.target);
-                send(helper, now, true);
+                probe.helperCount++;
+                beginDatagram(Kind.ASK, helper).putInt(probe.nonce).putShort(probe.target);
+                sendDatagram(helper, now, true);
             }
         }
     }
 
-    /** Neither it nor anybody for it has answered. If no helper says a word either, that tells of ourselves. */
-    private void unanswered(long now) {
-        Probe p = probe;
+    /** Ends a probe without any ack. If no helper sent a nack either, the fault may be at this member. */
+    private void onProbeTimeout(long now) {
+        Probe unanswered = probe;
         probe = null;
-        if (p.nacks == 0) {
-            health.worse(1);
-        }
-        MemberState held = members.state(p.target);
-        if (held == MemberState.ALIVE || held == MemberState.SUSPECTED) {
-            take(
-                    p.target,
-                    members.incarnation(p.target),
-                    s.suspicion() ? MemberState.SUSPECTED : MemberState.FAILED,
-                    s.number(),
+        if (unanswered.nackCount == 0) {
+            localHealth.degrade(1);
+        }
+        MemberState recordedState = members.state(unanswered.target);
+        if (recordedState == MemberState.ALIVE || recordedState == MemberState.SUSPECTED) {
+            applyUpdate(
+                    unanswered.target,
+                    members.incarnation(unanswered.target),
+                    settings.suspicion() ? MemberState.SUSPECTED : MemberState.FAILED,
+                    settings.number(),
                     Cause.NO_ANSWER,
                     now);
         }
     }
 
-    private void answered(int target, int nonce) {
+    private void onAck(int target, int nonce) {
         if (probe != null && probe.nonce == nonce && probe.target == target) {
             probe = null;
-            health.better();
+            localHealth.recover();
         }
     }
 
-    private boolean nack(Relay r, long now) {
-        if (allowance.allows(Use.NEWS, now)) {
-            begin(Kind.NACK, r.origin()).number(r.nonce()).member(r.target());
-            send(r.origin(), now, false);
+    private boolean sendNack(IndirectProbe indirectProbe, long now) {
+        if (tokenBucket.allows(Priority.GOSSIP, now)) {
+            beginDatagram(Kind.NACK, indirectProbe.origin())
+                    .putInt(indirectProbe.nonce())
+                    .putShort(indirectProbe.target());
+            sendDatagram(indirectProbe.origin(), now, false);
         }
         return true;
     }
 
-    /** Pings listed peers that were never heard of: often at first, and as long as nobody is known. */
-    private void join(long now) {
-        joinAt = now + (long) (joinWait * (0.5 + random.nextDouble()));
-        joinWait = (long) Math.min(MOST_JOIN_US, joinWait * JOIN_GROWS);
-        for (int i = 0; i < JOIN_WITH && members.count(MemberState.UNKNOWN) > 0; i++) {
-            pingOneWho(m -> members.state(m) == MemberState.UNKNOWN, now);
+    /** Pings peers that were never heard from: often at first, and for as long as no other member is present. */
+    private void pingUnknownPeers(long now) {
+        nextJoinAt = now + (long) (joinIntervalUs * (0.5 + random.nextDouble()));
+        joinIntervalUs = (long) Math.min(MAX_JOIN_INTERVAL_US, joinIntervalUs * JOIN_INTERVAL_GROWTH);
+        for (int i = 0; i < JOIN_PINGS && members.count(MemberState.UNKNOWN) > 0; i++) {
+            pingRandomPeer(member -> members.state(member) == MemberState.UNKNOWN, now);
         }
-        if (members.present() == 1 && members.count(MemberState.UNKNOWN) == 0) {
-            pingOneWho(m -> members.state(m) == MemberState.FAILED, now);
+        if (members.presentCount() == 1 && members.count(MemberState.UNKNOWN) == 0) {
+            pingRandomPeer(member -> members.state(member) == MemberState.FAILED, now);
         }
     }
 
-    private boolean joins() {
+    private boolean isJoining() {
         return !leaving
-                && (members.present() == 1 || joinWait < MOST_JOIN_US && members.count(MemberState.UNKNOWN) > 0);
-    }
-
-    /** Pings one of those who are not there: it may be back, or a cut between us may have healed. */
-    private void retry(long now) {
-        int away = members.count(MemberState.FAILED) + members.count(MemberState.UNKNOWN);
-        double share = away == 0 ? 0 : members.present() / (away * RETRIES_PER_S) * 1e6;
-        retryAt = now + (long) (Math.max(s.retryUs(), share) * (0.5 + random.nextDouble()));
-        if (away > 0) {
-            pingOneWho(m -> members.state(m) == MemberState.FAILED || members.state(m) == MemberState.UNKNOWN, now);
+                && (members.presentCount() == 1
+                        || joinIntervalUs < MAX_JOIN_INTERVAL_US && members.count(MemberState.UNKNOWN) > 0);
+    }
+
+    /** Pings one failed or unknown peer: it may be back, or a network partition may have healed. */
+    private void pingAbsentPeer(long now) {
+        int absent = members.count(MemberState.FAILED) + members.count(MemberState.UNKNOWN);
+        double intervalUs = absent == 0 ? 0 : members.presentCount() / (absent * MAX_RECONNECT_PINGS_PER_S) * 1e6;
+        nextReconnectAt = now + (long) (Math.max(settings.retryUs(), intervalUs) * (0.5 + random.nextDouble()));
+        if (absent > 0) {
+            pingRandomPeer(
+                    member ->
+                            members.state(member) == MemberState.FAILED || members.state(member) == MemberState.UNKNOWN,
+                    now);
         }
     }
 
-    /** Pings a listed one of some, drawn; nothing waits for the answer. */
-    private void pingOneWho(IntPredicate meant, long now) {
-        int from = random.nextInt(s.peers());
-        for (int i = 0; i < s.peers(); i++) {
-            int m = (from + i) % s.peers();
-            if (meant.test(m)) {
-                if (allowance.allows(Use.PROBE, now)) {
-                    ping(m, random.nextInt(), now);
+    /** Pings the first matching peer from a random position of the list; no probe waits for its ack. */
+    private void pingRandomPeer(IntPredicate matches, long now) {
+        int first = random.nextInt(settings.peers());
+        for (int i = 0; i < settings.peers(); i++) {
+            int member = (first + i) % settings.peers();
+            if (matches.test(member)) {
+                if (tokenBucket.allows(Priority.PROBE, now)) {
+                    sendPing(member, random.nextInt(), now);
                 }
                 return;
             }
@@ -576,288 +604,317 @@
     // ---- messages ------------------------------------------------------------------------------------
 
     /**
-     * A datagram came.
+     * Handles a received datagram.
      *
-     * @param from the listed peer whose address it came from; -1 if it is nobody's
+     * @param from number of the peer whose address it came from; -1 if the address belongs to no peer
      */
     public void onDatagram(long now, int from, byte[] bytes, int length) {
-        look(now);
-        DropReason why = reader.read(bytes, length);
-        if (why == null) {
-            why = reader.from == s.number()
+        detectStall(now);
+        DropReason reason = reader.read(bytes, length);
+        if (reason == null) {
+            reason = reader.sender == settings.number()
                     ? DropReason.OUR_NUMBER
                     : from < 0
                             ? DropReason.STRANGER
-                            : reader.from != from
+                            : reader.sender != from
                                     ? DropReason.NOT_ITS_ADDRESS
-                                    : reader.to != s.number() ? DropReason.NOT_FOR_US : null;
+                                    : reader.recipient != settings.number() ? DropReason.NOT_FOR_US : null;
         }
-        if (why != null) {
-            drops.merge(why, 1L, Long::sum);
+        if (reason != null) {
+            drops.merge(reason, 1L, Long::sum);
             return;
         }
         received++;
-        heard(now, from);
+        applySenderState(now, from);
         switch (reader.kind) {
             case PING -> {
-                named(now, from);
+                recordName(now, from);
                 int nonce = reader.nonce;
-                rumoursCame(now);
-                if (allowance.allows(Use.PROBE, now)) {
-                    begin(Kind.ACK, from).number(nonce).name(nameTold.get(from) ? null : s.name());
-                    send(from, now, true);
+                applyUpdates(now);
+                if (tokenBucket.allows(Priority.PROBE, now)) {
+                    beginDatagram(Kind.ACK, from).putInt(nonce).name(nameReceivedBy.get(from) ? null : settings.name());
+                    sendDatagram(from, now, true);
                 }
             }
             case ACK -> {
-                nameTold.set(from);
-                named(now, from);
-                rumoursCame(now);
-                answered(from, reader.nonce);
-                relayed(now, from);
+                nameReceivedBy.set(from);
+                recordName(now, from);
+                applyUpdates(now);
+                onAck(from, reader.nonce);
+                onIndirectProbeAck(now, from);
             }
             case ASK -> {
                 int target = reader.target;
                 int nonce = reader.nonce;
-                rumoursCame(now);
-                asked(now, from, target, nonce);
+                applyUpdates(now);
+                onIndirectProbeRequest(now, from, target, nonce);
             }
             case ACK_FOR -> {
-                take(reader.target, reader.targetIncarnation, MemberState.ALIVE, from, Cause.HEARSAY, now);
-                answered(reader.target, reader.nonce);
+                applyUpdate(reader.target, reader.targetIncarnation, MemberState.ALIVE, from, Cause.HEARSAY, now);
+                onAck(reader.target, reader.nonce);
             }
             case NACK -> {
                 if (probe != null && probe.nonce == reader.nonce && probe.target == reader.target) {
-                    probe.nacks = Math.min(probe.helpers, probe.nacks + 1);
+                    probe.nackCount = Math.min(probe.helperCount, probe.nackCount + 1);
                 }
             }
-            case GOSSIP -> rumoursCame(now);
-            case NODES -> exchange.compare(now, from, reader);
-            case RECORDS -> exchange.take(now, from, reader);
+            case GOSSIP -> applyUpdates(now);
+            case NODES -> antiEntropy.onNodes(now, from, reader);
+            case RECORDS -> antiEntropy.onRecords(now, from, reader);
         }
-        compared(now, from);
-        settle(now);
-        arm(now);
+        compareViews(now, from);
+        updateConvergence(now);
+        scheduleTimer(now);
     }
 
-    /** What each message says of its sender. */
-    private void heard(long now, int from) {
-        MemberState said = reader.leaving ? MemberState.LEFT : MemberState.ALIVE;
-        take(from, reader.incarnation, said, from, Cause.ITS_WORD, now);
-        boolean mistaken = members.state(from) == MemberState.SUSPECTED || members.state(from) == MemberState.FAILED;
-        if (mistaken && reader.kind != Kind.PING && allowance.allows(Use.NEWS, now)) {
-            // It lives, and only its own word undoes what is believed of it: it must hear of that.
-            gossip(from, now);
+    /** Applies the state of the sender, which each message carries. */
+    private void applySenderState(long now, int from) {
+        MemberState reportedState = reader.leaving ? MemberState.LEFT : MemberState.ALIVE;
+        applyUpdate(from, reader.incarnation, reportedState, from, Cause.ITS_WORD, now);
+        boolean mustRefute = members.state(from) == MemberState.SUSPECTED || members.state(from) == MemberState.FAILED;
+        if (mustRefute && reader.kind != Kind.PING && tokenBucket.allows(Priority.GOSSIP, now)) {
+            // The sender is alive, but only its own refutation can clear the recorded state, so it must learn of it. A
+            // ping is answered with an ack, which carries the recorded state.
+            sendGossip(from, now);
         }
     }
 
-    /** Whether its sender, as it was when it sent this, and we, as we are now, agree. */
-    private void compared(long now, int from) {
-        boolean same = reader.view == (int) members.digest();
-        settling.heard(now, from, same);
-        if (!same && reader.kind != Kind.NODES && reader.kind != Kind.RECORDS) {
-            exchange.differs(now, from);
+    /** Compares the sender's view as of this message with the current local view. */
+    private void compareViews(long now, int from) {
+        boolean sameView = reader.viewDigest == (int) members.digest();
+        convergence.onMessage(now, from, sameView);
+        if (!sameView && reader.kind != Kind.NODES && reader.kind != Kind.RECORDS) {
+            antiEntropy.onDifferentView(now, from);
         }
     }
 
-    private void named(long now, int from) {
+    private void recordName(long now, int from) {
         if (reader.name == null || reader.name.equals(names.put(from, reader.name))) {
             return;
         }
         String name = reader.name;
-        for (int m = 0; m < members.size(); m++) {
-            if (m != from && members.state(m).present() && name.equals(name(m))) {
-                int other = m;
-                listeners.forEach(l -> l.duplicateName(now, name, other, from));
+        for (int member = 0; member < members.size(); member++) {
+            if (member != from && members.state(member).isPresent() && name.equals(name(member))) {
+                int other = member;
+                listeners.forEach(listener -> listener.duplicateName(now, name, other, from));
             }
         }
     }
 
-    private void rumoursCame(long now) {
-        for (int i = 0; i < reader.entries; i++) {
-            take(reader.member[i], reader.entryIncarnation[i], reader.state[i], reader.word[i], Cause.HEARSAY, now);
+    private void applyUpdates(long now) {
+        for (int i = 0; i < reader.entryCount; i++) {
+            applyUpdate(
+                    reader.entryMember[i],
+                    reader.entryIncarnation[i],
+                    reader.entryState[i],
+                    reader.entrySource[i],
+                    Cause.HEARSAY,
+                    now);
         }
     }
 
-    private void asked(long now, int origin, int target, int nonce) {
-        if (target == s.number()) {
-            ackFor(now, origin, nonce, target);
-        } else if (target < s.peers() && relays.size() < MOST_RELAYS && allowance.allows(Use.NEWS, now)) {
-            int own = random.nextInt();
-            relays.put(own, new Relay(origin, nonce, target, now + s.answerUs()));
-            ping(target, own, now);
+    private void onIndirectProbeRequest(long now, int origin, int target, int nonce) {
+        if (target == settings.number()) {
+            sendIndirectAck(now, origin, nonce, target);
+        } else if (target < settings.peers()
+                && indirectProbes.size() < MAX_INDIRECT_PROBES
+                && tokenBucket.allows(Priority.GOSSIP, now)) {
+            int ownNonce = random.nextInt();
+            indirectProbes.put(ownNonce, new IndirectProbe(origin, nonce, target, now + settings.answerUs()));
+            sendPing(target, ownNonce, now);
         }
     }
 
-    private void relayed(long now, int from) {
-        Relay r = relays.get(reader.nonce);
-        if (r != null && r.target() == from) {
-            relays.remove(reader.nonce);
-            ackFor(now, r.origin(), r.nonce(), from);
+    private void onIndirectProbeAck(long now, int from) {
+        IndirectProbe indirectProbe = indirectProbes.get(reader.nonce);
+        if (indirectProbe != null && indirectProbe.target() == from) {
+            indirectProbes.remove(reader.nonce);
+            sendIndirectAck(now, indirectProbe.origin(), indirectProbe.nonce(), from);
         }
     }
 
-    private void ackFor(long now, int to, int nonce, int target) {
-        if (members.incarnation(target) != Incarnation.NONE && allowance.allows(Use.NEWS, now)) {
-            begin(Kind.ACK_FOR, to).number(nonce).member(target).incarnation(members.incarnation(target));
-            send(to, now, false);
+    private void sendIndirectAck(long now, int to, int nonce, int target) {
+        if (members.incarnation(target) != Incarnation.NONE && tokenBucket.allows(Priority.GOSSIP, now)) {
+            beginDatagram(Kind.ACK_FOR, to).putInt(nonce).putShort(target).putLong(members.incarnation(target));
+            sendDatagram(to, now, false);
         }
     }
 
-    // ---- news ----------------------------------------------------------------------------------------
+    // ---- gossip --------------------------------------------------------------------------------------
 
-    /** A round of news to some who are there. */
-    private void passOn(long now) {
-        for (int i = 0; i < s.newsTo() && !rumours.isEmpty(); i++) {
-            int to = anyPresent(-1);
-            if (to >= 0 && allowance.allows(Use.NEWS, now)) {
-                gossip(to, now);
+    /** Sends gossip to some present members. */
+    private void sendGossipRound(long now) {
+        for (int i = 0; i < settings.newsTo() && !gossipQueue.isEmpty(); i++) {
+            int to = randomPresentPeer(-1);
+            if (to >= 0 && tokenBucket.allows(Priority.GOSSIP, now)) {
+                sendGossip(to, now);
             }
         }
     }
 
-    private void gossip(int to, long now) {
-        begin(Kind.GOSSIP, to);
-        send(to, now, true);
+    private void sendGossip(int to, long now) {
+        beginDatagram(Kind.GOSSIP, to);
+        sendDatagram(to, now, true);
     }
 
-    /** One that is there and has an address here, drawn; -1 if there is none but us and that one. */
-    private int anyPresent(int but) {
-        for (int tries = 0; tries < 2 * s.peers() && members.present() > 1; tries++) {
-            // The list of turns holds mostly those who are there; drawing from it is as fair as from all.
-            int m = orderSize > 0 && tries < orderSize ? order[random.nextInt(orderSize)] : random.nextInt(s.peers());
-            if (m != s.number() && m != but && members.state(m).present()) {
-                return m;
+    /** A random present peer other than this member and the excluded one; -1 if none was found. */
+    private int randomPresentPeer(int excluded) {
+        for (int attempt = 0; attempt < 2 * settings.peers() && members.presentCount() > 1; attempt++) {
+            // The probe order holds mostly present members, and choosing from it is as uniform as from all peers.
+            int member = probeOrderSize > 0 && attempt < probeOrderSize
+                    ? probeOrder[random.nextInt(probeOrderSize)]
+                    : random.nextInt(settings.peers());
+            if (member != settings.number()
+                    && member != excluded
+                    && members.state(member).isPresent()) {
+                return member;
             }
         }
         return -1;
     }
 
-    Datagram.Writer begin(Kind kind, int to) {
+    Datagram.Writer beginDatagram(Kind kind, int to) {
         return writer.begin(kind, to, incarnation, leaving, (int) members.digest());
     }
 
-    boolean mayCompare(long now) {
-        return allowance.allows(Use.COMPARE, now);
+    boolean allowsComparison(long now) {
+        return tokenBucket.allows(Priority.ANTI_ENTROPY, now);
     }
 
-    long compareUs() {
-        return s.compareUs();
+    long comparisonIntervalUs() {
+        return settings.compareUs();
     }
 
-    /** Sends what was begun, with news where there is room for any. */
-    void send(int to, long now, boolean withNews) {
-        if (withNews) {
-            MemberState held = members.state(to);
-            boolean mistaken = held == MemberState.SUSPECTED || held == MemberState.FAILED;
-            if (mistaken && writer.room() >= Datagram.RUMOUR) {
-                rumour(to);
+    /** Sends the datagram that was begun, with piggybacked updates if they are wanted and fit. */
+    void sendDatagram(int to, long now, boolean withUpdates) {
+        if (withUpdates) {
+            MemberState recordedState = members.state(to);
+            boolean mustRefute = recordedState == MemberState.SUSPECTED || recordedState == MemberState.FAILED;
+            if (mustRefute && writer.remainingBytes() >= Datagram.UPDATE_BYTES) {
+                putUpdate(to);
             }
-            int taken = rumours.take(picked, writer.room() / Datagram.RUMOUR, s.newsTimes(members.present()));
-            for (int i = 0; i < taken; i++) {
-                rumour(picked[i]);
+            int selected = gossipQueue.select(
+                    selectedMembers,
+                    writer.remainingBytes() / Datagram.UPDATE_BYTES,
+                    settings.updateTransmissions(members.presentCount()));
+            for (int i = 0; i < selected; i++) {
+                putUpdate(selectedMembers[i]);
             }
         }
         int length = writer.finish();
-        allowance.spend(length);
+        tokenBucket.spend(length);
         sentDatagrams++;
         sentBytes += length;
-        out.send(to, writer.bytes, length);
+        actions.send(to, writer.bytes, length);
     }
 
-    private void rumour(int member) {
-        int accuser = suspicions.accuser(member);
-        writer.rumour(
+    private void putUpdate(int member) {
+        int confirmingMember = suspicions.lastConfirmingMember(member);
+        writer.putUpdate(
                 member,
                 members.state(member),
-                accuser >= 0 ? accuser : members.word(member),
+                confirmingMember >= 0 ? confirmingMember : members.sourceMember(member),
                 members.incarnation(member));
     }
 
-    // ---- beliefs -------------------------------------------------------------------------------------
+    // ---- updates of the view -------------------------------------------------------------------------
 
-    /** Takes a word about a member, if it is later than what is believed. */
-    void take(int member, long itsIncarnation, MemberState state, int word, Cause cause, long now) {
-        if (member == s.number()) {
-            ofUs(itsIncarnation, state, now);
-        } else if (later(member, itsIncarnation, state)) {
-            set(member, itsIncarnation, state, word, cause, now);
+    /** Applies an update about a member if it is newer than the recorded state, or confirms a suspicion. */
+    void applyUpdate(int member, long memberIncarnation, MemberState state, int source, Cause cause, long now) {
+        if (member == settings.number()) {
+            applyOwnUpdate(memberIncarnation, state, now);
+        } else if (isNewer(member, memberIncarnation, state)) {
+            record(member, memberIncarnation, state, source, cause, now);
         } else if (state == MemberState.SUSPECTED
                 && cause != Cause.EXCHANGE
-                && itsIncarnation == members.incarnation(member)
-                && suspicions.confirm(member, word)) {
-            rumours.add(member);
+                && memberIncarnation == members.incarnation(member)
+                && suspicions.confirm(member, source)) {
+            gossipQueue.add(member);
         }
     }
 
-    /** Whether a word is later than what is believed. */
-    boolean later(int member, long itsIncarnation, MemberState state) {
-        return members.newer(member, itsIncarnation, state);
+    /** Whether an update is newer than the recorded state. */
+    boolean isNewer(int member, long memberIncarnation, MemberState state) {
+        return members.isNewer(member, memberIncarnation, state);
     }
 
-    private void set(int member, long itsIncarnation, MemberState state, int word, Cause cause, long now) {
-        MemberState before = members.state(member);
-        boolean reborn =
-                before != MemberState.UNKNOWN && !Incarnation.sameLife(itsIncarnation, members.incarnation(member));
-        long digest = members.digest();
-        members.set(member, itsIncarnation, state, word, now);
+    private void record(int member, long memberIncarnation, MemberState state, int source, Cause cause, long now) {
+        MemberState previousState = members.state(member);
+        boolean newProcess = previousState != MemberState.UNKNOWN
+                && !Incarnation.sameProcess(memberIncarnation, members.incarnation(member));
+        long previousDigest = members.digest();
+        members.record(member, memberIncarnation, state, source, now);
         if (state == MemberState.SUSPECTED) {
-            long least = s.leastSuspicionUs(members.present());
-            int needed = Math.max(0, Math.min(s.accusers(), members.present() - 3));
+            long minTimeoutUs = settings.minSuspicionUs(members.presentCount());
+            int neededConfirmations = Math.max(0, Math.min(settings.accusers(), members.presentCount() - 3));
             suspicions.begin(
-                    member, word, now, least, (long) (needed == 0 ? least : s.suspicionMost() * least), needed);
+                    member,
+                    source,
+                    now,
+                    minTimeoutUs,
+                    (long) (neededConfirmations == 0 ? minTimeoutUs : settings.suspicionMost() * minTimeoutUs),
+                    neededConfirmations);
         } else {
             suspicions.end(member);
         }
-        if (reborn) {
-            nameTold.clear(member);
+        if (newProcess) {
+            nameReceivedBy.clear(member);
         }
-        rumours.add(member);
-        if (state.present() && !before.present()) {
-            enrol(member);
+        gossipQueue.add(member);
+        if (state.isPresent() && !previousState.isPresent()) {
+            insertIntoProbeOrder(member);
         }
-        if (digest != members.digest()) {
-            settling.changed(now, member, before, state);
+        if (previousDigest != members.digest()) {
+            convergence.onViewChanged(now, member, previousState, state);
         }
-        if (before != state || reborn) {
-            told(now, member, before, reborn, cause);
+        if (previousState != state || newProcess) {
+            notifyChange(now, member, previousState, newProcess, cause);
         }
     }
 
-    private void told(long now, int member, MemberState before, boolean reborn, Cause cause) {
+    private void notifyChange(long now, int member, MemberState previousState, boolean newProcess, Cause cause) {
         Change change = new Change(
-                ++changes,
+                ++lastChange,
                 now,
                 member,
-                before,
+                previousState,
                 members.state(member),
                 members.incarnation(member),
-                reborn,
-                members.word(member),
+                newProcess,
+                members.sourceMember(member),
                 cause,
                 members.digest());
-        listeners.forEach(l -> l.changed(change));
+        listeners.forEach(listener -> listener.changed(change));
     }
 
     /**
-     * Somebody believes something of us. A later incarnation than ours is of a life before this one, by a clock that
-     * has gone back since; a suspicion is refuted, which tells us that we were not heard.
+     * Handles an update about this member. A higher incarnation than its own comes from an earlier process, before the
+     * clock went back, and this member continues after it. A suspicion, failure or leave at its own incarnation is
+     * refuted; it lowers the local health, because it shows that messages of this member did not arrive.
      */
-    void ofUs(long itsIncarnation, MemberState state, long now) {
-        long mine = incarnation;
-        if (itsIncarnation > mine) {
-            incarnation = Incarnation.lifeAfter(itsIncarnation);
-        } else if (itsIncarnation == mine && state.ordinal() > MemberState.ALIVE.ordinal() && !leaving) {
-            incarnation = Incarnation.next(mine);
-            health.worse(1);
+    void applyOwnUpdate(long reportedIncarnation, MemberState state, long now) {
+        long ownIncarnation = incarnation;
+        if (reportedIncarnation > ownIncarnation) {
+            incarnation = Incarnation.ofNextProcess(reportedIncarnation);
+        } else if (reportedIncarnation == ownIncarnation && state.ordinal() > MemberState.ALIVE.ordinal() && !leaving) {
+            incarnation = Incarnation.next(ownIncarnation);
+            localHealth.degrade(1);
         } else {
             return;
         }
-        set(s.number(), incarnation, leaving ? MemberState.LEFT : MemberState.ALIVE, s.number(), Cause.OWN, now);
+        record(
+                settings.number(),
+                incarnation,
+                leaving ? MemberState.LEFT : MemberState.ALIVE,
+                settings.number(),
+                Cause.OWN,
+                now);
     }
 
-    private void settle(long now) {
-        if (settling.look(now, suspicions.isEmpty())) {
-            listeners.forEach(l -> l.reach(now, settling.reach(), settling.settled(), members.digest()));
+    private void updateConvergence(long now) {
+        if (convergence.update(now, suspicions.isEmpty())) {
+            listeners.forEach(listener ->
+                    listener.reach(now, convergence.reachability(), convergence.converged(), members.digest()));
         }
     }
 }
--- a/src/main/java/mulleinfront/fleet/FleetSettings.java
+++ b/src/main/java/mulleinfront/fleet/FleetSettings.java
@@ -1,31 +1,31 @@
 package mulleinfront.fleet;
 
 /**
- * What a member of a fleet goes by; times are microseconds. All members need the same list of peers in the same
- * order, and do best with the same figures.
+ * Parameters of one member; times are in microseconds. All members need the same list of peers in the same order, and
+ * work best with equal parameters.
  *
- * @param fleet the fleet's name: datagrams of another are not read
- * @param name this member's name, for people; printable ASCII, {@link Datagram#LONGEST_NAME} at most
- * @param number its place in the list of peers, from 0
- * @param peers how many the list holds
- * @param periodUs each member pings one other in this time
- * @param answerUs time for the answer to a ping, before others are asked to try
- * @param concludeUs time from a ping until one that answered nobody is suspected
- * @param helpers how many are asked to try
- * @param suspicionFactor periods that a suspicion lasts at the least, for each tenfold size of the fleet
- * @param suspicionMost how many times as long it lasts while one member alone has it
- * @param accusers further ones that bring it down to the least
- * @param newsUs news are passed on this often, while there are any
- * @param newsTo to how many
- * @param newsFactor how often each is passed on by one member, for each tenfold size of the fleet
- * @param compareUs time between comparisons of views that this member begins
- * @param retryUs time between pings to those who are thought to have failed
- * @param settledUs time without change, and with equal views among those heard, after which a view is settled
- * @param goneUs time after which one that was not seen counts as gone for good; a cut may last so long
- * @param datagramsPerS datagrams that this member sends in a second at most
- * @param bytesPerS bytes, likewise
- * @param suspicion whether who does not answer is suspected first; if not, it has failed at once
- * @param selfDoubt whether this member gives others more time when it seems to be slow itself
+ * @param fleet name of the fleet; datagrams of other fleets are discarded
+ * @param name name of this member for people: printable ASCII, at most {@link Datagram#MAX_NAME_CHARACTERS} characters
+ * @param number index of this member in the list of peers, from 0
+ * @param peers length of the list of peers
+ * @param periodUs protocol period: each member probes one other member per period
+ * @param answerUs time from a ping until indirect probes are sent for lack of an ack
+ * @param concludeUs time from a ping until the target is suspected for lack of any ack
+ * @param helpers members that are asked for an indirect probe
+ * @param suspicionFactor shortest suspicion timeout, in periods per factor of ten of the number of members
+ * @param suspicionMost ratio of the longest suspicion timeout, with no confirmation, to the shortest one
+ * @param accusers confirmations by other members that reduce the suspicion timeout to the shortest one
+ * @param newsUs interval between gossip rounds, while there are updates to send
+ * @param newsTo members that receive gossip in each round
+ * @param newsFactor transmissions of each update by one member, per factor of ten of the number of members
+ * @param compareUs shortest interval between anti-entropy comparisons started by this member
+ * @param retryUs shortest mean interval between pings to failed or unknown peers
+ * @param settledUs time without a change, and with equal views in all messages received, until the view has converged
+ * @param goneUs time until a member that was not seen expires; a network partition may last that long
+ * @param datagramsPerS limit on the datagrams sent per second
+ * @param bytesPerS limit on the bytes sent per second
+ * @param suspicion whether a member that does not answer is suspected first; if not, it is recorded as failed at once
+ * @param selfDoubt whether local health is used: this member gives others more time when it seems to be slow itself
  */
 public record FleetSettings(
         String fleet,
@@ -51,28 +51,32 @@
         boolean suspicion,
         boolean selfDoubt) {
 
-    /** Rejects what can't be gone by. */
+    /** Validates the parameters. */
     public FleetSettings {
-        need(number >= 0 && number < peers, "number must be one of the " + peers + " peers'");
-        need(peers <= Members.MOST, "peers: there is room for " + Members.MOST);
-        need(periodUs > 0, "period must be above 0");
-        need(answerUs > 0 && answerUs < concludeUs, "answer must be above 0 and below conclude");
-        need(concludeUs <= periodUs, "conclude must not be above period");
-        need(name.length() <= Datagram.LONGEST_NAME, "name: " + Datagram.LONGEST_NAME + " characters at most");
+        require(number >= 0 && number < peers, "number must be one of the " + peers + " peers'");
+        require(peers <= Members.MAX_MEMBERS, "peers: must not exceed " + Members.MAX_MEMBERS);
+        require(periodUs > 0, "period must be above 0");
+        require(answerUs > 0 && answerUs < concludeUs, "answer must be above 0 and below conclude");
+        require(concludeUs <= periodUs, "conclude must not be above period");
+        require(
+                name.length() <= Datagram.MAX_NAME_CHARACTERS,
+                "name: " + Datagram.MAX_NAME_CHARACTERS + " characters at most");
     }
 
-    private static void need(boolean ok, String otherwise) {
-        if (!ok) {
-            throw new IllegalArgumentException("fleet: " + otherwise);
+    private static void require(boolean valid, String message) {
+        if (!valid) {
+            throw new IllegalArgumentException("fleet: " + message);
         }
     }
 
     /**
-     * The usual ones, in proportion to a period: a fleet that may take twice as long to notice costs half.
+     * Default parameters, in proportion to the period: twice the period halves the traffic and doubles the detection
+     * time.
      *
-     * @param goneUs see above
+     * @param goneUs time until a member that was not seen expires
      */
-    public static FleetSettings defaults(String fleet, String name, int number, int peers, long periodUs, long goneUs) {
+    public static FleetSettings defaults(
+            String fleet, String name, int number, int peers, long periodUs, long memberExpiryUs) {
         return new FleetSettings(
                 fleet,
                 name,
@@ -91,14 +95,14 @@
                 periodUs / 2,
                 5 * periodUs,
                 4 * periodUs,
-                goneUs,
+                memberExpiryUs,
                 64,
                 12_000,
                 true,
                 true);
     }
 
-    /** The same detector as it was first published: no suspicion, no doubt of itself. */
+    /** The same parameters for the basic SWIM detector: no suspicion and no local health. */
     public FleetSettings withoutSuspicion() {
         return new FleetSettings(
                 fleet,
@@ -125,31 +129,32 @@
                 false);
     }
 
-    /** How many tenfold sizes a fleet has, at least one. */
-    static double tenfolds(int members) {
+    /** Decimal logarithm of the number of members, at least 1. */
+    static double sizeFactor(int members) {
         return Math.max(1, StrictMath.log10(Math.max(1, members)));
     }
 
-    /** How long a suspicion lasts at the least among so many. */
-    long leastSuspicionUs(int members) {
-        return (long) (suspicionFactor * tenfolds(members) * periodUs);
+    /** Shortest suspicion timeout in a fleet of this size. */
+    long minSuspicionUs(int members) {
+        return (long) (suspicionFactor * sizeFactor(members) * periodUs);
     }
 
-    /** How often one member passes a word on among so many. */
-    int newsTimes(int members) {
+    /** Transmissions of one update by one member in a fleet of this size. */
+    int updateTransmissions(int members) {
         return newsFactor * (int) Math.ceil(StrictMath.log10(members + 1));
     }
 
     /**
-     * Time within which all who are connected have agreed on one that died, or on one that is back, if not more
-     * than one datagram in ten is lost: what a judge may hold a fleet to. Two periods until somebody pings it, each
-     * twice as long where that one had a reason to doubt itself; the longest suspicion, if no second accuser comes
-     * for long; and time for the news, and for a comparison of views where it misses somebody.
+     * Time within which all connected members agree on a member that failed or came back, provided that at most one
+     * datagram in ten is lost; audits use it as their bound. It adds two periods until some member probes the failed
+     * one, each doubled in case the local health of the probing member is reduced; the longest suspicion timeout, in
+     * case confirmations come late; time for gossip, and for anti-entropy where gossip misses a member; and two
+     * intervals between pings to failed peers.
      */
     public long convergenceBoundUs(int members) {
         double rounds = StrictMath.log(members + 1) / StrictMath.log(2);
         return (long) (4 * periodUs
-                        + suspicionMost * leastSuspicionUs(members)
+                        + suspicionMost * minSuspicionUs(members)
                         + 3 * rounds * newsUs
                         + 2 * rounds * compareUs)
                 + 2 * retryUs;
--- a/src/main/java/mulleinfront/fleet/Incarnation.java
+++ b/src/main/java/mulleinfront/fleet/Incarnation.java
@@ -1,47 +1,47 @@
 package mulleinfront.fleet;
 
 /**
- * Which of two words about a member is newer. An incarnation is the time at which its process started, in
- * milliseconds since 1970, and how often it has refuted since, in one number: 48 bits of the one above 16 of the
- * other. Only the member itself makes new ones, so the larger one is always the later word, also after a restart
- * that remembers nothing. Where its clock has gone back it hears of its former life and goes on from there.
+ * Incarnation numbers, which order the updates about a member. An incarnation holds the start time of the member's
+ * process, in milliseconds since 1970, in the upper 48 bits and the number of its refutations in the lower 16. Only the
+ * member itself creates new ones, so the larger one is always newer, even after a restart without stored state. A
+ * member whose clock has gone back learns of its previous incarnation from others and continues after it.
  */
 final class Incarnation {
-    private static final int TURN_BITS = 16;
-    /** No incarnation yet. */
+    private static final int REFUTATION_BITS = 16;
+    /** Incarnation of a member that was never heard from. */
     static final long NONE = 0;
-    /** Words beyond this are no member's: half of the range is kept so that refuting can never run over. */
-    static final long MOST = Long.MAX_VALUE >> 1;
+    /** Largest valid incarnation. The upper half of the range is reserved so that refutations cannot overflow. */
+    static final long MAX = Long.MAX_VALUE >> 1;
 
     private Incarnation() {}
 
-    /** That of a process that starts now. */
-    static long starting(long wallClockMs) {
-        return Math.max(1, Math.min(wallClockMs, MOST >> TURN_BITS)) << TURN_BITS;
+    /** First incarnation of a process that starts now. */
+    static long ofProcessStart(long wallClockMs) {
+        return Math.max(1, Math.min(wallClockMs, MAX >> REFUTATION_BITS)) << REFUTATION_BITS;
     }
 
-    /** The next one of the same process; after 65,535 of them it counts as started a millisecond later. */
+    /** Next incarnation of the same process. After 65,535 of them the start time moves by one millisecond. */
     static long next(long incarnation) {
         return incarnation + 1;
     }
 
-    /** The first one of a life after that of another incarnation. */
-    static long lifeAfter(long incarnation) {
-        return ((incarnation >> TURN_BITS) + 1) << TURN_BITS;
+    /** First incarnation of a process that follows the process of the given incarnation. */
+    static long ofNextProcess(long incarnation) {
+        return ((incarnation >> REFUTATION_BITS) + 1) << REFUTATION_BITS;
     }
 
-    /** When its process started, by its own clock, milliseconds since 1970. */
+    /** Start time of the process by its own clock, milliseconds since 1970. */
     static long startedMs(long incarnation) {
-        return incarnation >> TURN_BITS;
+        return incarnation >> REFUTATION_BITS;
     }
 
-    /** Whether two are of one process. */
-    static boolean sameLife(long a, long b) {
-        return a >> TURN_BITS == b >> TURN_BITS;
+    /** Whether two incarnations belong to the same process. */
+    static boolean sameProcess(long first, long second) {
+        return first >> REFUTATION_BITS == second >> REFUTATION_BITS;
     }
 
-    /** Whether it can have been somebody's. */
-    static boolean plausible(long incarnation) {
-        return incarnation > NONE && incarnation <= MOST;
+    /** Whether the value is in the range of valid incarnations. */
+    static boolean isValid(long incarnation) {
+        return incarnation > NONE && incarnation <= MAX;
     }
 }
--- a/src/main/java/mulleinfront/fleet/MemberState.java
+++ b/src/main/java/mulleinfront/fleet/MemberState.java
@@ -2,32 +2,32 @@
 
 import java.util.Locale;
 
-/** What is believed of a member. At one incarnation a later one of these overrides an earlier one. */
+/** State of a member in the local view. At the same incarnation, a later constant overrides an earlier one. */
 public enum MemberState {
-    /** Listed as a peer and never heard of. */
+    /** Listed as a peer and never heard from. */
     UNKNOWN,
-    /** Answers, or was said to. */
+    /** Answers, or is reported to answer. */
     ALIVE,
-    /** Did not answer somebody; it may still say that it lives. */
+    /** Did not answer a probe; it may still refute the suspicion. */
     SUSPECTED,
-    /** Did not say so in time. */
+    /** Did not refute the suspicion in time. */
     FAILED,
-    /** Said itself that it goes. */
+    /** Announced itself that it leaves. */
     LEFT;
 
     private static final MemberState[] ALL = values();
 
-    /** That of a code on the wire; null if there is none. */
-    static MemberState of(int code) {
+    /** Returns the state of a code on the wire; null if the code is invalid. */
+    static MemberState fromCode(int code) {
         return code >= 0 && code < ALL.length ? ALL[code] : null;
     }
 
-    /** Whether it counts as there: a suspicion alone takes nobody out. */
-    public boolean present() {
+    /** Whether the member counts as present: a suspicion alone does not remove it. */
+    public boolean isPresent() {
         return this == ALIVE || this == SUSPECTED;
     }
 
-    /** One word for people and logs. */
+    /** The name written to logs and operator output. */
     public String word() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/mulleinfront/fleet/Reachability.java
+++ b/src/main/java/mulleinfront/fleet/Reachability.java
@@ -2,20 +2,20 @@
 
 import java.util.Locale;
 
-/** Which part of the fleet, as it was last settled, one instance has in reach, itself included. */
+/** The part of the last converged fleet that is reachable from one instance, which counts itself. */
 public enum Reachability {
-    /** No fleet was ever settled here: nothing can be said. */
+    /** The view of this instance has never converged. */
     UNSETTLED,
-    /** All that have not left. */
+    /** All members that have not left or expired. */
     ALL,
-    /** More than half. */
+    /** More than half of the members. */
     MAJORITY,
-    /** Half or less: the others may be a majority. */
+    /** Half of the members or less: the others may form a majority. */
     MINORITY,
-    /** Nobody else. */
+    /** No other member. */
     ALONE;
 
-    /** One word for people and logs. */
+    /** The name written to logs and operator output. */
     public String word() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/mulleinfront/fleet/Suspicions.java
+++ b/src/main/java/mulleinfront/fleet/Suspicions.java
@@ -7,107 +7,115 @@
 import java.util.TreeSet;
 
 /**
- * Who is suspected, and until when there is time to refute it. The time is long while one accuser stands alone and
- * shorter with each that comes to the same by itself (Lifeguard, DSN 2018): whoever is wrong is mostly alone.
+ * The suspected members, each with the deadline for its refutation. The timeout is long with a single confirming member
+ * and shorter with each further one that suspects the member independently (Lifeguard, DSN 2018), because a member that
+ * suspects wrongly is usually the only one.
  */
 final class Suspicions {
-    /** One suspicion. */
-    private static final class One {
+    /** Suspicion of one member. */
+    private static final class Suspicion {
         private final int member;
         private final long startedAt;
-        private final long leastUs;
-        private final long mostUs;
-        private final int[] accusers;
-        private int heard;
-        private long until;
+        private final long minTimeoutUs;
+        private final long maxTimeoutUs;
+        private final int[] confirmingMembers;
+        private int confirmations;
+        private long deadline;
 
-        One(int member, long startedAt, long leastUs, long mostUs, int needed) {
+        Suspicion(int member, long startedAt, long minTimeoutUs, long maxTimeoutUs, int neededConfirmations) {
             this.member = member;
             this.startedAt = startedAt;
-            this.leastUs = leastUs;
-            this.mostUs = mostUs;
-            this.accusers = new int[needed + 1];
+            this.minTimeoutUs = minTimeoutUs;
+            this.maxTimeoutUs = maxTimeoutUs;
+            this.confirmingMembers = new int[neededConfirmations + 1];
         }
 
-        boolean accused(int by) {
-            return Arrays.stream(accusers, 0, heard).anyMatch(a -> a == by);
+        boolean isConfirmedBy(int confirmingMember) {
+            return Arrays.stream(confirmingMembers, 0, confirmations).anyMatch(known -> known == confirmingMember);
         }
 
-        void count(int by) {
-            accusers[heard++] = by;
-            int needed = accusers.length - 1;
-            double part = needed == 0 ? 1 : StrictMath.log(heard) / StrictMath.log(needed + 1);
-            until = startedAt + Math.max(leastUs, (long) (mostUs - (mostUs - leastUs) * part));
+        void addConfirmation(int confirmingMember) {
+            confirmingMembers[confirmations++] = confirmingMember;
+            int neededConfirmations = confirmingMembers.length - 1;
+            double reduction = neededConfirmations == 0
+                    ? 1
+                    : StrictMath.log(confirmations) / StrictMath.log(neededConfirmations + 1);
+            deadline = startedAt
+                    + Math.max(minTimeoutUs, (long) (maxTimeoutUs - (maxTimeoutUs - minTimeoutUs) * reduction));
         }
     }
 
-    private final Map<Integer, One> byMember = new HashMap<>();
-    private final TreeSet<One> byTime =
-            new TreeSet<>(Comparator.comparingLong((One o) -> o.until).thenComparingInt(o -> o.member));
-    /** Time that this instance did not have: it stood still. */
-    private long stood;
+    private final Map<Integer, Suspicion> byMember = new HashMap<>();
+    private final TreeSet<Suspicion> byDeadline =
+            new TreeSet<>(Comparator.comparingLong((Suspicion suspicion) -> suspicion.deadline)
+                    .thenComparingInt(suspicion -> suspicion.member));
+    /** Total stall time of this instance, microseconds: a stall extends the suspicions begun before it. */
+    private long stalledUs;
 
     boolean isEmpty() {
         return byMember.isEmpty();
     }
 
     /**
-     * Begins one, in place of an earlier one of the same member.
+     * Begins a suspicion, in place of an earlier one of the same member.
      *
-     * @param leastUs time to refute it once there are enough accusers, and
-     * @param mostUs while there is one
-     * @param needed further accusers that are enough
+     * @param minTimeoutUs timeout once enough further members have confirmed the suspicion
+     * @param maxTimeoutUs timeout while only one member suspects it
+     * @param neededConfirmations number of further confirming members that is enough
      */
-    void begin(int member, int accuser, long now, long leastUs, long mostUs, int needed) {
+    void begin(
+            int member, int confirmingMember, long now, long minTimeoutUs, long maxTimeoutUs, int neededConfirmations) {
         end(member);
-        One one = new One(member, now - stood, leastUs, mostUs, needed);
-        one.count(accuser);
-        byMember.put(member, one);
-        byTime.add(one);
+        Suspicion suspicion = new Suspicion(member, now - stalledUs, minTimeoutUs, maxTimeoutUs, neededConfirmations);
+        suspicion.addConfirmation(confirmingMember);
+        byMember.put(member, suspicion);
+        byDeadline.add(suspicion);
     }
 
-    /** Another accuser; whether it is a new one that counts. */
-    boolean confirm(int member, int accuser) {
-        One one = byMember.get(member);
-        if (one == null || one.heard == one.accusers.length || one.accused(accuser)) {
+    /** Adds a confirming member; returns whether it is new and still needed. */
+    boolean confirm(int member, int confirmingMember) {
+        Suspicion suspicion = byMember.get(member);
+        if (suspicion == null
+                || suspicion.confirmations == suspicion.confirmingMembers.length
+                || suspicion.isConfirmedBy(confirmingMember)) {
             return false;
         }
-        byTime.remove(one);
-        one.count(accuser);
-        byTime.add(one);
+        byDeadline.remove(suspicion);
+        suspicion.addConfirmation(confirmingMember);
+        byDeadline.add(suspicion);
         return true;
     }
 
-    /** The last accuser that counted; -1 if the member is not suspected. */
-    int accuser(int member) {
-        One one = byMember.get(member);
-        return one == null ? -1 : one.accusers[one.heard - 1];
+    /** The confirming member that was added last; -1 if the member is not suspected. */
+    int lastConfirmingMember(int member) {
+        Suspicion suspicion = byMember.get(member);
+        return suspicion == null ? -1 : suspicion.confirmingMembers[suspicion.confirmations - 1];
     }
 
     void end(int member) {
-        One one = byMember.remove(member);
-        if (one != null) {
-            byTime.remove(one);
+        Suspicion suspicion = byMember.remove(member);
+        if (suspicion != null) {
+            byDeadline.remove(suspicion);
         }
     }
 
-    /** When the next one runs out; {@code Long.MAX_VALUE}: there is none. */
-    long nextAt() {
-        return byTime.isEmpty() ? Long.MAX_VALUE : byTime.first().until + stood;
+    /** Deadline of the suspicion that expires next; {@code Long.MAX_VALUE} if there is none. */
+    long nextDeadline() {
+        return byDeadline.isEmpty() ? Long.MAX_VALUE : byDeadline.first().deadline + stalledUs;
     }
 
-    /** The member whose time has run out, or -1; it is not suspected any more. */
-    int due(long now) {
-        if (nextAt() > now) {
+    /** Ends one suspicion whose deadline has passed and returns its member; -1 if there is none. */
+    int expireNext(long now) {
+        if (nextDeadline() > now) {
             return -1;
         }
-        int member = byTime.first().member;
+        int member = byDeadline.first().member;
         end(member);
         return member;
     }
 
-    /** This instance stood still for so long, and could have heard no refutation in that time. */
-    void extend(long us) {
-        stood += us;
+    /** Extends all deadlines by a stall of this instance, during which it could receive no refutation. */
+    void extendDeadlines(long stallUs) {
+        stalledUs += stallUs;
     }
 }
--- a/src/main/java/mulleinfront/fleet/package-info.java
+++ b/src/main/java/mulleinfront/fleet/package-info.java
@@ -1,17 +1,19 @@
 /**
- * The client proxies as a fleet, without I/O: who is there, who has failed, who left, and who agrees on it.
+ * Membership of the fleet of client proxies, without I/O: which members are present, failed or left, and whether they
+ * agree on it. The protocol is SWIM (DSN 2002) with the local health and suspicion timeouts of Lifeguard (DSN 2018).
  *
- * <p>{@link mulleinfront.fleet.Fleet} is one member. It is told of datagrams and of time, and answers through
- * {@link mulleinfront.fleet.Fleet.Actions}; what it believes changes one numbered
- * {@link mulleinfront.fleet.Change} at a time, and whoever has to act on it listens for those.
+ * <p>{@link mulleinfront.fleet.Fleet} is one member. Its owner passes in datagrams and time, and it acts through
+ * {@link mulleinfront.fleet.Fleet.Actions}. Its view changes by one numbered {@link mulleinfront.fleet.Change} at a
+ * time, which is reported to listeners.
  *
- * <p>The way of data: a wire hands a datagram to the fleet; {@code Datagram} reads it whole or counts why not;
- * each word about a member goes to {@code Members}, where the later one wins; what is new goes to {@code Rumours},
- * to be passed on with the next messages, and to the listeners. {@code Suspicions} holds who is doubted and until
- * when, {@code Health} how much this member doubts itself, {@code Exchange} compares two views that differ,
- * {@code Settling} tells whether the members agree and which part of them is in reach.
+ * <p>Data flow: the socket or the simulated network passes a datagram to the fleet. {@code Datagram} decodes it as a
+ * whole or gives the reason for discarding it. Each update about a member is applied to {@code Members}, where the
+ * newer one wins; a change is queued in {@code GossipQueue}, to be piggybacked on the next messages, and reported to
+ * listeners. {@code Suspicions} holds the suspected members and their deadlines, {@code LocalHealth} the local health
+ * multiplier, {@code AntiEntropy} reconciles two views that differ, and {@code Convergence} tells whether the members
+ * agree and which part of them is reachable.
  *
- * <p>May import {@code java.util} and the hashing library, and nothing else: no socket, file, thread or system
- * clock. It is owned by one thread and holds no lock.
+ * <p>May import only {@code java.util} and the hashing library: no socket, file, thread or system clock. It is owned by
+ * one thread and holds no lock.
  */
 package mulleinfront.fleet;
--- a/src/main/java/mulleinfront/gossip/EventLog.java
+++ b/src/main/java/mulleinfront/gossip/EventLog.java
@@ -17,9 +17,9 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * What a member believes and did not before, a JSON object a line, written at once: what judges of it are people and
- * the rehearsal kit. Each line has the wall clock's time in milliseconds ({@code timestamp}) and the process's
- * ({@code pid}), so that those of several processes, and of one after the other, can be told apart.
+ * Event log of a member: one JSON object per line for each change of its view, flushed at once, for people and for
+ * fault-injection tests. Each line has the wall-clock time in milliseconds ({@code timestamp}) and the process id
+ * ({@code pid}), which tell the lines of different and of successive processes apart.
  */
 final class EventLog implements Fleet.Listener {
     private final LoggerContext context = new LoggerContext();
@@ -27,12 +27,12 @@
     private final int number;
     private final long pid = ProcessHandle.current().pid();
 
-    /** @param number this member's */
+    /** @param number number of this member */
     EventLog(Path file, int number) throws IOException {
         this.number = number;
-        // A context that nobody configured has none, and an event without one is not written.
+        // A context created in code has no MDC adapter, and logback does not write an event without one.
         context.setMDCAdapter(new LogbackMDCAdapter());
-        JsonEncoder encoder = new Lines();
+        JsonEncoder encoder = new FlatJsonEncoder();
         encoder.setContext(context);
         encoder.setWithSequenceNumber(false);
         encoder.setWithNanoseconds(false);
@@ -45,30 +45,30 @@
         encoder.setWithThrowable(false);
         encoder.setWithKVPList(false);
         encoder.start();
-        FileAppender<ILoggingEvent> out = new FileAppender<>();
-        out.setContext(context);
-        out.setFile(file.toString());
-        out.setAppend(true);
-        out.setEncoder(encoder);
-        out.start();
-        if (!out.isStarted()) {
+        FileAppender<ILoggingEvent> appender = new FileAppender<>();
+        appender.setContext(context);
+        appender.setFile(file.toString());
+        appender.setAppend(true);
+        appender.setEncoder(encoder);
+        appender.start();
+        if (!appender.isStarted()) {
             throw new IOException("events: can't write to " + file);
         }
         log = context.getLogger("fleet");
         log.setLevel(Level.INFO);
-        log.addAppender(out);
+        log.addAppender(appender);
     }
 
-    /** Key-value pairs are fields of the object, and not a list in one. */
-    private static final class Lines extends JsonEncoder {
+    /** Writes key-value pairs as fields of the JSON object instead of a nested list. */
+    private static final class FlatJsonEncoder extends JsonEncoder {
         @Override
         protected void appendCustomFields(StringBuilder out, ILoggingEvent event) {
             for (KeyValuePair pair : event.getKeyValuePairs()) {
                 appendValueSeparator(out, true);
-                if (pair.value instanceof Long n) {
-                    appenderMemberWithLongValue(out, pair.key, n);
-                } else if (pair.value instanceof Integer n) {
-                    appenderMemberWithIntValue(out, pair.key, n);
+                if (pair.value instanceof Long number) {
+                    appenderMemberWithLongValue(out, pair.key, number);
+                } else if (pair.value instanceof Integer number) {
+                    appenderMemberWithIntValue(out, pair.key, number);
                 } else {
                     appenderMember(out, pair.key, String.valueOf(pair.value));
                 }
@@ -80,54 +80,54 @@
         return log.atInfo().addKeyValue("by", number).addKeyValue("pid", pid);
     }
 
-    /** A process of this member begins. */
-    void began() {
+    /** Logs the start of this process. */
+    void logStart() {
         event().log("began");
     }
 
-    /** It was told to end, or to leave. */
-    void leaves() {
+    /** Logs that this process leaves the fleet. */
+    void logLeave() {
         event().log("leaves");
     }
 
     @Override
-    public void changed(Change c) {
-        event().addKeyValue("number", c.number())
-                .addKeyValue("member", c.member())
-                .addKeyValue("from", c.from().word())
-                .addKeyValue("to", c.to().word())
-                .addKeyValue("incarnation", c.incarnation())
-                .addKeyValue("reborn", c.newIncarnation() ? 1 : 0)
-                .addKeyValue("word", c.sourceMember())
-                .addKeyValue("cause", c.cause().word())
-                .addKeyValue("digest", c.digest())
+    public void changed(Change change) {
+        event().addKeyValue("number", change.number())
+                .addKeyValue("member", change.member())
+                .addKeyValue("from", change.from().word())
+                .addKeyValue("to", change.to().word())
+                .addKeyValue("incarnation", change.incarnation())
+                .addKeyValue("reborn", change.newProcess() ? 1 : 0)
+                .addKeyValue("word", change.sourceMember())
+                .addKeyValue("cause", change.cause().word())
+                .addKeyValue("digest", change.digest())
                 .log("changed");
     }
 
     @Override
-    public void reach(long now, Reachability reach, boolean settled, long digest) {
-        event().addKeyValue("reach", reach.word())
-                .addKeyValue("settled", settled ? 1 : 0)
+    public void reach(long now, Reachability reachability, boolean converged, long digest) {
+        event().addKeyValue("reach", reachability.word())
+                .addKeyValue("settled", converged ? 1 : 0)
                 .addKeyValue("digest", digest)
                 .log("reach");
     }
 
     @Override
-    public void duplicateName(long now, String name, int one, int other) {
+    public void duplicateName(long now, String name, int first, int second) {
         event().addKeyValue("name", name)
-                .addKeyValue("one", one)
-                .addKeyValue("other", other)
+                .addKeyValue("one", first)
+                .addKeyValue("other", second)
                 .log("same-name");
     }
 
     @Override
-    public void stalled(long now, long us) {
-        event().addKeyValue("us", us).log("stood-still");
+    public void stalled(long now, long stallUs) {
+        event().addKeyValue("us", stallUs).log("stood-still");
     }
 
-    /** Something else that is worth a line, as one text. */
-    void note(String kind, String text) {
-        event().addKeyValue("text", text).log(kind.toLowerCase(Locale.ROOT));
+    /** Logs another event, described by a text. */
+    void logNote(String eventName, String text) {
+        event().addKeyValue("text", text).log(eventName.toLowerCase(Locale.ROOT));
     }
 
     void close() {
--- a/src/main/java/mulleinfront/gossip/Membership.java
+++ b/src/main/java/mulleinfront/gossip/Membership.java
@@ -24,44 +24,49 @@
 import mulleinfront.settings.Listing;
 
 /**
- * This client proxy as a member of the fleet: its {@link Fleet} on the event loop's time and on a socket, what it tells
- * operators, and its event log. All of it runs on the event loop.
+ * This client proxy as a member of the fleet: runs its {@link Fleet} on the event loop's timer and on a socket, reports
+ * its view to operators, and writes its event log. All methods run on the event loop.
  */
 public final class Membership implements Fleet.Actions {
-    /** How often the number of those who live is looked at, beside whenever somebody changes. */
-    private static final long SHARE_MS = 1_000;
-    /** After it has left, a process goes on telling so for as long as it lives; news still go out. */
-    private static final int MOST_WATCHERS = 4;
+    /** Interval at which the number of live members is reported, in addition to each change. */
+    private static final long LIVE_MEMBERS_INTERVAL_MS = 1_000;
+
+    private static final int MAX_WATCHERS = 4;
 
     private final EventLoop loop;
     private final LongSupplier clock;
-    private final FleetSettings figures;
+    private final FleetSettings settings;
     private final Fleet fleet;
     private final PeerSocket socket;
     private final EventLog events;
-    private final IntConsumer living;
+    private final IntConsumer onLiveMembers;
     private final List<Consumer<String>> watchers = new ArrayList<>();
-    private ScheduledFuture<?> timer;
-    private boolean open;
-    private boolean left;
+    private ScheduledFuture<?> fleetTimer;
+    private boolean socketOpen;
+    private boolean leaving;
 
     /**
-     * @param clock microseconds, the owner's
-     * @param seed of chance, this process's own
-     * @param living told how many may be using the hosts
+     * @param clock monotonic clock of the owner, microseconds
+     * @param seed random seed of this process
+     * @param onLiveMembers called with the number of members that may be using the endpoints
      * @throws IOException if the event log can't be written
      */
     public Membership(
-            EventLoop loop, ByteBufAllocator buffers, LongSupplier clock, long seed, FleetFile file, IntConsumer living)
+            EventLoop loop,
+            ByteBufAllocator buffers,
+            LongSupplier clock,
+            long seed,
+            FleetFile file,
+            IntConsumer onLiveMembers)
             throws IOException {
         this.loop = loop;
         this.clock = clock;
-        this.figures = file.figures();
-        this.living = living;
-        this.events = file.events() == null ? null : new EventLog(eventFile(file), figures.number());
+        this.settings = file.figures();
+        this.onLiveMembers = onLiveMembers;
+        this.events = file.events() == null ? null : new EventLog(eventFile(file), settings.number());
         this.fleet = new Fleet(
-                figures,
-                new SplittableRandom(seed ^ figures.number()),
+                settings,
+                new SplittableRandom(seed ^ settings.number()),
                 clock.getAsLong(),
                 System.currentTimeMillis(),
                 this);
@@ -77,74 +82,82 @@
         fleet.listen(new Fleet.Listener() {
             @Override
             public void changed(Change change) {
-                living.accept(fleet.liveMembers(clock.getAsLong()));
-                tell(change);
+                onLiveMembers.accept(fleet.liveMembers(clock.getAsLong()));
+                notifyWatchers(change);
             }
 
             @Override
-            public void duplicateName(long now, String name, int one, int other) {
-                System.err.println(
-                        "mulleinfront: two client proxies are called " + name + ": " + one + " and " + other);
+            public void duplicateName(long now, String name, int first, int second) {
+                System.err.println("mulleinfront: duplicate member name " + name + ": used by members " + first
+                        + " and " + second);
             }
         });
     }
 
-    /** Names may stand for the instance: {@code events-%n.json} is a file of its own for each. */
+    /** Replaces {@code %n} by the member's name: {@code events-%n.json} gives each member its own file. */
     private static Path eventFile(FleetFile file) {
         return Path.of(file.events().toString().replace("%n", file.figures().name()));
     }
 
-    /** Reads what a fleet needs to know and begins as soon as its address can be had. */
+    /** Creates the member and joins the fleet as soon as its socket address is free. */
     public static Membership join(
-            EventLoop loop, ByteBufAllocator buffers, LongSupplier clock, long seed, FleetFile file, IntConsumer living)
+            EventLoop loop,
+            ByteBufAllocator buffers,
+            LongSupplier clock,
+            long seed,
+            FleetFile file,
+            IntConsumer onLiveMembers)
             throws IOException {
-        Membership m = new Membership(loop, buffers, clock, seed, file, living);
-        loop.execute(m::begin);
-        return m;
+        Membership membership = new Membership(loop, buffers, clock, seed, file, onLiveMembers);
+        loop.execute(membership::openSocket);
+        return membership;
     }
 
-    private void begin() {
+    private void openSocket() {
         socket.open(() -> {
-            open = true;
+            socketOpen = true;
             if (events != null) {
-                events.began();
+                events.logStart();
             }
-            if (!left) {
+            if (!leaving) {
                 fleet.start(clock.getAsLong());
-                share();
+                reportLiveMembers();
             }
         });
     }
 
-    private void share() {
-        living.accept(fleet.liveMembers(clock.getAsLong()));
-        loop.schedule(this::share, SHARE_MS, TimeUnit.MILLISECONDS);
+    private void reportLiveMembers() {
+        onLiveMembers.accept(fleet.liveMembers(clock.getAsLong()));
+        loop.schedule(this::reportLiveMembers, LIVE_MEMBERS_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Says to the others that this process goes; before a drain, so that they do not wait for it. */
+    /**
+     * Announces that this process leaves the fleet; called before a drain, so that the others do not wait for it. Until
+     * {@link #close} the member keeps answering as a leaving member and keeps sending updates.
+     */
     public void leave() {
-        left = true;
-        if (open) {
+        leaving = true;
+        if (socketOpen) {
             if (events != null) {
-                events.leaves();
+                events.logLeave();
             }
             fleet.leave(clock.getAsLong());
         }
     }
 
-    /** It is there again after all. */
+    /** Joins the fleet again after {@link #leave}, in the same process. */
     public void rejoin() {
-        left = false;
-        if (open) {
+        leaving = false;
+        if (socketOpen) {
             fleet.rejoin(clock.getAsLong());
         }
     }
 
-    /** The end of the process. */
+    /** Closes the socket and the event log. */
     public void close() {
         socket.close();
-        if (timer != null) {
-            timer.cancel(false);
+        if (fleetTimer != null) {
+            fleetTimer.cancel(false);
         }
         if (events != null) {
             events.close();
@@ -160,12 +173,12 @@
 
     @Override
     public void wakeAt(long atUs) {
-        if (timer != null) {
-            timer.cancel(false);
+        if (fleetTimer != null) {
+            fleetTimer.cancel(false);
         }
-        timer = loop.schedule(
+        fleetTimer = loop.schedule(
                 () -> {
-                    timer = null;
+                    fleetTimer = null;
                     fleet.onTimer(clock.getAsLong());
                 },
                 atUs - clock.getAsLong(),
@@ -174,29 +187,29 @@
 
     // ---- operators -----------------------------------------------------------------------------------
 
-    /** Tells somebody each change in a line of JSON; at most a few at a time. */
+    /** Passes each change to the watcher as a line of JSON; returns false if there are too many watchers. */
     public boolean watch(Consumer<String> watcher) {
-        return watchers.size() < MOST_WATCHERS && watchers.add(watcher);
+        return watchers.size() < MAX_WATCHERS && watchers.add(watcher);
     }
 
     public void unwatch(Consumer<String> watcher) {
         watchers.remove(watcher);
     }
 
-    private void tell(Change c) {
+    private void notifyWatchers(Change change) {
         if (!watchers.isEmpty()) {
             String line = json(out -> {
-                out.writeNumberField("number", c.number());
-                out.writeNumberField("member", c.member());
-                out.writeStringField("name", name(c.member()));
-                out.writeStringField("from", c.from().word());
-                out.writeStringField("to", c.to().word());
-                out.writeNumberField("incarnation", c.incarnation());
-                out.writeNumberField("word", c.sourceMember());
-                out.writeStringField("cause", c.cause().word());
-                out.writeStringField("digest", Long.toHexString(c.digest()));
+                out.writeNumberField("number", change.number());
+                out.writeNumberField("member", change.member());
+                out.writeStringField("name", name(change.member()));
+                out.writeStringField("from", change.from().word());
+                out.writeStringField("to", change.to().word());
+                out.writeNumberField("incarnation", change.incarnation());
+                out.writeNumberField("word", change.sourceMember());
+                out.writeStringField("cause", change.cause().word());
+                out.writeStringField("digest", Long.toHexString(change.digest()));
             });
-            List.copyOf(watchers).forEach(w -> w.accept(line));
+            List.copyOf(watchers).forEach(watcher -> watcher.accept(line));
         }
     }
 
@@ -205,40 +218,40 @@
         return name == null ? "" : name;
     }
 
-    /** All that is known, as one JSON object on a line. */
+    /** The local view and the counters of this member, as one JSON object on a line. */
     public String members() {
         long now = clock.getAsLong();
         return json(out -> {
-            out.writeStringField("fleet", figures.fleet());
-            out.writeNumberField("me", figures.number());
-            out.writeStringField("reach", fleet.reach().word());
+            out.writeStringField("fleet", settings.fleet());
+            out.writeNumberField("me", settings.number());
+            out.writeStringField("reach", fleet.reachability().word());
             out.writeBooleanField("settled", fleet.converged());
             out.writeNumberField("alive", fleet.count(MemberState.ALIVE));
-            out.writeNumberField("agreeing", fleet.agreeing());
+            out.writeNumberField("agreeing", fleet.agreeingMembers());
             out.writeNumberField("living", fleet.liveMembers(now));
             out.writeNumberField("doubt", fleet.localHealth());
-            out.writeNumberField("changes", fleet.changes());
+            out.writeNumberField("changes", fleet.lastChange());
             out.writeStringField("digest", Long.toHexString(fleet.digest()));
             out.writeNumberField("sent", fleet.sentDatagrams());
             out.writeNumberField("sent_bytes", fleet.sentBytes());
             out.writeNumberField("read", fleet.received());
             out.writeNumberField("held_back", fleet.rateLimitedDatagrams());
-            out.writeNumberField("unsent", socket.unsent());
+            out.writeNumberField("unsent", socket.unsentDatagrams());
             out.writeObjectFieldStart("not_read");
-            for (var drop : fleet.drops().entrySet()) {
-                out.writeNumberField(drop.getKey().word(), drop.getValue());
+            for (var dropCount : fleet.drops().entrySet()) {
+                out.writeNumberField(dropCount.getKey().word(), dropCount.getValue());
             }
             out.writeEndObject();
             out.writeArrayFieldStart("members");
-            for (int m = 0; m < fleet.size(); m++) {
-                if (fleet.state(m) != MemberState.UNKNOWN) {
+            for (int member = 0; member < fleet.size(); member++) {
+                if (fleet.state(member) != MemberState.UNKNOWN) {
                     out.writeStartObject();
-                    out.writeNumberField("member", m);
-                    out.writeStringField("name", name(m));
-                    out.writeStringField("state", fleet.state(m).word());
-                    out.writeNumberField("since_ms", (now - fleet.since(m)) / 1_000);
-                    out.writeNumberField("started_ms", fleet.startedMs(m));
-                    out.writeNumberField("word", fleet.sourceMember(m));
+                    out.writeNumberField("member", member);
+                    out.writeStringField("name", name(member));
+                    out.writeStringField("state", fleet.state(member).word());
+                    out.writeNumberField("since_ms", (now - fleet.stateSince(member)) / 1_000);
+                    out.writeNumberField("started_ms", fleet.startedMs(member));
+                    out.writeNumberField("word", fleet.sourceMember(member));
                     out.writeEndObject();
                 }
             }
@@ -246,7 +259,7 @@
         });
     }
 
-    /** Writes fields of an object. */
+    /** Writes the fields of a JSON object. */
     private interface Fields {
         void write(JsonGenerator out) throws IOException;
     }
@@ -263,8 +276,8 @@
         return text.toString();
     }
 
-    /** Datagrams that were not read, for tests. */
-    long notRead(DropReason why) {
-        return fleet.drops().getOrDefault(why, 0L);
+    /** Number of datagrams discarded for this reason; for tests. */
+    long dropCount(DropReason reason) {
+        return fleet.drops().getOrDefault(reason, 0L);
     }
 }
--- a/src/main/java/mulleinfront/gossip/PeerSocket.java
+++ b/src/main/java/mulleinfront/gossip/PeerSocket.java
@@ -20,31 +20,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Datagrams from and to the other client proxies, on the event loop that owns everything. Nothing that comes can end
- * it; what can't be sent is lost, as any datagram may be.
+ * UDP socket to the other client proxies, on the event loop of the membership. No received datagram can close it; a
+ * datagram that cannot be sent is dropped, as the network may drop any.
  */
 final class PeerSocket {
-    /** Room for one datagram and for telling that it is too long. */
-    private static final int ROOM = 512;
-    /** The process before, which this one replaces, may still have the address. */
-    private static final long BIND_AGAIN_MS = 100;
+    /** Larger than any valid datagram, so that a longer one is recognised as such. */
+    private static final int RECEIVE_BUFFER_BYTES = 512;
+    /** Time between attempts to bind: the process that this one replaces may still hold the address. */
+    private static final long BIND_RETRY_MS = 100;
 
-    /** Whoever reads what comes. */
+    /** Handles received datagrams. */
     interface Receiver {
-        /** @param from number of the peer whose address it came from, or -1 */
-        void datagram(int from, byte[] bytes, int length);
+        /** @param from number of the peer whose address it came from; -1 if the address belongs to no peer */
+        void onDatagram(int from, byte[] bytes, int length);
     }
 
     private final EventLoop loop;
     private final ByteBufAllocator buffers;
     private final InetSocketAddress listen;
     private final List<InetSocketAddress> peers;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> peerNumbers = new HashMap<>();
     private final Receiver receiver;
-    private final byte[] read = new byte[ROOM];
+    private final byte[] receiveBuffer = new byte[RECEIVE_BUFFER_BYTES];
     private Channel channel;
     private boolean closed;
-    private long unsent;
+    private long unsentDatagrams;
 
     PeerSocket(
             EventLoop loop,
@@ -58,30 +58,30 @@
         this.peers = peers;
         this.receiver = receiver;
         for (int i = 0; i < peers.size(); i++) {
-            numbers.put(peers.get(i), i);
+            peerNumbers.put(peers.get(i), i);
         }
     }
 
-    /** Binds, however long it takes until the address is free; then runs something, on the event loop. */
-    void open(Runnable then) {
+    /** Binds the socket, retrying until the address is free, and then runs the callback on the event loop. */
+    void open(Runnable onOpen) {
         ChannelFuture bound = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .option(ChannelOption.ALLOCATOR, buffers)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(ROOM))
-                .handler(new Reader())
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES))
+                .handler(new DatagramHandler())
                 .bind(listen);
-        bound.addListener(f -> opened(bound, then, true));
+        bound.addListener(future -> onBound(bound, onOpen, true));
     }
 
-    private void opened(ChannelFuture bound, Runnable then, boolean first) {
+    private void onBound(ChannelFuture bound, Runnable onOpen, boolean firstAttempt) {
         if (closed) {
             bound.channel().close();
         } else if (bound.isSuccess()) {
             channel = bound.channel();
-            then.run();
+            onOpen.run();
         } else {
-            if (first) {
+            if (firstAttempt) {
                 System.err.println("mulleinfront: can't listen for other client proxies on "
                         + NetUtil.toSocketAddressString(listen) + ": "
                         + bound.cause().getMessage() + "; trying on");
@@ -89,10 +89,10 @@
             loop.schedule(
                     () -> {
                         if (!closed) {
-                            open(then);
+                            open(onOpen);
                         }
                     },
-                    BIND_AGAIN_MS,
+                    BIND_RETRY_MS,
                     TimeUnit.MILLISECONDS);
         }
     }
@@ -104,31 +104,31 @@
         }
     }
 
-    /** Datagrams that the system did not take. */
-    long unsent() {
-        return unsent;
+    /** Number of datagrams that could not be sent. */
+    long unsentDatagrams() {
+        return unsentDatagrams;
     }
 
     void send(int member, byte[] bytes, int length) {
         if (channel == null || !channel.isWritable()) {
-            unsent++;
+            unsentDatagrams++;
             return;
         }
         ByteBuf copy = buffers.buffer(length).writeBytes(bytes, 0, length);
         channel.writeAndFlush(new DatagramPacket(copy, peers.get(member)))
-                .addListener(f -> unsent += f.isSuccess() ? 0 : 1);
+                .addListener(future -> unsentDatagrams += future.isSuccess() ? 0 : 1);
     }
 
-    /** Reads what comes. */
-    private final class Reader extends SimpleChannelInboundHandler<DatagramPacket> {
+    /** Passes received datagrams to the receiver. */
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket in) {
-            int length = Math.min(ROOM, in.content().readableBytes());
-            in.content().readBytes(read, 0, length);
-            receiver.datagram(numbers.getOrDefault(in.sender(), -1), read, length);
+        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
+            int length = Math.min(RECEIVE_BUFFER_BYTES, packet.content().readableBytes());
+            packet.content().readBytes(receiveBuffer, 0, length);
+            receiver.onDatagram(peerNumbers.getOrDefault(packet.sender(), -1), receiveBuffer, length);
         }
 
-        /** The network says that something did not arrive, or a defect: neither ends the socket. */
+        /** Keeps the socket open after a network error or an unexpected exception; only the latter is logged. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof RuntimeException || cause instanceof Error) {
--- a/src/main/java/mulleinfront/gossip/package-info.java
+++ b/src/main/java/mulleinfront/gossip/package-info.java
@@ -1,11 +1,12 @@
 /**
- * The fleet on sockets: datagrams between client proxies, and what operators see of it.
+ * Connects the fleet membership to UDP sockets, to operators and to an event log.
  *
- * <p>The way of data: {@code PeerSocket} takes a datagram from the event loop's socket and says from which peer's
- * address it came; {@link mulleinfront.gossip.Membership} hands it to the {@link mulleinfront.fleet.Fleet}, sends what
- * that gives back, and tells the core how many live; {@code EventLog} writes changes down, where that is on.
+ * <p>Data flow: {@code PeerSocket} receives a datagram on the event loop and finds the peer of its source address.
+ * {@link mulleinfront.gossip.Membership} passes it to the {@link mulleinfront.fleet.Fleet}, sends the datagrams that
+ * the fleet produces, and reports the number of live members to the core. {@code EventLog} writes changes to a file if one
+ * is configured.
  *
- * <p>May import {@code fleet}, {@code settings}, Netty, a JSON writer and the logging library. Nothing of it is loaded
- * where no fleet is switched on.
+ * <p>May import {@code fleet}, {@code settings}, Netty, a JSON writer and the logging library. No class of this package
+ * is loaded if no fleet is configured.
  */
 package mulleinfront.gossip;
--- a/src/test/java/mulleinfront/fleet/BrokenFleetTest.java
+++ b/src/test/java/mulleinfront/fleet/BrokenFleetTest.java
@@ -1,9 +1,9 @@
 package mulleinfront.fleet;
 
-import static mulleinfront.fleet.Rounds.NO_TIME;
-import static mulleinfront.fleet.Rounds.S;
-import static mulleinfront.fleet.Rounds.bound;
-import static mulleinfront.fleet.Rounds.settings;
+import static mulleinfront.fleet.FleetFixtures.NO_TIME;
+import static mulleinfront.fleet.FleetFixtures.SECOND_US;
+import static mulleinfront.fleet.FleetFixtures.convergenceBoundUs;
+import static mulleinfront.fleet.FleetFixtures.settings;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
@@ -12,144 +12,158 @@
 import mulleinfront.emulator.FleetRun;
 import org.junit.jupiter.api.Test;
 
-/** Members that are broken on purpose: the judge has to find each, and to call it by its name. */
+/** Members with a deliberate fault: the fleet auditor must report each under the right rule. */
 class BrokenFleetTest {
     private static final int MEMBERS = 12;
 
-    private static FleetRun of(FleetRun.Maker maker) {
-        return Rounds.settle(FleetRun.alone(MEMBERS, 1, i -> settings(i, MEMBERS), maker));
+    private static FleetRun convergedFleet(FleetRun.Maker maker) {
+        return FleetFixtures.converge(FleetRun.alone(MEMBERS, 1, i -> settings(i, MEMBERS), maker));
     }
 
-    private static void caught(FleetRun run, Rule rule) {
-        List<Rule> found =
-                run.judge().breaches().stream().map(b -> b.rule()).distinct().toList();
-        assertTrue(found.contains(rule), "found " + found + " instead of " + rule);
+    private static void assertReported(FleetRun run, Rule rule) {
+        List<Rule> reported = run.judge().breaches().stream()
+                .map(breach -> breach.rule())
+                .distinct()
+                .toList();
+        assertTrue(reported.contains(rule), "found " + reported + " instead of " + rule);
     }
 
-    private static void whole(FleetRun run) {
+    private static void assertNoBreaches(FleetRun run) {
         assertTrue(
                 run.judge().breachCount() == 0,
-                () -> "too early: " + run.judge().breaches().get(0));
+                () -> "violation before the fault: " + run.judge().breaches().get(0));
     }
 
     @Test
-    void oneThatNeverSuspects() {
-        FleetRun run = of((s, random, now, wall, out) -> new Fleet(s, random, now, wall, out) {
-            @Override
-            void take(int member, long its, MemberState state, int word, Change.Cause cause, long at) {
-                if (state != MemberState.SUSPECTED) {
-                    super.take(member, its, state, word, cause, at);
-                }
-            }
-        });
-        whole(run);
+    void missingSuspicionIsReported() {
+        FleetRun run = convergedFleet((settings, random, now, wallClockMs, actions) ->
+                new Fleet(settings, random, now, wallClockMs, actions) {
+                    @Override
+                    void applyUpdate(
+                            int member,
+                            long memberIncarnation,
+                            MemberState state,
+                            int source,
+                            Change.Cause cause,
+                            long at) {
+                        if (state != MemberState.SUSPECTED) {
+                            super.applyUpdate(member, memberIncarnation, state, source, cause, at);
+                        }
+                    }
+                });
+        assertNoBreaches(run);
         run.kill(3);
-        run.run(2 * bound(MEMBERS));
-        caught(run, Rule.CALLED_ALIVE);
+        run.run(2 * convergenceBoundUs(MEMBERS));
+        assertReported(run, Rule.CALLED_ALIVE);
     }
 
     @Test
-    void oneThatNeverRefutes() {
-        FleetRun run = of((s, random, now, wall, out) -> new Fleet(s, random, now, wall, out) {
-            @Override
-            void ofUs(long incarnation, MemberState state, long at) {}
-        });
-        whole(run);
-        run.stop(3, 20 * S);
-        run.run(20 * S + 2 * bound(MEMBERS));
-        caught(run, Rule.CALLED_FAILED);
+    void missingRefutationIsReported() {
+        FleetRun run = convergedFleet((settings, random, now, wallClockMs, actions) ->
+                new Fleet(settings, random, now, wallClockMs, actions) {
+                    @Override
+                    void applyOwnUpdate(long incarnation, MemberState state, long at) {}
+                });
+        assertNoBreaches(run);
+        run.stop(3, 20 * SECOND_US);
+        run.run(20 * SECOND_US + 2 * convergenceBoundUs(MEMBERS));
+        assertReported(run, Rule.CALLED_FAILED);
     }
 
     @Test
-    void oneThatForgetsIncarnations() {
-        FleetRun run = of((s, random, now, wall, out) -> new Fleet(s, random, now, wall, out) {
-            @Override
-            boolean later(int member, long incarnation, MemberState state) {
-                return incarnation(member) != incarnation || state(member) != state;
-            }
-        });
-        run.repeat(30 * S, 20, 60 * S);
+    void ignoredIncarnationOrderIsReported() {
+        FleetRun run = convergedFleet((settings, random, now, wallClockMs, actions) ->
+                new Fleet(settings, random, now, wallClockMs, actions) {
+                    @Override
+                    boolean isNewer(int member, long incarnation, MemberState state) {
+                        return incarnation(member) != incarnation || state(member) != state;
+                    }
+                });
+        run.repeat(30 * SECOND_US, 20, 60 * SECOND_US);
         run.kill(3);
-        run.run(20 * S);
+        run.run(20 * SECOND_US);
         run.start(3);
-        run.run(60 * S);
-        caught(run, Rule.WENT_BACK);
+        run.run(60 * SECOND_US);
+        assertReported(run, Rule.WENT_BACK);
     }
 
     @Test
-    void oneThatBelievesStrangers() {
-        FleetRun run = of((s, random, now, wall, out) -> new Fleet(s, random, now, wall, out) {
-            @Override
-            public void onDatagram(long at, int from, byte[] bytes, int length) {
-                // Whatever address it came from, the sender is who it says that it is.
-                super.onDatagram(at, from < 0 ? 0 : from, bytes, length);
-            }
-        });
-        whole(run);
-        Datagram.Writer writer = new Datagram.Writer(Datagram.VERSION, Datagram.fleet("test"), 0);
+    void acceptedUnknownSenderIsReported() {
+        FleetRun run = convergedFleet((settings, random, now, wallClockMs, actions) ->
+                new Fleet(settings, random, now, wallClockMs, actions) {
+                    @Override
+                    public void onDatagram(long at, int from, byte[] bytes, int length) {
+                        // Accepts the sender number of a datagram from any address.
+                        super.onDatagram(at, from < 0 ? 0 : from, bytes, length);
+                    }
+                });
+        assertNoBreaches(run);
+        Datagram.Writer writer = new Datagram.Writer(Datagram.VERSION, Datagram.fleetHash("test"), 0);
         for (int i = 0; i < 4_000; i++) {
-            int lie = i;
-            run.after(i * S / 20, () -> {
-                long mine = run.member(0).incarnation(0);
-                writer.begin(Datagram.Kind.GOSSIP, 1 + lie % 11, mine, false, 0)
-                        .rumour(5, MemberState.FAILED, 0, run.member(5).incarnation(5));
+            int index = i;
+            run.after(i * SECOND_US / 20, () -> {
+                long senderIncarnation = run.member(0).incarnation(0);
+                writer.begin(Datagram.Kind.GOSSIP, 1 + index % 11, senderIncarnation, false, 0)
+                        .putUpdate(5, MemberState.FAILED, 0, run.member(5).incarnation(5));
                 byte[] bytes = java.util.Arrays.copyOf(writer.bytes, writer.finish());
-                run.inject(-1, 1 + lie % 11, bytes);
+                run.inject(-1, 1 + index % 11, bytes);
             });
         }
-        run.run(200 * S);
-        caught(run, Rule.CALLED_FAILED);
+        run.run(200 * SECOND_US);
+        assertReported(run, Rule.CALLED_FAILED);
     }
 
     @Test
-    void theTrueOneDoesNotBelieveThem() {
-        FleetRun run = of(Fleet::new);
-        Datagram.Writer writer = new Datagram.Writer(Datagram.VERSION, Datagram.fleet("test"), 0);
+    void correctMemberIgnoresUnknownSenders() {
+        FleetRun run = convergedFleet(Fleet::new);
+        Datagram.Writer writer = new Datagram.Writer(Datagram.VERSION, Datagram.fleetHash("test"), 0);
         for (int i = 0; i < 4_000; i++) {
             writer.begin(Datagram.Kind.GOSSIP, 1 + i % 11, run.member(0).incarnation(0), false, 0)
-                    .rumour(5, MemberState.FAILED, 0, run.member(5).incarnation(5));
+                    .putUpdate(5, MemberState.FAILED, 0, run.member(5).incarnation(5));
             run.inject(-1, 1 + i % 11, java.util.Arrays.copyOf(writer.bytes, writer.finish()));
-            run.run(S / 20);
+            run.run(SECOND_US / 20);
         }
-        whole(run);
+        assertNoBreaches(run);
     }
 
     @Test
-    void oneThatTellsNobodyAnything() {
+    void missingGossipAndComparisonIsReported() {
         int members = 40;
-        FleetRun run = Rounds.settle(FleetRun.alone(
+        FleetRun run = FleetFixtures.converge(FleetRun.alone(
                 members,
                 1,
                 i -> settings(i, members),
-                (s, random, now, wall, out) -> new Fleet(s, random, now, wall, out) {
-                    @Override
-                    void send(int to, long at, boolean withNews) {
-                        super.send(to, at, false);
-                    }
-
-                    @Override
-                    boolean mayCompare(long at) {
-                        return false;
-                    }
-                }));
-        run.run(bound(members));
+                (settings, random, now, wallClockMs, actions) ->
+                        new Fleet(settings, random, now, wallClockMs, actions) {
+                            @Override
+                            void sendDatagram(int to, long at, boolean withUpdates) {
+                                super.sendDatagram(to, at, false);
+                            }
+
+                            @Override
+                            boolean allowsComparison(long at) {
+                                return false;
+                            }
+                        }));
+        run.run(convergenceBoundUs(members));
         run.kill(3);
-        run.run(2 * bound(members));
-        caught(run, Rule.CALLED_ALIVE);
+        run.run(2 * convergenceBoundUs(members));
+        assertReported(run, Rule.CALLED_ALIVE);
     }
 
     @Test
-    void oneThatCountsItsChangesWrongly() {
-        FleetRun run = of((s, random, now, wall, out) -> new Miscounting(s, random, now, wall, out));
+    void skippedChangeNumberIsReported() {
+        FleetRun run = convergedFleet((settings, random, now, wallClockMs, actions) ->
+                new SkippingChanges(settings, random, now, wallClockMs, actions));
         run.kill(3);
-        run.run(20 * S);
-        caught(run, Rule.OUT_OF_ORDER);
+        run.run(20 * SECOND_US);
+        assertReported(run, Rule.OUT_OF_ORDER);
     }
 
-    /** Tells every second change alone. */
-    private static final class Miscounting extends Fleet {
-        Miscounting(FleetSettings s, RandomGenerator random, long now, long wall, Actions out) {
-            super(s, random, now, wall, out);
+    /** Reports only every second change. */
+    private static final class SkippingChanges extends Fleet {
+        SkippingChanges(FleetSettings settings, RandomGenerator random, long now, long wallClockMs, Actions actions) {
+            super(settings, random, now, wallClockMs, actions);
         }
 
         @Override
@@ -166,22 +180,24 @@
     }
 
     @Test
-    void aBaselineWithoutSuspicionIsFarWorseAtLoss() {
-        int[] full = {0};
-        int[] plain = {0};
+    void suspicionPreventsFalseFailuresUnderLoss() {
+        int[] failuresWithSuspicion = {0};
+        int[] failuresWithoutSuspicion = {0};
         for (long seed = 1; seed <= 3; seed++) {
-            for (boolean p : new boolean[] {false, true}) {
-                FleetRun run = Rounds.settle(
-                        FleetRun.alone(30, seed, i -> p ? settings(i, 30).withoutSuspicion() : settings(i, 30)));
-                run.watch((observer, c) -> {
-                    if (c.to() == MemberState.FAILED && run.up(c.member())) {
-                        (p ? plain : full)[0]++;
+            for (boolean basic : new boolean[] {false, true}) {
+                FleetRun run = FleetFixtures.converge(
+                        FleetRun.alone(30, seed, i -> basic ? settings(i, 30).withoutSuspicion() : settings(i, 30)));
+                run.watch((observer, change) -> {
+                    if (change.to() == MemberState.FAILED && run.up(change.member())) {
+                        (basic ? failuresWithoutSuspicion : failuresWithSuspicion)[0]++;
                     }
                 });
                 run.beginFault(null, null, 0.3, 0, 0, 0, NO_TIME);
-                run.run(60 * S);
+                run.run(60 * SECOND_US);
             }
         }
-        assertTrue(20 * full[0] <= plain[0], full[0] + " against " + plain[0]);
+        assertTrue(
+                20 * failuresWithSuspicion[0] <= failuresWithoutSuspicion[0],
+                failuresWithSuspicion[0] + " false failures with suspicion, without it " + failuresWithoutSuspicion[0]);
     }
 }
--- a/src/test/java/mulleinfront/fleet/ExploreTest.java
+++ b/src/test/java/mulleinfront/fleet/ExploreTest.java
@@ -13,262 +13,266 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All that can happen to three members, a step after the other, up to a depth: any datagram of any way may come next,
- * or be lost, any timer may run first, one may be killed and come back, one may stand still and go on. After each step no
- * belief has gone back, and from wherever that leads, once all that is sent arrives, all who run hold one view, and it is
- * true. More steps than CI has time for: {@code -Dexplore.depth=N}.
+ * Explores all sequences of steps of three members up to a depth: a datagram on any link is delivered or lost, the next
+ * timer fires, one member is killed and restarted, one is paused and resumed. After each step no recorded state may
+ * have gone back. From each state at the final depth, once datagrams arrive without loss, all running members must converge
+ * on one correct view. {@code -Dexplore.depth=N} explores deeper than CI has time for.
  */
 class ExploreTest {
     private static final int MEMBERS = 3;
     private static final int DEPTH = Integer.getInteger("explore.depth", 7);
-    private static final long S = 1_000_000;
-    private static final int MOST_LOST = 2;
-    /** Time within which views are even again: the longest suspicion, and its news. */
-    private static final long EVEN_US = 60 * S;
+    private static final long SECOND_US = 1_000_000;
+    private static final int MAX_LOST = 2;
+    /** Time within which views converge again: the longest suspicion timeout, and gossip about its end. */
+    private static final long CONVERGENCE_US = 60 * SECOND_US;
 
-    /** What may come next: its kind, and whom or which way it is about. */
-    private record Step(char kind, int about) {}
+    /** A possible step: its type, and the number of the member or link that it concerns. */
+    private record Step(char type, int subject) {}
 
-    /** Chance that is none: the same few numbers over and over, so that states can be alike. */
-    private static final class Round implements RandomGenerator {
-        private int at;
+    /** Repeats a short sequence of numbers, so that different paths can lead to equal states. */
+    private static final class CyclingRandom implements RandomGenerator {
+        private int position;
 
         @Override
         public long nextLong() {
-            at = (at + 1) % 5;
-            return 0x9e3779b97f4a7c15L * (at + 1);
+            position = (position + 1) % 5;
+            return 0x9e3779b97f4a7c15L * (position + 1);
         }
     }
 
-    /** Three members and what is under way between them. */
+    /** Three members and the datagrams in transit between them. */
     private static final class World {
         private final Fleet[] fleets = new Fleet[MEMBERS];
-        private final Round[] chances = new Round[MEMBERS];
-        private final long[] wakes = new long[MEMBERS];
+        private final CyclingRandom[] randoms = new CyclingRandom[MEMBERS];
+        private final long[] timers = new long[MEMBERS];
         private final boolean[] up = new boolean[MEMBERS];
-        private final boolean[] still = new boolean[MEMBERS];
-        private final List<ArrayDeque<byte[]>> ways = new ArrayList<>();
+        private final boolean[] paused = new boolean[MEMBERS];
+        private final List<ArrayDeque<byte[]>> links = new ArrayList<>();
         private final byte[][] state = new byte[MEMBERS][MEMBERS];
         private final long[][] incarnation = new long[MEMBERS][MEMBERS];
         private long now;
-        private int lost;
-        private boolean killed;
-        private boolean stopped;
+        private int lostCount;
+        private boolean wasKilled;
+        private boolean wasPaused;
 
         World() {
             for (int i = 0; i < MEMBERS * MEMBERS; i++) {
-                ways.add(new ArrayDeque<>());
+                links.add(new ArrayDeque<>());
             }
             for (int i = 0; i < MEMBERS; i++) {
                 start(i);
             }
-            settle(4 * S);
+            runWithoutLoss(4 * SECOND_US);
         }
 
         private void start(int i) {
-            chances[i] = new Round();
+            randoms[i] = new CyclingRandom();
             Arrays.fill(state[i], (byte) 0);
             Arrays.fill(incarnation[i], 0);
-            wakes[i] = Long.MAX_VALUE;
+            timers[i] = Long.MAX_VALUE;
             up[i] = true;
             fleets[i] = new Fleet(
-                    FleetSettings.defaults("t", "n" + i, i, MEMBERS, S, 600 * S),
-                    chances[i],
+                    FleetSettings.defaults("t", "n" + i, i, MEMBERS, SECOND_US, 600 * SECOND_US),
+                    randoms[i],
                     now,
                     1_000_000 + now / 1_000,
                     new Fleet.Actions() {
                         @Override
                         public void send(int member, byte[] bytes, int length) {
-                            ways.get(i * MEMBERS + member).add(Arrays.copyOf(bytes, length));
+                            links.get(i * MEMBERS + member).add(Arrays.copyOf(bytes, length));
                         }
 
                         @Override
                         public void wakeAt(long atUs) {
-                            wakes[i] = atUs;
+                            timers[i] = atUs;
                         }
                     });
             fleets[i].listen(change -> {
-                int m = change.member();
+                int member = change.member();
                 assertTrue(
-                        change.incarnation() > incarnation[i][m]
-                                || change.incarnation() == incarnation[i][m]
-                                        && change.to().ordinal() > state[i][m],
-                        "member " + i + " went back on " + m);
-                incarnation[i][m] = change.incarnation();
-                state[i][m] = (byte) change.to().ordinal();
+                        change.incarnation() > incarnation[i][member]
+                                || change.incarnation() == incarnation[i][member]
+                                        && change.to().ordinal() > state[i][member],
+                        "member " + i + " reverted its recorded state of member " + member);
+                incarnation[i][member] = change.incarnation();
+                state[i][member] = (byte) change.to().ordinal();
             });
             fleets[i].start(now);
         }
 
-        private List<Step> next() {
+        private List<Step> possibleSteps() {
             List<Step> steps = new ArrayList<>();
-            for (int way = 0; way < ways.size(); way++) {
-                if (!ways.get(way).isEmpty()) {
-                    steps.add(new Step('d', way));
-                    if (lost < MOST_LOST) {
-                        steps.add(new Step('l', way));
+            for (int link = 0; link < links.size(); link++) {
+                if (!links.get(link).isEmpty()) {
+                    steps.add(new Step('d', link));
+                    if (lostCount < MAX_LOST) {
+                        steps.add(new Step('l', link));
                     }
                 }
             }
-            if (first() >= 0) {
-                steps.add(new Step('t', first()));
+            if (nextTimerMember() >= 0) {
+                steps.add(new Step('t', nextTimerMember()));
             }
             for (int i = 0; i < MEMBERS; i++) {
-                if (up[i] && !killed) {
+                if (up[i] && !wasKilled) {
                     steps.add(new Step('k', i));
                 }
                 if (!up[i]) {
                     steps.add(new Step('r', i));
                 }
-                if (up[i] && !stopped) {
+                if (up[i] && !wasPaused) {
                     steps.add(new Step('s', i));
                 }
-                if (up[i] && still[i]) {
+                if (up[i] && paused[i]) {
                     steps.add(new Step('g', i));
                 }
             }
             return steps;
         }
 
-        /** Whose timer is due first. */
-        private int first() {
-            int first = -1;
+        /** The member whose timer is due first; -1 if no timer is set. */
+        private int nextTimerMember() {
+            int earliest = -1;
             for (int i = 0; i < MEMBERS; i++) {
-                if (up[i] && !still[i] && wakes[i] != Long.MAX_VALUE && (first < 0 || wakes[i] < wakes[first])) {
-                    first = i;
+                if (up[i]
+                        && !paused[i]
+                        && timers[i] != Long.MAX_VALUE
+                        && (earliest < 0 || timers[i] < timers[earliest])) {
+                    earliest = i;
                 }
             }
-            return first;
+            return earliest;
         }
 
-        private void take(Step step) {
-            switch (step.kind()) {
-                case 'd' -> deliver(step.about());
+        private void apply(Step step) {
+            switch (step.type()) {
+                case 'd' -> deliver(step.subject());
                 case 'l' -> {
-                    ways.get(step.about()).poll();
-                    lost++;
+                    links.get(step.subject()).poll();
+                    lostCount++;
                 }
-                case 't' -> fire(step.about());
+                case 't' -> fireTimer(step.subject());
                 case 'k' -> {
-                    up[step.about()] = false;
-                    still[step.about()] = false;
-                    killed = true;
+                    up[step.subject()] = false;
+                    paused[step.subject()] = false;
+                    wasKilled = true;
                 }
-                case 'r' -> start(step.about());
+                case 'r' -> start(step.subject());
                 case 's' -> {
-                    still[step.about()] = true;
-                    stopped = true;
+                    paused[step.subject()] = true;
+                    wasPaused = true;
                 }
-                default -> go(step.about());
+                default -> resume(step.subject());
             }
         }
 
-        private void deliver(int way) {
-            byte[] bytes = ways.get(way).poll();
-            int to = way % MEMBERS;
-            if (up[to] && still[to]) {
-                ways.get(way).addFirst(bytes);
+        private void deliver(int link) {
+            byte[] bytes = links.get(link).poll();
+            int to = link % MEMBERS;
+            if (up[to] && paused[to]) {
+                links.get(link).addFirst(bytes);
             } else if (up[to]) {
-                fleets[to].onDatagram(now, way / MEMBERS, bytes, bytes.length);
+                fleets[to].onDatagram(now, link / MEMBERS, bytes, bytes.length);
             }
         }
 
-        private void fire(int i) {
-            now = Math.max(now, wakes[i]);
-            wakes[i] = Long.MAX_VALUE;
+        private void fireTimer(int i) {
+            now = Math.max(now, timers[i]);
+            timers[i] = Long.MAX_VALUE;
             fleets[i].onTimer(now);
         }
 
-        private void go(int i) {
-            still[i] = false;
-            if (wakes[i] <= now) {
-                wakes[i] = now;
+        private void resume(int i) {
+            paused[i] = false;
+            if (timers[i] <= now) {
+                timers[i] = now;
             }
         }
 
-        /** All that is sent arrives, for so long. */
-        private void settle(long us) {
-            for (long end = now + us; now < end; ) {
-                boolean any = true;
-                while (any) {
-                    any = false;
-                    for (int way = 0; way < ways.size(); way++) {
-                        if (!ways.get(way).isEmpty()) {
-                            deliver(way);
-                            any = true;
+        /** Runs for this time and delivers all datagrams. */
+        private void runWithoutLoss(long durationUs) {
+            for (long end = now + durationUs; now < end; ) {
+                boolean delivered = true;
+                while (delivered) {
+                    delivered = false;
+                    for (int link = 0; link < links.size(); link++) {
+                        if (!links.get(link).isEmpty()) {
+                            deliver(link);
+                            delivered = true;
                         }
                     }
                 }
-                if (first() < 0) {
+                if (nextTimerMember() < 0) {
                     return;
                 }
-                fire(first());
+                fireTimer(nextTimerMember());
             }
         }
 
         private String describe() {
-            StringBuilder out = new StringBuilder();
-            out.append(lost).append(killed).append(stopped);
+            StringBuilder description = new StringBuilder();
+            description.append(lostCount).append(wasKilled).append(wasPaused);
             for (int i = 0; i < MEMBERS; i++) {
-                out.append('\n')
+                description
+                        .append('\n')
                         .append(up[i])
-                        .append(still[i])
-                        .append(chances[i].at)
+                        .append(paused[i])
+                        .append(randoms[i].position)
                         .append(' ');
                 if (up[i]) {
-                    fleets[i].describe(out, now);
+                    fleets[i].describe(description, now);
                 }
             }
-            for (ArrayDeque<byte[]> way : ways) {
-                out.append('\n');
-                way.forEach(bytes -> out.append(Arrays.hashCode(bytes)).append(' '));
+            for (ArrayDeque<byte[]> link : links) {
+                description.append('\n');
+                link.forEach(bytes -> description.append(Arrays.hashCode(bytes)).append(' '));
             }
-            return out.toString();
+            return description.toString();
         }
 
-        private void even(List<Step> path) {
+        private void assertConverged(List<Step> path) {
             for (int i = 0; i < MEMBERS; i++) {
-                if (still[i]) {
-                    go(i);
+                if (paused[i]) {
+                    resume(i);
                 }
             }
-            settle(EVEN_US);
+            runWithoutLoss(CONVERGENCE_US);
             for (int i = 0; i < MEMBERS; i++) {
-                for (int m = 0; up[i] && m < MEMBERS; m++) {
-                    assertEquals(up[m], fleets[i].state(m).present(), () -> "after " + path);
-                    assertTrue(!up[m] || fleets[m].digest() == fleets[i].digest(), () -> "after " + path);
+                for (int member = 0; up[i] && member < MEMBERS; member++) {
+                    assertEquals(up[member], fleets[i].state(member).isPresent(), () -> "after " + path);
+                    assertTrue(!up[member] || fleets[member].digest() == fleets[i].digest(), () -> "after " + path);
                 }
             }
         }
     }
 
-    private static World after(List<Step> path) {
-        World w = new World();
-        path.forEach(w::take);
-        return w;
+    private static World simulate(List<Step> path) {
+        World simulation = new World();
+        path.forEach(simulation::apply);
+        return simulation;
     }
 
     @Test
-    void noBeliefGoesBackAndNoTwoViewsStayApart() {
+    void recordedStatesNeverGoBackAndViewsConverge() {
         Set<String> seen = new HashSet<>();
-        List<List<Step>> edge = List.of(List.of());
-        seen.add(after(List.of()).describe());
+        List<List<Step>> frontier = List.of(List.of());
+        seen.add(simulate(List.of()).describe());
         for (int depth = 1; depth <= DEPTH; depth++) {
-            List<List<Step>> wider = new ArrayList<>();
-            for (List<Step> path : edge) {
-                for (Step step : after(path).next()) {
-                    List<Step> longer = new ArrayList<>(path);
-                    longer.add(step);
-                    if (seen.add(after(longer).describe())) {
-                        wider.add(longer);
+            List<List<Step>> nextFrontier = new ArrayList<>();
+            for (List<Step> path : frontier) {
+                for (Step step : simulate(path).possibleSteps()) {
+                    List<Step> extended = new ArrayList<>(path);
+                    extended.add(step);
+                    if (seen.add(simulate(extended).describe())) {
+                        nextFrontier.add(extended);
                     }
                 }
             }
-            edge = wider;
+            frontier = nextFrontier;
         }
-        edge.forEach(path -> after(path).even(path));
+        frontier.forEach(path -> simulate(path).assertConverged(path));
         System.out.println("explored " + seen.size() + " states of three members, " + DEPTH + " steps deep, "
-                + edge.size() + " of them at the edge");
+                + frontier.size() + " of them at the edge");
         assertTrue(seen.size() > 1_000);
     }
 }
--- a/src/test/java/mulleinfront/fleet/Rounds.java
+++ b/src/test/java/mulleinfront/fleet/FleetFixtures.java
@@ -4,33 +4,33 @@
 import mulleinfront.emulator.FleetRun;
 import mulleinfront.settings.Range;
 
-/** Fleets on virtual time, as tests need them. */
-final class Rounds {
-    static final long S = 1_000_000;
+/** Creates fleets on virtual time for tests. */
+final class FleetFixtures {
+    static final long SECOND_US = 1_000_000;
     static final Range NO_TIME = Range.of(0);
 
-    private Rounds() {}
+    private FleetFixtures() {}
 
     static FleetSettings settings(int number, int members) {
-        return FleetSettings.defaults("test", "n" + number, number, members, S, 600 * S);
+        return FleetSettings.defaults("test", "n" + number, number, members, SECOND_US, 600 * SECOND_US);
     }
 
-    /** Members that have not started. */
+    /** A fleet whose members have not started. */
     static FleetRun fleet(int members, long seed) {
         return FleetRun.alone(members, seed, i -> settings(i, members));
     }
 
-    /** Members that started within a second and know each other. */
-    static FleetRun settled(int members, long seed) {
-        return settle(fleet(members, seed));
+    /** A fleet whose members started within a second and have converged. */
+    static FleetRun convergedFleet(int members, long seed) {
+        return converge(fleet(members, seed));
     }
 
-    static FleetRun settle(FleetRun run) {
+    static FleetRun converge(FleetRun run) {
         for (int i = 0; i < run.members(); i++) {
             int number = i;
-            run.after(S * i / run.members(), () -> run.start(number));
+            run.after(SECOND_US * i / run.members(), () -> run.start(number));
         }
-        run.run(20 * S);
+        run.run(20 * SECOND_US);
         return run;
     }
 
@@ -40,12 +40,12 @@
         return set;
     }
 
-    static BitSet one(int member) {
+    static BitSet only(int member) {
         return members(member, member + 1);
     }
 
-    /** How long what is wrong may last. */
-    static long bound(int members) {
+    /** Time within which the members must agree on a change. */
+    static long convergenceBoundUs(int members) {
         return settings(0, members).convergenceBoundUs(members);
     }
 }
