--- a/src/test/java/mulleinfront/fleet/HardCasesTest.java
+++ b/src/test/java/mulleinfront/fleet/HardCasesTest.java
@@ -1,12 +1,12 @@
 package mulleinfront.fleet;
 
-import static mulleinfront.fleet.Rounds.NO_TIME;
-import static mulleinfront.fleet.Rounds.S;
-import static mulleinfront.fleet.Rounds.bound;
-import static mulleinfront.fleet.Rounds.members;
-import static mulleinfront.fleet.Rounds.one;
-import static mulleinfront.fleet.Rounds.settings;
-import static mulleinfront.fleet.Rounds.settled;
+import static mulleinfront.fleet.FleetFixtures.NO_TIME;
+import static mulleinfront.fleet.FleetFixtures.SECOND_US;
+import static mulleinfront.fleet.FleetFixtures.convergedFleet;
+import static mulleinfront.fleet.FleetFixtures.convergenceBoundUs;
+import static mulleinfront.fleet.FleetFixtures.members;
+import static mulleinfront.fleet.FleetFixtures.only;
+import static mulleinfront.fleet.FleetFixtures.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,68 +19,73 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is hard for a fleet, on virtual time, each under several seeds. */
+/** Failures, partitions, losses and configuration errors of a fleet on virtual time, most under several seeds. */
 class HardCasesTest {
-    private static void kept(FleetRun run) {
+    private static void assertNoBreaches(FleetRun run) {
         assertEquals(List.of(), run.judge().breaches());
     }
 
-    private static int[] falselyFailed(FleetRun run) {
+    private static int[] countFalseFailures(FleetRun run) {
         int[] count = {0};
-        run.watch((observer, c) -> count[0] += c.to() == MemberState.FAILED && run.up(c.member()) ? 1 : 0);
+        run.watch(
+                (observer, change) -> count[0] += change.to() == MemberState.FAILED && run.up(change.member()) ? 1 : 0);
         return count;
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void threeOfNineKilledInTheSameTenthOfASecond(long seed) {
-        FleetRun run = settled(9, seed);
+    void threeSimultaneousFailuresOfNineAreDetected(long seed) {
+        FleetRun run = convergedFleet(9, seed);
         for (int i = 0; i < 3; i++) {
             int victim = (int) (seed + 3 * i) % 9;
-            run.after(i * S / 30, () -> run.kill(victim));
+            run.after(i * SECOND_US / 30, () -> run.kill(victim));
         }
-        run.run(bound(9) + 5 * S);
+        run.run(convergenceBoundUs(9) + 5 * SECOND_US);
         for (int i = 0; i < 3; i++) {
             assertEquals(6, run.believing((int) (seed + 3 * i) % 9, MemberState.FAILED));
         }
         assertTrue(run.even());
-        kept(run);
+        assertNoBreaches(run);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void aCutOfFiveToFourThatHealsAfterTwentySeconds(long seed) {
-        FleetRun run = settled(9, seed);
-        assertEquals(Reachability.ALL, run.member(0).reach());
-        PeerFaults.End cut = run.partition(members(0, 5), members(5, 9), false);
-        run.run(20 * S);
-        assertEquals(Reachability.MAJORITY, run.member(0).reach());
-        assertEquals(Reachability.MINORITY, run.member(8).reach());
-        assertEquals(9, run.member(0).liveMembers(run.now()), "the unseen may be on the other side, and use the hosts");
+    void partitionOfFiveAndFourHeals(long seed) {
+        FleetRun run = convergedFleet(9, seed);
+        assertEquals(Reachability.ALL, run.member(0).reachability());
+        PeerFaults.End partition = run.partition(members(0, 5), members(5, 9), false);
+        run.run(20 * SECOND_US);
+        assertEquals(Reachability.MAJORITY, run.member(0).reachability());
+        assertEquals(Reachability.MINORITY, run.member(8).reachability());
+        assertEquals(
+                9,
+                run.member(0).liveMembers(run.now()),
+                "members not seen may be partitioned and still use the endpoints");
         assertEquals(9, run.member(8).liveMembers(run.now()));
-        cut.end();
-        run.run(20 * S);
+        partition.end();
+        run.run(20 * SECOND_US);
         assertEquals(9, run.member(4).count(MemberState.ALIVE));
-        assertEquals(Reachability.ALL, run.member(8).reach());
-        run.run(bound(9));
-        kept(run);
+        assertEquals(Reachability.ALL, run.member(8).reachability());
+        run.run(convergenceBoundUs(9));
+        assertNoBreaches(run);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void oneCutOffInOneDirectionOnly(boolean hears) {
-        FleetRun run = settled(9, 1);
-        PeerFaults.End cut = hears ? run.partition(one(3), inverse(3), true) : run.partition(inverse(3), one(3), true);
-        run.run(bound(9) + 10 * S);
-        // Whom others can't have an answer from is not there, whichever way is cut.
+    void oneWayPartitionIsDetectedAndHeals(boolean receives) {
+        FleetRun run = convergedFleet(9, 1);
+        PeerFaults.End partition =
+                receives ? run.partition(only(3), allExcept(3), true) : run.partition(allExcept(3), only(3), true);
+        run.run(convergenceBoundUs(9) + 10 * SECOND_US);
+        // A member from which no other member gets an ack counts as failed, whichever direction is blocked.
         assertEquals(8, run.believing(3, MemberState.FAILED));
-        cut.end();
-        run.run(bound(9) + 10 * S);
+        partition.end();
+        run.run(convergenceBoundUs(9) + 10 * SECOND_US);
         assertEquals(9, run.believing(3, MemberState.ALIVE));
-        kept(run);
+        assertNoBreaches(run);
     }
 
-    private static java.util.BitSet inverse(int member) {
+    private static java.util.BitSet allExcept(int member) {
         java.util.BitSet all = members(0, 9);
         all.clear(member);
         return all;
@@ -88,279 +93,301 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void twoThatCannotReachEachOtherAreHeldAliveByOthersWord(long seed) {
-        FleetRun run = settled(9, seed);
-        int[] wrong = falselyFailed(run);
-        run.partition(one(0), one(1), false);
-        run.run(120 * S);
-        assertEquals(0, wrong[0]);
+    void indirectProbesKeepMutuallyUnreachableMembersAlive(long seed) {
+        FleetRun run = convergedFleet(9, seed);
+        int[] falseFailures = countFalseFailures(run);
+        run.partition(only(0), only(1), false);
+        run.run(120 * SECOND_US);
+        assertEquals(0, falseFailures[0]);
         assertEquals(MemberState.ALIVE, run.member(0).state(1));
-        kept(run);
+        assertNoBreaches(run);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 5, 30})
-    void oneThatStandsStillBlamesNobodyForIt(long seconds) {
-        FleetRun run = settled(9, 1);
-        List<Integer> blamed = new ArrayList<>();
-        run.watch((observer, c) -> {
-            if (observer == 4 && c.to() == MemberState.FAILED) {
-                blamed.add(c.member());
+    void stalledMemberRecordsNoOtherAsFailed(long seconds) {
+        FleetRun run = convergedFleet(9, 1);
+        List<Integer> recordedAsFailed = new ArrayList<>();
+        run.watch((observer, change) -> {
+            if (observer == 4 && change.to() == MemberState.FAILED) {
+                recordedAsFailed.add(change.member());
             }
         });
-        run.stop(4, seconds * S);
-        run.run(seconds * S + 2 * S);
-        assertTrue(seconds < 5 || run.member(4).localHealth() > 0, "it doubts itself");
-        run.run(20 * S);
-        assertEquals(List.of(), blamed);
+        run.stop(4, seconds * SECOND_US);
+        run.run(seconds * SECOND_US + 2 * SECOND_US);
+        assertTrue(seconds < 5 || run.member(4).localHealth() > 0, "its local health is reduced");
+        run.run(20 * SECOND_US);
+        assertEquals(List.of(), recordedAsFailed);
         assertEquals(9, run.believing(4, MemberState.ALIVE));
-        run.run(bound(9));
-        kept(run);
+        run.run(convergenceBoundUs(9));
+        assertNoBreaches(run);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void allRestartedByTenthsWhileAFifthOfDatagramsIsLost(long seed) {
-        FleetRun run = settled(20, seed);
+    void rollingRestartConvergesUnderLoss(long seed) {
+        FleetRun run = convergedFleet(20, seed);
         run.beginFault(null, null, 0.2, 0, 0, 0, NO_TIME);
         for (int i = 0; i < 20; i++) {
             int number = i;
-            long at = 3 * S * (i / 2);
-            run.after(at, () -> run.leave(number));
-            run.after(at + S, () -> run.kill(number));
-            run.after(at + 2 * S, () -> run.start(number));
+            long leaveAt = 3 * SECOND_US * (i / 2);
+            run.after(leaveAt, () -> run.leave(number));
+            run.after(leaveAt + SECOND_US, () -> run.kill(number));
+            run.after(leaveAt + 2 * SECOND_US, () -> run.start(number));
         }
-        run.run(40 * S + bound(20));
+        run.run(40 * SECOND_US + convergenceBoundUs(20));
         assertTrue(run.even());
         assertEquals(20, run.member(7).count(MemberState.ALIVE));
-        kept(run);
+        assertNoBreaches(run);
     }
 
     @Test
-    void oneThatComesBackBeforeAnybodyNoticedIsKnownToBeAnotherProcess() {
-        FleetRun run = settled(9, 1);
-        int[] reborn = {0};
-        run.watch((observer, c) -> reborn[0] += c.member() == 2 && c.newIncarnation() ? 1 : 0);
+    void quickRestartIsSeenAsANewProcess() {
+        FleetRun run = convergedFleet(9, 1);
+        int[] newProcessChanges = {0};
+        run.watch((observer, change) -> newProcessChanges[0] += change.member() == 2 && change.newProcess() ? 1 : 0);
         run.kill(2);
-        run.run(S / 10);
+        run.run(SECOND_US / 10);
         run.start(2);
-        run.run(5 * S);
-        assertEquals(8, reborn[0]);
+        run.run(5 * SECOND_US);
+        assertEquals(8, newProcessChanges[0]);
         assertEquals(9, run.believing(2, MemberState.ALIVE));
-        run.run(bound(9));
-        kept(run);
+        run.run(convergenceBoundUs(9));
+        assertNoBreaches(run);
     }
 
     @Test
-    void twoProcessesOfOneNumberAndTwoOfOneNameAreSaidAndChangeNothing() {
+    void duplicateNumberAndNameAreReportedAndChangeNothing() {
         int members = 9;
         FleetRun run = FleetRun.alone(
                 members,
                 1,
-                i -> i == 7 ? FleetSettings.defaults("test", "n5", 7, members, S, 600 * S) : settings(i, members));
-        List<String> said = new ArrayList<>();
-        Rounds.settle(run);
+                i -> i == 7
+                        ? FleetSettings.defaults("test", "n5", 7, members, SECOND_US, 600 * SECOND_US)
+                        : settings(i, members));
+        List<String> reported = new ArrayList<>();
+        FleetFixtures.converge(run);
         run.member(0).listen(new Fleet.Listener() {
             @Override
             public void changed(Change change) {}
 
             @Override
-            public void duplicateName(long now, String name, int one, int other) {
-                said.add(name + " " + Math.min(one, other) + " " + Math.max(one, other));
+            public void duplicateName(long now, String name, int first, int second) {
+                reported.add(name + " " + Math.min(first, second) + " " + Math.max(first, second));
             }
         });
-        // A stray one of number 3 at the address of 8, whose process has gone.
+        // A misconfigured process with number 3 runs at the address of member 8, whose process was killed.
         run.kill(8);
-        run.start(8, (s, random, now, wall, out) -> new Fleet(settings(3, members), random, now, wall, out));
-        run.run(bound(members) + 20 * S);
+        run.start(
+                8,
+                (settings, random, now, wallClockMs, actions) ->
+                        new Fleet(settings(3, members), random, now, wallClockMs, actions));
+        run.run(convergenceBoundUs(members) + 20 * SECOND_US);
         assertEquals(MemberState.ALIVE, run.member(0).state(3));
         assertEquals(MemberState.FAILED, run.member(0).state(8));
         assertTrue(run.dropped(DropReason.NOT_ITS_ADDRESS) > 0);
-        assertTrue(said.isEmpty() || said.contains("n5 5 7"), said.toString());
+        assertTrue(reported.isEmpty() || reported.contains("n5 5 7"), reported.toString());
         assertEquals("n5", run.member(0).name(5));
         assertEquals("n5", run.member(0).name(7));
     }
 
     @Test
-    void anAddressTakenOverByAnotherIsNotTakenForTheOneBefore() {
-        FleetRun run = settled(9, 1);
+    void memberOfAnotherFleetDoesNotReplaceThePeerAtItsAddress() {
+        FleetRun run = convergedFleet(9, 1);
         run.kill(6);
-        run.run(S);
-        // Somebody of another fleet has the address now, and answers whatever comes.
+        run.run(SECOND_US);
+        // A member of another fleet now has the address, and sends datagrams from it.
         run.start(
                 6,
-                (s, random, now, wall, out) ->
-                        new Fleet(FleetSettings.defaults("other", "x", 6, 9, S, 600 * S), random, now, wall, out));
-        run.run(bound(9));
+                (settings, random, now, wallClockMs, actions) -> new Fleet(
+                        FleetSettings.defaults("other", "x", 6, 9, SECOND_US, 600 * SECOND_US),
+                        random,
+                        now,
+                        wallClockMs,
+                        actions));
+        run.run(convergenceBoundUs(9));
         assertEquals(8, run.believing(6, MemberState.FAILED));
         assertTrue(run.dropped(DropReason.OTHER_FLEET) > 0);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, 3_600_000})
-    void aClockThatJumpsBetweenTwoLivesTakesNobodyOut(long ms) {
-        FleetRun run = settled(9, 1);
-        run.clockJumps(5, ms);
+    void clockJumpBetweenRestartsKeepsTheMemberAlive(long jumpMs) {
+        FleetRun run = convergedFleet(9, 1);
+        run.clockJumps(5, jumpMs);
         run.kill(5);
-        run.run(2 * S);
+        run.run(2 * SECOND_US);
         run.start(5);
-        run.run(20 * S);
+        run.run(20 * SECOND_US);
         assertEquals(9, run.believing(5, MemberState.ALIVE));
-        // And back: what it said with the clock ahead is still older than what it says now.
-        run.clockJumps(5, -ms);
+        // The clock jumps back again: the incarnation of the new process must still be higher than the earlier ones.
+        run.clockJumps(5, -jumpMs);
         run.kill(5);
-        run.run(30 * S);
+        run.run(30 * SECOND_US);
         run.start(5);
-        run.run(20 * S);
+        run.run(20 * SECOND_US);
         assertEquals(9, run.believing(5, MemberState.ALIVE));
-        run.run(bound(9));
-        kept(run);
+        run.run(convergenceBoundUs(9));
+        assertNoBreaches(run);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aMinuteOfLosingThreeInTenTakesNobodyOut(long seed) {
-        FleetRun run = settled(20, seed);
-        int[] wrong = falselyFailed(run);
-        PeerFaults.End loss = run.beginFault(null, null, 0.3, 0, 0, 0, NO_TIME);
-        run.run(60 * S);
-        loss.end();
-        run.run(20 * S);
-        assertEquals(0, wrong[0]);
+    void thirtyPercentLossCausesNoFalseFailures(long seed) {
+        FleetRun run = convergedFleet(20, seed);
+        int[] falseFailures = countFalseFailures(run);
+        PeerFaults.End lossFault = run.beginFault(null, null, 0.3, 0, 0, 0, NO_TIME);
+        run.run(60 * SECOND_US);
+        lossFault.end();
+        run.run(20 * SECOND_US);
+        assertEquals(0, falseFailures[0]);
         assertTrue(run.even());
-        kept(run);
+        assertNoBreaches(run);
     }
 
     @Test
-    void oldDatagramsOfAnHourAgoChangeNothing() {
-        FleetRun run = settled(9, 1);
-        // Among what is remembered is a death and a return.
-        run.repeat(60 * S, 50, 4_200 * S);
+    void replayedOldDatagramsChangeNothing() {
+        FleetRun run = convergedFleet(9, 1);
+        // The recorded datagrams, which are replayed later, include a failure and a return.
+        run.repeat(60 * SECOND_US, 50, 4_200 * SECOND_US);
         run.kill(2);
-        run.run(50 * S);
+        run.run(50 * SECOND_US);
         run.start(2);
-        run.run(3_600 * S);
-        long changes = run.member(0).changes();
-        run.run(300 * S);
-        assertEquals(changes, run.member(0).changes());
+        run.run(3_600 * SECOND_US);
+        long changes = run.member(0).lastChange();
+        run.run(300 * SECOND_US);
+        assertEquals(changes, run.member(0).lastChange());
         assertEquals(9, run.believing(2, MemberState.ALIVE));
-        kept(run);
+        assertNoBreaches(run);
     }
 
     @Test
-    void aFloodOfStrangersChangesNothingButTheirCount() {
-        FleetRun run = settled(9, 1);
-        long changes = run.member(4).changes();
-        run.strangers(20_000, 20 * S);
-        run.run(40 * S);
-        assertEquals(changes, run.member(4).changes());
+    void floodFromUnknownSendersIsOnlyCounted() {
+        FleetRun run = convergedFleet(9, 1);
+        long changes = run.member(4).lastChange();
+        run.strangers(20_000, 20 * SECOND_US);
+        run.run(40 * SECOND_US);
+        assertEquals(changes, run.member(4).lastChange());
         assertTrue(run.figures().dropped() > 300_000);
-        assertEquals(Reachability.ALL, run.member(4).reach());
-        kept(run);
+        assertEquals(Reachability.ALL, run.member(4).reachability());
+        assertNoBreaches(run);
     }
 
     @Test
-    void aListOfWhichNineInTenAreGone() {
+    void mostlyAbsentPeersExpire() {
         int listed = 60;
-        FleetRun run = Rounds.fleet(listed, 1);
+        FleetRun run = FleetFixtures.fleet(listed, 1);
         for (int i = 0; i < 6; i++) {
             run.start(10 * i + 3);
         }
-        run.run(30 * S);
+        run.run(30 * SECOND_US);
         assertTrue(run.even());
         assertEquals(6, run.member(3).count(MemberState.ALIVE));
-        assertEquals(Reachability.ALL, run.member(3).reach(), "nobody was ever there whom it has lost");
-        assertEquals(listed, run.member(3).liveMembers(run.now()), "for now they may be there and cut off");
-        run.run(600 * S);
+        assertEquals(
+                Reachability.ALL,
+                run.member(3).reachability(),
+                "members that were never present are not counted as lost");
+        assertEquals(
+                listed,
+                run.member(3).liveMembers(run.now()),
+                "members never heard from may be partitioned until the expiry time");
+        run.run(600 * SECOND_US);
         assertEquals(6, run.member(3).liveMembers(run.now()));
-        kept(run);
+        assertNoBreaches(run);
     }
 
     @Test
-    void membersOfTwoVersionsOfTheWireLeaveEachOtherAlone() {
-        FleetRun run = Rounds.fleet(10, 1);
+    void membersOfDifferentProtocolVersionsIgnoreEachOther() {
+        FleetRun run = FleetFixtures.fleet(10, 1);
         for (int i = 0; i < 10; i++) {
             int version = i < 5 ? Datagram.VERSION : Datagram.VERSION + 1;
-            run.start(i, (s, random, now, wall, out) -> new Fleet(s, version, random, now, wall, out));
+            run.start(
+                    i,
+                    (settings, random, now, wallClockMs, actions) ->
+                            new Fleet(settings, version, random, now, wallClockMs, actions));
         }
-        run.run(60 * S);
+        run.run(60 * SECOND_US);
         for (int i = 0; i < 10; i++) {
             assertEquals(5, run.member(i).count(MemberState.ALIVE), "member " + i);
             assertTrue(run.member(i).drops().get(DropReason.OTHER_VERSION) > 0);
-            assertEquals(10, run.member(i).liveMembers(run.now()), "the others may use the hosts all the same");
+            assertEquals(
+                    10,
+                    run.member(i).liveMembers(run.now()),
+                    "members of the other version may still use the endpoints");
         }
     }
 
     @Test
-    void fiveHundredStartingInTheSameSecond() {
-        FleetRun run = settled(500, 1);
+    void fiveHundredSimultaneousStartsConverge() {
+        FleetRun run = convergedFleet(500, 1);
         assertTrue(run.even());
         assertEquals(500, run.member(123).count(MemberState.ALIVE));
-        kept(run);
+        assertNoBreaches(run);
     }
 
     @Test
-    void halfOfTwoHundredCutFromTheOtherHalfAndHealed() {
-        FleetRun run = settled(200, 1);
-        PeerFaults.End cut = run.partition(members(0, 100), members(100, 200), false);
-        run.run(bound(200) + 10 * S);
+    void partitionOfTwoHalvesHeals() {
+        FleetRun run = convergedFleet(200, 1);
+        PeerFaults.End partition = run.partition(members(0, 100), members(100, 200), false);
+        run.run(convergenceBoundUs(200) + 10 * SECOND_US);
         assertEquals(100, run.member(0).count(MemberState.FAILED));
-        assertEquals(Reachability.MINORITY, run.member(0).reach(), "a half is no majority");
-        cut.end();
-        run.run(40 * S);
+        assertEquals(Reachability.MINORITY, run.member(0).reachability(), "half of the members is not a majority");
+        partition.end();
+        run.run(40 * SECOND_US);
         assertTrue(run.even());
         assertEquals(200, run.member(199).count(MemberState.ALIVE));
-        kept(run);
+        assertNoBreaches(run);
     }
 
     @Test
-    void oneThatLeavesIsGoneAtOnceAndTakesItsPartAlong() {
-        FleetRun run = settled(20, 1);
+    void leavingMemberIsRemovedAtOnce() {
+        FleetRun run = convergedFleet(20, 1);
         run.leave(7);
-        run.run(2 * S);
+        run.run(2 * SECOND_US);
         assertEquals(20, run.believing(7, MemberState.LEFT));
         assertEquals(19, run.member(0).liveMembers(run.now()));
-        assertEquals(Reachability.ALL, run.member(0).reach());
+        assertEquals(Reachability.ALL, run.member(0).reachability());
         run.kill(7);
-        run.run(bound(20));
+        run.run(convergenceBoundUs(20));
         assertEquals(0, run.believing(7, MemberState.FAILED));
         run.start(7);
-        run.run(10 * S);
+        run.run(10 * SECOND_US);
         assertEquals(20, run.believing(7, MemberState.ALIVE));
         assertEquals(20, run.member(0).liveMembers(run.now()));
-        kept(run);
+        assertNoBreaches(run);
     }
 
     @Test
-    void whoeverIsNotSeenForLongCountsNoMoreWhereAMajorityIs() {
+    void unseenMembersExpireOnTheMajoritySideOnly() {
         int members = 9;
-        FleetRun run = FleetRun.alone(members, 1, i -> FleetSettings.defaults("test", "n" + i, i, members, S, 60 * S));
-        Rounds.settle(run);
+        FleetRun run = FleetRun.alone(
+                members, 1, i -> FleetSettings.defaults("test", "n" + i, i, members, SECOND_US, 60 * SECOND_US));
+        FleetFixtures.converge(run);
         run.partition(members(0, 5), members(5, 9), false);
-        run.run(50 * S);
+        run.run(50 * SECOND_US);
         assertEquals(9, run.member(0).liveMembers(run.now()));
-        run.run(60 * S);
-        assertEquals(5, run.member(0).liveMembers(run.now()), "the time that a cut may last is over");
-        assertEquals(9, run.member(8).liveMembers(run.now()), "a minority never takes itself for all");
+        run.run(60 * SECOND_US);
+        assertEquals(5, run.member(0).liveMembers(run.now()), "members not seen have expired");
+        assertEquals(9, run.member(8).liveMembers(run.now()), "members do not expire on the minority side");
     }
 
     @Test
-    void newsOfAnOlderViewComeUnderALowerNumber() {
-        FleetRun run = settled(5, 1);
+    void changeNumbersAreConsecutive() {
+        FleetRun run = convergedFleet(5, 1);
         List<Long> numbers = new ArrayList<>();
-        run.watch((observer, c) -> {
+        run.watch((observer, change) -> {
             if (observer == 0) {
-                numbers.add(c.number());
+                numbers.add(change.number());
             }
         });
         run.kill(1);
-        run.run(20 * S);
+        run.run(20 * SECOND_US);
         run.start(1);
-        run.run(20 * S);
+        run.run(20 * SECOND_US);
         assertFalse(numbers.isEmpty());
         for (int i = 1; i < numbers.size(); i++) {
             assertEquals(numbers.get(i - 1) + 1, numbers.get(i));
         }
-        assertEquals(numbers.get(numbers.size() - 1), run.member(0).changes());
+        assertEquals(numbers.get(numbers.size() - 1), run.member(0).lastChange());
     }
 }
--- a/src/test/java/mulleinfront/fleet/MembersTest.java
+++ b/src/test/java/mulleinfront/fleet/MembersTest.java
@@ -11,153 +11,154 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** What is believed of members, and what is passed on, doubted and allowed. */
+/** The local view, incarnations, the gossip queue, suspicions and the token bucket. */
 class MembersTest {
-    private static final long S = 1_000_000;
-    private static final long LIFE = Incarnation.starting(1_000_000_000_000L);
+    private static final long SECOND_US = 1_000_000;
+    private static final long INCARNATION = Incarnation.ofProcessStart(1_000_000_000_000L);
 
     /** An update about one member: its incarnation and state. */
-    private record Word(int member, long incarnation, MemberState state) {}
+    private record Update(int member, long incarnation, MemberState state) {}
 
     @Test
-    void wordsInAnyOrderAndNumberComeToOneView() {
+    void updatesInAnyOrderLeadToOneView() {
         Random random = new Random(5);
-        List<Word> words = new ArrayList<>();
+        List<Update> updates = new ArrayList<>();
         for (int i = 0; i < 4_000; i++) {
-            words.add(new Word(
+            updates.add(new Update(
                     random.nextInt(700),
-                    LIFE + random.nextInt(5) * (random.nextInt(3) == 0 ? 1L << 16 : 1),
-                    MemberState.of(1 + random.nextInt(4))));
+                    INCARNATION + random.nextInt(5) * (random.nextInt(3) == 0 ? 1L << 16 : 1),
+                    MemberState.fromCode(1 + random.nextInt(4))));
         }
         long digest = 0;
         for (int order = 0; order < 5; order++) {
             Members members = new Members(order * 100);
-            for (Word w : words) {
-                if (members.newer(w.member(), w.incarnation(), w.state())) {
-                    members.set(w.member(), w.incarnation(), w.state(), 0, 0);
+            for (Update update : updates) {
+                if (members.isNewer(update.member(), update.incarnation(), update.state())) {
+                    members.record(update.member(), update.incarnation(), update.state(), 0, 0);
                 }
             }
             assertEquals(order == 0 ? members.digest() : digest, members.digest());
             digest = members.digest();
             long leaves = 0;
             for (int leaf = 0; leaf < 44; leaf++) {
-                leaves ^= members.sum(0, leaf);
+                leaves ^= members.nodeDigest(0, leaf);
             }
-            assertEquals(digest, leaves, "each level sums up to the whole");
-            assertEquals(2, members.topLevel());
-            Collections.shuffle(words, random);
-            words.addAll(words.subList(0, 100));
+            assertEquals(digest, leaves, "the leaf digests combine to the digest of the view");
+            assertEquals(2, members.rootLevel());
+            Collections.shuffle(updates, random);
+            updates.addAll(updates.subList(0, 100));
         }
     }
 
     @Test
-    void aSuspicionAndItsRefutationAreNoOtherView() {
+    void suspicionAndRefutationKeepTheDigest() {
         Members members = new Members(10);
-        members.set(4, LIFE, MemberState.ALIVE, 4, 0);
+        members.record(4, INCARNATION, MemberState.ALIVE, 4, 0);
         long alive = members.digest();
-        members.set(4, LIFE, MemberState.SUSPECTED, 2, 0);
+        members.record(4, INCARNATION, MemberState.SUSPECTED, 2, 0);
         assertEquals(alive, members.digest());
-        members.set(4, Incarnation.next(LIFE), MemberState.ALIVE, 4, 0);
+        members.record(4, Incarnation.next(INCARNATION), MemberState.ALIVE, 4, 0);
         assertEquals(alive, members.digest());
-        members.set(4, Incarnation.next(LIFE), MemberState.FAILED, 2, 0);
+        members.record(4, Incarnation.next(INCARNATION), MemberState.FAILED, 2, 0);
         assertNotEquals(alive, members.digest());
-        members.set(4, Incarnation.lifeAfter(LIFE), MemberState.ALIVE, 4, 0);
-        assertNotEquals(alive, members.digest(), "another process is another view");
-        assertEquals(1, members.present());
+        members.record(4, Incarnation.ofNextProcess(INCARNATION), MemberState.ALIVE, 4, 0);
+        assertNotEquals(alive, members.digest(), "a new process changes the digest");
+        assertEquals(1, members.presentCount());
     }
 
     @Test
-    void incarnationsGoOnlyUp() {
-        assertTrue(Incarnation.lifeAfter(Incarnation.next(LIFE)) > Incarnation.next(LIFE));
-        assertTrue(Incarnation.sameLife(LIFE, Incarnation.next(LIFE)));
-        assertFalse(Incarnation.sameLife(LIFE, Incarnation.lifeAfter(LIFE)));
-        assertEquals(1_000_000_000_000L, Incarnation.startedMs(LIFE));
-        long i = LIFE;
-        for (int turn = 0; turn < 70_000; turn++) {
-            assertTrue(Incarnation.next(i) > i);
-            i = Incarnation.next(i);
+    void incarnationsOnlyIncrease() {
+        assertTrue(Incarnation.ofNextProcess(Incarnation.next(INCARNATION)) > Incarnation.next(INCARNATION));
+        assertTrue(Incarnation.sameProcess(INCARNATION, Incarnation.next(INCARNATION)));
+        assertFalse(Incarnation.sameProcess(INCARNATION, Incarnation.ofNextProcess(INCARNATION)));
+        assertEquals(1_000_000_000_000L, Incarnation.startedMs(INCARNATION));
+        long incarnation = INCARNATION;
+        for (int refutation = 0; refutation < 70_000; refutation++) {
+            assertTrue(Incarnation.next(incarnation) > incarnation);
+            incarnation = Incarnation.next(incarnation);
         }
-        assertFalse(Incarnation.plausible(Long.MAX_VALUE));
-        assertFalse(Incarnation.plausible(-1));
-        assertTrue(Incarnation.plausible(Incarnation.starting(Long.MAX_VALUE)));
-        assertTrue(Incarnation.plausible(Incarnation.starting(-5)), "a clock may be anything");
+        assertFalse(Incarnation.isValid(Long.MAX_VALUE));
+        assertFalse(Incarnation.isValid(-1));
+        assertTrue(Incarnation.isValid(Incarnation.ofProcessStart(Long.MAX_VALUE)));
+        assertTrue(Incarnation.isValid(Incarnation.ofProcessStart(-5)), "the clock may have any value");
     }
 
     @Test
-    void theLeastPassedOnGoFirstAndEachGoesSoOften() {
-        Rumours rumours = new Rumours();
-        int[] told = new int[40];
-        for (int m = 0; m < 40; m++) {
-            rumours.add(m);
+    void leastSentUpdatesGoFirstUpToTheSendLimit() {
+        GossipQueue queue = new GossipQueue();
+        int[] sendCounts = new int[40];
+        for (int member = 0; member < 40; member++) {
+            queue.add(member);
         }
-        int[] picked = new int[17];
-        for (int round = 0; !rumours.isEmpty(); round++) {
-            int n = rumours.take(picked, 17, 6);
-            for (int i = 0; i < n; i++) {
-                told[picked[i]]++;
+        int[] selection = new int[17];
+        for (int round = 0; !queue.isEmpty(); round++) {
+            int selected = queue.select(selection, 17, 6);
+            for (int i = 0; i < selected; i++) {
+                sendCounts[selection[i]]++;
             }
-            int least = 9;
-            int most = 0;
-            for (int t : told) {
-                least = Math.min(least, t);
-                most = Math.max(most, t);
+            int minCount = 9;
+            int maxCount = 0;
+            for (int count : sendCounts) {
+                minCount = Math.min(minCount, count);
+                maxCount = Math.max(maxCount, count);
             }
-            assertTrue(most - least <= 1, "round " + round);
+            assertTrue(maxCount - minCount <= 1, "round " + round);
         }
-        for (int t : told) {
-            assertEquals(6, t);
+        for (int count : sendCounts) {
+            assertEquals(6, count);
         }
-        rumours.add(3);
-        rumours.take(picked, 17, 6);
-        rumours.add(3);
-        assertEquals(0, rumours.times(3), "a later word begins anew");
-        assertEquals(1, rumours.size());
+        queue.add(3);
+        queue.select(selection, 17, 6);
+        queue.add(3);
+        assertEquals(0, queue.sendCount(3), "a newer update resets the send count");
+        assertEquals(1, queue.size());
     }
 
     @Test
-    void accusersShortenASuspicionAndStandingStillLengthensIt() {
+    void confirmationsShortenAndStallsExtendASuspicion() {
         Suspicions suspicions = new Suspicions();
-        suspicions.begin(1, 7, 0, 4 * S, 24 * S, 2);
-        assertEquals(24 * S, suspicions.nextAt());
-        assertFalse(suspicions.confirm(1, 7), "the same one again");
+        suspicions.begin(1, 7, 0, 4 * SECOND_US, 24 * SECOND_US, 2);
+        assertEquals(24 * SECOND_US, suspicions.nextDeadline());
+        assertFalse(suspicions.confirm(1, 7), "a repeated confirmation does not count");
         assertTrue(suspicions.confirm(1, 8));
-        long two = suspicions.nextAt();
-        assertTrue(two < 24 * S && two > 4 * S);
+        long deadlineWithTwo = suspicions.nextDeadline();
+        assertTrue(deadlineWithTwo < 24 * SECOND_US && deadlineWithTwo > 4 * SECOND_US);
         assertTrue(suspicions.confirm(1, 9));
-        assertEquals(4 * S, suspicions.nextAt());
-        assertFalse(suspicions.confirm(1, 10), "enough is enough");
-        suspicions.extend(3 * S);
-        assertEquals(-1, suspicions.due(6 * S));
-        suspicions.begin(2, 7, 6 * S, S, S, 0);
-        assertEquals(1, suspicions.due(7 * S), "what stands since before counts the time that was lost");
-        assertEquals(2, suspicions.due(7 * S));
+        assertEquals(4 * SECOND_US, suspicions.nextDeadline());
+        assertFalse(suspicions.confirm(1, 10), "no further confirmation is needed");
+        suspicions.extendDeadlines(3 * SECOND_US);
+        assertEquals(-1, suspicions.expireNext(6 * SECOND_US));
+        suspicions.begin(2, 7, 6 * SECOND_US, SECOND_US, SECOND_US, 0);
+        assertEquals(1, suspicions.expireNext(7 * SECOND_US), "the earlier suspicion was extended by the stall");
+        assertEquals(2, suspicions.expireNext(7 * SECOND_US));
         assertTrue(suspicions.isEmpty());
     }
 
     @Test
-    void theAllowanceHoldsAndUrgentThingsComeFirst() {
-        Allowance allowance = new Allowance(10, 100_000, 0);
-        int[] sent = new int[Allowance.Use.values().length];
-        for (long now = 0; now < 100 * S; now += S / 1_000) {
-            for (Allowance.Use use : new Allowance.Use[] {Allowance.Use.COMPARE, Allowance.Use.NEWS}) {
-                if (allowance.allows(use, now)) {
-                    allowance.spend(100);
-                    sent[use.ordinal()]++;
+    void tokenBucketLimitsRatesAndFavoursUrgentMessages() {
+        TokenBucket bucket = new TokenBucket(10, 100_000, 0);
+        int[] sent = new int[TokenBucket.Priority.values().length];
+        for (long now = 0; now < 100 * SECOND_US; now += SECOND_US / 1_000) {
+            for (TokenBucket.Priority priority :
+                    new TokenBucket.Priority[] {TokenBucket.Priority.ANTI_ENTROPY, TokenBucket.Priority.GOSSIP}) {
+                if (bucket.allows(priority, now)) {
+                    bucket.spend(100);
+                    sent[priority.ordinal()]++;
                 }
             }
         }
-        int all = sent[Allowance.Use.NEWS.ordinal()] + sent[Allowance.Use.COMPARE.ordinal()];
-        assertTrue(all <= 1_020 && all > 950, all + " in 100 s");
-        assertTrue(allowance.allows(Allowance.Use.PROBE, 100 * S), "a ping is never kept waiting by news");
-        assertTrue(allowance.withheld() > 0);
-        Allowance bytes = new Allowance(1_000_000, 2_560, 0);
-        int n = 0;
-        for (long now = 0; now < 100 * S; now += S / 1_000) {
-            if (bytes.allows(Allowance.Use.PROBE, now)) {
-                bytes.spend(256);
-                n++;
+        int total = sent[TokenBucket.Priority.GOSSIP.ordinal()] + sent[TokenBucket.Priority.ANTI_ENTROPY.ordinal()];
+        assertTrue(total <= 1_020 && total > 950, total + " in 100 s");
+        assertTrue(bucket.allows(TokenBucket.Priority.PROBE, 100 * SECOND_US), "gossip leaves tokens for a ping");
+        assertTrue(bucket.rejectedDatagrams() > 0);
+        TokenBucket byteBucket = new TokenBucket(1_000_000, 2_560, 0);
+        int sentByBytes = 0;
+        for (long now = 0; now < 100 * SECOND_US; now += SECOND_US / 1_000) {
+            if (byteBucket.allows(TokenBucket.Priority.PROBE, now)) {
+                byteBucket.spend(256);
+                sentByBytes++;
             }
         }
-        assertTrue(n <= 1_020 && n > 950, n + " of 256 bytes in 100 s");
+        assertTrue(sentByBytes <= 1_020 && sentByBytes > 950, sentByBytes + " of 256 bytes in 100 s");
     }
 }
