--- a/src/main/java/mulleinfront/config/ConfigPublisher.java
+++ b/src/main/java/mulleinfront/config/ConfigPublisher.java
@@ -7,312 +7,337 @@
 import java.util.Map;
 
 /**
- * The serving side of a control machine: what each reader has, what it is sent, and at which pace. A reader
- * that is behind gets one difference to the newest version. It costs a fixed number of bytes and a part of
- * one line that is shared by all who stand where it stands; one that does not read is given up and holds up
- * nobody.
+ * Distributes configuration versions from a control-plane node to its subscribers: tracks the version of each
+ * subscriber, decides what to send and limits the rate. A subscriber that is behind gets one delta to the newest
+ * version, however many versions it lacks. Its state has a fixed size, and an encoded delta is shared by all
+ * subscribers with the same base version. A subscriber that does not read is disconnected and never delays
+ * another one.
  *
- * <p>Owned by one event loop, whose time is passed in, in microseconds.
+ * <p>Confined to one event loop. The caller passes in the current time in microseconds.
  */
 public final class ConfigPublisher {
-    /** How often readers are looked at while there are any; part of the bound. */
-    static final long TICK_US = 50_000;
-    /** Pieces of a long line are not shorter: each has its own heads on the way. */
-    private static final int LEAST_PIECE = 1_000;
-    /** What carries a piece: chunk, TCP and IP. */
-    private static final int OVERHEAD = 60;
+    /** Interval at which open watches are checked; part of the bound on the propagation time. */
+    static final long TICK_INTERVAL_US = 50_000;
+    /** Minimum size of a piece of a line, except for its last one, since each piece is sent with its own headers. */
+    private static final int MIN_PIECE_BYTES = 1_000;
+    /** Chunk framing, TCP and IP headers of one piece. */
+    private static final int HEADER_BYTES = 60;
 
-    private static final int MOST_CHECKSUMS = 256;
+    private static final int MAX_CACHED_CHECKSUMS = 256;
 
-    /** What it acts by. None of it may block. */
+    /** Encodes and sends messages, closes watches and sets the timer. No method may block. */
     public interface Wire {
-        /** How a difference is written, with its end. */
-        byte[] line(Difference difference);
+        /** Encodes a delta as one line, including the line terminator. */
+        byte[] encodeDelta(Difference delta);
 
         /**
-         * How it is written that this machine is there, what it has and whether it is in touch with a
-         * majority.
+         * Encodes a heartbeat line.
+         *
+         * @param newest number of the newest version at this node
+         * @param quorumContact whether this node has quorum contact
          */
-        byte[] heartbeat(long newest, boolean inTouch);
+        byte[] encodeHeartbeat(long newest, boolean quorumContact);
 
-        /** Sends a part of a line; parts of one line come in their order. */
-        void send(long reader, byte[] line, int from, int to);
+        /** Sends the bytes of a line from {@code from} to before {@code to}; pieces of a line are sent in order. */
+        void send(long watchId, byte[] line, int from, int to);
 
-        /** Ends a watch. */
-        void close(long reader, String reason);
+        /** Closes a watch. */
+        void close(long watchId, String reason);
 
-        /** Asks for {@link #onTimer} at an instant, in place of the one asked for before. */
-        void wakeAt(long us);
+        /** Schedules a call of {@link #onTimer} at the given time, replacing any earlier request. */
+        void wakeAt(long timeUs);
     }
 
     /**
-     * Who is at what, by the word of this machine.
+     * Progress of a subscriber as this node knows it.
      *
-     * @param name the reader's
-     * @param at the version that it last said it has in force
-     * @param same whether what it has is this machine's version of that number; true also if that is held no
-     *        longer
-     * @param sent the version that it will have once it has read all that it was sent
-     * @param watching whether its watch is open here
-     * @param heardUs when it was last heard
+     * @param name name of the subscriber
+     * @param activeVersion number of the version that the subscriber last reported as active
+     * @param checksumMatches whether the reported checksum is that of this node's version with this number; true
+     *        also if this node does not retain that version
+     * @param sentVersion number of the version that the subscriber has once it has read everything sent to it
+     * @param watching whether the subscriber's watch is open at this node
+     * @param lastHeardUs when the watch was opened or last reported
      */
-    public record SubscriberStatus(String name, long at, boolean same, long sent, boolean watching, long heardUs) {}
-
-    /** One reader, and after its end what it last said. */
-    private static final class Reader {
-        final long id;
+    public record SubscriberStatus(
+            String name,
+            long activeVersion,
+            boolean checksumMatches,
+            long sentVersion,
+            boolean watching,
+            long lastHeardUs) {}
+
+    /** State of one watch, retained after its end so that the last report of the subscriber can still be shown. */
+    private static final class Subscriber {
+        final long watchId;
         final String name;
-        long at;
-        boolean same = true;
-        /** The version that it has once it has read all. */
-        long sent;
-        /** The line that it is being sent, if any, and how far. */
+        long activeVersion;
+        boolean checksumMatches = true;
+        /** Version that the subscriber has once it has read everything sent to it. */
+        long sentVersion;
+        /** The line that is being sent, or null; the fields below give its progress and target version. */
         byte[] line;
 
-        int offset;
-        long leadsTo;
-        long begunUs;
+        int lineOffset;
+        long lineTarget;
+        long lineStartedUs;
         boolean writable = true;
-        double allowance;
-        long countedUs;
-        long toldUs;
-        long heardUs;
+        double byteTokens;
+        long refilledUs;
+        long lastSentUs;
+        long lastHeardUs;
 
-        Reader(long id, String name, long now) {
-            this.id = id;
+        Subscriber(long watchId, String name, long nowUs) {
+            this.watchId = watchId;
             this.name = name;
-            countedUs = now;
-            heardUs = now;
+            refilledUs = nowUs;
+            lastHeardUs = nowUs;
         }
     }
 
     private final PublisherSettings settings;
-    private final VersionLog ledger;
+    private final VersionLog versionLog;
     private final Wire wire;
-    private final Map<Long, Reader> readers = new LinkedHashMap<>();
-    /** By name, the oldest first; those whose watch has ended among them. */
-    private final Map<String, Reader> known = new LinkedHashMap<>();
-    /** Lines to the newest version, by the version that they stand on. */
-    private final Map<Long, byte[]> lines = new HashMap<>();
+    private final Map<Long, Subscriber> openWatches = new LinkedHashMap<>();
+    /** The latest watch of each subscriber by name, the earliest opened first; includes closed watches. */
+    private final Map<String, Subscriber> latestWatches = new LinkedHashMap<>();
+    /** Encoded deltas to {@code encodedTarget}, by base version. */
+    private final Map<Long, byte[]> encodedDeltas = new HashMap<>();
 
-    private long linesTo = -1;
-    /** Of versions that readers said they have: each says so again every other second. */
-    private final Map<Long, Long> checksums = new HashMap<>();
+    private long encodedTarget = -1;
+    /**
+     * Checksums of versions that subscribers have reported, by version number. They are cached because each
+     * subscriber repeats its report every 2 s by default.
+     */
+    private final Map<Long, Long> checksumsByVersion = new HashMap<>();
 
     private byte[] heartbeat;
-    private long heartbeatOf = -1;
-    private boolean heartbeatInTouch;
-    /** Asked for once a tick, and not for each reader. */
-    private boolean inTouch;
+    private long heartbeatVersion = -1;
+    private boolean heartbeatQuorumContact;
+    /** Result of {@link VersionLog#hasQuorumContact}, read once a tick and not for each subscriber. */
+    private boolean quorumContact;
 
-    private boolean ticking;
+    private boolean timerPending;
 
-    /** Creates a distributor without readers that serves the versions of the given ledger over the given wire. */
-    public ConfigPublisher(PublisherSettings settings, VersionLog ledger, Wire wire) {
+    /** Creates a publisher without subscribers that sends the versions of the given log over the given wire. */
+    public ConfigPublisher(PublisherSettings settings, VersionLog versionLog, Wire wire) {
         this.settings = settings;
-        this.ledger = ledger;
+        this.versionLog = versionLog;
         this.wire = wire;
-        this.inTouch = ledger.hasQuorumContact();
+        this.quorumContact = versionLog.hasQuorumContact();
     }
 
     /**
-     * A reader's watch begins.
+     * Opens a subscriber's watch.
      *
-     * @param id this watch's own, never used again
-     * @param name the reader's; a watch of the same name that is still open is closed: it was lost
-     * @param has the version that it has; 0: it wants the whole
-     * @param checksum of that version
-     * @return false if there are too many; it is then not known here
+     * @param watchId identifier of this watch, never reused
+     * @param name name of the subscriber; an open watch of the same name is closed, since the subscriber must
+     *        have lost it
+     * @param baseVersion number of the version that the subscriber has; 0 requests the full configuration
+     * @param checksum checksum of that version
+     * @return false if the maximum number of subscribers is reached; the watch is then not registered
      */
-    public boolean open(long now, long id, String name, long has, long checksum) {
-        Reader before = known.get(name);
-        if (before != null && readers.containsKey(before.id)) {
-            drop(before, "it watches anew");
+    public boolean openWatch(long nowUs, long watchId, String name, long baseVersion, long checksum) {
+        Subscriber previous = latestWatches.get(name);
+        if (previous != null && openWatches.containsKey(previous.watchId)) {
+            closeWatch(previous, "it watches anew");
         }
-        if (readers.size() >= settings.maxSubscribers()) {
+        if (openWatches.size() >= settings.maxSubscribers()) {
             return false;
         }
-        Reader reader = new Reader(id, name, now);
-        if (readers.isEmpty()) {
-            inTouch = ledger.hasQuorumContact();
+        Subscriber subscriber = new Subscriber(watchId, name, nowUs);
+        if (openWatches.isEmpty()) {
+            quorumContact = versionLog.hasQuorumContact();
         }
-        reader.allowance = settings.burst();
-        reader.at = has;
-        reader.same = isOurs(has, checksum);
-        // What is held under this number elsewhere is no ground for a difference.
-        reader.sent = reader.same ? has : 0;
-        reader.toldUs = Long.MIN_VALUE / 2;
-        readers.put(id, reader);
-        known.remove(name);
-        known.put(name, reader);
-        forget();
-        pump(now, reader);
-        tick(now);
+        subscriber.byteTokens = settings.burst();
+        subscriber.activeVersion = baseVersion;
+        subscriber.checksumMatches = matchesOwnVersion(baseVersion, checksum);
+        // A different version under the same number can't be the base of a delta.
+        subscriber.sentVersion = subscriber.checksumMatches ? baseVersion : 0;
+        subscriber.lastSentUs = Long.MIN_VALUE / 2;
+        openWatches.put(watchId, subscriber);
+        latestWatches.remove(name);
+        latestWatches.put(name, subscriber);
+        evictClosedWatches();
+        sendPending(nowUs, subscriber);
+        scheduleTick(nowUs);
         return true;
     }
 
-    private boolean isOurs(long number, long checksum) {
-        Version ours = number == 0 ? null : ledger.at(number);
-        if (ours == null) {
+    private boolean matchesOwnVersion(long number, long checksum) {
+        Version ownVersion = number == 0 ? null : versionLog.at(number);
+        if (ownVersion == null) {
             return true;
         }
-        if (checksums.size() > MOST_CHECKSUMS) {
-            checksums.clear();
+        if (checksumsByVersion.size() > MAX_CACHED_CHECKSUMS) {
+            checksumsByVersion.clear();
         }
-        return checksums.computeIfAbsent(number, n -> Checksum.of(ours)) == checksum;
+        return checksumsByVersion.computeIfAbsent(number, key -> Checksum.of(ownVersion)) == checksum;
     }
 
-    /** Those who went longest ago are forgotten, so that names can't fill the memory. */
-    private void forget() {
-        if (known.size() > 2 * settings.maxSubscribers()) {
-            known.values().removeIf(r -> known.size() > settings.maxSubscribers() && !readers.containsKey(r.id));
+    /** Evicts the earliest opened of the closed watches, so that subscriber names can't exhaust the memory. */
+    private void evictClosedWatches() {
+        if (latestWatches.size() > 2 * settings.maxSubscribers()) {
+            latestWatches
+                    .values()
+                    .removeIf(subscriber -> latestWatches.size() > settings.maxSubscribers()
+                            && !openWatches.containsKey(subscriber.watchId));
         }
     }
 
-    /** A reader says what it has in force, or the same again as a sign of life. */
-    public void reported(long now, long id, long number, long checksum) {
-        Reader reader = readers.get(id);
-        if (reader != null) {
-            reader.heardUs = now;
-            reader.at = number;
-            reader.same = isOurs(number, checksum);
+    /** Called when a subscriber reports its active version, repeated periodically as a sign of life. */
+    public void onReport(long nowUs, long watchId, long number, long checksum) {
+        Subscriber subscriber = openWatches.get(watchId);
+        if (subscriber != null) {
+            subscriber.lastHeardUs = nowUs;
+            subscriber.activeVersion = number;
+            subscriber.checksumMatches = matchesOwnVersion(number, checksum);
         }
     }
 
-    /** Whether a reader's connection takes more. */
-    public void writable(long id, boolean writable) {
-        Reader reader = readers.get(id);
-        if (reader != null) {
-            reader.writable = writable;
+    /** Called when the connection of a watch becomes writable or stops being writable. */
+    public void onWritabilityChanged(long watchId, boolean writable) {
+        Subscriber subscriber = openWatches.get(watchId);
+        if (subscriber != null) {
+            subscriber.writable = writable;
         }
     }
 
-    /** A watch has ended by itself. */
-    public void closed(long id) {
-        readers.remove(id);
+    /** Called when a watch was closed by the subscriber or its connection broke. */
+    public void onWatchClosed(long watchId) {
+        openWatches.remove(watchId);
     }
 
-    /** The ledger told of a version. */
-    public void decided(long now) {
-        for (Reader reader : List.copyOf(readers.values())) {
-            pump(now, reader);
+    /** Called when the version log has a newly committed version. */
+    public void onVersionCommitted(long nowUs) {
+        for (Subscriber subscriber : List.copyOf(openWatches.values())) {
+            sendPending(nowUs, subscriber);
         }
     }
 
-    /** What was asked for by {@link Wire#wakeAt}. */
-    public void onTimer(long now) {
-        ticking = false;
-        inTouch = ledger.hasQuorumContact();
-        for (Reader reader : List.copyOf(readers.values())) {
-            if (now - reader.heardUs > settings.subscriberTimeoutUs()) {
-                drop(reader, "silent");
-            } else if (reader.line != null && now - reader.begunUs > settings.sendTimeoutUs()) {
-                drop(reader, "it does not read");
+    /** Called at the time requested with {@link Wire#wakeAt}. */
+    public void onTimer(long nowUs) {
+        timerPending = false;
+        quorumContact = versionLog.hasQuorumContact();
+        for (Subscriber subscriber : List.copyOf(openWatches.values())) {
+            if (nowUs - subscriber.lastHeardUs > settings.subscriberTimeoutUs()) {
+                closeWatch(subscriber, "silent");
+            } else if (subscriber.line != null && nowUs - subscriber.lineStartedUs > settings.sendTimeoutUs()) {
+                closeWatch(subscriber, "it does not read");
             } else {
-                pump(now, reader);
+                sendPending(nowUs, subscriber);
             }
         }
-        tick(now);
+        scheduleTick(nowUs);
     }
 
-    private void tick(long now) {
-        if (!ticking && !readers.isEmpty()) {
-            ticking = true;
-            wire.wakeAt(now + TICK_US);
+    private void scheduleTick(long nowUs) {
+        if (!timerPending && !openWatches.isEmpty()) {
+            timerPending = true;
+            wire.wakeAt(nowUs + TICK_INTERVAL_US);
         }
     }
 
-    private void drop(Reader reader, String reason) {
-        if (readers.remove(reader.id) != null) {
-            wire.close(reader.id, reason);
+    private void closeWatch(Subscriber subscriber, String reason) {
+        if (openWatches.remove(subscriber.watchId) != null) {
+            wire.close(subscriber.watchId, reason);
         }
     }
 
-    /** Sends what there is to send, as far as pace and connection let it. */
-    private void pump(long now, Reader reader) {
-        if (!readers.containsKey(reader.id)) {
+    /** Sends pending lines as far as the rate limit and the connection allow. */
+    private void sendPending(long nowUs, Subscriber subscriber) {
+        if (!openWatches.containsKey(subscriber.watchId)) {
             return;
         }
-        reader.allowance =
-                Math.min(settings.burst(), reader.allowance + (now - reader.countedUs) * 1e-6 * settings.bytesPerS());
-        reader.countedUs = now;
-        while (reader.writable && (reader.line != null || begin(now, reader))) {
-            int left = reader.line.length - reader.offset;
-            int piece = (int) Math.min(left, reader.allowance - OVERHEAD);
-            if (piece < Math.min(left, LEAST_PIECE)) {
+        subscriber.byteTokens = Math.min(
+                settings.burst(),
+                subscriber.byteTokens + (nowUs - subscriber.refilledUs) * 1e-6 * settings.bytesPerS());
+        subscriber.refilledUs = nowUs;
+        while (subscriber.writable && (subscriber.line != null || startNewestDelta(nowUs, subscriber))) {
+            int remainingBytes = subscriber.line.length - subscriber.lineOffset;
+            int pieceBytes = (int) Math.min(remainingBytes, subscriber.byteTokens - HEADER_BYTES);
+            if (pieceBytes < Math.min(remainingBytes, MIN_PIECE_BYTES)) {
                 break;
             }
-            int from = reader.offset;
-            byte[] line = reader.line;
-            reader.offset += piece;
-            if (piece == left) {
-                reader.line = null;
-                reader.sent = reader.leadsTo;
+            int from = subscriber.lineOffset;
+            byte[] line = subscriber.line;
+            subscriber.lineOffset += pieceBytes;
+            if (pieceBytes == remainingBytes) {
+                subscriber.line = null;
+                subscriber.sentVersion = subscriber.lineTarget;
             }
-            send(now, reader, line, from, from + piece);
+            send(nowUs, subscriber, line, from, from + pieceBytes);
         }
-        // White space within a line would do too, but a line that moves is a sign of life itself.
-        if (reader.line == null && reader.writable && now - reader.toldUs >= settings.heartbeatUs()) {
-            byte[] beat = heartbeat();
-            send(now, reader, beat, 0, beat.length);
+        // A line in progress needs no heartbeat in between: its pieces are a sign of life themselves.
+        if (subscriber.line == null && subscriber.writable && nowUs - subscriber.lastSentUs >= settings.heartbeatUs()) {
+            byte[] heartbeatLine = currentHeartbeat();
+            send(nowUs, subscriber, heartbeatLine, 0, heartbeatLine.length);
         }
     }
 
-    private void send(long now, Reader reader, byte[] line, int from, int to) {
-        reader.allowance -= to - from + OVERHEAD;
-        reader.toldUs = now;
-        wire.send(reader.id, line, from, to);
+    private void send(long nowUs, Subscriber subscriber, byte[] line, int from, int to) {
+        subscriber.byteTokens -= to - from + HEADER_BYTES;
+        subscriber.lastSentUs = nowUs;
+        wire.send(subscriber.watchId, line, from, to);
     }
 
-    private byte[] heartbeat() {
-        long newest = ledger.newest().number();
-        if (heartbeat == null || heartbeatOf != newest || heartbeatInTouch != inTouch) {
-            heartbeatOf = newest;
-            heartbeatInTouch = inTouch;
-            heartbeat = wire.heartbeat(newest, heartbeatInTouch);
+    private byte[] currentHeartbeat() {
+        long newestVersion = versionLog.newest().number();
+        if (heartbeat == null || heartbeatVersion != newestVersion || heartbeatQuorumContact != quorumContact) {
+            heartbeatVersion = newestVersion;
+            heartbeatQuorumContact = quorumContact;
+            heartbeat = wire.encodeHeartbeat(newestVersion, heartbeatQuorumContact);
         }
         return heartbeat;
     }
 
-    /** Takes up the difference to the newest version, if this reader lacks it. */
-    private boolean begin(long now, Reader reader) {
-        Version newest = ledger.newest();
-        // One that has a later version had it of another machine: this one is behind, and has nothing for it.
-        if (newest.number() <= Math.max(reader.sent, reader.same ? 0 : reader.at)) {
+    /** Starts to send the delta to the newest version if the subscriber lacks that version. */
+    private boolean startNewestDelta(long nowUs, Subscriber subscriber) {
+        Version newest = versionLog.newest();
+        // A subscriber with a newer version got it from another node: this node is behind and has nothing to send.
+        if (newest.number()
+                <= Math.max(subscriber.sentVersion, subscriber.checksumMatches ? 0 : subscriber.activeVersion)) {
             return false;
         }
-        if (linesTo != newest.number()) {
-            lines.clear();
-            linesTo = newest.number();
+        if (encodedTarget != newest.number()) {
+            encodedDeltas.clear();
+            encodedTarget = newest.number();
         }
-        reader.line = lines.computeIfAbsent(reader.sent, from -> wire.line(shortest(from, newest)));
-        reader.offset = 0;
-        reader.leadsTo = newest.number();
-        reader.begunUs = now;
+        subscriber.line = encodedDeltas.computeIfAbsent(
+                subscriber.sentVersion, baseVersion -> wire.encodeDelta(smallestDelta(baseVersion, newest)));
+        subscriber.lineOffset = 0;
+        subscriber.lineTarget = newest.number();
+        subscriber.lineStartedUs = nowUs;
         return true;
     }
 
-    private Difference shortest(long from, Version newest) {
-        Difference whole = Difference.whole(newest);
-        Version held = from == 0 ? null : ledger.at(from);
-        if (held == null) {
-            return whole;
+    private Difference smallestDelta(long baseVersion, Version newest) {
+        Difference fullDelta = Difference.whole(newest);
+        Version base = baseVersion == 0 ? null : versionLog.at(baseVersion);
+        if (base == null) {
+            return fullDelta;
         }
-        Difference step = Difference.between(held, newest);
-        return step.weight() < whole.weight() ? step : whole;
+        Difference delta = Difference.between(base, newest);
+        return delta.characterCount() < fullDelta.characterCount() ? delta : fullDelta;
     }
 
-    /** Who is at what, also those that have gone. */
+    /** Status of each known subscriber, including those whose watch is closed. */
     public List<SubscriberStatus> subscribers() {
-        List<SubscriberStatus> all = new ArrayList<>();
-        for (Reader r : known.values()) {
-            all.add(new SubscriberStatus(r.name, r.at, r.same, r.sent, readers.containsKey(r.id), r.heardUs));
+        List<SubscriberStatus> statuses = new ArrayList<>();
+        for (Subscriber subscriber : latestWatches.values()) {
+            statuses.add(new SubscriberStatus(
+                    subscriber.name,
+                    subscriber.activeVersion,
+                    subscriber.checksumMatches,
+                    subscriber.sentVersion,
+                    openWatches.containsKey(subscriber.watchId),
+                    subscriber.lastHeardUs));
         }
-        return all;
+        return statuses;
     }
 
-    /** Watches that are open. */
-    public int readers() {
-        return readers.size();
+    /** Number of open watches. */
+    public int openWatchCount() {
+        return openWatches.size();
     }
 }
--- a/src/main/java/mulleinfront/config/ConfigSubscriber.java
+++ b/src/main/java/mulleinfront/config/ConfigSubscriber.java
@@ -3,269 +3,281 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A client proxy's side: watches one control machine at a time, takes a version whole or not at all and never
- * an older one, goes on by the last good one while there is none to hear, and says which it is at.
+ * Subscribes a client proxy to the configuration: watches one control-plane node at a time and reports the active
+ * version to it. A version is applied completely or not at all, and never replaced by an older one. While no node
+ * can be reached, the last good version stays active.
  *
- * <p>Owned by one event loop, whose time is passed in, in microseconds.
+ * <p>Confined to one event loop. The caller passes in the current time in microseconds.
  */
 public final class ConfigSubscriber {
-    /** Who begins, begins within this. */
-    private static final long START_US = 100_000;
+    /** Upper limit of the random delay before the first watch. */
+    private static final long MAX_START_DELAY_US = 100_000;
 
-    /** What it is doing. */
+    /** State of the connection to the control plane. */
     public enum State {
-        /** Until the next try. */
+        /** Until the next connection attempt. */
         WAITING,
-        /** A machine was asked and has not answered. */
-        ASKING,
-        /** A machine has answered and is heard. */
+        /** A watch was requested and the node has not responded. */
+        CONNECTING,
+        /** The node has responded and the watch is open. */
         WATCHING,
-        /** For good. */
+        /** The subscription was stopped permanently. */
         ENDED
     }
 
-    /** What it acts by. None of it may block. */
+    /** Effects of the subscriber on its environment. No method may block. */
     public interface Actions {
         /**
-         * Asks a machine for what changed since a version and for all to come.
+         * Opens a watch at a control-plane node.
          *
-         * @param machine its number, from 0
-         * @param after the version held; 0: the whole is wanted
-         * @param checksum of the version held
+         * @param machine index of the node, from 0
+         * @param baseVersion number of the current version; 0 requests the full configuration
+         * @param checksum checksum of the current version
          */
-        void ask(int machine, long after, long checksum);
+        void openWatch(int machine, long baseVersion, long checksum);
 
-        /** Ends the watch that was asked for last. */
+        /** Closes the watch that was opened last. */
         void closeWatch();
 
-        /** A version is in force from now on. */
+        /** Called when a version becomes active. */
         void onActiveVersion(Version version);
 
-        /** Says to the machine that is watched which version is in force. */
+        /** Reports the active version to the watched node. */
         void report(long number, long checksum);
 
-        /** Asks for {@link #onTimer} at an instant, in place of the one asked for before. */
-        void wakeAt(long us);
+        /** Schedules a call of {@link #onTimer} at the given time, replacing any earlier request. */
+        void wakeAt(long timeUs);
     }
 
     private final SubscriberSettings settings;
     private final RandomGenerator random;
     private final Actions actions;
-    /** Machines in the order in which this one tries them: those who lose one spread over the others. */
-    private final int[] order;
+    /** Node indexes in a random order of attempts, so that subscribers that lose a node spread over the others. */
+    private final int[] nodeOrder;
 
-    private Version inForce;
+    private Version activeVersion;
     private long checksum;
     private State state = State.WAITING;
-    private int turn;
-    /** Tries that came to nothing, one after the other. */
-    private int failures;
+    private int orderIndex;
+    /** Consecutive failed attempts and lost watches. */
+    private int consecutiveFailures;
 
-    private boolean wantsWhole;
-    private long heardUs;
-    private long askedUs;
-    private long nextTryUs;
+    private boolean needsFullVersion;
+    private long lastHeardUs;
+    private long watchRequestedUs;
+    private long nextAttemptUs;
     private long nextReportUs;
-    /** Since when the machine has said that it is behind; below 0: it does not. */
+    /**
+     * Since when the watched node has been behind by its heartbeats, which is without quorum contact or with an
+     * older version than the active one; negative if it is not behind.
+     */
     private long behindSinceUs = -1;
-    /** Machines left for being behind, one after the other. */
-    private int leftBehind;
+    /** Consecutive nodes that were left because they were behind. */
+    private int consecutiveNodesBehind;
 
-    private long wakeUs = Long.MAX_VALUE;
+    private long timerUs = Long.MAX_VALUE;
 
-    /** @param kept the last good version, or {@link Version#NONE}; it is in force at once */
-    public ConfigSubscriber(SubscriberSettings settings, Version kept, RandomGenerator random, Actions actions) {
+    /** @param cachedVersion the last good version, or {@link Version#NONE}; it is active immediately */
+    public ConfigSubscriber(
+            SubscriberSettings settings, Version cachedVersion, RandomGenerator random, Actions actions) {
         this.settings = settings;
         this.random = random;
         this.actions = actions;
-        this.inForce = kept;
-        this.checksum = Checksum.of(kept);
-        this.order = new int[settings.machines()];
-        for (int i = 0; i < order.length; i++) {
+        this.activeVersion = cachedVersion;
+        this.checksum = Checksum.of(cachedVersion);
+        this.nodeOrder = new int[settings.machines()];
+        for (int i = 0; i < nodeOrder.length; i++) {
             int j = random.nextInt(i + 1);
-            order[i] = order[j];
-            order[j] = i;
+            nodeOrder[i] = nodeOrder[j];
+            nodeOrder[j] = i;
         }
     }
 
-    /** Begins. */
-    public void start(long now) {
-        nextTryUs = now + random.nextLong(START_US);
-        wake(now);
+    /** Schedules the first watch after a short random delay. */
+    public void start(long nowUs) {
+        nextAttemptUs = nowUs + random.nextLong(MAX_START_DELAY_US);
+        updateTimer(nowUs);
     }
 
-    /** Ends for good; what is in force stays. */
-    public void end() {
-        if (state == State.ASKING || state == State.WATCHING) {
+    /** Stops permanently; the active version stays. */
+    public void stop() {
+        if (state == State.CONNECTING || state == State.WATCHING) {
             actions.closeWatch();
         }
         state = State.ENDED;
     }
 
-    /** The version in force. */
+    /** The active version. */
     public Version activeVersion() {
-        return inForce;
+        return activeVersion;
     }
 
     public State state() {
         return state;
     }
 
-    /** The machine that is asked or watched, or will be next. */
+    /** Index of the node that is being watched or will be watched next. */
     public int machine() {
-        return order[turn];
+        return nodeOrder[orderIndex];
     }
 
-    /** Whether the machine watched has said of itself that it may be behind; then so may this one. */
+    /** Whether the active version may be outdated: no watch is open, or the watched node is behind. */
     public boolean mayBeBehind() {
         return state != State.WATCHING || behindSinceUs >= 0;
     }
 
-    /** Something came of the machine asked: a piece of a line too. */
-    public void heard(long now) {
-        if (state == State.ASKING) {
+    /** Called when bytes arrive on the watch, also for a part of a line. */
+    public void onData(long nowUs) {
+        if (state == State.CONNECTING) {
             state = State.WATCHING;
             behindSinceUs = -1;
-            nextReportUs = now;
+            nextReportUs = nowUs;
         }
-        heardUs = now;
-        wake(now);
+        lastHeardUs = nowUs;
+        updateTimer(nowUs);
     }
 
-    /** A machine says what it has. */
-    public void heartbeat(long now, long newest, boolean inTouch) {
+    /** Called for a heartbeat of the watched node with the number of its newest version. */
+    public void onHeartbeat(long nowUs, long newestVersion, boolean quorumContact) {
         if (state != State.WATCHING) {
             return;
         }
-        if (inTouch && newest >= inForce.number()) {
+        if (quorumContact && newestVersion >= activeVersion.number()) {
             behindSinceUs = -1;
-            failures = 0;
-            leftBehind = 0;
+            consecutiveFailures = 0;
+            consecutiveNodesBehind = 0;
         } else if (behindSinceUs < 0) {
-            behindSinceUs = now;
+            behindSinceUs = nowUs;
         }
-        wake(now);
+        updateTimer(nowUs);
     }
 
-    /** A difference, whole; it is taken or is nothing. */
-    public void difference(long now, Difference difference) {
-        if (state != State.WATCHING || difference.to() <= inForce.number()) {
+    /** Called for a complete delta. It is applied entirely or not at all. */
+    public void onDelta(long nowUs, Difference delta) {
+        if (state != State.WATCHING || delta.to() <= activeVersion.number()) {
             return;
         }
         try {
-            Version taken = difference.on(inForce);
-            checksum = difference.checksum();
-            inForce = taken;
-            wantsWhole = false;
-            failures = 0;
-        } catch (VersionMismatchException e) {
-            // Of this machine, or of the version held: another machine is asked, and for the whole.
-            wantsWhole = true;
+            Version updated = delta.on(activeVersion);
+            checksum = delta.checksum();
+            activeVersion = updated;
+            needsFullVersion = false;
+            consecutiveFailures = 0;
+        } catch (VersionMismatchException mismatch) {
+            // Either the node or the current version is at fault: requests the full configuration from another node.
+            needsFullVersion = true;
             actions.closeWatch();
-            failed(now);
+            onAttemptFailed(nowUs);
             return;
         }
-        actions.onActiveVersion(inForce);
+        actions.onActiveVersion(activeVersion);
         if (state == State.WATCHING) {
-            report(now);
+            report(nowUs);
         }
-        wake(now);
+        updateTimer(nowUs);
     }
 
-    /** The watch ended, was refused or could not be had. */
-    public void lost(long now) {
-        if (state == State.ASKING || state == State.WATCHING) {
-            failed(now);
+    /** Called when the watch ended, was refused or could not be opened. */
+    public void onWatchLost(long nowUs) {
+        if (state == State.CONNECTING || state == State.WATCHING) {
+            onAttemptFailed(nowUs);
         }
     }
 
-    /** What was asked for by {@link Actions#wakeAt}. */
-    public void onTimer(long now) {
-        long late = now - wakeUs;
-        wakeUs = Long.MAX_VALUE;
-        if (late > settings.silenceUs() / 2) {
-            // This process stood still: what came meanwhile is not read yet, and nobody was silent.
-            heardUs = now;
-            askedUs = now;
-            behindSinceUs = behindSinceUs < 0 ? -1 : now;
+    /** Called at the time requested with {@link Actions#wakeAt}. */
+    public void onTimer(long nowUs) {
+        long timerDelayUs = nowUs - timerUs;
+        timerUs = Long.MAX_VALUE;
+        if (timerDelayUs > settings.silenceUs() / 2) {
+            // This process stalled: received data is not read yet, so the timeouts of the node start again.
+            lastHeardUs = nowUs;
+            watchRequestedUs = nowUs;
+            behindSinceUs = behindSinceUs < 0 ? -1 : nowUs;
         }
         switch (state) {
             case WAITING -> {
-                if (now >= nextTryUs) {
-                    state = State.ASKING;
-                    askedUs = now;
-                    actions.ask(order[turn], wantsWhole ? 0 : inForce.number(), wantsWhole ? 0 : checksum);
+                if (nowUs >= nextAttemptUs) {
+                    state = State.CONNECTING;
+                    watchRequestedUs = nowUs;
+                    actions.openWatch(
+                            nodeOrder[orderIndex],
+                            needsFullVersion ? 0 : activeVersion.number(),
+                            needsFullVersion ? 0 : checksum);
                 }
             }
-            case ASKING -> {
-                if (now >= askedUs + settings.connectUs()) {
+            case CONNECTING -> {
+                if (nowUs >= watchRequestedUs + settings.connectUs()) {
                     actions.closeWatch();
-                    failed(now);
+                    onAttemptFailed(nowUs);
                 }
             }
-            case WATCHING -> watch(now);
+            case WATCHING -> checkWatch(nowUs);
             case ENDED -> {}
         }
-        wake(now);
+        updateTimer(nowUs);
     }
 
-    private void watch(long now) {
-        if (now >= heardUs + settings.silenceUs()) {
+    private void checkWatch(long nowUs) {
+        if (nowUs >= lastHeardUs + settings.silenceUs()) {
             actions.closeWatch();
-            failed(now);
-        } else if (behindSinceUs >= 0 && now >= behindSinceUs + behindPatience()) {
-            leftBehind++;
+            onAttemptFailed(nowUs);
+        } else if (behindSinceUs >= 0 && nowUs >= behindSinceUs + behindTimeoutUs()) {
+            consecutiveNodesBehind++;
             actions.closeWatch();
-            turn = (turn + 1) % order.length;
+            orderIndex = (orderIndex + 1) % nodeOrder.length;
             state = State.WAITING;
-            nextTryUs = now + random.nextLong(settings.spreadUs());
-        } else if (now >= nextReportUs) {
-            report(now);
+            nextAttemptUs = nowUs + random.nextLong(settings.spreadUs());
+        } else if (nowUs >= nextReportUs) {
+            report(nowUs);
         }
     }
 
-    /** If all that can be had are behind, one of them is as good as the other. */
-    private long behindPatience() {
-        return leftBehind < order.length ? settings.behindUs() : 5 * settings.behindUs();
+    /**
+     * How long a node may be behind before it is left. The time is longer once as many nodes as there are have been
+     * left in a row for being behind, since moving on gains nothing then.
+     */
+    private long behindTimeoutUs() {
+        return consecutiveNodesBehind < nodeOrder.length ? settings.behindUs() : 5 * settings.behindUs();
     }
 
-    private void report(long now) {
-        nextReportUs = now + settings.reportUs();
-        actions.report(inForce.number(), checksum);
+    private void report(long nowUs) {
+        nextReportUs = nowUs + settings.reportUs();
+        actions.report(activeVersion.number(), checksum);
     }
 
-    private void failed(long now) {
-        boolean watched = state == State.WATCHING;
+    private void onAttemptFailed(long nowUs) {
+        boolean wasWatching = state == State.WATCHING;
         state = State.WAITING;
-        turn = (turn + 1) % order.length;
-        failures++;
-        long spread;
-        if (watched && failures == 1) {
-            // Many lose a machine at one moment.
-            spread = settings.spreadUs();
-        } else if (failures < order.length) {
-            spread = settings.spreadUs() / 4;
+        orderIndex = (orderIndex + 1) % nodeOrder.length;
+        consecutiveFailures++;
+        long maxDelayUs;
+        if (wasWatching && consecutiveFailures == 1) {
+            // Many subscribers lose the same node at once and must not all reconnect at the same moment.
+            maxDelayUs = settings.spreadUs();
+        } else if (consecutiveFailures < nodeOrder.length) {
+            maxDelayUs = settings.spreadUs() / 4;
         } else {
-            spread = Math.min(settings.mostRetryUs(), settings.retryUs() << Math.min(10, failures - order.length));
+            maxDelayUs = Math.min(
+                    settings.mostRetryUs(), settings.retryUs() << Math.min(10, consecutiveFailures - nodeOrder.length));
         }
-        nextTryUs = now + random.nextLong(spread);
-        wake(now);
+        nextAttemptUs = nowUs + random.nextLong(maxDelayUs);
+        updateTimer(nowUs);
     }
 
-    private void wake(long now) {
-        long at = switch (state) {
-            case WAITING -> nextTryUs;
-            case ASKING -> askedUs + settings.connectUs();
+    private void updateTimer(long nowUs) {
+        long dueUs = switch (state) {
+            case WAITING -> nextAttemptUs;
+            case CONNECTING -> watchRequestedUs + settings.connectUs();
             case WATCHING ->
                 Math.min(
-                        Math.min(heardUs + settings.silenceUs(), nextReportUs),
-                        behindSinceUs < 0 ? Long.MAX_VALUE : behindSinceUs + behindPatience());
+                        Math.min(lastHeardUs + settings.silenceUs(), nextReportUs),
+                        behindSinceUs < 0 ? Long.MAX_VALUE : behindSinceUs + behindTimeoutUs());
             case ENDED -> Long.MAX_VALUE;
         };
-        // Each piece heard puts the instant off: the timer that stands comes early and looks again.
-        if (at < wakeUs) {
-            wakeUs = Math.max(at, now);
-            actions.wakeAt(wakeUs);
+        // Received data moves the timeout later: a timer that is already set fires early and is set again then.
+        if (dueUs < timerUs) {
+            timerUs = Math.max(dueUs, nowUs);
+            actions.wakeAt(timerUs);
         }
     }
 }
--- a/src/main/java/mulleinfront/config/Difference.java
+++ b/src/main/java/mulleinfront/config/Difference.java
@@ -8,16 +8,17 @@
 import java.util.TreeSet;
 
 /**
- * What has to be done to one version to get another. Over {@link Version#NONE}, which all know, it is the
- * whole.
+ * Delta from one version to another. A delta with the base version {@link Version#NONE} holds the full
+ * configuration.
  *
- * @param from the version that it stands on; 0: none, it is the whole
- * @param to the version that it leads to
- * @param changed keys that are new or have another value
- * @param removed keys that are no more
- * @param why what the new version's proposer said of it
- * @param decidedAtMillis of the new version, for people
- * @param checksum the new version's, whole
+ * @param from number of the base version; 0 for a delta that holds the full configuration
+ * @param to number of the target version
+ * @param changed keys that are new or have another value, with their values in the target version
+ * @param removed keys that the target version lacks
+ * @param description description of the target version by its proposer
+ * @param proposedAtMs when the target version was proposed by the proposer's clock, milliseconds since 1970; for
+ *        people only
+ * @param checksum checksum of the complete target version
  */
 public record Difference(
         long from,
@@ -33,12 +34,12 @@
         removed = Collections.unmodifiableSortedSet(new TreeSet<>(removed));
     }
 
-    /** What leads from one version to another. */
+    /** Returns the delta from one version to another. */
     public static Difference between(Version from, Version to) {
         TreeMap<String, String> changed = new TreeMap<>();
-        for (Map.Entry<String, String> e : to.entries().entrySet()) {
-            if (!e.getValue().equals(from.entries().get(e.getKey()))) {
-                changed.put(e.getKey(), e.getValue());
+        for (Map.Entry<String, String> entry : to.entries().entrySet()) {
+            if (!entry.getValue().equals(from.entries().get(entry.getKey()))) {
+                changed.put(entry.getKey(), entry.getValue());
             }
         }
         TreeSet<String> removed = new TreeSet<>(from.entries().keySet());
@@ -47,46 +48,47 @@
                 from.number(), to.number(), changed, removed, to.why(), to.decidedAtMillis(), Checksum.of(to));
     }
 
-    /** A version as a difference that stands on nothing. */
+    /** Returns a delta that holds the full version. */
     public static Difference whole(Version version) {
         return between(Version.NONE, version);
     }
 
-    /** Whether it stands on nothing. */
+    /** Whether this delta holds the full configuration. */
     public boolean isWhole() {
         return from == Version.NONE.number();
     }
 
-    /** Characters of keys and values: which of two is the shorter one to send. */
-    public long weight() {
-        long weight = 0;
-        for (Map.Entry<String, String> e : changed.entrySet()) {
-            weight += e.getKey().length() + e.getValue().length();
+    /** Number of characters in keys and values, to choose the smaller of two deltas. */
+    public long characterCount() {
+        long characters = 0;
+        for (Map.Entry<String, String> entry : changed.entrySet()) {
+            characters += entry.getKey().length() + entry.getValue().length();
         }
         for (String key : removed) {
-            weight += key.length();
+            characters += key.length();
         }
-        return weight;
+        return characters;
     }
 
     /**
-     * The new version, if this leads to it from the one held; whole or not at all.
+     * Applies this delta to a version.
      *
-     * @param held the version that the taker has; not looked at if this is the whole
-     * @throws VersionMismatchException if it stands on another version, or what comes out is not what was handed out
+     * @param current version to apply the delta to; ignored if this delta holds the full configuration
+     * @return the target version
+     * @throws VersionMismatchException if the base version differs, or the checksum of the result does not match
      */
-    public Version on(Version held) throws VersionMismatchException {
-        Version base = isWhole() ? Version.NONE : held;
+    public Version on(Version current) throws VersionMismatchException {
+        Version base = isWhole() ? Version.NONE : current;
         if (base.number() != from) {
             throw new VersionMismatchException(
-                    "a difference from version " + from + " to " + to + " on version " + base.number());
+                    "delta from version " + from + " to " + to + " can't be applied to version " + base.number());
         }
         TreeMap<String, String> entries = new TreeMap<>(base.entries());
         entries.keySet().removeAll(removed);
         entries.putAll(changed);
         Version version = new Version(to, entries, why, decidedAtMillis);
         if (Checksum.of(version) != checksum) {
-            throw new VersionMismatchException("version " + to + " is not what was handed out: its checksum differs");
+            throw new VersionMismatchException("version " + to + " does not match its checksum");
         }
         return version;
     }
--- a/src/main/java/mulleinfront/config/PublisherSettings.java
+++ b/src/main/java/mulleinfront/config/PublisherSettings.java
@@ -1,20 +1,20 @@
 package mulleinfront.config;
 
 /**
- * How a control machine hands out.
+ * Parameters of the configuration distribution at a control-plane node.
  *
- * @param heartbeatUs a reader that is sent nothing else hears this often that its machine is there,
+ * @param heartbeatIntervalUs interval of heartbeats to a subscriber that is sent nothing else, microseconds
+ * @param bytesPerS average rate limit for one subscriber in bytes per second, including headers
+ * @param burstBytes bytes that may be sent at once to a subscriber after a pause; at most this plus
+ *        {@code bytesPerS} is sent to a subscriber in any one second
+ * @param subscriberTimeoutUs time without a report after which a subscriber is disconnected, microseconds
+ * @param sendTimeoutUs time after which a subscriber that has not read a delta to its end is disconnected,
  *        microseconds
- * @param bytesPerS bytes a second to one reader, with what carries them, on the average
- * @param burst bytes at once to one reader that has been sent nothing for a while; with the average it bounds
- *        what comes in any one second
- * @param silentUs a reader of which nothing has come for so long has gone, microseconds
- * @param patienceUs a difference that was not read to its end within so long is given up, microseconds
- * @param mostReaders readers at once
+ * @param maxSubscribers maximum number of open watches
  */
 public record PublisherSettings(
         long heartbeatUs, int bytesPerS, int burst, long subscriberTimeoutUs, long sendTimeoutUs, int maxSubscribers) {
-    /** Times that keep the bound of 6 s; see the design note for the sum. */
+    /** Defaults that keep the bound of 6 s from a proposal until its version is active at every subscriber. */
     public static final PublisherSettings DEFAULTS =
             new PublisherSettings(500_000, 8_000, 2_000, 6_000_000, 30_000_000, 2_000);
 }
--- a/src/main/java/mulleinfront/config/SubscriberSettings.java
+++ b/src/main/java/mulleinfront/config/SubscriberSettings.java
@@ -1,16 +1,16 @@
 package mulleinfront.config;
 
 /**
- * How a client proxy follows the control machines.
+ * Parameters of a client proxy's configuration subscription. All times are in microseconds.
  *
- * @param machines how many there are
- * @param silenceUs a machine of which nothing has come for so long has failed, microseconds
- * @param connectUs and one that has not answered a new watch within this
- * @param spreadUs those who lose a machine at one moment move within this
- * @param retryUs wait after all machines failed in turn, at first; doubled each time
- * @param mostRetryUs and the longest
- * @param behindUs a machine that says of itself that it is behind is left after this
- * @param reportUs how often it is said again which version is in force
+ * @param machines number of control-plane nodes
+ * @param watchTimeoutUs time without data after which the watched node counts as failed
+ * @param connectTimeoutUs time without a response after which an attempt to open a watch counts as failed
+ * @param reconnectSpreadUs interval over which subscribers that lose a node at the same moment reconnect
+ * @param retryDelayUs upper limit of the random delay after all nodes have failed in turn; doubled on each failure
+ * @param maxRetryDelayUs maximum of that limit
+ * @param behindTimeoutUs time after which a node that is behind is left for another one
+ * @param reportIntervalUs interval at which the active version is reported again
  */
 public record SubscriberSettings(
         int machines,
@@ -22,7 +22,7 @@
         long behindUs,
         long reportUs) {
 
-    /** Times that keep the bound of 6 s; see the design note for the sum. */
+    /** Defaults that keep the bound of 6 s from a proposal until its version is active at every subscriber. */
     public static SubscriberSettings defaults(int machines) {
         return new SubscriberSettings(
                 machines, 1_500_000, 500_000, 1_000_000, 500_000, 2_000_000, 1_000_000, 2_000_000);
--- a/src/main/java/mulleinfront/config/VersionLog.java
+++ b/src/main/java/mulleinfront/config/VersionLog.java
@@ -3,50 +3,53 @@
 import java.util.function.Consumer;
 
 /**
- * Which version is the newest. There is one truth for all control machines; each of them holds a copy, which
- * may be behind. Called and calling back on its owner's one event loop.
+ * The log of committed configuration versions. All control-plane nodes agree on one log; the copy at a node may be
+ * behind. Called, and calling back, on the event loop of its owner.
  */
 public interface VersionLog {
-    /** The newest version that this machine knows to be decided and has made durable. Never goes back. */
+    /** The newest version that is committed and durable at this node. Its number never decreases. */
     Version newest();
 
     /**
-     * Versions that are still held, for differences and history.
+     * Looks up a retained version, for deltas and the history.
      *
-     * @return that version, or null if it is held no longer or not yet
+     * @return that version, or null if this node no longer retains it or does not have it yet
      */
     Version at(long number);
 
-    /** Asks for a decision; the answer comes once, later. */
-    void propose(Proposal proposal, Consumer<ProposalResult> answer);
+    /** Proposes a version. The result is passed on once, later. */
+    void propose(Proposal proposal, Consumer<ProposalResult> onResult);
 
-    /** Tells of each newly decided version in order, each once, after it is durable here. */
-    void listen(Consumer<Version> decided);
+    /**
+     * Registers a listener. It is called once for each newly committed version, in order, after the version is durable
+     * at this node.
+     */
+    void listen(Consumer<Version> onCommitted);
 
     /**
-     * Whether this machine has heard of a majority lately, so that what it takes for the newest is no older
-     * than that. Readers of one that has not look for another.
+     * Whether this node has recently heard from a majority, so that its newest version was up to date then.
+     * Subscribers of a node without quorum contact move to another node.
      */
     default boolean hasQuorumContact() {
         return true;
     }
 
     /**
-     * What became of a proposal.
+     * Result of a proposal.
      *
-     * @param what whether it was decided
-     * @param number the version it became if decided, else the newest known
-     * @param reason one line for people; empty if decided
+     * @param outcome whether the proposal was committed
+     * @param version number of the committed version, otherwise of the newest version at this node
+     * @param reason one line for people; empty if the proposal was committed
      */
     record ProposalResult(ProposalOutcome what, long number, String reason) {}
 
-    /** Outcomes of a proposal. */
+    /** Outcome of a proposal. */
     enum ProposalOutcome {
-        /** In the log of a majority: it is the fleet's from now on. */
+        /** Committed: in the log of a majority. */
         DECIDED,
-        /** It is not and will not be, under this id. */
+        /** Not committed, and it will not be under this id. */
         REFUSED,
-        /** Nobody can say: ask again under the same id. */
+        /** Undetermined: propose it again under the same id. */
         UNKNOWN
     }
 }
--- a/src/main/java/mulleinfront/config/VersionMismatchException.java
+++ b/src/main/java/mulleinfront/config/VersionMismatchException.java
@@ -1,7 +1,8 @@
 package mulleinfront.config;
 
 /**
- * A difference that does not lead from the version held to the one it says: damaged, or of another history.
+ * Thrown when a delta can't be applied: its base version differs from the current one, or the result does not match
+ * the checksum because of damage or a diverged history.
  */
 public final class VersionMismatchException extends Exception {
     private static final long serialVersionUID = 1;
--- a/src/main/java/mulleinfront/follow/ConfigWatcher.java
+++ b/src/main/java/mulleinfront/follow/ConfigWatcher.java
@@ -36,52 +36,55 @@
 import mulleinfront.settings.WatchLine;
 
 /**
- * This client proxy as a reader of the fleet's configuration: its {@link ConfigSubscriber} on the event loop's time,
- * one watch of one control machine at a time, and the copy that it keeps. All of it runs on the event loop.
+ * Connects a {@link ConfigSubscriber} to the network, the event loop's timers and the cached copy on disk. There is
+ * at most one watch of one control-plane node at a time. Everything runs on the event loop, except that the cached
+ * copy is written by a thread of its own.
  */
 public final class ConfigWatcher implements ConfigSubscriber.Actions {
-    private static final int LONGEST_LINE = 4 * 1024 * 1024;
+    private static final int MAX_LINE_BYTES = 4 * 1024 * 1024;
 
-    /** Whoever acts on the fleet's configuration; called on the event loop. */
+    /** Receives the active versions; called on the event loop. */
     public interface Listener {
         /**
-         * A version is in force from now on, the kept one first; never an older one.
+         * Called when a version becomes active: first the cached one, if any, and never an older one afterwards.
          *
-         * @param how where it came from, for people
+         * @param source where the version came from, for people
          */
-        void inForce(Version version, String how);
+        void onActiveVersion(Version version, String source);
     }
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Bootstrap bootstrap;
-    private final List<ControlFile.Machine> machines;
+    private final List<ControlFile.Machine> nodes;
     private final String name;
     private final Listener listener;
-    private final KeptCopy copy;
-    private final ConfigSubscriber follower;
+    private final CachedCopy cachedCopy;
+    private final ConfigSubscriber subscriber;
     private final long startNanos = System.nanoTime();
     private Watch watch;
     private Future<?> timer;
 
     /**
-     * @param name this client proxy's, as the control machines are told
-     * @param seed of chance, this process's own
-     * @param listener told of each version from the moment that it is in force
-     * @throws IOException if there can't be a state folder where the file says
+     * @param name name of this client proxy, sent to the control-plane nodes
+     * @param seed seed for random delays, different for each process
+     * @param listener called for each version that becomes active
+     * @throws IOException if the state folder that the file names can't be created
      */
     public ConfigWatcher(
-            EventLoop loop, ByteBufAllocator buffers, ControlFile file, String name, long seed, Listener listener)
+            EventLoop eventLoop, ByteBufAllocator buffers, ControlFile file, String name, long seed, Listener listener)
             throws IOException {
-        this.loop = loop;
-        this.machines = file.machines();
+        this.eventLoop = eventLoop;
+        this.nodes = file.machines();
         this.name = name;
         this.listener = listener;
-        this.copy =
-                file.state() == null ? null : new KeptCopy(Path.of(file.state().replace("%n", plain(name))));
-        Version kept = copy == null ? Version.NONE : copy.load();
-        this.follower = new ConfigSubscriber(file.follow(), kept, new SplittableRandom(seed ^ name.hashCode()), this);
+        this.cachedCopy = file.state() == null
+                ? null
+                : new CachedCopy(Path.of(file.state().replace("%n", folderName(name))));
+        Version cachedVersion = cachedCopy == null ? Version.NONE : cachedCopy.load();
+        this.subscriber =
+                new ConfigSubscriber(file.follow(), cachedVersion, new SplittableRandom(seed ^ name.hashCode()), this);
         this.bootstrap = new Bootstrap()
-                .group(loop)
+                .group(eventLoop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, buffers)
                 .option(ChannelOption.TCP_NODELAY, true)
@@ -89,56 +92,59 @@
                         Math.max(1, file.follow().connectUs() / 1_000));
     }
 
-    /** As the name of a folder. */
-    private static String plain(String name) {
+    /** Replaces characters of a name that are not allowed in the name of a folder. */
+    private static String folderName(String name) {
         return name.replaceAll("[^A-Za-z0-9._-]|^[.]+", "_");
     }
 
-    /** Begins, with the kept version in force at once. */
+    /** Activates the cached version immediately, if there is one, and starts the subscription. */
     public void start() {
-        loop.execute(() -> {
-            if (follower.activeVersion().number() > 0) {
-                listener.inForce(follower.activeVersion(), "kept");
+        eventLoop.execute(() -> {
+            if (subscriber.activeVersion().number() > 0) {
+                listener.onActiveVersion(subscriber.activeVersion(), "kept");
             }
-            follower.start(now());
+            subscriber.start(nowUs());
         });
     }
 
-    /** Ends the watch; what is in force stays so. Called on the event loop. */
+    /** Ends the subscription; the active version stays. Must be called on the event loop. */
     public void close() {
-        follower.end();
+        subscriber.stop();
         if (timer != null) {
             timer.cancel(false);
         }
     }
 
-    /** The version in force; on the event loop. */
+    /** The active version. Must be called on the event loop. */
     public Version activeVersion() {
-        return follower.activeVersion();
+        return subscriber.activeVersion();
     }
 
-    /** Whether the version in force may be behind, as far as this one can know; on the event loop. */
+    /**
+     * Whether the active version may be outdated: no watch is open, or the watched node is behind. Must be called on
+     * the event loop.
+     */
     public boolean mayBeBehind() {
-        return follower.mayBeBehind();
+        return subscriber.mayBeBehind();
     }
 
-    private long now() {
+    private long nowUs() {
         return (System.nanoTime() - startNanos) / 1_000;
     }
 
-    // ---- the follower's actions ----------------------------------------------------------------------
+    // ---- actions of the subscriber -------------------------------------------------------------------
 
     @Override
-    public void ask(int machine, long after, long checksum) {
-        InetSocketAddress address = machines.get(machine).clientAddress();
-        Watch asked = new Watch("POST /config/watch?name=" + URLEncoder.encode(name, StandardCharsets.US_ASCII)
-                + "&after=" + after + "&checksum="
+    public void openWatch(int machine, long baseVersion, long checksum) {
+        InetSocketAddress address = nodes.get(machine).clientAddress();
+        Watch opened = new Watch("POST /config/watch?name=" + URLEncoder.encode(name, StandardCharsets.US_ASCII)
+                + "&after=" + baseVersion + "&checksum="
                 + Long.toHexString(checksum) + " HTTP/1.1\r\nHost: " + NetUtil.toSocketAddressString(address)
                 + "\r\nTransfer-Encoding: chunked\r\n\r\n");
-        watch = asked;
-        bootstrap.clone().handler(asked.pipeline()).connect(address).addListener(f -> {
-            if (!f.isSuccess()) {
-                asked.lost();
+        watch = opened;
+        bootstrap.clone().handler(opened.pipeline()).connect(address).addListener(connected -> {
+            if (!connected.isSuccess()) {
+                opened.onLost();
             }
         });
     }
@@ -146,58 +152,59 @@
     @Override
     public void closeWatch() {
         if (watch != null) {
-            Watch old = watch;
+            Watch closed = watch;
             watch = null;
-            if (old.channel != null) {
-                old.channel.close();
+            if (closed.channel != null) {
+                closed.channel.close();
             }
         }
     }
 
     @Override
     public void onActiveVersion(Version version) {
-        if (copy != null) {
-            copy.keep(version);
+        if (cachedCopy != null) {
+            cachedCopy.save(version);
         }
-        listener.inForce(version, "by " + machines.get(follower.machine()).name());
+        listener.onActiveVersion(
+                version, "by " + nodes.get(subscriber.machine()).name());
     }
 
     @Override
     public void report(long number, long checksum) {
         if (watch != null) {
-            watch.say(WatchLine.report(number, checksum));
+            watch.send(WatchLine.report(number, checksum));
         }
     }
 
     @Override
-    public void wakeAt(long us) {
+    public void wakeAt(long timeUs) {
         if (timer != null) {
             timer.cancel(false);
         }
-        timer = loop.schedule(() -> follower.onTimer(now()), us - now(), TimeUnit.MICROSECONDS);
+        timer = eventLoop.schedule(() -> subscriber.onTimer(nowUs()), timeUs - nowUs(), TimeUnit.MICROSECONDS);
     }
 
     // ---- one watch -----------------------------------------------------------------------------------
 
-    /** One call. It is lost once, however it ends, unless it was given up. */
+    /** One watch. The subscriber is notified once of its end, unless the subscriber itself closed it. */
     private final class Watch extends SimpleChannelInboundHandler<ByteBuf> {
-        private final String call;
+        private final String requestHead;
         private Channel channel;
 
-        Watch(String call) {
-            this.call = call;
+        Watch(String requestHead) {
+            this.requestHead = requestHead;
         }
 
         ChannelInitializer<SocketChannel> pipeline() {
             return new ChannelInitializer<>() {
                 @Override
-                protected void initChannel(SocketChannel ch) {
-                    channel = ch;
-                    ch.pipeline()
+                protected void initChannel(SocketChannel socket) {
+                    channel = socket;
+                    socket.pipeline()
                             .addLast(
                                     new HttpResponseDecoder(),
-                                    new Body(Watch.this),
-                                    new JsonObjectDecoder(LONGEST_LINE),
+                                    new BodyDecoder(Watch.this),
+                                    new JsonObjectDecoder(MAX_LINE_BYTES),
                                     Watch.this);
                 }
             };
@@ -209,10 +216,10 @@
                 ctx.close();
                 return;
             }
-            ctx.writeAndFlush(Unpooled.copiedBuffer(call, StandardCharsets.US_ASCII));
+            ctx.writeAndFlush(Unpooled.copiedBuffer(requestHead, StandardCharsets.US_ASCII));
         }
 
-        void say(byte[] line) {
+        void send(byte[] line) {
             if (channel != null && channel.isActive()) {
                 channel.writeAndFlush(Unpooled.wrappedBuffer(
                         (Integer.toHexString(line.length) + "\r\n").getBytes(StandardCharsets.US_ASCII),
@@ -221,10 +228,10 @@
             }
         }
 
-        /** A piece came. */
-        void heard() {
+        /** Called when a part of the response arrives. */
+        void onData() {
             if (watch == this) {
-                follower.heard(now());
+                subscriber.onData(nowUs());
             }
         }
 
@@ -235,52 +242,53 @@
             }
             WatchLine line = WatchLine.read(ByteBufUtil.getBytes(object));
             if (line.difference() != null) {
-                follower.difference(now(), line.difference());
+                subscriber.onDelta(nowUs(), line.difference());
             } else {
-                follower.heartbeat(now(), line.number(), line.hasQuorumContact());
+                subscriber.onHeartbeat(nowUs(), line.number(), line.hasQuorumContact());
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            lost();
+            onLost();
         }
 
-        /** A bad line, a refusal or a break: this watch has failed, and nothing else has. */
+        /** A malformed line, a refused watch or a broken connection ends only this watch. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            lost();
+            onLost();
             ctx.close();
         }
 
-        void lost() {
+        void onLost() {
             if (watch == this) {
                 watch = null;
-                follower.lost(now());
+                subscriber.onWatchLost(nowUs());
             }
         }
     }
 
-    /** Hands on what a watch's answer holds; any answer but 200, or its end, is the end of the watch. */
-    private static final class Body extends MessageToMessageDecoder<HttpObject> {
+    /** Passes on the body of the response. Any status but 200, or the end of the response, ends the watch. */
+    private static final class BodyDecoder extends MessageToMessageDecoder<HttpObject> {
         private final Watch watch;
 
-        Body(Watch watch) {
+        BodyDecoder(Watch watch) {
             super(HttpObject.class);
             this.watch = watch;
         }
 
         @Override
-        protected void decode(ChannelHandlerContext ctx, HttpObject in, List<Object> out) throws IOException {
-            if (in.decoderResult().isFailure()
-                    || in instanceof HttpResponse r && r.status().code() != 200) {
-                throw new IOException("the control machine refused the watch");
+        protected void decode(ChannelHandlerContext ctx, HttpObject message, List<Object> out) throws IOException {
+            if (message.decoderResult().isFailure()
+                    || message instanceof HttpResponse response
+                            && response.status().code() != 200) {
+                throw new IOException("the control-plane node refused the watch");
             }
-            watch.heard();
-            if (in instanceof HttpContent content && content.content().isReadable()) {
+            watch.onData();
+            if (message instanceof HttpContent content && content.content().isReadable()) {
                 out.add(content.content().retain());
             }
-            if (in instanceof LastHttpContent) {
+            if (message instanceof LastHttpContent) {
                 ctx.close();
             }
         }
--- a/src/main/java/mulleinfront/follow/package-info.java
+++ b/src/main/java/mulleinfront/follow/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A client proxy's side of the fleet's configuration on sockets: one watch of one control machine at a time,
- * and the copy that is kept. Loaded only where {@code serve} is told to watch.
+ * Configuration subscription of a client proxy over the network: one watch of one control-plane node at a time, and a
+ * cached copy on disk. Loaded only if {@code serve} is configured to watch the configuration.
  */
 package mulleinfront.follow;
--- a/src/main/java/mulleinfront/handout/HandoutLog.java
+++ b/src/main/java/mulleinfront/handout/ConfigEventLog.java
@@ -8,19 +8,19 @@
 import mulleinfront.settings.WatchLine;
 
 /**
- * Each version's way at this control machine, a JSON object a line: proposed, answered, decided (durable
- * here), in force at a reader, a watch that began or ended. Times are the wall clock's, milliseconds since
- * 1970.
+ * Event log of a configuration server with one JSON object per line. It records proposals and their results, versions
+ * that were committed (durable at this node) and encoded for sending, versions that subscribers reported as active,
+ * and watches that were opened or ended. Timestamps are wall-clock time in milliseconds since 1970.
  */
-final class HandoutLog implements AutoCloseable {
+final class ConfigEventLog implements AutoCloseable {
     private final OutputStream out;
-    private final String machine;
-    /** It was closed or could not be written any more. */
+    private final String nodeName;
+    /** Whether the log was closed or a write failed. */
     private boolean ended;
 
-    /** @param file null: nothing is kept */
-    HandoutLog(Path file, String machine) throws IOException {
-        this.machine = machine;
+    /** @param file file to append to, or null to record nothing */
+    ConfigEventLog(Path file, String nodeName) throws IOException {
+        this.nodeName = nodeName;
         try {
             out = file == null
                     ? null
@@ -30,21 +30,21 @@
         }
     }
 
-    void write(String kind, WatchLine.Fields fields) {
+    void write(String event, WatchLine.Fields fields) {
         if (out == null || ended) {
             return;
         }
         try {
             out.write(WatchLine.object(json -> {
                 json.writeNumberField("timestamp", System.currentTimeMillis());
-                json.writeStringField("machine", machine);
-                json.writeStringField("event", kind);
+                json.writeStringField("machine", nodeName);
+                json.writeStringField("event", event);
                 fields.write(json);
             }));
         } catch (IOException e) {
-            // A full disk takes the log and nothing else.
+            // A write error, such as a full disk, ends the event log and must not stop the server.
             ended = true;
-            System.err.println("mulleinfront: the event log ends here: " + e.getMessage());
+            System.err.println("mulleinfront: event log disabled after a write error: " + e.getMessage());
         }
     }
 
--- a/src/main/java/mulleinfront/handout/HandoutServer.java
+++ b/src/main/java/mulleinfront/handout/HandoutServer.java
@@ -51,76 +51,83 @@
 import mulleinfront.settings.WatchLine;
 
 /**
- * A control machine's door. {@code POST /config/watch?name=N&after=V&checksum=C} is a watch: its answer's
- * body goes on with a line for each difference and heartbeat, its request's with a line for each version in
- * force. {@code POST
- * /config/propose}, {@code GET /config/status} and {@code GET /config/history} are for operators. All on one
- * event loop.
+ * Configuration server at the client endpoint of a control-plane node. {@code POST
+ * /config/watch?name=N&after=V&checksum=C} opens a watch: the response body is a stream with a line for each delta
+ * and heartbeat, the request body is a stream with a line for each report of the active version. {@code POST
+ * /config/propose}, {@code GET /config/status} and {@code GET /config/history} are for operators. Everything runs on
+ * one event loop.
  */
 public final class HandoutServer implements AutoCloseable {
-    private static final int LONGEST_BODY = 1024 * 1024;
-    private static final int LONGEST_REPORT = 256;
+    private static final int MAX_BODY_BYTES = 1024 * 1024;
+    private static final int MAX_REPORT_BYTES = 256;
     private static final int BACKLOG = 1_024;
-    /** What may wait for one reader in this process. */
-    private static final WriteBufferWaterMark WAITING = new WriteBufferWaterMark(4 * 1024, 16 * 1024);
-    /** A connection on which no call has come to its end within this is closed. */
-    private static final long CALL_MS = 10_000;
+    /** Bytes that may be queued in this process for one subscriber. */
+    private static final WriteBufferWaterMark WRITE_BUFFER_LIMITS = new WriteBufferWaterMark(4 * 1024, 16 * 1024);
+    /** A connection is closed after this time unless it has become a watch. */
+    private static final long REQUEST_CONNECTION_LIFETIME_MS = 10_000;
 
-    private static final int HISTORY = 100;
+    private static final int MAX_HISTORY_VERSIONS = 100;
 
     private final String name;
-    private final EventLoop loop;
-    private final VersionLog ledger;
-    private final HandoutLog log;
-    private final ConfigPublisher handout;
-    private final Map<Long, Channel> watches = new HashMap<>();
+    private final EventLoop eventLoop;
+    private final VersionLog versionLog;
+    private final ConfigEventLog eventLog;
+    private final ConfigPublisher publisher;
+    private final Map<Long, Channel> watchChannels = new HashMap<>();
     private final long startNanos = System.nanoTime();
     private Future<?> timer;
-    private long calls;
+    private long lastWatchId;
     private long sentBytes;
     private Channel listener;
 
-    private HandoutServer(String name, EventLoop loop, VersionLog ledger, PublisherSettings settings, HandoutLog log) {
+    private HandoutServer(
+            String name,
+            EventLoop eventLoop,
+            VersionLog versionLog,
+            PublisherSettings settings,
+            ConfigEventLog eventLog) {
         this.name = name;
-        this.loop = loop;
-        this.ledger = ledger;
-        this.log = log;
-        this.handout = new ConfigPublisher(settings, ledger, new Sockets());
+        this.eventLoop = eventLoop;
+        this.versionLog = versionLog;
+        this.eventLog = eventLog;
+        this.publisher = new ConfigPublisher(settings, versionLog, new ChannelWire());
     }
 
     /**
-     * Listens.
+     * Starts a server on the given address.
      *
-     * @param events file of the event log, or null
-     * @throws IOException one line: the address can't be had, or the event log can't be written
+     * @param eventLogFile file of the event log, or null for none
+     * @throws IOException if the server can't listen on the address or the event log can't be opened; the message
+     *         is one line
      */
     public static HandoutServer start(
             String name,
-            EventLoop loop,
+            EventLoop eventLoop,
             InetSocketAddress address,
-            VersionLog ledger,
+            VersionLog versionLog,
             PublisherSettings settings,
-            Path events)
+            Path eventLogFile)
             throws IOException {
-        HandoutServer server = new HandoutServer(name, loop, ledger, settings, new HandoutLog(events, name));
-        loop.submit(() -> ledger.listen(server::decided)).awaitUninterruptibly();
+        HandoutServer server =
+                new HandoutServer(name, eventLoop, versionLog, settings, new ConfigEventLog(eventLogFile, name));
+        eventLoop.submit(() -> versionLog.listen(server::onVersionCommitted)).awaitUninterruptibly();
         ChannelFuture bound = new ServerBootstrap()
-                .group(loop)
+                .group(eventLoop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_LIMITS)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new HttpServerCodec(), server.new Call());
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline().addLast(new HttpServerCodec(), server.new ConnectionHandler());
                     }
                 })
                 .bind(address)
                 .awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            server.log.close();
+            server.eventLog.close();
             throw new IOException(
                     "can't listen on " + address + ": " + bound.cause().getMessage(), bound.cause());
         }
@@ -128,61 +135,62 @@
         return server;
     }
 
-    /** Where it listens. */
+    /** The address that the server listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Microseconds of a clock that never jumps. */
-    private long now() {
+    /** Monotonic time in microseconds. */
+    private long nowUs() {
         return (System.nanoTime() - startNanos) / 1_000;
     }
 
-    private void decided(Version version) {
-        log.write("decided", json -> {
+    private void onVersionCommitted(Version version) {
+        eventLog.write("decided", json -> {
             json.writeNumberField("version", version.number());
             json.writeStringField("why", version.why());
             json.writeNumberField("proposed_ms", version.decidedAtMillis());
             json.writeNumberField("keys", version.entries().size());
         });
-        handout.decided(now());
+        publisher.onVersionCommitted(nowUs());
     }
 
-    /** Ends all watches; whoever watched looks for another machine. */
+    /** Closes all watches; their subscribers move to another node. */
     @Override
     public void close() throws IOException {
         listener.close();
-        loop.submit(() -> {
-                    List.copyOf(watches.values()).forEach(Channel::close);
+        eventLoop
+                .submit(() -> {
+                    List.copyOf(watchChannels.values()).forEach(Channel::close);
                     if (timer != null) {
                         timer.cancel(false);
                     }
                 })
                 .awaitUninterruptibly();
-        log.close();
+        eventLog.close();
     }
 
-    /** What handing out acts by. */
-    private final class Sockets implements ConfigPublisher.Wire {
+    /** Sends the lines of the publisher over the channels of the watches. */
+    private final class ChannelWire implements ConfigPublisher.Wire {
         @Override
-        public byte[] line(Difference difference) {
-            byte[] line = DifferenceLine.write(difference);
-            log.write("handed-out", json -> {
-                json.writeNumberField("version", difference.to());
-                json.writeNumberField("from", difference.from());
+        public byte[] encodeDelta(Difference delta) {
+            byte[] line = DifferenceLine.write(delta);
+            eventLog.write("handed-out", json -> {
+                json.writeNumberField("version", delta.to());
+                json.writeNumberField("from", delta.from());
                 json.writeNumberField("bytes", line.length);
             });
             return line;
         }
 
         @Override
-        public byte[] heartbeat(long newest, boolean inTouch) {
-            return WatchLine.heartbeat(newest, inTouch);
+        public byte[] encodeHeartbeat(long newest, boolean quorumContact) {
+            return WatchLine.heartbeat(newest, quorumContact);
         }
 
         @Override
-        public void send(long reader, byte[] line, int from, int to) {
-            Channel watch = watches.get(reader);
+        public void send(long watchId, byte[] line, int from, int to) {
+            Channel watch = watchChannels.get(watchId);
             if (watch != null) {
                 sentBytes += to - from;
                 watch.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(line, from, to - from)));
@@ -190,11 +198,11 @@
         }
 
         @Override
-        public void close(long reader, String reason) {
-            Channel watch = watches.remove(reader);
+        public void close(long watchId, String reason) {
+            Channel watch = watchChannels.remove(watchId);
             if (watch != null) {
-                log.write("watch-closed", json -> {
-                    json.writeNumberField("watch", reader);
+                eventLog.write("watch-closed", json -> {
+                    json.writeNumberField("watch", watchId);
                     json.writeStringField("reason", reason);
                 });
                 watch.close();
@@ -202,90 +210,92 @@
         }
 
         @Override
-        public void wakeAt(long us) {
+        public void wakeAt(long timeUs) {
             if (timer != null) {
                 timer.cancel(false);
             }
-            timer = loop.schedule(() -> handout.onTimer(now()), us - now(), TimeUnit.MICROSECONDS);
+            timer = eventLoop.schedule(() -> publisher.onTimer(nowUs()), timeUs - nowUs(), TimeUnit.MICROSECONDS);
         }
     }
 
     // ---- one connection ------------------------------------------------------------------------------
 
-    /** Calls one after the other, until one of them is a watch. */
-    private final class Call extends SimpleChannelInboundHandler<HttpObject> {
+    /** Handles the requests of one connection in sequence; a watch is the last of them. */
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<HttpObject> {
         private HttpRequest request;
         private ByteBuf body;
-        private Future<?> guard;
-        /** Its number as a watch; 0: it is none. */
-        private long watch;
+        private Future<?> lifetimeTimer;
+        /** Identifier of the watch; 0 while the connection is not a watch. */
+        private long watchId;
 
-        private String reader;
+        private String subscriberName;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            guard = ctx.executor()
+            lifetimeTimer = ctx.executor()
                     .schedule(
                             () -> {
-                                if (watch == 0) {
+                                if (watchId == 0) {
                                     ctx.close();
                                 }
                             },
-                            CALL_MS,
+                            REQUEST_CONNECTION_LIFETIME_MS,
                             TimeUnit.MILLISECONDS);
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, HttpObject in) throws IOException {
-            if (in.decoderResult().isFailure()) {
+        protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) throws IOException {
+            if (message.decoderResult().isFailure()) {
                 ctx.close();
                 return;
             }
-            if (in instanceof HttpRequest r) {
-                request = r;
+            if (message instanceof HttpRequest httpRequest) {
+                request = httpRequest;
                 body = ctx.alloc().buffer();
-                if (new QueryStringDecoder(r.uri()).path().equals("/config/watch")) {
-                    watch(ctx);
+                if (new QueryStringDecoder(httpRequest.uri()).path().equals("/config/watch")) {
+                    startWatch(ctx);
                 }
             }
-            if (in instanceof HttpContent content && watch == 0 && body != null) {
-                if (body.readableBytes() + content.content().readableBytes() > LONGEST_BODY) {
+            if (message instanceof HttpContent content && watchId == 0 && body != null) {
+                if (body.readableBytes() + content.content().readableBytes() > MAX_BODY_BYTES) {
                     ctx.close();
                     return;
                 }
                 body.writeBytes(content.content());
-                if (in instanceof LastHttpContent) {
-                    answer(ctx, ByteBufUtil.getBytes(body));
-                    drop();
+                if (message instanceof LastHttpContent) {
+                    handleRequest(ctx, ByteBufUtil.getBytes(body));
+                    releaseBody();
                 }
-            } else if (watch != 0 && in instanceof LastHttpContent) {
+            } else if (watchId != 0 && message instanceof LastHttpContent) {
                 ctx.close();
-            } else if (watch != 0 && in instanceof HttpContent content) {
+            } else if (watchId != 0 && message instanceof HttpContent content) {
                 ctx.fireChannelRead(content.content().retain());
             }
         }
 
-        private void drop() {
+        private void releaseBody() {
             if (body != null) {
                 body.release();
                 body = null;
             }
         }
 
-        private void watch(ChannelHandlerContext ctx) {
-            drop();
+        private void startWatch(ChannelHandlerContext ctx) {
+            releaseBody();
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
-            reader = parameter(query, "name", "");
-            long after;
+            subscriberName = parameter(query, "name", "");
+            long baseVersion;
             long checksum;
             try {
-                after = Long.parseLong(parameter(query, "after", "0"));
+                baseVersion = Long.parseLong(parameter(query, "after", "0"));
                 checksum = DifferenceLine.checksum(parameter(query, "checksum", "0"));
-            } catch (IOException | NumberFormatException e) {
-                after = -1;
+            } catch (IOException | NumberFormatException malformed) {
+                baseVersion = -1;
                 checksum = 0;
             }
-            if (!request.method().equals(HttpMethod.POST) || !reader.matches("[!-~]{1,64}") || after < 0) {
+            if (!request.method().equals(HttpMethod.POST)
+                    || !subscriberName.matches("[!-~]{1,64}")
+                    || baseVersion < 0) {
                 reply(
                         ctx,
                         HttpResponseStatus.BAD_REQUEST,
@@ -297,46 +307,46 @@
             head.headers()
                     .set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED)
                     .set(HttpHeaderNames.CONTENT_TYPE, "application/x-ndjson");
-            ctx.pipeline().addLast(new JsonObjectDecoder(LONGEST_REPORT), new Reports(this));
-            watch = ++calls;
+            ctx.pipeline().addLast(new JsonObjectDecoder(MAX_REPORT_BYTES), new ReportHandler(this));
+            watchId = ++lastWatchId;
             ctx.write(head);
-            watches.put(watch, ctx.channel());
-            boolean taken = handout.open(now(), watch, reader, after, checksum);
+            watchChannels.put(watchId, ctx.channel());
+            boolean accepted = publisher.openWatch(nowUs(), watchId, subscriberName, baseVersion, checksum);
             ctx.flush();
-            if (!taken) {
-                watches.remove(watch);
+            if (!accepted) {
+                watchChannels.remove(watchId);
                 ctx.close();
                 return;
             }
-            long number = watch;
-            long has = after;
-            log.write("watch-opened", json -> {
-                json.writeNumberField("watch", number);
-                json.writeStringField("reader", reader);
-                json.writeNumberField("after", has);
+            long openedWatch = watchId;
+            long requestedBase = baseVersion;
+            eventLog.write("watch-opened", json -> {
+                json.writeNumberField("watch", openedWatch);
+                json.writeStringField("reader", subscriberName);
+                json.writeNumberField("after", requestedBase);
             });
         }
 
-        void reported(WatchLine line) {
-            handout.reported(now(), watch, line.number(), line.checksum());
-            if (said != line.number()) {
-                said = line.number();
-                log.write("in-force", json -> {
+        void onReport(WatchLine line) {
+            publisher.onReport(nowUs(), watchId, line.number(), line.checksum());
+            if (lastReportedVersion != line.number()) {
+                lastReportedVersion = line.number();
+                eventLog.write("in-force", json -> {
                     json.writeNumberField("version", line.number());
-                    json.writeStringField("reader", reader);
+                    json.writeStringField("reader", subscriberName);
                 });
             }
         }
 
-        private long said = -1;
+        private long lastReportedVersion = -1;
 
-        private void answer(ChannelHandlerContext ctx, byte[] in) {
+        private void handleRequest(ChannelHandlerContext ctx, byte[] requestBody) {
             String path = new QueryStringDecoder(request.uri()).path();
-            String call = request.method() + " " + path;
-            switch (call) {
+            String methodAndPath = request.method() + " " + path;
+            switch (methodAndPath) {
                 case "GET /config/status" -> reply(ctx, HttpResponseStatus.OK, status(), false);
                 case "GET /config/history" -> reply(ctx, HttpResponseStatus.OK, history(), false);
-                case "POST /config/propose" -> propose(ctx, in);
+                case "POST /config/propose" -> propose(ctx, requestBody);
                 default ->
                     reply(
                             ctx,
@@ -346,80 +356,81 @@
             }
         }
 
-        private void propose(ChannelHandlerContext ctx, byte[] in) {
+        private void propose(ChannelHandlerContext ctx, byte[] requestBody) {
             Proposal proposal;
             try {
-                proposal = WatchLine.readProposal(in);
-            } catch (IOException e) {
+                proposal = WatchLine.readProposal(requestBody);
+            } catch (IOException malformed) {
                 reply(
                         ctx,
                         HttpResponseStatus.BAD_REQUEST,
                         WatchLine.object(json -> {
                             json.writeStringField("what", "bad");
                             json.writeStringField(
-                                    "reason", String.valueOf(e.getMessage()).replace('\n', ' '));
+                                    "reason",
+                                    String.valueOf(malformed.getMessage()).replace('\n', ' '));
                         }),
                         true);
                 return;
             }
-            log.write("proposed", json -> {
+            eventLog.write("proposed", json -> {
                 json.writeStringField("id", proposal.id());
                 json.writeStringField("why", proposal.why());
                 json.writeNumberField("based_on", proposal.basedOn());
             });
-            ledger.propose(
+            versionLog.propose(
                     proposal,
-                    answer -> loop.execute(() -> {
-                        log.write("answered", json -> {
+                    result -> eventLoop.execute(() -> {
+                        eventLog.write("answered", json -> {
                             json.writeStringField("id", proposal.id());
-                            json.writeStringField("what", word(answer.what()));
-                            json.writeNumberField("version", answer.number());
-                            json.writeStringField("reason", answer.reason());
+                            json.writeStringField("what", outputName(result.what()));
+                            json.writeNumberField("version", result.number());
+                            json.writeStringField("reason", result.reason());
                         });
                         reply(
                                 ctx,
                                 HttpResponseStatus.OK,
                                 WatchLine.object(json -> {
-                                    json.writeStringField("what", word(answer.what()));
-                                    json.writeNumberField("version", answer.number());
-                                    json.writeStringField("reason", answer.reason());
+                                    json.writeStringField("what", outputName(result.what()));
+                                    json.writeNumberField("version", result.number());
+                                    json.writeStringField("reason", result.reason());
                                 }),
                                 true);
                     }));
         }
 
-        private void reply(ChannelHandlerContext ctx, HttpResponseStatus status, byte[] text, boolean last) {
+        private void reply(ChannelHandlerContext ctx, HttpResponseStatus status, byte[] body, boolean closeAfterwards) {
             FullHttpResponse response =
-                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(text));
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
             response.headers()
-                    .set(HttpHeaderNames.CONTENT_LENGTH, text.length)
+                    .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
                     .set(HttpHeaderNames.CONTENT_TYPE, "application/json");
-            if (last) {
+            if (closeAfterwards) {
                 response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
             ChannelFuture written = ctx.writeAndFlush(response);
-            if (last) {
+            if (closeAfterwards) {
                 written.addListener(ChannelFutureListener.CLOSE);
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            if (watch != 0) {
-                handout.writable(watch, ctx.channel().isWritable());
+            if (watchId != 0) {
+                publisher.onWritabilityChanged(watchId, ctx.channel().isWritable());
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            drop();
-            guard.cancel(false);
-            if (watch != 0 && watches.remove(watch) != null) {
-                handout.closed(watch);
-                long number = watch;
-                log.write("watch-ended", json -> {
-                    json.writeNumberField("watch", number);
-                    json.writeStringField("reader", reader);
+            releaseBody();
+            lifetimeTimer.cancel(false);
+            if (watchId != 0 && watchChannels.remove(watchId) != null) {
+                publisher.onWatchClosed(watchId);
+                long endedWatch = watchId;
+                eventLog.write("watch-ended", json -> {
+                    json.writeNumberField("watch", endedWatch);
+                    json.writeStringField("reader", subscriberName);
                 });
             }
         }
@@ -430,17 +441,17 @@
         }
     }
 
-    /** What a reader says on its watch. */
-    private static final class Reports extends SimpleChannelInboundHandler<ByteBuf> {
-        private final Call call;
+    /** Handles the reports that a subscriber sends on its watch. */
+    private static final class ReportHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private final ConnectionHandler connection;
 
-        Reports(Call call) {
-            this.call = call;
+        ReportHandler(ConnectionHandler connection) {
+            this.connection = connection;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf object) throws IOException {
-            call.reported(WatchLine.read(ByteBufUtil.getBytes(object)));
+            connection.onReport(WatchLine.read(ByteBufUtil.getBytes(object)));
         }
 
         @Override
@@ -449,33 +460,33 @@
         }
     }
 
-    private static String parameter(QueryStringDecoder query, String key, String absent) {
+    private static String parameter(QueryStringDecoder query, String key, String defaultValue) {
         List<String> values = query.parameters().getOrDefault(key, List.of());
-        return values.isEmpty() ? absent : values.get(0);
+        return values.isEmpty() ? defaultValue : values.get(0);
     }
 
-    private static String word(VersionLog.ProposalOutcome what) {
-        return what.name().toLowerCase(java.util.Locale.ROOT);
+    private static String outputName(VersionLog.ProposalOutcome outcome) {
+        return outcome.name().toLowerCase(java.util.Locale.ROOT);
     }
 
     // ---- for operators -------------------------------------------------------------------------------
 
     private byte[] status() {
-        long now = now();
+        long nowUs = nowUs();
         return WatchLine.object(json -> {
             json.writeStringField("machine", name);
-            json.writeNumberField("newest", ledger.newest().number());
-            json.writeBooleanField("in_touch", ledger.hasQuorumContact());
+            json.writeNumberField("newest", versionLog.newest().number());
+            json.writeBooleanField("in_touch", versionLog.hasQuorumContact());
             json.writeNumberField("sent_bytes", sentBytes);
             json.writeArrayFieldStart("readers");
-            for (ConfigPublisher.SubscriberStatus s : handout.subscribers()) {
+            for (ConfigPublisher.SubscriberStatus subscriber : publisher.subscribers()) {
                 json.writeStartObject();
-                json.writeStringField("name", s.name());
-                json.writeNumberField("at", s.at());
-                json.writeBooleanField("same", s.same());
-                json.writeNumberField("sent", s.sent());
-                json.writeBooleanField("watching", s.watching());
-                json.writeNumberField("heard_ms", (now - s.heardUs()) / 1_000);
+                json.writeStringField("name", subscriber.name());
+                json.writeNumberField("at", subscriber.activeVersion());
+                json.writeBooleanField("same", subscriber.checksumMatches());
+                json.writeNumberField("sent", subscriber.sentVersion());
+                json.writeBooleanField("watching", subscriber.watching());
+                json.writeNumberField("heard_ms", (nowUs - subscriber.lastHeardUs()) / 1_000);
                 json.writeEndObject();
             }
             json.writeEndArray();
@@ -486,22 +497,22 @@
         return WatchLine.object(json -> {
             json.writeStringField("machine", name);
             json.writeArrayFieldStart("versions");
-            long newest = ledger.newest().number();
-            for (long n = newest; n > 0 && n > newest - HISTORY; n--) {
-                Version v = ledger.at(n);
-                if (v == null) {
+            long newest = versionLog.newest().number();
+            for (long number = newest; number > 0 && number > newest - MAX_HISTORY_VERSIONS; number--) {
+                Version version = versionLog.at(number);
+                if (version == null) {
                     break;
                 }
-                Version before = n == 1 ? Version.NONE : ledger.at(n - 1);
+                Version previous = number == 1 ? Version.NONE : versionLog.at(number - 1);
                 json.writeStartObject();
-                json.writeNumberField("version", n);
-                json.writeNumberField("proposed_ms", v.decidedAtMillis());
-                json.writeStringField("why", v.why());
-                json.writeNumberField("keys", v.entries().size());
-                if (before != null) {
-                    Difference d = Difference.between(before, v);
-                    json.writeNumberField("changed", d.changed().size());
-                    json.writeNumberField("removed", d.removed().size());
+                json.writeNumberField("version", number);
+                json.writeNumberField("proposed_ms", version.decidedAtMillis());
+                json.writeStringField("why", version.why());
+                json.writeNumberField("keys", version.entries().size());
+                if (previous != null) {
+                    Difference delta = Difference.between(previous, version);
+                    json.writeNumberField("changed", delta.changed().size());
+                    json.writeNumberField("removed", delta.removed().size());
                 }
                 json.writeEndObject();
             }
--- a/src/main/java/mulleinfront/handout/package-info.java
+++ b/src/main/java/mulleinfront/handout/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The serving side of a control machine on sockets: HTTP/1.1 for client proxies that watch and for operators
- * who propose and ask. What is the newest version is a {@link mulleinfront.config.VersionLog}'s to say.
+ * The configuration server of a control-plane node: HTTP/1.1 for the watches of client proxies, and for operators
+ * to propose versions and read the status. A {@link mulleinfront.config.VersionLog} determines the newest version.
  */
 package mulleinfront.handout;
--- a/src/test/java/mulleinfront/config/DifferenceTest.java
+++ b/src/test/java/mulleinfront/config/DifferenceTest.java
@@ -15,36 +15,43 @@
 import mulleinfront.settings.DifferenceLine;
 import org.junit.jupiter.api.Test;
 
-/** Differences, checksums and the line that both travel and are kept in. */
+/** Tests deltas, checksums, and the line format that is both sent and stored in the cached copy. */
 class DifferenceTest {
     private static Version version(long number, Map<String, String> entries) {
         return new Version(number, new TreeMap<>(entries), "why \"" + number + "\"\n", 1_000 + number);
     }
 
-    private static final Version THREE = version(3, Map.of("a", "1", "b", "2", "gone", "x"));
-    private static final Version NINE = version(9, Map.of("a", "1", "b", "3", "new", ""));
+    private static final Version VERSION_3 = version(3, Map.of("a", "1", "b", "2", "gone", "x"));
+    private static final Version VERSION_9 = version(9, Map.of("a", "1", "b", "3", "new", ""));
 
     @Test
-    void aDifferenceNamesWhatChangedAndWhatIsNoMore() throws Exception {
-        Difference d = Difference.between(THREE, NINE);
-        assertEquals(Map.of("b", "3", "new", ""), d.changed());
-        assertEquals(new TreeSet<>(java.util.Set.of("gone")), d.removed());
-        assertEquals(NINE, d.on(THREE));
-        assertEquals(NINE, Difference.whole(NINE).on(THREE), "the whole stands on whatever there is");
+    void deltaHoldsChangedAndRemovedKeys() throws Exception {
+        Difference delta = Difference.between(VERSION_3, VERSION_9);
+        assertEquals(Map.of("b", "3", "new", ""), delta.changed());
+        assertEquals(new TreeSet<>(java.util.Set.of("gone")), delta.removed());
+        assertEquals(VERSION_9, delta.on(VERSION_3));
+        assertEquals(VERSION_9, Difference.whole(VERSION_9).on(VERSION_3), "a full delta applies to any version");
     }
 
     @Test
-    void aDifferenceFitsNoOtherVersionAndNoOtherHistory() {
-        Difference d = Difference.between(THREE, NINE);
-        assertThrows(VersionMismatchException.class, () -> d.on(version(4, THREE.entries())));
-        assertThrows(VersionMismatchException.class, () -> d.on(version(3, Map.of("a", "2", "b", "2", "gone", "x"))));
-        Difference lacks = new Difference(
-                3, 9, new TreeMap<>(Map.of("b", "3")), d.removed(), d.why(), d.decidedAtMillis(), d.checksum());
-        assertThrows(VersionMismatchException.class, () -> lacks.on(THREE));
+    void deltaIsRejectedForOtherBaseVersionOrHistory() {
+        Difference delta = Difference.between(VERSION_3, VERSION_9);
+        assertThrows(VersionMismatchException.class, () -> delta.on(version(4, VERSION_3.entries())));
+        assertThrows(
+                VersionMismatchException.class, () -> delta.on(version(3, Map.of("a", "2", "b", "2", "gone", "x"))));
+        Difference incomplete = new Difference(
+                3,
+                9,
+                new TreeMap<>(Map.of("b", "3")),
+                delta.removed(),
+                delta.why(),
+                delta.decidedAtMillis(),
+                delta.checksum());
+        assertThrows(VersionMismatchException.class, () -> incomplete.on(VERSION_3));
     }
 
     @Test
-    void aChecksumTellsKeysFromValuesAndOneFromTwo() {
+    void checksumDependsOnKeyAndValueBoundariesAndVersionNumber() {
         assertNotEquals(Checksum.of(version(1, Map.of("ab", "c"))), Checksum.of(version(1, Map.of("a", "bc"))));
         assertNotEquals(
                 Checksum.of(version(1, Map.of("a", "b", "c", "d"))),
@@ -53,18 +60,18 @@
     }
 
     @Test
-    void anyPairOfVersionsComesThroughItsLine() throws Exception {
+    void deltaOfRandomVersionsSurvivesEncoding() throws Exception {
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 200; i++) {
-            Version from = version(1 + i, drawn(random));
-            Version to = version(2 + i + random.nextInt(9), drawn(random));
+            Version from = version(1 + i, randomEntries(random));
+            Version to = version(2 + i + random.nextInt(9), randomEntries(random));
             byte[] line = DifferenceLine.write(Difference.between(from, to));
             assertEquals('\n', line[line.length - 1]);
             assertEquals(to, DifferenceLine.read(line).on(from));
         }
     }
 
-    private static Map<String, String> drawn(SplittableRandom random) {
+    private static Map<String, String> randomEntries(SplittableRandom random) {
         Map<String, String> entries = new TreeMap<>();
         int keys = random.nextInt(6);
         for (int k = 0; k < keys; k++) {
@@ -74,25 +81,25 @@
     }
 
     @Test
-    void aKeptCopyCutAtAnyByteIsNotTaken() throws Exception {
-        byte[] file = DifferenceLine.write(Difference.whole(NINE));
-        assertEquals(NINE, DifferenceLine.kept(file));
-        for (int cut = 0; cut < file.length; cut++) {
-            byte[] part = Arrays.copyOf(file, cut);
-            assertThrows(IOException.class, () -> DifferenceLine.kept(part), "cut at " + cut);
+    void truncatedCachedCopyIsRejected() throws Exception {
+        byte[] file = DifferenceLine.write(Difference.whole(VERSION_9));
+        assertEquals(VERSION_9, DifferenceLine.kept(file));
+        for (int length = 0; length < file.length; length++) {
+            byte[] truncated = Arrays.copyOf(file, length);
+            assertThrows(IOException.class, () -> DifferenceLine.kept(truncated), "cut at " + length);
         }
     }
 
     @Test
-    void aKeptCopyWithABitTurnedIsNotTakenForAnotherVersion() throws Exception {
-        byte[] file = DifferenceLine.write(Difference.whole(NINE));
+    void cachedCopyWithFlippedBitIsNeverReadAsAnotherVersion() throws Exception {
+        byte[] file = DifferenceLine.write(Difference.whole(VERSION_9));
         int refused = 0;
         for (int bit = 0; bit < 8 * file.length; bit++) {
             byte[] damaged = file.clone();
             damaged[bit / 8] ^= (byte) (1 << bit % 8);
             try {
-                // In a name that nobody reads, or in the writing of a number, a bit may not matter.
-                assertEquals(NINE, DifferenceLine.kept(damaged), "bit " + bit);
+                // A flipped bit may have no effect, for example in a field name that the reader skips.
+                assertEquals(VERSION_9, DifferenceLine.kept(damaged), "bit " + bit);
             } catch (IOException e) {
                 refused++;
             }
@@ -101,9 +108,10 @@
     }
 
     @Test
-    void aDifferenceIsNotACopyToStartFrom() {
-        byte[] line = DifferenceLine.write(Difference.between(THREE, NINE));
+    void deltaIsRejectedAsCachedCopy() {
+        byte[] line = DifferenceLine.write(Difference.between(VERSION_3, VERSION_9));
         assertThrows(IOException.class, () -> DifferenceLine.kept(line));
-        assertArrayEquals(line, DifferenceLine.write(Difference.between(THREE, NINE)), "one form only");
+        assertArrayEquals(
+                line, DifferenceLine.write(Difference.between(VERSION_3, VERSION_9)), "the encoding is deterministic");
     }
 }
