--- a/src/test/java/mulleinfront/proxy/BadHostsTest.java
+++ b/src/test/java/mulleinfront/proxy/BadHostsTest.java
@@ -15,91 +15,99 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import mulleinfront.Balancer.Outcome;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
+import mulleinfront.proxy.StandIns.Client;
+import mulleinfront.proxy.StandIns.Message;
+import mulleinfront.proxy.StandIns.ReceivedRequest;
+import mulleinfront.proxy.StandIns.Server;
 import org.junit.jupiter.api.Test;
 
-/** Answers that are spoilt, late or none, and what they prove. */
-class BadHostsTest extends ProxyRig {
+/** Malformed, late and missing responses, and the attempt outcome that follows from each. */
+class BadHostsTest extends ProxyTestBase {
     @Test
-    void anyOtherAnswerMayHaveRun() throws Exception {
-        assertEquals(Outcome.FAILED, outcome(s -> s.answer(500, "", "x"), 0).outcome());
+    void status500IsFailed() throws Exception {
+        assertEquals(
+                Outcome.FAILED,
+                runAttempt(request -> request.respond(500, "", "x"), 0).outcome());
     }
 
     @Test
-    void a503WithoutTheMarkMayHaveRun() throws Exception {
-        // Guards rule 2: a 503 from something in between says nothing of the host.
-        assertEquals(Outcome.FAILED, outcome(s -> s.answer(503, "", ""), 0).outcome());
+    void plain503IsFailed() throws Exception {
+        // Guards against executing a request twice: a 503 from an intermediary says nothing about the endpoint.
+        assertEquals(
+                Outcome.FAILED,
+                runAttempt(request -> request.respond(503, "", ""), 0).outcome());
     }
 
     @Test
-    void turnedAwayIsKnownNotToHaveRun() throws Exception {
-        assertEquals(Outcome.QUEUE_FULL, outcome(Seen::notRun, 0).outcome());
+    void notRun503IsQueueFull() throws Exception {
+        assertEquals(
+                Outcome.QUEUE_FULL,
+                runAttempt(ReceivedRequest::respondNotExecuted, 0).outcome());
     }
 
     @Test
-    void turnedAwayBy504IsKnownNotToHaveRun() throws Exception {
+    void notRun504IsQueueFull() throws Exception {
         assertEquals(
                 Outcome.QUEUE_FULL,
-                outcome(s -> s.answer(504, "X-Not-Run: 1\r\n", ""), 0).outcome());
+                runAttempt(request -> request.respond(504, "X-Not-Run: 1\r\n", ""), 0)
+                        .outcome());
     }
 
     @Test
-    void whatAHostSaysOfItsLoadIsToldAheadOfTheOutcomeThatBroughtIt() throws Exception {
-        outcome(s -> s.answer(200, "X-Load: {\"outstanding\":4.5}\r\n", "x"), 0);
-        assertEquals("s holds 4.5", module.told.poll());
-        assertEquals("OK", module.told.poll());
+    void loadReportPrecedesTheOutcomeOfItsAttempt() throws Exception {
+        runAttempt(request -> request.respond(200, "X-Load: {\"outstanding\":4.5}\r\n", "x"), 0);
+        assertEquals("s holds 4.5", balancer.reportsAndOutcomes.poll());
+        assertEquals("OK", balancer.reportsAndOutcomes.poll());
     }
 
     @Test
-    void oneThatTurnsARequestAwaySaysItToo() throws Exception {
-        outcome(s -> s.answer(503, "X-Not-Run: 1\r\nX-Load: {\"inflight\":0}\r\n", ""), 0);
-        assertEquals("s holds 0.0", module.told.poll());
-        assertEquals("QUEUE_FULL", module.told.poll());
+    void notRunResponseMayCarryALoadReport() throws Exception {
+        runAttempt(request -> request.respond(503, "X-Not-Run: 1\r\nX-Load: {\"inflight\":0}\r\n", ""), 0);
+        assertEquals("s holds 0.0", balancer.reportsAndOutcomes.poll());
+        assertEquals("QUEUE_FULL", balancer.reportsAndOutcomes.poll());
     }
 
     @Test
-    void aLoadReportThatCantBeReadCostsNothing() throws Exception {
-        // Guards against a defect of the report becoming one of the answer, which is good.
+    void malformedLoadReportIsIgnored() throws Exception {
+        // Guards against a malformed load report failing the valid response that carries it.
         assertEquals(
                 Outcome.OK,
-                outcome(s -> s.answer(200, "X-Load: {\"outstanding\":\r\n", "x"), 0)
+                runAttempt(request -> request.respond(200, "X-Load: {\"outstanding\":\r\n", "x"), 0)
                         .outcome());
-        assertEquals("OK", module.told.poll());
+        assertEquals("OK", balancer.reportsAndOutcomes.poll());
     }
 
     @Test
-    void aMarkOnAnErrorProvesNothing() throws Exception {
+    void notRunHeaderOn500IsFailed() throws Exception {
         assertEquals(
                 Outcome.FAILED,
-                outcome(s -> s.answer(500, "X-Not-Run: 1\r\n", ""), 0).outcome());
+                runAttempt(request -> request.respond(500, "X-Not-Run: 1\r\n", ""), 0)
+                        .outcome());
     }
 
     @Test
-    void aResetAfterTheRequestMayHaveRun() throws Exception {
-        assertEquals(Outcome.RESET, outcome(Seen::reset, 0).outcome());
+    void resetAfterTheRequestIsReset() throws Exception {
+        assertEquals(Outcome.RESET, runAttempt(ReceivedRequest::reset, 0).outcome());
     }
 
     @Test
-    void anAnswerCutShortIsAReset() throws Exception {
+    void truncatedResponseIsReset() throws Exception {
         assertEquals(
                 Outcome.RESET,
-                outcome(
-                                s -> {
-                                    s.write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
-                                    s.reset();
+                runAttempt(
+                                request -> {
+                                    request.write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
+                                    request.reset();
                                 },
                                 0)
                         .outcome());
     }
 
     @Test
-    void spoiltAnswersMayHaveRunAndAreNeverServed() throws Exception {
-        // Guards against half an answer, or one that can be read in two ways: only what is whole is served.
+    void malformedResponsesFailAndAreNotForwarded() throws Exception {
+        // Guards against serving a truncated or ambiguously framed response.
         String ok = "HTTP/1.1 200 OK\r\n";
-        List<String> spoilt = List.of(
+        List<String> malformed = List.of(
                 "\0\1garbage\r\n\r\n",
                 "ICY 200 OK\r\nContent-Length: 1\r\n\r\na",
                 "HTTP/1.1 2x0 OK\r\nContent-Length: 1\r\n\r\na",
@@ -122,125 +130,136 @@
                 "HTTP/1.1 101 Switching\r\n\r\n",
                 "HTTP/1.1 102 Processing\r\n\r\n".repeat(30) + ok + "Content-Length: 1\r\n\r\na",
                 "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\na");
-        Server host = host(s -> s.write(spoilt.get(Integer.parseInt(s.message().header("x-request-id")))));
-        start("", Peers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        module.onEnd = e -> {
-            if (!e.requestDone()) {
-                module.actions.fail(e.requestId());
+        Server host = startServer(request ->
+                request.write(malformed.get(Integer.parseInt(request.message().header("x-request-id")))));
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
+        balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
+        balancer.onAttemptEnd = attemptEnd -> {
+            if (!attemptEnd.requestDone()) {
+                balancer.actions.fail(attemptEnd.requestId());
             }
         };
-        Client client = client();
-        for (int i = 0; i < spoilt.size(); i++) {
-            String what = spoilt.get(i).substring(0, Math.min(80, spoilt.get(i).length()));
-            assertEquals(502, client.unsafe("" + i, 20_000).read().status(), what);
-            assertEquals(Outcome.FAILED, Peers.next(module.ends, "an end").outcome(), what);
-            Peers.next(host.seen, "the request").awaitEnd();
+        Client client = connectClient();
+        for (int i = 0; i < malformed.size(); i++) {
+            String excerpt =
+                    malformed.get(i).substring(0, Math.min(80, malformed.get(i).length()));
+            assertEquals(502, client.postUnsafe("" + i, 20_000).read().status(), excerpt);
+            assertEquals(
+                    Outcome.FAILED,
+                    StandIns.awaitNext(balancer.attemptEnds, "an end").outcome(),
+                    excerpt);
+            StandIns.awaitNext(host.received, "the request").awaitConnectionEnd();
         }
     }
 
     @Test
-    void goodAnswersThatBringMoreAreServedAndTheRestMeetsNobody() throws Exception {
-        String a = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na";
-        List<String> good = List.of(
-                "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + a,
-                a + a,
-                a + "noise that has no end",
-                a + "noise\r\n\r\n",
+    void bytesBesideAValidResponseAreDiscarded() throws Exception {
+        String complete = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na";
+        List<String> validResponses = List.of(
+                "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + complete,
+                complete + complete,
+                complete + "noise that has no end",
+                complete + "noise\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nX-Load: %%%\r\nContent-Length: 1\r\nX-Load: {\"\r\n\r\na",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n1\r\na\r\n0\r\nX-T: 1\r\n\r\n");
-        Server host = host(s -> s.write(good.get(Integer.parseInt(s.message().header("x-request-id")))));
-        start("", Peers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client();
-        for (int i = 0; i < good.size(); i++) {
-            Message answer = client.unsafe("" + i, 20_000).read();
-            assertEquals(200, answer.status(), good.get(i));
-            assertEquals("a", answer.text(), good.get(i));
+        Server host = startServer(request -> request.write(
+                validResponses.get(Integer.parseInt(request.message().header("x-request-id")))));
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
+        balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
+        Client client = connectClient();
+        for (int i = 0; i < validResponses.size(); i++) {
+            Message answer = client.postUnsafe("" + i, 20_000).read();
+            assertEquals(200, answer.status(), validResponses.get(i));
+            assertEquals("a", answer.text(), validResponses.get(i));
         }
     }
 
     @Test
-    void whatComesLateOnAnIdleConnectionEndsIt() throws Exception {
-        // Guards against a later read: a second copy would be served to another, noise would spoil it.
-        Server host = host(s -> s.served(s.message().header("x-request-id")));
-        start("", Peers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client();
+    void unsolicitedBytesCloseAnIdleConnection() throws Exception {
+        // Guards against reusing a connection with unread bytes: a stray response would answer another request, and
+        // other
+        // bytes would corrupt its response.
+        Server host = startServer(request -> request.respondOk(request.message().header("x-request-id")));
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
+        balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
+        Client client = connectClient();
         for (String late : List.of("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray", "no", "\r\n")) {
             String id = "id" + late.length();
-            assertEquals(id, client.unsafe(id, 20_000).read().text());
-            Seen seen = Peers.next(host.seen, "the request");
+            assertEquals(id, client.postUnsafe(id, 20_000).read().text());
+            ReceivedRequest seen = StandIns.awaitNext(host.received, "the request");
             seen.write(late);
-            seen.awaitEnd();
+            seen.awaitConnectionEnd();
         }
-        assertEquals("last", client.unsafe("last", 20_000).read().text());
+        assertEquals("last", client.postUnsafe("last", 20_000).read().text());
     }
 
     @Test
-    void silenceTimesOutAndTheConnectionCloses() throws Exception {
-        BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
-        assertEquals(Outcome.TIMED_OUT, outcome(seen::add, 50_000).outcome());
-        Peers.next(seen, "the request").awaitEnd();
+    void missingResponseTimesOutAndClosesTheConnection() throws Exception {
+        BlockingQueue<ReceivedRequest> seen = new LinkedBlockingQueue<>();
+        assertEquals(Outcome.TIMED_OUT, runAttempt(seen::add, 50_000).outcome());
+        StandIns.awaitNext(seen, "the request").awaitConnectionEnd();
     }
 
     @Test
-    void aHostThatDropsIdleConnectionsSoonerIsReachedAnew() throws Exception {
-        // Guards against one reset after another: what was stale once is not trusted for as long again.
+    void connectionsAreNotReusedPastTheEndpointsIdleTimeout() throws Exception {
+        // Guards against repeated resets: after a reset of an idle connection, connections idle for as long are not
+        // reused.
         Map<Socket, Long> served = new ConcurrentHashMap<>();
-        Server host = host(s -> {
-            Long last = served.put(s.socket(), System.nanoTime());
+        Server host = startServer(request -> {
+            Long last = served.put(request.socket(), System.nanoTime());
             if (last != null && System.nanoTime() - last > TimeUnit.MILLISECONDS.toNanos(200)) {
-                s.reset();
+                request.reset();
             } else {
-                s.served("x");
+                request.respondOk("x");
             }
         });
-        start("", Peers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        module.onEnd = e -> {
-            if (!e.requestDone()) {
-                module.actions.fail(e.requestId());
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
+        balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
+        balancer.onAttemptEnd = attemptEnd -> {
+            if (!attemptEnd.requestDone()) {
+                balancer.actions.fail(attemptEnd.requestId());
             }
         };
-        Client client = client();
-        assertEquals(200, client.unsafe("id1", 20_000).read().status());
+        Client client = connectClient();
+        assertEquals(200, client.postUnsafe("id1", 20_000).read().status());
         Thread.sleep(400);
-        assertEquals(502, client.unsafe("id2", 20_000).read().status(), "the first to be dropped");
-        assertEquals(200, client.unsafe("id3", 20_000).read().status());
+        assertEquals(502, client.postUnsafe("id2", 20_000).read().status(), "the first to be dropped");
+        assertEquals(200, client.postUnsafe("id3", 20_000).read().status());
         Thread.sleep(800);
-        assertEquals(200, client.unsafe("id4", 20_000).read().status(), "on a fresh one");
+        assertEquals(200, client.postUnsafe("id4", 20_000).read().status(), "on a fresh one");
     }
 
     @Test
-    void aConnectionResetAtOnceIsNoHostThatIsAway() throws Exception {
-        // Guards against shunning a host that is up: a few resets among its new connections say little.
+    void fewConnectionResetsAreNoConnectError() throws Exception {
+        // Guards against taking a reachable endpoint for unreachable because a few of its new connections are reset.
         AtomicInteger accepted = new AtomicInteger();
         try (ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Thread resets = new Thread(() -> {
                 try {
                     while (true) {
-                        Socket s = listening.accept();
+                        Socket connection = listening.accept();
                         accepted.incrementAndGet();
-                        s.setSoLinger(true, 0);
-                        s.close();
+                        connection.setSoLinger(true, 0);
+                        connection.close();
                     }
                 } catch (IOException e) {
-                    // closed: the test is over
+                    // the server socket was closed at the end of the test
                 }
             });
             resets.setDaemon(true);
             resets.start();
-            start("", Peers.host("s", "127.0.0.1:" + listening.getLocalPort(), "in_service"));
-            module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-            module.onEnd = e -> module.actions.fail(e.requestId());
-            Client client = client();
+            startProxy("", StandIns.endpointJson("s", "127.0.0.1:" + listening.getLocalPort(), "in_service"));
+            balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
+            balancer.onAttemptEnd = attemptEnd -> balancer.actions.fail(attemptEnd.requestId());
+            Client client = connectClient();
             for (int i = 0; i < 20; i++) {
-                int before = accepted.get();
-                assertEquals(502, client.unsafe("id" + i, 20_000).read().status());
-                Outcome how = Peers.next(module.ends, "the end").outcome();
-                // Which of the two it is depends on when the reset comes; only the third in a row tells.
-                assertTrue(how == Outcome.RESET || accepted.get() - before >= 3, how + " at once");
+                int acceptedBefore = accepted.get();
+                assertEquals(502, client.postUnsafe("id" + i, 20_000).read().status());
+                Outcome outcome =
+                        StandIns.awaitNext(balancer.attemptEnds, "the end").outcome();
+                // The outcome depends on when the reset arrives; only a third reset in a row means an unreachable
+                // endpoint.
+                assertTrue(outcome == Outcome.RESET || accepted.get() - acceptedBefore >= 3, outcome + " at once");
             }
         }
     }
--- a/src/test/java/mulleinfront/proxy/BodiesTest.java
+++ b/src/test/java/mulleinfront/proxy/BodiesTest.java
@@ -21,82 +21,83 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import mulleinfront.Balancer.Outcome;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
+import mulleinfront.proxy.StandIns.Client;
+import mulleinfront.proxy.StandIns.Message;
+import mulleinfront.proxy.StandIns.ReceivedRequest;
+import mulleinfront.proxy.StandIns.Server;
 import org.junit.jupiter.api.Test;
 
-/** Bodies and answers that are too large to be held: they go on while they come, under the same rules. */
-class BodiesTest extends ProxyRig {
-    private static final int LARGE = 5_000_000;
-    /** More than all the sockets' buffers on the way can hold. */
-    private static final int MOST = 32_000_000;
+/** Request and response bodies that are too large to buffer: they are streamed, under the same invariants. */
+class BodiesTest extends ProxyTestBase {
+    private static final int LARGE_BYTES = 5_000_000;
+    /** More than all socket buffers on the path can hold. */
+    private static final int EXCEEDS_BUFFERS_BYTES = 32_000_000;
 
-    private static byte[] noise(int size) {
+    private static byte[] randomBytes(int size) {
         byte[] bytes = new byte[size];
         new Random(size).nextBytes(bytes);
         return bytes;
     }
 
-    private Server serving(Consumer<Seen> script) throws Exception {
-        Server host = host(script);
-        start("", Peers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        module.onEnd = e -> {
-            if (!e.requestDone() && e.outcome().neverRan()) {
-                module.actions.refuse(e.requestId(), 0);
-            } else if (!e.requestDone()) {
-                module.actions.fail(e.requestId());
+    private Server startWithServer(Consumer<ReceivedRequest> script) throws Exception {
+        Server host = startServer(script);
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
+        balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
+        balancer.onAttemptEnd = attemptEnd -> {
+            if (!attemptEnd.requestDone() && attemptEnd.outcome().neverRan()) {
+                balancer.actions.refuse(attemptEnd.requestId(), 0);
+            } else if (!attemptEnd.requestDone()) {
+                balancer.actions.fail(attemptEnd.requestId());
             }
         };
         return host;
     }
 
-    private static String post(String id, long deadlineMs, String length) {
+    private static String postHead(String id, long deadlineMs, String framing) {
         return "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Class: unsafe\r\nX-Deadline-Ms: "
-                + deadlineMs + "\r\n" + length + "\r\n";
+                + deadlineMs + "\r\n" + framing + "\r\n";
     }
 
-    private static void chunk(OutputStream out, byte[] bytes, int from, int to) throws IOException {
+    private static void writeChunk(OutputStream out, byte[] bytes, int from, int to) throws IOException {
         out.write((Integer.toHexString(to - from) + ";ext=1\r\n").getBytes());
         out.write(bytes, from, to - from);
         out.write("\r\n".getBytes());
     }
 
-    private static void write(Seen seen, byte[] bytes) {
+    private static void writeBytes(ReceivedRequest seen, byte[] bytes) {
         try {
             seen.socket().getOutputStream().write(bytes);
         } catch (IOException e) {
-            // the proxy has closed
+            // the proxy has closed the connection
         }
     }
 
     @Test
-    void aLargeBodyGoesOnInBothFramings() throws Exception {
-        serving(s -> s.served("" + Arrays.hashCode(s.message().body())));
-        byte[] body = noise(LARGE);
-        Client client = client().write(post("a", 20_000, "Content-Length: " + LARGE + "\r\n"));
+    void largeRequestsAreForwardedInBothFramings() throws Exception {
+        startWithServer(request ->
+                request.respondOk("" + Arrays.hashCode(request.message().body())));
+        byte[] body = randomBytes(LARGE_BYTES);
+        Client client = connectClient().write(postHead("a", 20_000, "Content-Length: " + LARGE_BYTES + "\r\n"));
         client.socket.getOutputStream().write(body);
         assertEquals("" + Arrays.hashCode(body), client.read().text());
-        OutputStream out = client.write(post("b", 20_000, "Transfer-Encoding: chunked\r\n"))
+        OutputStream out = client.write(postHead("b", 20_000, "Transfer-Encoding: chunked\r\n"))
                 .socket
                 .getOutputStream();
-        int at = 0;
-        for (int size = 1; at < LARGE; size = size * 3 % 70_001) {
-            chunk(out, body, at, Math.min(LARGE, at + size));
-            at = Math.min(LARGE, at + size);
+        int offset = 0;
+        for (int size = 1; offset < LARGE_BYTES; size = size * 3 % 70_001) {
+            writeChunk(out, body, offset, Math.min(LARGE_BYTES, offset + size));
+            offset = Math.min(LARGE_BYTES, offset + size);
         }
         out.write("0\r\nX-Trailer: t\r\n\r\n".getBytes());
         assertEquals("" + Arrays.hashCode(body), client.read().text(), "on the same connection");
-        assertEquals(200, client.unsafe("c", 20_000).read().status(), "which is still in step");
+        assertEquals(200, client.postUnsafe("c", 20_000).read().status(), "which is still in step");
     }
 
     @Test
-    void aRequestsTimeCountsFromItsLastByte() throws Exception {
-        serving(s -> s.served("x"));
-        byte[] body = noise(200_000);
-        Client client = client().write(post("a", 300, "Content-Length: 200000\r\n"));
+    void deadlineCountsFromTheLastRequestByte() throws Exception {
+        startWithServer(request -> request.respondOk("x"));
+        byte[] body = randomBytes(200_000);
+        Client client = connectClient().write(postHead("a", 300, "Content-Length: 200000\r\n"));
         for (int i = 0; i < 10; i++) {
             client.socket.getOutputStream().write(body, i * 20_000, 20_000);
             Thread.sleep(100);
@@ -105,107 +106,111 @@
     }
 
     @Test
-    void aLargeAnswerComesUnchangedInEveryFraming() throws Exception {
-        byte[] body = noise(LARGE);
-        serving(s -> {
+    void largeResponsesAreForwardedUnchangedInEveryFraming() throws Exception {
+        byte[] body = randomBytes(LARGE_BYTES);
+        startWithServer(request -> {
             String ok = "HTTP/1.1 200 OK\r\nContent-Type: text/x\r\n";
-            switch (s.message().header("x-request-id")) {
-                case "length" -> s.write(ok + "Content-Length: " + LARGE + "\r\n\r\n");
+            switch (request.message().header("x-request-id")) {
+                case "length" -> request.write(ok + "Content-Length: " + LARGE_BYTES + "\r\n\r\n");
                 case "chunks" -> {
-                    s.write(ok + "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(LARGE) + "\r\n");
-                    write(s, body);
-                    s.write("\r\n0\r\n\r\n");
+                    request.write(
+                            ok + "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(LARGE_BYTES) + "\r\n");
+                    writeBytes(request, body);
+                    request.write("\r\n0\r\n\r\n");
                     return;
                 }
-                default -> s.write(ok + "Connection: close\r\n\r\n");
+                default -> request.write(ok + "Connection: close\r\n\r\n");
             }
-            write(s, body);
-            if (s.message().header("x-request-id").equals("close")) {
-                s.finish();
+            writeBytes(request, body);
+            if (request.message().header("x-request-id").equals("close")) {
+                request.shutDownOutput();
             }
         });
-        Client client = client();
+        Client client = connectClient();
         for (String id : List.of("length", "chunks", "close", "length")) {
-            Message answer = client.safe(id, 20_000).read();
+            Message answer = client.getSafe(id, 20_000).read();
             assertEquals(200, answer.status());
             assertEquals("text/x", answer.header("content-type"));
             assertArrayEquals(body, answer.body(), id);
         }
-        Client old = client().write("GET /api HTTP/1.0\r\nX-Request-Id: chunks\r\nX-Class: safe\r\n"
-                + "X-Deadline-Ms: 9000\r\n\r\n");
-        assertEquals(200, old.readHead().status());
-        assertArrayEquals(body, old.in.readAllBytes(), "an old client is told by the end of the connection");
+        Client http10Client = connectClient()
+                .write("GET /api HTTP/1.0\r\nX-Request-Id: chunks\r\nX-Class: safe\r\n"
+                        + "X-Deadline-Ms: 9000\r\n\r\n");
+        assertEquals(200, http10Client.readHead().status());
+        assertArrayEquals(body, http10Client.in.readAllBytes(), "an old client is told by the end of the connection");
     }
 
     @Test
-    void firstBytesArePassedOnWhileTheRestIsToCome() throws Exception {
-        CountDownLatch rest = new CountDownLatch(1);
-        byte[] body = noise(200_000);
-        serving(s -> {
-            boolean chunked = s.message().header("x-request-id").equals("b");
-            s.write("HTTP/1.1 200 OK\r\n"
+    void responseIsForwardedBeforeItIsComplete() throws Exception {
+        CountDownLatch releaseRest = new CountDownLatch(1);
+        byte[] body = randomBytes(200_000);
+        startWithServer(request -> {
+            boolean chunked = request.message().header("x-request-id").equals("b");
+            request.write("HTTP/1.1 200 OK\r\n"
                     + (chunked ? "Transfer-Encoding: chunked\r\n\r\n30d40\r\n" : "Content-Length: 200000\r\n\r\n"));
-            write(s, Arrays.copyOf(body, 1_000));
-            await(rest);
-            write(s, Arrays.copyOfRange(body, 1_000, 200_000));
-            s.write(chunked ? "\r\n0\r\n\r\n" : "");
+            writeBytes(request, Arrays.copyOf(body, 1_000));
+            await(releaseRest);
+            writeBytes(request, Arrays.copyOfRange(body, 1_000, 200_000));
+            request.write(chunked ? "\r\n0\r\n\r\n" : "");
         });
-        Client stated = client().safe("a", 5_000);
-        Client chunked = client().safe("b", 5_000);
-        assertEquals(200, stated.readHead().status());
-        assertArrayEquals(Arrays.copyOf(body, 1_000), stated.in.readNBytes(1_000));
+        Client withLength = connectClient().getSafe("a", 5_000);
+        Client chunked = connectClient().getSafe("b", 5_000);
+        assertEquals(200, withLength.readHead().status());
+        assertArrayEquals(Arrays.copyOf(body, 1_000), withLength.in.readNBytes(1_000));
         assertEquals(200, chunked.readHead().status());
-        assertArrayEquals(Arrays.copyOf(body, 1_000), Peers.readChunk(chunked.in));
-        rest.countDown();
-        assertArrayEquals(Arrays.copyOfRange(body, 1_000, 200_000), stated.in.readNBytes(199_000));
-        assertEquals(Outcome.OK, Peers.next(module.ends, "an end").outcome());
+        assertArrayEquals(Arrays.copyOf(body, 1_000), StandIns.readChunk(chunked.in));
+        releaseRest.countDown();
+        assertArrayEquals(Arrays.copyOfRange(body, 1_000, 200_000), withLength.in.readNBytes(199_000));
+        assertEquals(
+                Outcome.OK, StandIns.awaitNext(balancer.attemptEnds, "an end").outcome());
     }
 
     private static void await(CountDownLatch latch) {
         try {
-            assertTrue(latch.await(Peers.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(latch.await(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
     }
 
     @Test
-    void theHostIsReadAtTheClientsPace() throws Exception {
-        // Guards the memory: what a slow client has not read must stay where it came from.
+    void endpointIsReadAtTheClientsPace() throws Exception {
+        // Guards memory: the proxy must not read what a slow client has not read yet.
         AtomicLong written = new AtomicLong();
-        byte[] piece = noise(100_000);
-        serving(s -> {
-            s.write("HTTP/1.1 200 OK\r\nContent-Length: " + MOST + "\r\n\r\n");
-            for (int i = 0; i < MOST / piece.length; i++) {
-                write(s, piece);
+        byte[] piece = randomBytes(100_000);
+        startWithServer(request -> {
+            request.write("HTTP/1.1 200 OK\r\nContent-Length: " + EXCEEDS_BUFFERS_BYTES + "\r\n\r\n");
+            for (int i = 0; i < EXCEEDS_BUFFERS_BYTES / piece.length; i++) {
+                writeBytes(request, piece);
                 written.addAndGet(piece.length);
             }
         });
-        Client client = client().safe("a", 20_000);
+        Client client = connectClient().getSafe("a", 20_000);
         assertEquals(200, client.readHead().status());
         long before;
         do {
             before = written.get();
             Thread.sleep(300);
         } while (written.get() > before);
-        assertTrue(before < MOST, "the host could write all of it to a client that reads nothing");
-        for (int i = 0; i < MOST / piece.length; i++) {
+        assertTrue(before < EXCEEDS_BUFFERS_BYTES, "the host could write all of it to a client that reads nothing");
+        for (int i = 0; i < EXCEEDS_BUFFERS_BYTES / piece.length; i++) {
             assertArrayEquals(piece, client.in.readNBytes(piece.length));
         }
-        assertEquals(200, client.safe("b", 20_000).readHead().status());
+        assertEquals(200, client.getSafe("b", 20_000).readHead().status());
     }
 
     @Test
-    void theClientIsReadAtTheHostsPace() throws Exception {
+    void clientIsReadAtTheEndpointsPace() throws Exception {
         try (ServerSocket slow = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            start("", Peers.host("s", "127.0.0.1:" + slow.getLocalPort(), "in_service"));
-            module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-            Client client = client().write(post("a", 20_000, "Content-Length: " + MOST + "\r\n"));
+            startProxy("", StandIns.endpointJson("s", "127.0.0.1:" + slow.getLocalPort(), "in_service"));
+            balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
+            Client client =
+                    connectClient().write(postHead("a", 20_000, "Content-Length: " + EXCEEDS_BUFFERS_BYTES + "\r\n"));
             AtomicLong written = new AtomicLong();
-            byte[] piece = noise(100_000);
+            byte[] piece = randomBytes(100_000);
             Thread writer = new Thread(() -> {
                 try {
-                    for (int i = 0; i < MOST / piece.length; i++) {
+                    for (int i = 0; i < EXCEEDS_BUFFERS_BYTES / piece.length; i++) {
                         client.socket.getOutputStream().write(piece);
                         written.addAndGet(piece.length);
                     }
@@ -221,10 +226,11 @@
                     before = written.get();
                     Thread.sleep(300);
                 } while (written.get() > before);
-                assertTrue(before < MOST, "all of it was taken from a client whose host reads nothing");
+                assertTrue(
+                        before < EXCEEDS_BUFFERS_BYTES, "all of it was taken from a client whose host reads nothing");
                 InputStream in = new BufferedInputStream(host.getInputStream());
-                Message got = Peers.read(in);
-                assertEquals(MOST, got.body().length);
+                Message request = StandIns.read(in);
+                assertEquals(EXCEEDS_BUFFERS_BYTES, request.body().length);
                 host.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na".getBytes());
                 assertEquals("a", client.read().text());
             }
@@ -232,54 +238,58 @@
     }
 
     @Test
-    void anAnswerThatBreaksOffIsTheClientsAndIsNeverTriedAgain() throws Exception {
-        Server host = serving(s -> {
-            s.write("HTTP/1.1 200 OK\r\n"
-                    + (s.message().header("x-request-id").equals("length")
+    void brokenResponseIsForwardedAndNotRetried() throws Exception {
+        Server host = startWithServer(request -> {
+            request.write("HTTP/1.1 200 OK\r\n"
+                    + (request.message().header("x-request-id").equals("length")
                             ? "Content-Length: 5000000\r\n\r\n"
-                            : s.message().header("x-request-id").equals("chunks")
+                            : request.message().header("x-request-id").equals("chunks")
                                     ? "Transfer-Encoding: chunked\r\n\r\n4c4b40\r\n"
                                     : "Connection: close\r\n\r\n"));
-            write(s, noise(100_000));
+            writeBytes(request, randomBytes(100_000));
             try {
                 Thread.sleep(100);
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
-            s.reset();
+            request.reset();
         });
         for (String id : List.of("length", "chunks", "close")) {
-            Client client = client().safe(id, 20_000);
+            Client client = connectClient().getSafe(id, 20_000);
             assertThrows(IOException.class, client::read, id + ": the client can tell that it is not whole");
-            assertEquals(Outcome.RESET, Peers.next(module.ends, "the end").outcome());
+            assertEquals(
+                    Outcome.RESET,
+                    StandIns.awaitNext(balancer.attemptEnds, "the end").outcome());
         }
-        assertEquals(3, host.seen.size(), "also one that is safe to repeat is not sent again");
+        assertEquals(3, host.received.size(), "also one that is safe to repeat is not sent again");
     }
 
     @Test
-    void aHostThatEndsBeforeTheLastByteHasNotRunIt() throws Exception {
+    void connectionLostBeforeTheLastRequestByteIsConnectError() throws Exception {
         try (ServerSocket listening = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            start("", Peers.host("s", "127.0.0.1:" + listening.getLocalPort(), "in_service"));
-            module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-            // A module that would try for ever: the body can't be sent from its beginning once more.
-            module.onEnd = e -> {
-                if (e.attempt() < 3) {
-                    module.actions.send(e.requestId(), "s", 0);
+            startProxy("", StandIns.endpointJson("s", "127.0.0.1:" + listening.getLocalPort(), "in_service"));
+            balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
+            // The balancer keeps retrying, but a partly forwarded body cannot be sent from its beginning again.
+            balancer.onAttemptEnd = attemptEnd -> {
+                if (attemptEnd.attempt() < 3) {
+                    balancer.actions.send(attemptEnd.requestId(), "s", 0);
                 } else {
-                    module.actions.refuse(e.requestId(), 0);
+                    balancer.actions.refuse(attemptEnd.requestId(), 0);
                 }
             };
-            Client client = client().write(post("a", 20_000, "Content-Length: 1000000\r\n"));
-            client.socket.getOutputStream().write(noise(200_000));
+            Client client = connectClient().write(postHead("a", 20_000, "Content-Length: 1000000\r\n"));
+            client.socket.getOutputStream().write(randomBytes(200_000));
             try (Socket host = listening.accept()) {
                 assertEquals(150_000, host.getInputStream().readNBytes(150_000).length);
                 host.setSoLinger(true, 0);
             }
             assertEquals(
-                    Outcome.CONNECT_ERROR, Peers.next(module.ends, "the end").outcome());
+                    Outcome.CONNECT_ERROR,
+                    StandIns.awaitNext(balancer.attemptEnds, "the end").outcome());
             assertEquals(
-                    Outcome.IGNORED, Peers.next(module.ends, "the second's end").outcome());
-            client.socket.getOutputStream().write(noise(100_000));
+                    Outcome.IGNORED,
+                    StandIns.awaitNext(balancer.attemptEnds, "the second's end").outcome());
+            client.socket.getOutputStream().write(randomBytes(100_000));
             assertEquals(503, client.read().status(), "nothing ran: it may be tried again by the client");
             assertTrue(client.closed());
             listening.setSoTimeout(200);
@@ -288,81 +298,85 @@
     }
 
     @Test
-    void aClientThatLeavesTakesItsAttemptAlong() throws Exception {
-        CountDownLatch begun = new CountDownLatch(1);
-        Server host = serving(s -> {
-            s.write("HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n");
-            write(s, noise(100_000));
-            begun.countDown();
+    void disconnectCancelsTheAttempt() throws Exception {
+        CountDownLatch responseStarted = new CountDownLatch(1);
+        Server host = startWithServer(request -> {
+            request.write("HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n");
+            writeBytes(request, randomBytes(100_000));
+            responseStarted.countDown();
         });
-        Client reader = client().safe("down", 20_000);
+        Client reader = connectClient().getSafe("down", 20_000);
         reader.readHead();
-        await(begun);
+        await(responseStarted);
         reader.close();
-        Peers.next(host.seen, "the request").awaitEnd();
-        assertEquals("down", Peers.next(module.gone, "word of it"));
-        assertEquals(Outcome.CANCELED, Peers.next(module.ends, "the end").outcome());
-        // And half a body: the host has the beginning of a request that never comes to its end.
-        Client writer = client().write(post("up", 20_000, "Content-Length: 1000000\r\n"));
-        writer.socket.getOutputStream().write(noise(200_000));
+        StandIns.awaitNext(host.received, "the request").awaitConnectionEnd();
+        assertEquals("down", StandIns.awaitNext(balancer.abandonedRequests, "word of it"));
+        assertEquals(
+                Outcome.CANCELED,
+                StandIns.awaitNext(balancer.attemptEnds, "the end").outcome());
+        // Half a request body: the endpoint has received the beginning of a request that is never completed.
+        Client writer = connectClient().write(postHead("up", 20_000, "Content-Length: 1000000\r\n"));
+        writer.socket.getOutputStream().write(randomBytes(200_000));
         while (host.connections.size() < 2) {
             Thread.sleep(5);
         }
         writer.close();
-        assertEquals("up", Peers.next(module.gone, "word of it"));
-        assertEquals(Outcome.CANCELED, Peers.next(module.ends, "the end").outcome());
-        assertEquals(0, host.seen.size(), "it never came in whole");
+        assertEquals("up", StandIns.awaitNext(balancer.abandonedRequests, "word of it"));
+        assertEquals(
+                Outcome.CANCELED,
+                StandIns.awaitNext(balancer.attemptEnds, "the end").outcome());
+        assertEquals(0, host.received.size(), "it never came in whole");
     }
 
     @Test
-    void aBodyThatStallsIsToldSo() throws Exception {
-        serving(s -> s.served("x"));
-        Client client = client().write(post("a", 20_000, "Content-Length: 1000000\r\n"));
-        client.socket.getOutputStream().write(noise(200_000));
+    void stalledRequestBodyTimesOut() throws Exception {
+        startWithServer(request -> request.respondOk("x"));
+        Client client = connectClient().write(postHead("a", 20_000, "Content-Length: 1000000\r\n"));
+        client.socket.getOutputStream().write(randomBytes(200_000));
         assertEquals(408, client.read().status());
         assertTrue(client.closed());
-        assertEquals("a", Peers.next(module.gone, "word of it"));
+        assertEquals("a", StandIns.awaitNext(balancer.abandonedRequests, "word of it"));
     }
 
     @Test
-    void aBodyThatIsTooLargeShowsAsItComes() throws Exception {
-        Server host = serving(s -> s.served("x"));
-        Client client = client().write(post("a", 20_000, "Transfer-Encoding: chunked\r\n"));
-        byte[] piece = noise(1_000_000);
+    void oversizedChunkedBodyIsRejected() throws Exception {
+        Server host = startWithServer(request -> request.respondOk("x"));
+        Client client = connectClient().write(postHead("a", 20_000, "Transfer-Encoding: chunked\r\n"));
+        byte[] piece = randomBytes(1_000_000);
         Thread writer = new Thread(() -> {
             try {
                 for (int i = 0; i < 60; i++) {
-                    chunk(client.socket.getOutputStream(), piece, 0, piece.length);
+                    writeChunk(client.socket.getOutputStream(), piece, 0, piece.length);
                 }
             } catch (IOException e) {
-                // told and closed on
+                // the proxy has responded and closed the connection
             }
         });
         writer.setDaemon(true);
         writer.start();
         assertEquals(413, client.read().status());
-        assertEquals(0, host.seen.size(), "it never came in whole");
+        assertEquals(0, host.received.size(), "it never came in whole");
     }
 
     @Test
-    void anAnswerThatStallsWhenItsClientsTimeIsUpIsCutOff() throws Exception {
-        // Guards rule 1: who is told nothing half a second after its time has lost its request.
-        serving(s -> s.write("HTTP/1.1 200 OK\r\n"
-                + (s.message().header("x-request-id").equals("chunks")
+    void responseStalledAtItsDeadlineIsAborted() throws Exception {
+        // Guards against lost requests: one without a final answer half a second after its deadline is lost.
+        startWithServer(request -> request.write("HTTP/1.1 200 OK\r\n"
+                + (request.message().header("x-request-id").equals("chunks")
                         ? "Transfer-Encoding: chunked\r\n\r\n5\r\nbegun"
                         : "Connection: close\r\n\r\nbegun")));
-        Client later = client().safe("later", 20_000);
+        Client later = connectClient().getSafe("later", 20_000);
         later.readHead();
-        assertEquals("begun", new String(Peers.readChunk(later.in)));
-        Client chunked = client().safe("chunks", 500);
+        assertEquals("begun", new String(StandIns.readChunk(later.in)));
+        Client chunked = connectClient().getSafe("chunks", 500);
         chunked.readHead();
-        assertEquals("begun", new String(Peers.readChunk(chunked.in)));
-        Client old = client().write(
-                        "GET /api HTTP/1.0\r\nX-Request-Id: old\r\nX-Class: safe\r\n" + "X-Deadline-Ms: 500\r\n\r\n");
-        old.readHead();
-        assertEquals("begun", new String(old.in.readNBytes(5)));
-        assertThrows(IOException.class, () -> Peers.readChunk(chunked.in), "not whole");
-        assertThrows(IOException.class, old.in::read, "nor this: a mere end would be the end of the answer");
+        assertEquals("begun", new String(StandIns.readChunk(chunked.in)));
+        Client http10Client = connectClient()
+                .write("GET /api HTTP/1.0\r\nX-Request-Id: old\r\nX-Class: safe\r\n" + "X-Deadline-Ms: 500\r\n\r\n");
+        http10Client.readHead();
+        assertEquals("begun", new String(http10Client.in.readNBytes(5)));
+        assertThrows(IOException.class, () -> StandIns.readChunk(chunked.in), "not whole");
+        assertThrows(IOException.class, http10Client.in::read, "nor this: a mere end would be the end of the answer");
         assertEquals(0, later.in.available());
         later.socket.setSoTimeout(100);
         assertThrows(SocketTimeoutException.class, later.in::read, "whose time is not up may go on");
--- a/src/test/java/mulleinfront/proxy/ClientChannelTest.java
+++ b/src/test/java/mulleinfront/proxy/ClientChannelTest.java
@@ -22,19 +22,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.parallel.Isolated;
 
-/** The listening socket's end. Alone: it counts the descriptors of the whole process, those of other tests too. */
+/** Closing the listening socket. Isolated, as it counts all descriptors of the process, including other tests'. */
 @Isolated
 class ClientChannelTest {
-    private static int descriptors() {
+    private static int openDescriptors() {
         return new File("/proc/self/fd").list().length;
     }
 
     @Test
-    void whatWaitsIsTakenWithoutHoldingMoreThanAReadOfIt() throws Exception {
-        // Guards the limit on descriptors: one that is closed to make room is freed with the loop's next select.
-        int waiting = 300;
-        int[] taken = new int[1];
-        int[] most = new int[1];
+    void pendingConnectionsAreAcceptedInBatchesBeforeTheClose() throws Exception {
+        // Guards the descriptor limit: the descriptor of a closed connection is released only by the loop's next
+        // select.
+        int pendingCount = 300;
+        int[] accepted = new int[1];
+        int[] maxDescriptors = new int[1];
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         List<Socket> clients = new ArrayList<>();
         try {
@@ -47,28 +48,30 @@
                     .childHandler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel ch) {
-                            taken[0]++;
-                            most[0] = Math.max(most[0], descriptors());
+                            accepted[0]++;
+                            maxDescriptors[0] = Math.max(maxDescriptors[0], openDescriptors());
                             ch.close();
                         }
                     })
                     .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                     .sync()
                     .channel();
-            for (int i = 0; i < waiting; i++) {
+            for (int i = 0; i < pendingCount; i++) {
                 clients.add(new Socket(
                         InetAddress.getLoopbackAddress(),
                         listener.localAddress().getPort()));
             }
-            int before = descriptors();
+            int descriptorsBefore = openDescriptors();
             CountDownLatch closed = new CountDownLatch(1);
             loop.execute(() -> {
                 listener.config().setAutoRead(true);
                 listener.closeAfterAll(1024, closed::countDown);
             });
-            assertTrue(closed.await(Peers.PATIENCE_S, TimeUnit.SECONDS));
-            assertEquals(waiting, taken[0]);
-            assertTrue(most[0] - before < 50, "descriptors held at once: " + (most[0] - before));
+            assertTrue(closed.await(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
+            assertEquals(pendingCount, accepted[0]);
+            assertTrue(
+                    maxDescriptors[0] - descriptorsBefore < 50,
+                    "descriptors held at once: " + (maxDescriptors[0] - descriptorsBefore));
         } finally {
             for (Socket client : clients) {
                 client.close();
--- a/src/test/java/mulleinfront/proxy/ClosingTest.java
+++ b/src/test/java/mulleinfront/proxy/ClosingTest.java
@@ -16,170 +16,183 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
+import mulleinfront.proxy.StandIns.Client;
+import mulleinfront.proxy.StandIns.Message;
+import mulleinfront.proxy.StandIns.ReceivedRequest;
+import mulleinfront.proxy.StandIns.Server;
 import org.junit.jupiter.api.Test;
 
-/** How connections of clients end, and what meets their end: nothing is lost to a reset, nothing late is sent on. */
-class ClosingTest extends ProxyRig {
-    private static String get(String id, String headers) {
+/** Closing client connections: no response is lost to a reset, and no request that arrives afterwards is forwarded. */
+class ClosingTest extends ProxyTestBase {
+    private static String getRequest(String id, String headers) {
         return "GET /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Class: safe\r\nX-Deadline-Ms: 20000\r\n"
                 + headers + "\r\n";
     }
 
     /**
-     * Not by a reset, which could take along what came before: what the client says after the end is still read for
-     * a while. Only this machine's being so slow that the while is over excuses a reset.
+     * Checks that the connection ends without a reset, which could discard data sent before it: the proxy still reads
+     * what the client sends for a while after the end. A reset is accepted only after 200 ms, on a machine so slow that
+     * this time has passed.
      */
-    private static void endsWell(Client client) throws Exception {
+    private static void assertClosesWithoutReset(Client client) throws Exception {
         assertEquals(-1, client.in.read(), "the end of what it says, and no reset");
-        long at = System.nanoTime();
+        long endedAtNanos = System.nanoTime();
         try {
             for (int i = 0; i < 10; i++) {
                 client.write("G");
                 Thread.sleep(2);
             }
         } catch (SocketException reset) {
-            assertTrue(System.nanoTime() - at > TimeUnit.MILLISECONDS.toNanos(200), reset.toString());
+            assertTrue(System.nanoTime() - endedAtNanos > TimeUnit.MILLISECONDS.toNanos(200), reset.toString());
         }
     }
 
     @Test
-    void whatAClientSentTooMuchResetsNoAnswer() throws Exception {
-        // Guards rule 1: a close over bytes that nobody has read is a reset, and may overtake the answer.
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server host = host(out::add);
-        start("", Peers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        StringBuilder much = new StringBuilder(get("first", "Connection: close\r\n"));
+    void unreadRequestsDoNotResetTheResponse() throws Exception {
+        // Guards against a lost response: closing a socket with unread bytes sends a reset, which may overtake the
+        // response.
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
+        Server host = startServer(received::add);
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
+        balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
+        StringBuilder pipelined = new StringBuilder(getRequest("first", "Connection: close\r\n"));
         for (int i = 0; i < 2_000; i++) {
-            much.append(get("more" + i, "X-Pad: " + "p".repeat(500) + "\r\n"));
+            pipelined.append(getRequest("more" + i, "X-Pad: " + "p".repeat(500) + "\r\n"));
         }
-        Client client = client().write(much.toString());
-        Peers.next(out, "the first request").served("mine");
+        Client client = connectClient().write(pipelined.toString());
+        StandIns.awaitNext(received, "the first request").respondOk("mine");
         assertEquals("mine", client.read().text());
-        endsWell(client);
+        assertClosesWithoutReset(client);
         client.close();
-        Client other = client().safe("other", 20_000);
-        Peers.next(out, "another's request").served("x");
+        Client other = connectClient().getSafe("other", 20_000);
+        StandIns.awaitNext(received, "another's request").respondOk("x");
         assertEquals(200, other.read().status());
-        assertTrue(out.isEmpty(), "nothing of what followed was sent on");
+        assertTrue(received.isEmpty(), "nothing of what followed was sent on");
     }
 
     @Test
-    void aRequestThatCrossesTheEndOfItsConnectionIsNotSentOn() throws Exception {
-        // Guards rule 1: the client takes it for unread and asks anew; sent on, it would run twice.
-        Server host = host(s -> s.served("x"));
-        start("", Peers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client().write(get("last", "Connection: close\r\n"));
+    void requestAfterTheCloseIsNotForwarded() throws Exception {
+        // Guards against executing a request twice: the client assumes that it was not read, and sends it again.
+        Server host = startServer(request -> request.respondOk("x"));
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
+        balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
+        Client client = connectClient().write(getRequest("last", "Connection: close\r\n"));
         assertEquals(200, client.read().status());
         assertEquals(-1, client.in.read(), "the end");
-        client.unsafe("late", 20_000);
+        client.postUnsafe("late", 20_000);
         client.socket.shutdownOutput();
-        assertEquals("last", Peers.next(host.seen, "the one").message().header("x-request-id"));
-        assertEquals(200, client().safe("after", 20_000).read().status());
-        assertEquals("after", Peers.next(host.seen, "the next").message().header("x-request-id"));
+        assertEquals(
+                "last", StandIns.awaitNext(host.received, "the one").message().header("x-request-id"));
+        assertEquals(200, connectClient().getSafe("after", 20_000).read().status());
+        assertEquals(
+                "after", StandIns.awaitNext(host.received, "the next").message().header("x-request-id"));
     }
 
     @Test
-    void aRestingConnectionEndsWithoutAReset() throws Exception {
-        Server host = host(s -> s.served("x"));
-        start("", Peers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Client client = client().safe("a", 20_000);
+    void idleConnectionClosesWithoutAReset() throws Exception {
+        Server host = startServer(request -> request.respondOk("x"));
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
+        balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
+        Client client = connectClient().getSafe("a", 20_000);
         assertEquals(200, client.read().status());
-        endsWell(client);
-        // Half of another request comes in that moment: it is read and dropped.
+        assertClosesWithoutReset(client);
+        // Half of another request arrives after the end: it is read and discarded.
         client.write("GET /api HTTP/1.1\r\nX-Requ");
         client.socket.shutdownOutput();
-        assertEquals(200, client().safe("b", 20_000).read().status());
+        assertEquals(200, connectClient().getSafe("b", 20_000).read().status());
     }
 
-    /** Once it has ended nothing more is taken: a half request's time is over then and no sooner. */
-    private Client half() throws Exception {
-        return client().write("GET /api HTTP/1.1\r\nX-Requ");
+    /** A client with half a request: a drain closes its connection only after it has stopped accepting requests. */
+    private Client connectWithHalfRequest() throws Exception {
+        return connectClient().write("GET /api HTTP/1.1\r\nX-Requ");
     }
 
     @Test
-    void aClientThatLeavesDuringTheDrainIsMissed() throws Exception {
-        // Guards against a request sent on for nobody: reading had stopped, and only a read shows the leaving.
-        start("");
-        BlockingQueue<String> taken = new LinkedBlockingQueue<>();
-        module.onRequest = r -> taken.add(r.id());
-        Client half = half();
-        Client stays = client().safe("stays", 20_000);
-        Peers.next(taken, "the one that stays");
-        List<Client> waiting = new ArrayList<>();
+    void disconnectDuringADrainIsNoticed() throws Exception {
+        // Guards against forwarding requests of disconnected clients: only a read detects the disconnect, and the drain
+        // had
+        // stopped reading.
+        startProxy("");
+        BlockingQueue<String> accepted = new LinkedBlockingQueue<>();
+        balancer.onRequest = request -> accepted.add(request.id());
+        Client half = connectWithHalfRequest();
+        Client stays = connectClient().getSafe("stays", 20_000);
+        StandIns.awaitNext(accepted, "the one that stays");
+        List<Client> leavingClients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            waiting.add(client().safe("id" + i, 20_000));
-            Peers.next(taken, "request " + i);
+            leavingClients.add(connectClient().getSafe("id" + i, 20_000));
+            StandIns.awaitNext(accepted, "request " + i);
         }
         proxy.drain();
-        endsWell(half);
-        for (Client one : waiting) {
-            one.close();
+        assertClosesWithoutReset(half);
+        for (Client client : leavingClients) {
+            client.close();
         }
-        // Whoever stays is told at the end of the drain's time, and whoever left has gone before that.
+        // The client that stays is answered when the drain's time is over; the disconnects are noticed before that.
         for (int i = 0; i < 20; i++) {
-            assertTrue(Peers.next(module.gone, "leaving " + i).startsWith("id"), "leaving " + i);
+            assertTrue(
+                    StandIns.awaitNext(balancer.abandonedRequests, "leaving " + i)
+                            .startsWith("id"),
+                    "leaving " + i);
         }
         assertEquals(503, stays.read().status());
-        assertEquals("stays", Peers.next(module.gone, "the end of the one that stayed"));
+        assertEquals("stays", StandIns.awaitNext(balancer.abandonedRequests, "the end of the one that stayed"));
     }
 
     @Test
-    void aClientThatLeavesBehindMuchThatItSentIsMissed() throws Exception {
-        start("");
-        BlockingQueue<String> taken = new LinkedBlockingQueue<>();
-        module.onRequest = r -> taken.add(r.id());
-        StringBuilder much = new StringBuilder();
+    void disconnectBehindUnreadRequestsIsNoticed() throws Exception {
+        startProxy("");
+        BlockingQueue<String> accepted = new LinkedBlockingQueue<>();
+        balancer.onRequest = request -> accepted.add(request.id());
+        StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < 400; i++) {
-            much.append(get("id" + i, "X-Pad: " + "p".repeat(1_000) + "\r\n"));
+            pipelined.append(getRequest("id" + i, "X-Pad: " + "p".repeat(1_000) + "\r\n"));
         }
-        Client client = client().write(much.toString());
-        assertEquals("id0", Peers.next(taken, "the first"));
-        Client stays = client().safe("stays", 5_000);
-        assertEquals("stays", Peers.next(taken, "the one that stays"));
+        Client client = connectClient().write(pipelined.toString());
+        assertEquals("id0", StandIns.awaitNext(accepted, "the first"));
+        Client stays = connectClient().getSafe("stays", 5_000);
+        assertEquals("stays", StandIns.awaitNext(accepted, "the one that stays"));
         client.close();
-        assertEquals("id0", Peers.next(module.gone, "its leaving, long before the other's time is up"));
+        assertEquals(
+                "id0",
+                StandIns.awaitNext(balancer.abandonedRequests, "its leaving, long before the other's time is up"));
         assertEquals(503, stays.read().status());
-        assertNull(taken.poll(), "what it had sent besides was never begun");
+        assertNull(accepted.poll(), "what it had sent besides was never begun");
     }
 
     @Test
-    void anAnswerThatIsBeingWrittenIsNotCutOffByTheDrain() throws Exception {
-        // Guards rule 1: it looked like a resting connection, which the drain closes.
-        String much = "x".repeat(Framing.MOST_BODY);
-        Server host = host(s -> s.served(much));
-        start("", Peers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
+    void drainCompletesAResponseBeingWritten() throws Exception {
+        // Guards against a truncated response: a connection whose response was being written looked idle, and a drain
+        // closes
+        // idle connections.
+        String largeBody = "x".repeat(Framing.MOST_BODY);
+        Server host = startServer(request -> request.respondOk(largeBody));
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
+        balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
         int count = 70;
-        StringBuilder all = new StringBuilder();
+        StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < count; i++) {
-            all.append(get("i" + i, ""));
+            pipelined.append(getRequest("i" + i, ""));
         }
         try (Socket slow = new Socket()) {
             slow.setReceiveBufferSize(8 * 1024);
-            slow.setSoTimeout((int) Peers.PATIENCE_S * 1000);
+            slow.setSoTimeout((int) StandIns.TIMEOUT_S * 1000);
             slow.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), proxy.port()));
-            slow.getOutputStream().write(all.toString().getBytes(StandardCharsets.US_ASCII));
-            int before;
+            slow.getOutputStream().write(pipelined.toString().getBytes(StandardCharsets.US_ASCII));
+            int receivedBefore;
             do {
-                before = host.seen.size();
+                receivedBefore = host.received.size();
                 Thread.sleep(200);
-            } while (before == 0 || host.seen.size() > before);
-            assertTrue(before < count, "all was written to a client that reads nothing");
-            Client half = half();
+            } while (receivedBefore == 0 || host.received.size() > receivedBefore);
+            assertTrue(receivedBefore < count, "all was written to a client that reads nothing");
+            Client half = connectWithHalfRequest();
             proxy.drain();
-            endsWell(half);
+            assertClosesWithoutReset(half);
             InputStream in = new BufferedInputStream(slow.getInputStream());
             Message last = null;
             for (int i = 0; i < count; i++) {
-                last = Peers.read(in);
-                assertEquals(much.length(), last.body().length);
+                last = StandIns.read(in);
+                assertEquals(largeBody.length(), last.body().length);
             }
             assertEquals("close", last.header("connection"));
             assertEquals(-1, in.read());
--- a/src/test/java/mulleinfront/proxy/ConfigMeasure.java
+++ b/src/test/java/mulleinfront/proxy/ConfigMeasure.java
@@ -8,27 +8,28 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Locale;
-import mulleinfront.proxy.ControlMachines.Reader;
+import mulleinfront.proxy.ControlPlaneNodes.Subscriber;
 
 /**
- * Measures, on sockets: time from proposed to in force at readers that run the client proxy's code many to a
- * process, and what they and the control machines cost at rest. No test: it asserts nothing.
+ * Measures, on sockets, the time from the proposal of a version until it is active at subscribers, which run the client
+ * proxy's code and share one process, and the idle CPU use of subscribers and control-plane nodes. It is not a test and
+ * asserts nothing.
  *
- * <p>{@code java -cp target/classes:target/test-classes:... mulleinfront.proxy.ConfigMeasure READERS ROUNDS}
+ * <p>{@code java -cp target/classes:target/test-classes:... mulleinfront.proxy.ConfigMeasure SUBSCRIBERS ROUNDS}
  */
 final class ConfigMeasure {
     private ConfigMeasure() {}
 
     public static void main(String[] args) throws Exception {
-        int count = Integer.parseInt(args[0]);
+        int subscriberCount = Integer.parseInt(args[0]);
         int rounds = Integer.parseInt(args[1]);
         List<Double> healthy = new ArrayList<>();
         List<Double> killed = new ArrayList<>();
         for (int round = 0; round < rounds; round++) {
             Path folder = Files.createTempDirectory("config-measure");
-            try (ControlMachines control = new ControlMachines(folder, false, 4)) {
+            try (ControlPlaneNodes control = new ControlPlaneNodes(folder, false, 4)) {
                 control.startAll();
-                control.follow(count);
+                control.addSubscribers(subscriberCount);
                 StringBuilder keys = new StringBuilder();
                 for (int i = 0; i < 600; i++) {
                     keys.append("k")
@@ -38,72 +39,73 @@
                             .append("\"\n");
                 }
                 control.propose(1, keys.toString());
-                control.awaitAll(1);
+                control.awaitActiveEverywhere(1);
                 Thread.sleep(2_000);
                 if (round == 0) {
-                    rest(control, count);
+                    measureIdle(control, subscriberCount);
                 }
                 measure(control, 2, control.propose(2, keys + "more = 1\n"), healthy);
                 long before = control.propose(3, keys + "more = 2\n");
                 control.kill(1 + round % 3);
                 measure(control, 3, before, killed);
-                // Those of the killed machine have moved: another change finds them at the others.
-                control.check();
+                // The killed node's subscribers have moved to the other nodes, and none may have gone back to an older
+                // version.
+                control.checkVersionsIncrease();
             }
         }
-        print(count + " healthy", healthy);
-        print(count + " a machine killed right after the decision", killed);
+        print(subscriberCount + " healthy", healthy);
+        print(subscriberCount + " a node killed right after the commit", killed);
         System.exit(0);
     }
 
-    private static void rest(ControlMachines control, int count) throws Exception {
-        OperatingSystemMXBean own = ManagementFactory.getPlatformMXBean(OperatingSystemMXBean.class);
-        long cpu = own.getProcessCpuTime();
-        long[] machines = new long[3];
+    private static void measureIdle(ControlPlaneNodes control, int subscriberCount) throws Exception {
+        OperatingSystemMXBean operatingSystem = ManagementFactory.getPlatformMXBean(OperatingSystemMXBean.class);
+        long cpuBeforeNanos = operatingSystem.getProcessCpuTime();
+        long[] ticksBefore = new long[3];
         for (int i = 0; i < 3; i++) {
-            machines[i] = ticks(control.machines[i].pid());
+            ticksBefore[i] = cpuTicks(control.nodes[i].pid());
         }
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         Thread.sleep(20_000);
-        double s = (System.nanoTime() - from) / 1e9;
+        double elapsedS = (System.nanoTime() - startNanos) / 1e9;
         System.out.printf(
                 Locale.ROOT,
-                "at rest: %.4f%% of a core for each of %d readers%n",
-                (own.getProcessCpuTime() - cpu) / 1e9 / s / count * 100,
-                count);
+                "idle: %.4f%% of a core for each of %d subscribers%n",
+                (operatingSystem.getProcessCpuTime() - cpuBeforeNanos) / 1e9 / elapsedS / subscriberCount * 100,
+                subscriberCount);
         for (int i = 0; i < 3; i++) {
             System.out.printf(
                     Locale.ROOT,
-                    "at rest: control machine %d: %.2f%% of a core%n",
+                    "idle: control-plane node %d: %.2f%% of a core%n",
                     i + 1,
-                    (ticks(control.machines[i].pid()) - machines[i]) / 100.0 / s * 100);
+                    (cpuTicks(control.nodes[i].pid()) - ticksBefore[i]) / 100.0 / elapsedS * 100);
         }
     }
 
-    /** Hundredths of a second of processor that a process has used. */
-    private static long ticks(long pid) throws Exception {
+    /** CPU time that a process has used, in ticks of 10 ms. */
+    private static long cpuTicks(long pid) throws Exception {
         String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
         return Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
     }
 
-    private static void measure(ControlMachines control, long version, long before, List<Double> into)
+    private static void measure(ControlPlaneNodes control, long version, long beforeNanos, List<Double> samples)
             throws Exception {
-        control.awaitAll(version);
-        for (Reader r : control.readers) {
-            into.add((r.at(version) - before) / 1e9);
+        control.awaitActiveEverywhere(version);
+        for (Subscriber subscriber : control.subscribers) {
+            samples.add((subscriber.activationNanos(version) - beforeNanos) / 1e9);
         }
     }
 
-    private static void print(String what, List<Double> s) {
-        Collections.sort(s);
+    private static void print(String description, List<Double> samples) {
+        Collections.sort(samples);
         System.out.printf(
                 Locale.ROOT,
                 "%s: mean %.3f p99 %.3f worst %.3f s (%d times)%n",
-                what,
-                s.stream().mapToDouble(d -> d).average().orElse(0),
-                s.get((int) Math.ceil(0.99 * s.size()) - 1),
-                s.get(s.size() - 1),
-                s.size());
+                description,
+                samples.stream().mapToDouble(d -> d).average().orElse(0),
+                samples.get((int) Math.ceil(0.99 * samples.size()) - 1),
+                samples.get(samples.size() - 1),
+                samples.size());
     }
 }
--- a/src/test/java/mulleinfront/proxy/ConfigServeTest.java
+++ b/src/test/java/mulleinfront/proxy/ConfigServeTest.java
@@ -15,50 +15,54 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import mulleinfront.proxy.ControlMachines.Reader;
-import mulleinfront.proxy.Peers.Client;
+import mulleinfront.proxy.ControlPlaneNodes.Subscriber;
+import mulleinfront.proxy.StandIns.Client;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The fleet's configuration on sockets: control machines and client proxies as processes. */
+/** Configuration distribution on sockets, with control-plane nodes and client proxies as processes. */
 class ConfigServeTest {
     @TempDir
     Path folder;
 
-    private ControlMachines control;
-    private final List<Process> served = new ArrayList<>();
+    private ControlPlaneNodes controlPlane;
+    private final List<Process> proxies = new ArrayList<>();
 
     @BeforeEach
     void begin() throws Exception {
-        control = new ControlMachines(folder);
+        controlPlane = new ControlPlaneNodes(folder);
     }
 
     @AfterEach
     void end() throws Exception {
-        for (Process p : served) {
-            p.destroyForcibly().waitFor();
+        for (Process process : proxies) {
+            process.destroyForcibly().waitFor();
         }
-        control.close();
+        controlPlane.close();
     }
 
-    private Process serve(int port, String discovery, Path errors, String... options) throws Exception {
-        Path json = Files.writeString(
+    private Process startProxy(int port, String discovery, Path errors, String... options) throws Exception {
+        Path configFile = Files.writeString(
                 folder.resolve("n.json"),
-                Peers.config(port, discovery, "", Peers.list(1, true, Peers.host("s", "127.0.0.1:1", "in_service"))));
-        List<String> command = new ArrayList<>(ServeTest.command());
+                StandIns.configJson(
+                        port,
+                        discovery,
+                        "",
+                        StandIns.listJson(1, true, StandIns.endpointJson("s", "127.0.0.1:1", "in_service"))));
+        List<String> command = new ArrayList<>(ServeTest.serveCommand());
         command.addAll(1, List.of(options));
-        command.addAll(List.of("--config-watch", control.file.toString()));
+        command.addAll(List.of("--config-watch", controlPlane.controlFile.toString()));
         ProcessBuilder builder = new ProcessBuilder(command).redirectError(errors.toFile());
-        builder.environment().put("NODE_CONFIG", json.toString());
+        builder.environment().put("NODE_CONFIG", configFile.toString());
         Process process = builder.start();
-        served.add(process);
+        proxies.add(process);
         return process;
     }
 
     private static void awaitLine(Path file, String line) throws Exception {
-        ControlMachines.await(file.getFileName() + " says " + line, () -> {
+        ControlPlaneNodes.await(file.getFileName() + " says " + line, () -> {
             try {
                 return Files.exists(file) && Files.readString(file).contains(line);
             } catch (java.io.IOException e) {
@@ -68,88 +72,91 @@
     }
 
     @Test
-    void aVersionIsProposedDecidedInForceKeptAndKnown() throws Exception {
-        control.startAll();
-        control.follow(10);
+    void committedVersionBecomesActiveAndIsCached() throws Exception {
+        controlPlane.startAll();
+        controlPlane.addSubscribers(10);
         Path errors = folder.resolve("served");
         int port = ServeTest.freePort();
-        Process process = serve(port, "127.0.0.1:1", errors);
-        control.propose(1, "[service.a]\nlimit = \"5ms\"\n");
-        control.awaitAll(1);
+        Process process = startProxy(port, "127.0.0.1:1", errors);
+        controlPlane.propose(1, "[service.a]\nlimit = \"5ms\"\n");
+        controlPlane.awaitActiveEverywhere(1);
         awaitLine(errors, "configuration version 1 in force, by c");
-        ControlMachines.await(
+        ControlPlaneNodes.await(
                 "all are known to have it",
-                () -> control.config("status").endsWith("version 1 is in force at 11 of 11 client proxies\n"));
+                () -> controlPlane
+                        .runConfigCommand("status")
+                        .endsWith("version 1 is in force at 11 of 11 client proxies\n"));
         assertTrue(
-                control.config("history").contains("2 keys, 2 changed, 0 removed  number 1"),
-                control.config("history"));
-        Path kept = folder.resolve("state/n0/configuration.json");
-        ControlMachines.await("it is kept", () -> Files.exists(kept));
+                controlPlane.runConfigCommand("history").contains("2 keys, 2 changed, 0 removed  number 1"),
+                controlPlane.runConfigCommand("history"));
+        Path cachedCopy = folder.resolve("state/n0/configuration.json");
+        ControlPlaneNodes.await("it is kept", () -> Files.exists(cachedCopy));
         process.destroyForcibly().waitFor();
         for (int i = 1; i <= 3; i++) {
-            control.kill(i);
+            controlPlane.kill(i);
         }
-        // Nobody hands out: it goes by what it kept, and serves.
-        Path again = folder.resolve("again");
-        serve(ServeTest.freePort(), "127.0.0.1:1", again);
-        awaitLine(again, "configuration version 1 in force, kept");
-        // A copy that was cut is nothing, and said.
-        byte[] whole = Files.readAllBytes(kept);
-        Files.write(kept, Arrays.copyOf(whole, whole.length / 2));
-        Path cut = folder.resolve("cut");
-        serve(ServeTest.freePort(), "127.0.0.1:1", cut);
-        awaitLine(cut, "not taken");
-        assertTrue(control.config("status").startsWith("1\n"), "nobody answers");
+        // No control-plane node is running: the proxy starts with its cached copy.
+        Path restartErrors = folder.resolve("again");
+        startProxy(ServeTest.freePort(), "127.0.0.1:1", restartErrors);
+        awaitLine(restartErrors, "configuration version 1 in force, kept");
+        // A truncated copy is rejected, and the proxy says so.
+        byte[] completeCopy = Files.readAllBytes(cachedCopy);
+        Files.write(cachedCopy, Arrays.copyOf(completeCopy, completeCopy.length / 2));
+        Path truncatedErrors = folder.resolve("cut");
+        startProxy(ServeTest.freePort(), "127.0.0.1:1", truncatedErrors);
+        awaitLine(truncatedErrors, "not taken");
+        assertTrue(controlPlane.runConfigCommand("status").startsWith("1\n"), "nobody answers");
     }
 
     @Test
-    void aMachineKilledWhileItHandsOutAndTheNextOneBehindByAVersion() throws Exception {
-        control.startAll();
-        control.follow(30);
-        control.propose(1, "");
-        control.awaitAll(1);
-        // The third misses the second version; whoever decided it is killed before all of its readers are
-        // told.
-        ControlMachines.signal(control.machines[2], "STOP");
-        control.propose(2, "x = \"" + "y".repeat(4_000) + "\"\nz = \"" + "y".repeat(4_000) + "\"\n");
-        control.kill(1);
-        ControlMachines.signal(control.machines[2], "CONT");
-        control.awaitAll(2);
-        control.propose(3, "");
-        control.awaitAll(3);
-        control.check();
-        // It comes back with what it has, learns the rest and takes nobody back.
-        control.start(1);
-        control.propose(4, "");
-        control.awaitAll(4);
-        control.check();
+    void nodeKilledDuringDistributionWhileAnotherIsBehind() throws Exception {
+        controlPlane.startAll();
+        controlPlane.addSubscribers(30);
+        controlPlane.propose(1, "");
+        controlPlane.awaitActiveEverywhere(1);
+        // The third node misses the second version, and the first node is killed right after the commit, before all of
+        // its subscribers have received the version.
+        ControlPlaneNodes.signal(controlPlane.nodes[2], "STOP");
+        controlPlane.propose(2, "x = \"" + "y".repeat(4_000) + "\"\nz = \"" + "y".repeat(4_000) + "\"\n");
+        controlPlane.kill(1);
+        ControlPlaneNodes.signal(controlPlane.nodes[2], "CONT");
+        controlPlane.awaitActiveEverywhere(2);
+        controlPlane.propose(3, "");
+        controlPlane.awaitActiveEverywhere(3);
+        controlPlane.checkVersionsIncrease();
+        // The restarted node catches up and takes no subscriber back to an older version.
+        controlPlane.startNode(1);
+        controlPlane.propose(4, "");
+        controlPlane.awaitActiveEverywhere(4);
+        controlPlane.checkVersionsIncrease();
     }
 
     @Test
-    void twoMachinesKilledChangesAreRefusedAndServiceGoesOn() throws Exception {
-        control.startAll();
-        control.follow(10);
+    void withoutAQuorumChangesAreRefusedAndProxiesServe() throws Exception {
+        controlPlane.startAll();
+        controlPlane.addSubscribers(10);
         Path errors = folder.resolve("served");
         int port = ServeTest.freePort();
-        serve(port, "127.0.0.1:1", errors);
-        control.propose(1, "");
-        control.awaitAll(1);
+        startProxy(port, "127.0.0.1:1", errors);
+        controlPlane.propose(1, "");
+        controlPlane.awaitActiveEverywhere(1);
         awaitLine(errors, "configuration version 1 in force");
-        control.kill(1);
-        control.kill(2);
+        controlPlane.kill(1);
+        controlPlane.kill(2);
         Path toml = Files.writeString(folder.resolve("more.toml"), "more = 1\n");
-        String said = control.config("propose", toml.toString(), "--why", "in vain");
-        assertTrue(said.startsWith("8\n") || said.startsWith("7\n") || said.startsWith("1\n"), said);
+        String output = controlPlane.runConfigCommand("propose", toml.toString(), "--why", "in vain");
+        assertTrue(output.startsWith("8\n") || output.startsWith("7\n") || output.startsWith("1\n"), output);
         try (Client client = new Client(port)) {
-            assertEquals(503, client.safe("a", 1_000).read().status(), "it answers, though its host is nobody");
+            assertEquals(503, client.getSafe("a", 1_000).read().status(), "it answers, though its host is nobody");
         }
-        for (Reader r : control.readers) {
-            assertEquals(List.of(1L), r.history);
+        for (Subscriber subscriber : controlPlane.subscribers) {
+            assertEquals(List.of(1L), subscriber.activeVersions);
         }
-        control.start(1);
-        ControlMachines.await("a change is decided again", () -> {
+        controlPlane.startNode(1);
+        ControlPlaneNodes.await("a change is decided again", () -> {
             try {
-                return control.config(
+                return controlPlane
+                        .runConfigCommand(
                                 "propose",
                                 Files.writeString(folder.resolve("back.toml"), "back = 1\n")
                                         .toString(),
@@ -160,88 +167,90 @@
                 throw new java.io.UncheckedIOException(e);
             }
         });
-        control.awaitAll(2);
-        control.check();
+        controlPlane.awaitActiveEverywhere(2);
+        controlPlane.checkVersionsIncrease();
     }
 
     @Test
-    void aMachineRestoredToAnOlderCopyEndsAndTakesNobodyBack() throws Exception {
-        control.startAll();
-        control.follow(6);
-        control.propose(1, "");
-        control.awaitAll(1);
-        control.kill(3);
+    void nodeRestoredFromAnOlderCopyExits() throws Exception {
+        controlPlane.startAll();
+        controlPlane.addSubscribers(6);
+        controlPlane.propose(1, "");
+        controlPlane.awaitActiveEverywhere(1);
+        controlPlane.kill(3);
         Path folder3 = folder.resolve("dir3");
         Path older = folder.resolve("older3");
         copy(folder3, older);
-        control.start(3);
-        control.propose(2, "");
-        control.propose(3, "");
-        control.awaitAll(3);
-        ControlMachines.await(
-                "the third has them too", () -> control.config("status").contains("c3               version 3"));
-        control.kill(3);
+        controlPlane.startNode(3);
+        controlPlane.propose(2, "");
+        controlPlane.propose(3, "");
+        controlPlane.awaitActiveEverywhere(3);
+        ControlPlaneNodes.await(
+                "the third has them too",
+                () -> controlPlane.runConfigCommand("status").contains("c3               version 3"));
+        controlPlane.kill(3);
         copy(older, folder3);
-        control.start(3);
-        assertTrue(control.machines[2].waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS), "it ends");
-        assertEquals(1, control.machines[2].exitValue());
+        controlPlane.startNode(3);
+        assertTrue(controlPlane.nodes[2].waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS), "it ends");
+        assertEquals(1, controlPlane.nodes[2].exitValue());
         assertTrue(
                 Files.readString(folder.resolve("errors3")).contains("older copy"),
                 Files.readString(folder.resolve("errors3")));
-        control.propose(4, "");
-        control.awaitAll(4);
-        control.check();
+        controlPlane.propose(4, "");
+        controlPlane.awaitActiveEverywhere(4);
+        controlPlane.checkVersionsIncrease();
     }
 
-    /** All files of a folder, and nothing else there. */
+    /** Replaces the files of the target folder by copies of the source folder's files. */
     private static void copy(Path from, Path to) throws Exception {
         if (Files.exists(to)) {
-            try (Stream<Path> old = Files.list(to)) {
-                for (Path p : old.toList()) {
-                    Files.delete(p);
+            try (Stream<Path> existing = Files.list(to)) {
+                for (Path path : existing.toList()) {
+                    Files.delete(path);
                 }
             }
         }
         Files.createDirectories(to);
-        try (Stream<Path> all = Files.list(from)) {
-            for (Path p : all.toList()) {
-                Files.copy(p, to.resolve(p.getFileName()));
+        try (Stream<Path> files = Files.list(from)) {
+            for (Path path : files.toList()) {
+                Files.copy(path, to.resolve(path.getFileName()));
             }
         }
     }
 
     @Test
-    void aClientProxyStoppedThroughThreeChanges() throws Exception {
-        control.startAll();
+    void pausedProxyCatchesUpWithTheNewestVersion() throws Exception {
+        controlPlane.startAll();
         Path errors = folder.resolve("served");
-        Process process = serve(ServeTest.freePort(), "127.0.0.1:1", errors);
-        control.propose(1, "");
+        Process process = startProxy(ServeTest.freePort(), "127.0.0.1:1", errors);
+        controlPlane.propose(1, "");
         awaitLine(errors, "configuration version 1 in force");
-        ControlMachines.await("it has said so", () -> control.config("status").contains("in force at 1 of 1"));
-        ControlMachines.signal(process, "STOP");
+        ControlPlaneNodes.await(
+                "it has said so", () -> controlPlane.runConfigCommand("status").contains("in force at 1 of 1"));
+        ControlPlaneNodes.signal(process, "STOP");
         for (int i = 2; i <= 4; i++) {
-            control.propose(i, "");
+            controlPlane.propose(i, "");
         }
-        ControlMachines.await(
+        ControlPlaneNodes.await(
                 "it is known to be behind",
-                () -> control.config("status").contains("n0                   version 1, "));
-        ControlMachines.signal(process, "CONT");
+                () -> controlPlane.runConfigCommand("status").contains("n0                   version 1, "));
+        ControlPlaneNodes.signal(process, "CONT");
         awaitLine(errors, "configuration version 4 in force");
         String text = Files.readString(errors);
         assertTrue(text.indexOf("version 1 in force") < text.indexOf("version 4 in force"), text);
     }
 
     @Test
-    void aClientProxyThatFollowsLoadsNothingOfWhoDecides() throws Exception {
+    void subscribingProxyLoadsNoControlPlaneClasses() throws Exception {
         Path errors = folder.resolve("served");
         Path loaded = folder.resolve("loaded");
-        Process process = serve(ServeTest.freePort(), "127.0.0.1:1", errors, "-Xlog:class+load:file=" + loaded);
+        Process process = startProxy(ServeTest.freePort(), "127.0.0.1:1", errors, "-Xlog:class+load:file=" + loaded);
         awaitLine(errors, "listening on");
-        awaitLine(loaded, "mulleinfront.follow.ConfigWatcher ");
+        awaitLine(loaded, "mulleinfront.follow.Following ");
         process.destroy();
-        assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS), "nobody hands out, and it ends all the same");
+        assertTrue(process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS), "nobody hands out, and it ends all the same");
         String classes = Files.readString(loaded);
-        for (String no : List.of(
+        for (String forbidden : List.of(
                 "mulleinfront.handout.",
                 "mulleinfront.keep.",
                 "io.microraft",
@@ -252,73 +261,77 @@
                 "mulleinfront.fleet.",
                 "mulleinfront.gossip.")) {
             assertFalse(
-                    classes.contains(no),
-                    no + ": " + classes.lines().filter(l -> l.contains(no)).findFirst());
+                    classes.contains(forbidden),
+                    forbidden + ": "
+                            + classes.lines()
+                                    .filter(line -> line.contains(forbidden))
+                                    .findFirst());
         }
     }
 
     @Test
-    void theKeyDiscoveryMovesTheWatchOfHosts() throws Exception {
-        try (Peers.Discovery old = new Peers.Discovery();
-                Peers.Discovery other = new Peers.Discovery()) {
-            control.startAll();
+    void discoveryKeyMovesTheWatch() throws Exception {
+        try (StandIns.DiscoveryStandIn old = new StandIns.DiscoveryStandIn();
+                StandIns.DiscoveryStandIn other = new StandIns.DiscoveryStandIn()) {
+            controlPlane.startAll();
             Path errors = folder.resolve("served");
-            serve(ServeTest.freePort(), old.server.address(), errors);
-            old.asked();
-            control.propose(1, "discovery = \"" + other.server.address() + "\"\n");
-            other.asked();
-            control.propose(2, "");
-            old.asked();
+            startProxy(ServeTest.freePort(), old.server.address(), errors);
+            old.acceptWatch();
+            controlPlane.propose(1, "discovery = \"" + other.server.address() + "\"\n");
+            other.acceptWatch();
+            controlPlane.propose(2, "");
+            old.acceptWatch();
         }
     }
 
     @Test
-    void whoReadsAByteASecondHoldsUpNobody() throws Exception {
-        control.startAll();
+    void slowSubscriberDoesNotDelayOthers() throws Exception {
+        controlPlane.startAll();
         try (Socket slow = new Socket()) {
             slow.setReceiveBufferSize(1_024);
-            slow.connect(control.door(1));
+            slow.connect(controlPlane.clientAddress(1));
             slow.getOutputStream()
                     .write("POST /config/watch?name=slow HTTP/1.1\r\nHost: c\r\nTransfer-Encoding: chunked"
                             .concat("\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
             InputStream in = slow.getInputStream();
             assertEquals('H', in.read());
-            control.follow(10);
-            control.propose(1, ("x = \"" + "y".repeat(4_000) + "\"\n"));
-            control.awaitAll(1);
+            controlPlane.addSubscribers(10);
+            controlPlane.propose(1, ("x = \"" + "y".repeat(4_000) + "\"\n"));
+            controlPlane.awaitActiveEverywhere(1);
             for (int i = 2; i <= 4; i++) {
                 in.read();
-                control.propose(i, ("x = \"" + "z".repeat(4_000) + "\"\n"));
-                control.awaitAll(i);
+                controlPlane.propose(i, ("x = \"" + "z".repeat(4_000) + "\"\n"));
+                controlPlane.awaitActiveEverywhere(i);
             }
         }
-        control.check();
+        controlPlane.checkVersionsIncrease();
     }
 
     @Test
-    void whatIsNoCallIsRefusedAndWhatIsBadIsNotDecided() throws Exception {
-        control.startAll();
-        assertEquals(400, call("POST /config/propose HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"));
-        String nowhere = "{\"id\":\"a\",\"entries\":{\"discovery\":\"nowhere\"}}";
+    void invalidRequestsAndConfigurationsAreRejected() throws Exception {
+        controlPlane.startAll();
+        assertEquals(400, requestStatus("POST /config/propose HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"));
+        String invalidProposal = "{\"id\":\"a\",\"entries\":{\"discovery\":\"nowhere\"}}";
         assertEquals(
                 400,
-                call("POST /config/propose HTTP/1.1\r\nContent-Length: " + nowhere.length() + "\r\n\r\n" + nowhere));
-        assertEquals(400, call("GET /config/watch?name=a HTTP/1.1\r\n\r\n"));
-        assertEquals(400, call("POST /config/watch?name=a&after=x HTTP/1.1\r\n\r\n"));
-        assertEquals(404, call("GET /other HTTP/1.1\r\n\r\n"));
-        Path bad = Files.writeString(folder.resolve("bad.toml"), "a = 1\n\ndiscovery = \"nowhere\"\n");
+                requestStatus("POST /config/propose HTTP/1.1\r\nContent-Length: " + invalidProposal.length()
+                        + "\r\n\r\n" + invalidProposal));
+        assertEquals(400, requestStatus("GET /config/watch?name=a HTTP/1.1\r\n\r\n"));
+        assertEquals(400, requestStatus("POST /config/watch?name=a&after=x HTTP/1.1\r\n\r\n"));
+        assertEquals(404, requestStatus("GET /other HTTP/1.1\r\n\r\n"));
+        Path invalidFile = Files.writeString(folder.resolve("bad.toml"), "a = 1\n\ndiscovery = \"nowhere\"\n");
         assertEquals(
-                "2\nmulleinfront: " + bad + ":3: discovery: not an address and port: nowhere\n",
-                control.config("propose", bad.toString(), "--why", "bad"));
-        assertTrue(control.config("status").contains("version 0 is in force at 0 of 0 client proxies"));
+                "2\nmulleinfront: " + invalidFile + ":3: discovery: not an address and port: nowhere\n",
+                controlPlane.runConfigCommand("propose", invalidFile.toString(), "--why", "bad"));
+        assertTrue(controlPlane.runConfigCommand("status").contains("version 0 is in force at 0 of 0 client proxies"));
     }
 
-    private int call(String text) throws Exception {
+    private int requestStatus(String request) throws Exception {
         try (Socket socket = new Socket()) {
-            socket.connect(control.door(1));
-            socket.setSoTimeout((int) Peers.PATIENCE_S * 1_000);
-            socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+            socket.connect(controlPlane.clientAddress(1));
+            socket.setSoTimeout((int) StandIns.TIMEOUT_S * 1_000);
+            socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             ByteArrayOutputStream head = new ByteArrayOutputStream();
             for (int b; (b = socket.getInputStream().read()) >= 0 && b != '\r'; ) {
                 head.write(b);
--- a/src/test/java/mulleinfront/proxy/JamTest.java
+++ b/src/test/java/mulleinfront/proxy/CongestionTest.java
@@ -10,58 +10,60 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import mulleinfront.Balancer;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Discovery;
+import mulleinfront.proxy.StandIns.Client;
+import mulleinfront.proxy.StandIns.DiscoveryStandIn;
 import mulleinfront.settings.Config;
 import org.junit.jupiter.api.Test;
 
-/** One of a hundred instances, with the real module, before a fleet that stops answering in time. */
-class JamTest extends ProxyRig {
+/** One of 100 instances, with the real balancer, in front of endpoints that stop answering in time. */
+class CongestionTest extends ProxyTestBase {
     private static final Pattern ADMISSION = Pattern.compile("admission (\\d+) ");
 
     private int refusedByAdmission() throws Exception {
-        Matcher m = ADMISSION.matcher(OperatedTest.call(proxy.managementPort(), "refusals\n"));
-        return m.find() ? Integer.parseInt(m.group(1)) : 0;
+        Matcher matcher = ADMISSION.matcher(OperatedTest.sendCommand(proxy.managementPort(), "refusals\n"));
+        return matcher.find() ? Integer.parseInt(matcher.group(1)) : 0;
     }
 
     @Test
-    void aFleetThatReportedACrowdAndThenAnswersNobodyIsNotTakenForIdle() throws Exception {
-        // Guards against a jam that keeps itself up: who is not answered hears no reports, and took that for room.
-        AtomicBoolean jammed = new AtomicBoolean();
+    void unresponsiveOverloadedEndpointsAreNotTakenForIdle() throws Exception {
+        // Guards against congestion that sustains itself: without responses there are no load reports, and the balancer
+        // took
+        // that for spare capacity.
+        AtomicBoolean congested = new AtomicBoolean();
         List<String> hosts = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            hosts.add(Peers.host(
+            hosts.add(StandIns.endpointJson(
                     "s" + i,
-                    host(s -> {
-                                if (!jammed.get()) {
-                                    s.answer(200, "X-Load: {\"outstanding\":5}\r\n", "x");
+                    startServer(request -> {
+                                if (!congested.get()) {
+                                    request.respond(200, "X-Load: {\"outstanding\":5}\r\n", "x");
                                 }
                             })
                             .address(),
                     "in_service"));
         }
-        discovery = keep(new Discovery());
-        String config = Peers.config(
-                        0, discovery.server.address(), "", Peers.list(1, true, hosts.toArray(String[]::new)))
+        discovery = closeAfterTest(new DiscoveryStandIn());
+        String config = StandIns.configJson(
+                        0, discovery.server.address(), "", StandIns.listJson(1, true, hosts.toArray(String[]::new)))
                 .replace("{\"name\":\"n0\"", "{\"name\":\"n0\",\"management\":\"127.0.0.1:0\"")
                 .replace("\"balancers\":3", "\"balancers\":100")
                 .replace("\"onTimeUs\":20000000,\"deadlineUs\":20000000", "\"onTimeUs\":400000,\"deadlineUs\":400000");
         proxy = ClientProxy.start(Config.parse(config.getBytes(StandardCharsets.UTF_8)), Balancer::create);
         ClientProxy.operate(List.of(proxy));
-        Client client = client();
+        Client client = connectClient();
         int served = 0;
         for (int i = 0; served < 30; i++) {
-            served += client.safe("before" + i, 400).read().status() == 200 ? 1 : 0;
+            served += client.getSafe("before" + i, 400).read().status() == 200 ? 1 : 0;
         }
-        jammed.set(true);
+        congested.set(true);
         for (int i = 0; i < 20; i++) {
-            assertEquals(503, client.safe("into" + i, 400).read().status());
+            assertEquals(503, client.getSafe("into" + i, 400).read().status());
         }
-        int before = refusedByAdmission();
+        int refusedBefore = refusedByAdmission();
         for (int i = 0; i < 10; i++) {
-            assertEquals(503, client.safe("still" + i, 400).read().status());
+            assertEquals(503, client.getSafe("still" + i, 400).read().status());
         }
-        int refused = refusedByAdmission() - before;
+        int refused = refusedByAdmission() - refusedBefore;
         assertTrue(refused > 0, "all ten were sent into the jam");
         assertTrue(refused < 10, "and some must be, or nobody would see its end");
     }
--- a/src/test/java/mulleinfront/proxy/DeafToEndsDaemon.java
+++ b/src/test/java/mulleinfront/proxy/DeafToEndsDaemon.java
@@ -8,18 +8,18 @@
 import sun.misc.Signal;
 
 /**
- * The real client proxy with the fault of incident 2 planted: that a watch has ended, or that a call was answered by a
- * refusal, puts off the time until which the list is sent by, as if discovery could not be reached.
+ * The real client proxy with an injected fault: when discovery ends a watch or refuses a discovery call, the balancer is
+ * notified that discovery is unreachable, which wrongly postpones the list's expiry.
  */
 public final class DeafToEndsDaemon {
     private DeafToEndsDaemon() {}
 
-    /** Serves as {@code serve} does, by the configuration of NODE_CONFIG. */
+    /** Serves as the {@code serve} command does, with the configuration file that NODE_CONFIG names. */
     public static void main(String... args) throws Exception {
         String file = System.getenv("NODE_CONFIG");
         ClientProxy proxy = ClientProxy.start(
                 Config.load(file),
-                (settings, seed, now, actions) -> deaf(Balancer.create(settings, seed, now, actions)));
+                (settings, seed, now, actions) -> ignoreWatchEnds(Balancer.create(settings, seed, now, actions)));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> proxy.drain().awaitUninterruptibly()));
         Signal.handle(new Signal("HUP"), hup -> reload(proxy, file));
     }
@@ -32,20 +32,20 @@
         }
     }
 
-    private static Balancer deaf(Balancer real) {
+    private static Balancer ignoreWatchEnds(Balancer balancer) {
         return (Balancer) Proxy.newProxyInstance(
                 Balancer.class.getClassLoader(),
                 new Class<?>[] {Balancer.class},
-                (proxy, method, args) -> call(real, method, args));
+                (proxy, method, args) -> invoke(balancer, method, args));
     }
 
-    private static Object call(Balancer real, Method method, Object[] args) throws Throwable {
+    private static Object invoke(Balancer balancer, Method method, Object[] args) throws Throwable {
         if (method.getName().equals("onWatchEnded") || method.getName().equals("onDiscoveryFailed")) {
-            real.onDiscoveryUnreachable((long) args[0]);
+            balancer.onDiscoveryUnreachable((long) args[0]);
             return null;
         }
         try {
-            return method.invoke(real, args);
+            return method.invoke(balancer, args);
         } catch (InvocationTargetException e) {
             throw e.getCause();
         }
--- a/src/test/java/mulleinfront/proxy/DiscoveryTest.java
+++ b/src/test/java/mulleinfront/proxy/DiscoveryTest.java
@@ -10,206 +10,231 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Discovery;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
+import mulleinfront.proxy.StandIns.Client;
+import mulleinfront.proxy.StandIns.DiscoveryStandIn;
+import mulleinfront.proxy.StandIns.ReceivedRequest;
+import mulleinfront.proxy.StandIns.Server;
 import mulleinfront.settings.Config;
 import org.junit.jupiter.api.Test;
 
-/** Lists of hosts, watches that fail, and a move to another discovery. */
-class DiscoveryTest extends ProxyRig {
+/** Endpoint lists, failing watches, and a move to another discovery. */
+class DiscoveryTest extends ProxyTestBase {
     @Test
-    void listsReplaceOrAmendAndABrokenWatchIsAFailedCall() throws Exception {
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
-        assertEquals(200, ready());
-        Seen watch = discovery.asked();
-        String asked = watch.message().first();
-        assertTrue(asked.startsWith("GET /api/targets?watch=1&after=1 "), asked);
-        Discovery.push(watch, Peers.list(2, true, Peers.host("t", "127.0.0.1:2", "in_service")));
-        assertEquals("FULL [t 1 READY]", Peers.next(module.lists, "the whole list"));
-        Discovery.push(watch, "");
-        Discovery.push(watch, Peers.list(3, false, Peers.host("t", "127.0.0.1:2", "terminated")));
-        assertEquals("DELTA [t 1 GONE]", Peers.next(module.lists, "a change"));
-        assertEquals(503, ready());
-        Discovery.push(watch, "{\"version\":4,\"servers\":[{\"id\":7");
-        assertEquals("failed", Peers.next(module.lists, "the bad line's failure"));
-        watch.awaitEnd();
-        assertEquals(0, discovery.server.seen.size(), "asked again only when the module says so");
-        module.onRequest = r -> {
-            module.actions.subscribe();
-            module.actions.fail(r.id());
+    void listsReplaceOrAmendAndABrokenWatchFails() throws Exception {
+        startProxy("", StandIns.endpointJson("s", "127.0.0.1:1", "in_service"));
+        assertEquals(200, readyStatus());
+        ReceivedRequest watch = discovery.acceptWatch();
+        String startLine = watch.message().startLine();
+        assertTrue(startLine.startsWith("GET /api/targets?watch=1&after=1 "), startLine);
+        DiscoveryStandIn.push(
+                watch, StandIns.listJson(2, true, StandIns.endpointJson("t", "127.0.0.1:2", "in_service")));
+        assertEquals("FULL [t 1 READY]", StandIns.awaitNext(balancer.listEvents, "the whole list"));
+        DiscoveryStandIn.push(watch, "");
+        DiscoveryStandIn.push(
+                watch, StandIns.listJson(3, false, StandIns.endpointJson("t", "127.0.0.1:2", "terminated")));
+        assertEquals("DELTA [t 1 GONE]", StandIns.awaitNext(balancer.listEvents, "a change"));
+        assertEquals(503, readyStatus());
+        DiscoveryStandIn.push(watch, "{\"version\":4,\"servers\":[{\"id\":7");
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the bad line's failure"));
+        watch.awaitConnectionEnd();
+        assertEquals(0, discovery.server.received.size(), "asked again only when the module says so");
+        balancer.onRequest = request -> {
+            balancer.actions.subscribe();
+            balancer.actions.fail(request.id());
         };
-        client().unsafe("id1", 20_000).read();
-        Seen again = discovery.asked();
-        assertTrue(again.message().first().contains("after=3 "), again.message().first());
-        again.reset();
-        assertEquals("failed", Peers.next(module.lists, "the break"));
-        assertTrue(module.lists.isEmpty(), "each failure is told once");
+        connectClient().postUnsafe("id1", 20_000).read();
+        ReceivedRequest secondWatch = discovery.acceptWatch();
+        assertTrue(
+                secondWatch.message().startLine().contains("after=3 "),
+                secondWatch.message().startLine());
+        secondWatch.reset();
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the break"));
+        assertTrue(balancer.listEvents.isEmpty(), "each failure is told once");
     }
 
     @Test
-    void pushedListsAreWatchedUnasked() throws Exception {
-        // Guards deployments whose lists are pushed: there the module never asks, and is told of no failure.
-        discovery = keep(new Discovery());
-        startPushed("null");
-        Seen watch = discovery.asked();
+    void pushedListsAreWatchedWithoutASubscription() throws Exception {
+        // Guards deployments with pushed lists: there the balancer never subscribes and is not notified of failures.
+        discovery = closeAfterTest(new DiscoveryStandIn());
+        startWithPushedLists("null");
+        ReceivedRequest watch = discovery.acceptWatch();
         assertTrue(
-                watch.message().first().startsWith("GET /api/targets?watch=1 "),
-                watch.message().first());
+                watch.message().startLine().startsWith("GET /api/targets?watch=1 "),
+                watch.message().startLine());
         watch.reset();
-        Discovery.push(discovery.asked(), Peers.list(1, true));
-        assertEquals("FULL []", Peers.next(module.lists, "the list"));
+        DiscoveryStandIn.push(discovery.acceptWatch(), StandIns.listJson(1, true));
+        assertEquals("FULL []", StandIns.awaitNext(balancer.listEvents, "the list"));
     }
 
-    private void startPushed(String known) throws Exception {
-        String config = Peers.config(0, discovery.server.address(), "", known).replace("subscribe", "automatic");
+    private void startWithPushedLists(String knownList) throws Exception {
+        String config = StandIns.configJson(0, discovery.server.address(), "", knownList)
+                .replace("subscribe", "automatic");
         proxy = ClientProxy.start(
                 Config.parse(config.getBytes(StandardCharsets.UTF_8)), (settings, seed, now, actions) -> {
-                    module.actions = actions;
-                    return module;
+                    balancer.actions = actions;
+                    return balancer;
                 });
     }
 
     @Test
-    void wherePushedTheAgentsListGoesBeforeTheOneOfTheConfiguration() throws Exception {
-        // Guards rule 3: what the agent has counts as told from the first moment, and the other list may be old.
-        Server drains = host(s -> s.served("x"));
-        discovery = keep(new Discovery());
-        startPushed(Peers.list(1, true, Peers.host("s", drains.address(), "in_service")));
-        Seen watch = discovery.asked();
-        assertEquals(503, ready(), "nothing is known yet");
-        module.onRequest = r -> {
-            module.actions.send(r.id(), "s", 0);
-            module.actions.refuse(r.id(), 0);
+    void pushedListPrecedesTheConfiguredList() throws Exception {
+        // Guards against sending to a draining endpoint: what the agent has is binding from the start, and the
+        // configured list
+        // may be outdated.
+        Server drainingServer = startServer(request -> request.respondOk("x"));
+        discovery = closeAfterTest(new DiscoveryStandIn());
+        startWithPushedLists(
+                StandIns.listJson(1, true, StandIns.endpointJson("s", drainingServer.address(), "in_service")));
+        ReceivedRequest watch = discovery.acceptWatch();
+        assertEquals(503, readyStatus(), "nothing is known yet");
+        balancer.onRequest = request -> {
+            balancer.actions.send(request.id(), "s", 0);
+            balancer.actions.refuse(request.id(), 0);
         };
-        assertEquals(503, client().unsafe("early", 20_000).read().status());
-        Discovery.push(
+        assertEquals(503, connectClient().postUnsafe("early", 20_000).read().status());
+        DiscoveryStandIn.push(
                 watch,
-                Peers.list(
+                StandIns.listJson(
                         9,
                         true,
-                        Peers.host("s", drains.address(), "terminating"),
-                        Peers.host("t", drains.address(), "in_service")));
-        assertEquals("FULL [s 1 DRAINING, t 1 READY]", Peers.next(module.lists, "the agent's list, as the first"));
-        assertEquals(200, ready());
-        assertEquals(503, client().unsafe("late", 20_000).read().status());
-        assertEquals(0, drains.seen.size(), "nothing went to a host that drains");
+                        StandIns.endpointJson("s", drainingServer.address(), "terminating"),
+                        StandIns.endpointJson("t", drainingServer.address(), "in_service")));
+        assertEquals(
+                "FULL [s 1 DRAINING, t 1 READY]",
+                StandIns.awaitNext(balancer.listEvents, "the agent's list, as the first"));
+        assertEquals(200, readyStatus());
+        assertEquals(503, connectClient().postUnsafe("late", 20_000).read().status());
+        assertEquals(0, drainingServer.received.size(), "nothing went to a host that drains");
     }
 
     @Test
-    void anAgentThatIsSilentLeavesTheListOfTheConfiguration() throws Exception {
-        // Discovery is down: the agent has learnt nothing, and a start must not wait for its return.
-        discovery = keep(new Discovery());
-        startPushed(Peers.list(1, true, Peers.host("s", "127.0.0.1:1", "in_service")));
-        Peers.next(discovery.server.seen, "the watch that is not answered");
-        assertEquals("CACHED [s 1 READY]", Peers.next(module.lists, "the list known"));
-        assertEquals(200, ready());
+    void configuredListAppliesIfTheAgentIsUnresponsive() throws Exception {
+        // Discovery is unreachable and the agent has no list: a start must not wait for discovery to return.
+        discovery = closeAfterTest(new DiscoveryStandIn());
+        startWithPushedLists(StandIns.listJson(1, true, StandIns.endpointJson("s", "127.0.0.1:1", "in_service")));
+        StandIns.awaitNext(discovery.server.received, "the watch that is not answered");
+        assertEquals("CACHED [s 1 READY]", StandIns.awaitNext(balancer.listEvents, "the list known"));
+        assertEquals(200, readyStatus());
     }
 
     @Test
-    void aHostThatMovesIsReachedAnewAndOneThatDrainsIsLeft() throws Exception {
-        Server before = host(s -> s.served("x"));
-        Server after = host(s -> s.served("x"));
-        start("", Peers.host("s", before.address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        Seen watch = discovery.asked();
-        Client client = client();
-        assertEquals(200, client.unsafe("id1", 20_000).read().status());
-        Discovery.push(watch, Peers.list(2, false, Peers.host("s", after.address(), "in_service")));
-        Peers.next(before.seen, "the first request").awaitEnd();
-        assertEquals(200, client.unsafe("id2", 20_000).read().status());
-        Discovery.push(watch, Peers.list(3, false, Peers.host("s", after.address(), "terminating")));
-        Peers.next(after.seen, "the second request").awaitEnd();
+    void movedEndpointIsReconnectedAndADrainingOneDisconnected() throws Exception {
+        Server before = startServer(request -> request.respondOk("x"));
+        Server after = startServer(request -> request.respondOk("x"));
+        startProxy("", StandIns.endpointJson("s", before.address(), "in_service"));
+        balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
+        ReceivedRequest watch = discovery.acceptWatch();
+        Client client = connectClient();
+        assertEquals(200, client.postUnsafe("id1", 20_000).read().status());
+        DiscoveryStandIn.push(
+                watch, StandIns.listJson(2, false, StandIns.endpointJson("s", after.address(), "in_service")));
+        StandIns.awaitNext(before.received, "the first request").awaitConnectionEnd();
+        assertEquals(200, client.postUnsafe("id2", 20_000).read().status());
+        DiscoveryStandIn.push(
+                watch, StandIns.listJson(3, false, StandIns.endpointJson("s", after.address(), "terminating")));
+        StandIns.awaitNext(after.received, "the second request").awaitConnectionEnd();
     }
 
     @Test
-    void changesThatComeLateUndoNoDrainAndHideNone() throws Exception {
-        // Guards rule 3 against lists told out of order: each host goes by the newest version that named it.
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"), Peers.host("t", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
+    void deltasOutOfOrderNeitherUndoNorHideADrain() throws Exception {
+        // Guards against missing a drain when updates arrive out of order: the newest version that names an endpoint
+        // applies.
+        startProxy(
+                "",
+                StandIns.endpointJson("s", "127.0.0.1:1", "in_service"),
+                StandIns.endpointJson("t", "127.0.0.1:1", "in_service"));
+        ReceivedRequest watch = discovery.acceptWatch();
         for (int version : new int[] {3, 6, 4, 2, 5}) {
-            Discovery.push(
+            DiscoveryStandIn.push(
                     watch,
-                    Peers.list(
+                    StandIns.listJson(
                             version,
                             false,
-                            Peers.host(
+                            StandIns.endpointJson(
                                     version == 5 ? "t" : "s",
                                     "127.0.0.1:1",
                                     version >= 5 ? "terminating" : "in_service")));
         }
         for (String expected :
                 List.of("DELTA [s 1 READY]", "DELTA [s 1 DRAINING]", "DELTA []", "DELTA []", "DELTA [t 1 DRAINING]")) {
-            assertEquals(expected, Peers.next(module.lists, expected));
+            assertEquals(expected, StandIns.awaitNext(balancer.listEvents, expected));
         }
     }
 
     @Test
-    void aWholeListThatIsOlderThanWhatTheWatchToldUndoesNoDrain() throws Exception {
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"), Peers.host("t", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
-        Discovery.push(
+    void olderFullListDoesNotUndoADrain() throws Exception {
+        startProxy(
+                "",
+                StandIns.endpointJson("s", "127.0.0.1:1", "in_service"),
+                StandIns.endpointJson("t", "127.0.0.1:1", "in_service"));
+        ReceivedRequest watch = discovery.acceptWatch();
+        DiscoveryStandIn.push(
                 watch,
-                Peers.list(
+                StandIns.listJson(
                         5,
                         true,
-                        Peers.host("s", "127.0.0.1:1", "terminating"),
-                        Peers.host("t", "127.0.0.1:1", "in_service")));
-        Discovery.push(watch, Peers.list(4, true, Peers.host("s", "127.0.0.1:1", "in_service")));
-        Discovery.push(watch, Peers.list(6, false, Peers.host("t", "127.0.0.1:1", "in_service")));
-        assertEquals("FULL [s 1 DRAINING, t 1 READY]", Peers.next(module.lists, "the newer"));
-        assertEquals("DELTA [t 1 READY]", Peers.next(module.lists, "what came after the older"));
+                        StandIns.endpointJson("s", "127.0.0.1:1", "terminating"),
+                        StandIns.endpointJson("t", "127.0.0.1:1", "in_service")));
+        DiscoveryStandIn.push(
+                watch, StandIns.listJson(4, true, StandIns.endpointJson("s", "127.0.0.1:1", "in_service")));
+        DiscoveryStandIn.push(
+                watch, StandIns.listJson(6, false, StandIns.endpointJson("t", "127.0.0.1:1", "in_service")));
+        assertEquals("FULL [s 1 DRAINING, t 1 READY]", StandIns.awaitNext(balancer.listEvents, "the newer"));
+        assertEquals("DELTA [t 1 READY]", StandIns.awaitNext(balancer.listEvents, "what came after the older"));
     }
 
     @Test
-    void aWholeListThatLacksAHostLeavesWhatIsOutThereAndSendsNothingNew() throws Exception {
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server host = host(out::add);
-        start("", Peers.host("s", host.address(), "in_service"));
-        Seen watch = discovery.asked();
-        module.onRequest = r -> {
-            module.actions.send(r.id(), "s", 0);
+    void unlistedEndpointFinishesItsAttemptAndGetsNoNewOne() throws Exception {
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
+        Server host = startServer(received::add);
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
+        ReceivedRequest watch = discovery.acceptWatch();
+        balancer.onRequest = request -> {
+            balancer.actions.send(request.id(), "s", 0);
         };
-        module.onEnd = e -> {
-            if (!e.requestDone()) {
-                module.actions.refuse(e.requestId(), 0);
+        balancer.onAttemptEnd = attemptEnd -> {
+            if (!attemptEnd.requestDone()) {
+                balancer.actions.refuse(attemptEnd.requestId(), 0);
             }
         };
-        Client client = client().unsafe("id1", 20_000);
-        Seen open = Peers.next(out, "the request");
-        Discovery.push(watch, Peers.list(2, true));
-        assertEquals("FULL []", Peers.next(module.lists, "the list that names nobody"));
-        assertEquals(503, client().unsafe("id2", 20_000).read().status(), "nothing new goes there");
-        assertEquals(503, ready());
-        open.served("x");
+        Client client = connectClient().postUnsafe("id1", 20_000);
+        ReceivedRequest inFlight = StandIns.awaitNext(received, "the request");
+        DiscoveryStandIn.push(watch, StandIns.listJson(2, true));
+        assertEquals("FULL []", StandIns.awaitNext(balancer.listEvents, "the list that names nobody"));
+        assertEquals(503, connectClient().postUnsafe("id2", 20_000).read().status(), "nothing new goes there");
+        assertEquals(503, readyStatus());
+        inFlight.respondOk("x");
         assertEquals(200, client.read().status(), "what was out is served");
-        open.awaitEnd();
-        assertEquals(1, host.seen.size());
+        inFlight.awaitConnectionEnd();
+        assertEquals(1, host.received.size());
     }
 
     @Test
-    void theOldWatchsLastWordAfterAMoveIsNotHeard() throws Exception {
-        Discovery other = keep(new Discovery());
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
-        Seen old = discovery.asked();
-        move(other.server.address());
-        Seen moved = other.asked();
-        Discovery.push(old, Peers.list(8, true, Peers.host("old", "127.0.0.1:1", "in_service")));
-        old.awaitEnd();
-        Discovery.push(moved, Peers.list(2, true, Peers.host("new", "127.0.0.1:1", "in_service")));
-        assertEquals("FULL [new 1 READY]", Peers.next(module.lists, "the new one's first, and nothing before"));
+    void listFromTheOldWatchIsIgnoredAfterAMove() throws Exception {
+        DiscoveryStandIn other = closeAfterTest(new DiscoveryStandIn());
+        startProxy("", StandIns.endpointJson("s", "127.0.0.1:1", "in_service"));
+        ReceivedRequest old = discovery.acceptWatch();
+        moveDiscoveryTo(other.server.address());
+        ReceivedRequest moved = other.acceptWatch();
+        DiscoveryStandIn.push(
+                old, StandIns.listJson(8, true, StandIns.endpointJson("old", "127.0.0.1:1", "in_service")));
+        old.awaitConnectionEnd();
+        DiscoveryStandIn.push(
+                moved, StandIns.listJson(2, true, StandIns.endpointJson("new", "127.0.0.1:1", "in_service")));
+        assertEquals(
+                "FULL [new 1 READY]",
+                StandIns.awaitNext(balancer.listEvents, "the new one's first, and nothing before"));
     }
 
     @Test
-    void aSilentWatchIsAFailedCall() throws Exception {
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
-        assertEquals("failed", Peers.next(module.lists, "the silence"));
-        watch.awaitEnd();
+    void silentWatchFails() throws Exception {
+        startProxy("", StandIns.endpointJson("s", "127.0.0.1:1", "in_service"));
+        ReceivedRequest watch = discovery.acceptWatch();
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the silence"));
+        watch.awaitConnectionEnd();
     }
 
-    private static void raw(Seen watch, String text) {
+    private static void pushRaw(ReceivedRequest watch, String text) {
         watch.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
@@ -221,111 +246,123 @@
     }
 
     @Test
-    void listsMayBeIndentedOverManyLines() throws Exception {
-        // Guards rule 3: a watch framed by lines took each line of such a list for a broken one, and never heard of a
-        // drain.
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
-        raw(watch, indented(Peers.list(2, true, Peers.host("s", "127.0.0.1:1", "in_service"))) + "\n");
-        raw(watch, "\n");
-        raw(watch, indented(Peers.list(3, false, Peers.host("s", "127.0.0.1:1", "terminating"))) + "\n\n");
-        assertEquals("FULL [s 1 READY]", Peers.next(module.lists, "the whole list"));
-        assertEquals("DELTA [s 1 DRAINING]", Peers.next(module.lists, "the drain"));
+    void listsMayBeIndented() throws Exception {
+        // Guards against missing a drain: with framing by lines, each line of an indented list was rejected as
+        // malformed.
+        startProxy("", StandIns.endpointJson("s", "127.0.0.1:1", "in_service"));
+        ReceivedRequest watch = discovery.acceptWatch();
+        pushRaw(
+                watch,
+                indented(StandIns.listJson(2, true, StandIns.endpointJson("s", "127.0.0.1:1", "in_service"))) + "\n");
+        pushRaw(watch, "\n");
+        pushRaw(
+                watch,
+                indented(StandIns.listJson(3, false, StandIns.endpointJson("s", "127.0.0.1:1", "terminating")))
+                        + "\n\n");
+        assertEquals("FULL [s 1 READY]", StandIns.awaitNext(balancer.listEvents, "the whole list"));
+        assertEquals("DELTA [s 1 DRAINING]", StandIns.awaitNext(balancer.listEvents, "the drain"));
     }
 
     @Test
-    void listsMayShareAReadOrComeByTheByte() throws Exception {
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
-        raw(
+    void listsMayShareAReadOrArriveByteByByte() throws Exception {
+        startProxy("", StandIns.endpointJson("s", "127.0.0.1:1", "in_service"));
+        ReceivedRequest watch = discovery.acceptWatch();
+        pushRaw(
                 watch,
-                Peers.list(2, true, Peers.host("a}\\\"{b", "127.0.0.1:1", "in_service"))
-                        + Peers.list(3, false, Peers.host("s", "127.0.0.1:1", "in_service")) + "\n");
-        assertEquals("FULL [a}\"{b 1 READY]", Peers.next(module.lists, "the first of two in a read"));
-        assertEquals("DELTA [s 1 READY]", Peers.next(module.lists, "the second"));
-        for (char c : indented(Peers.list(4, false, Peers.host("s", "127.0.0.1:1", "terminating")))
+                StandIns.listJson(2, true, StandIns.endpointJson("a}\\\"{b", "127.0.0.1:1", "in_service"))
+                        + StandIns.listJson(3, false, StandIns.endpointJson("s", "127.0.0.1:1", "in_service")) + "\n");
+        assertEquals("FULL [a}\"{b 1 READY]", StandIns.awaitNext(balancer.listEvents, "the first of two in a read"));
+        assertEquals("DELTA [s 1 READY]", StandIns.awaitNext(balancer.listEvents, "the second"));
+        for (char c : indented(StandIns.listJson(4, false, StandIns.endpointJson("s", "127.0.0.1:1", "terminating")))
                 .toCharArray()) {
-            raw(watch, String.valueOf(c));
+            pushRaw(watch, String.valueOf(c));
         }
-        assertEquals("DELTA [s 1 DRAINING]", Peers.next(module.lists, "the one in pieces"));
-        assertTrue(module.lists.isEmpty());
+        assertEquals("DELTA [s 1 DRAINING]", StandIns.awaitNext(balancer.listEvents, "the one in pieces"));
+        assertTrue(balancer.listEvents.isEmpty());
     }
 
     @Test
-    void aListThatDoesNotGetToItsEndIsSilenceThoughTheHeartbeatGoesOn() throws Exception {
-        // Guards rule 3: white space within a list must not pass for the sign of life of one that is over.
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
-        raw(watch, Peers.list(2, true, Peers.host("s", "127.0.0.1:1", "in_service")) + "\n{\"version\":3,");
-        assertEquals("FULL [s 1 READY]", Peers.next(module.lists, "the whole list"));
-        Thread heart = new Thread(() -> {
-            while (!watch.ended().isDone()) {
-                raw(watch, "\n");
+    void incompleteListTimesOutDespiteHeartbeats() throws Exception {
+        // Guards against waiting for ever: white space within an incomplete list must not count as a heartbeat.
+        startProxy("", StandIns.endpointJson("s", "127.0.0.1:1", "in_service"));
+        ReceivedRequest watch = discovery.acceptWatch();
+        pushRaw(
+                watch,
+                StandIns.listJson(2, true, StandIns.endpointJson("s", "127.0.0.1:1", "in_service"))
+                        + "\n{\"version\":3,");
+        assertEquals("FULL [s 1 READY]", StandIns.awaitNext(balancer.listEvents, "the whole list"));
+        Thread heartbeat = new Thread(() -> {
+            while (!watch.connectionEnded().isDone()) {
+                pushRaw(watch, "\n");
                 try {
-                    watch.ended().get(200, TimeUnit.MILLISECONDS);
-                } catch (TimeoutException beatsOn) {
-                    // the next beat is due
+                    watch.connectionEnded().get(200, TimeUnit.MILLISECONDS);
+                } catch (TimeoutException heartbeatDue) {
+                    // the next heartbeat is due
                 } catch (InterruptedException | ExecutionException e) {
                     throw new AssertionError(e);
                 }
             }
         });
-        heart.setDaemon(true);
-        heart.start();
-        assertEquals("failed", Peers.next(module.lists, "the failure"));
-        watch.awaitEnd();
+        heartbeat.setDaemon(true);
+        heartbeat.start();
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the failure"));
+        watch.awaitConnectionEnd();
     }
 
-    /** Incident 2, related: one that stopped for 1.5 s halfway was thrown away, and so was the next, for ever. */
+    /** Guards against discarding a list, and each list after it, because its transfer pauses halfway for 1.5 s. */
     @Test
-    void aListThatStopsHalfwayForAWhileIsTaken() throws Exception {
-        start("", Peers.host("s", "127.0.0.1:9", "in_service"));
-        Seen watch = discovery.asked();
-        String list = Peers.list(2, true, Peers.host("t", "127.0.0.1:9", "in_service"));
-        raw(watch, list.substring(0, list.length() / 2));
+    void listThatPausesHalfwayIsAccepted() throws Exception {
+        startProxy("", StandIns.endpointJson("s", "127.0.0.1:9", "in_service"));
+        ReceivedRequest watch = discovery.acceptWatch();
+        String list = StandIns.listJson(2, true, StandIns.endpointJson("t", "127.0.0.1:9", "in_service"));
+        pushRaw(watch, list.substring(0, list.length() / 2));
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(1_800);
         while (System.nanoTime() < until) {
             Thread.onSpinWait();
         }
-        raw(watch, list.substring(list.length() / 2));
-        assertEquals("FULL [t 1 READY]", Peers.next(module.lists, "the list"));
+        pushRaw(watch, list.substring(list.length() / 2));
+        assertEquals("FULL [t 1 READY]", StandIns.awaitNext(balancer.listEvents, "the list"));
     }
 
-    private void move(String address) throws Exception {
-        proxy.reload(Config.parse(Peers.config(0, address, "", "null").getBytes(StandardCharsets.UTF_8)));
+    private void moveDiscoveryTo(String address) throws Exception {
+        proxy.reload(Config.parse(StandIns.configJson(0, address, "", "null").getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void aMoveToAnotherDiscoveryIsNoFailedCallAndAsksForTheWholeList() throws Exception {
-        // Guards the numbering: another discovery counts its versions in its own way.
-        Discovery other = keep(new Discovery());
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
-        Discovery.push(watch, Peers.list(7, true, Peers.host("s", "127.0.0.1:1", "in_service")));
-        assertEquals("FULL [s 1 READY]", Peers.next(module.lists, "the first list"));
-        move(other.server.address());
-        watch.awaitEnd();
-        Seen moved = other.asked();
+    void moveIsNoFailureAndRequestsTheFullList() throws Exception {
+        // Another discovery numbers its versions independently, so the version held now must not be sent to it.
+        DiscoveryStandIn other = closeAfterTest(new DiscoveryStandIn());
+        startProxy("", StandIns.endpointJson("s", "127.0.0.1:1", "in_service"));
+        ReceivedRequest watch = discovery.acceptWatch();
+        DiscoveryStandIn.push(
+                watch, StandIns.listJson(7, true, StandIns.endpointJson("s", "127.0.0.1:1", "in_service")));
+        assertEquals("FULL [s 1 READY]", StandIns.awaitNext(balancer.listEvents, "the first list"));
+        moveDiscoveryTo(other.server.address());
+        watch.awaitConnectionEnd();
+        ReceivedRequest moved = other.acceptWatch();
         assertTrue(
-                moved.message().first().startsWith("GET /api/targets?watch=1 "),
-                moved.message().first());
-        assertEquals(200, ready(), "the old list holds");
-        move(other.server.address());
-        Discovery.push(moved, Peers.list(2, true, Peers.host("t", "127.0.0.1:1", "in_service")));
-        assertEquals("FULL [t 1 READY]", Peers.next(module.lists, "the other's list, and no failure before"));
-        assertEquals(0, other.server.seen.size(), "the same address is no move");
+                moved.message().startLine().startsWith("GET /api/targets?watch=1 "),
+                moved.message().startLine());
+        assertEquals(200, readyStatus(), "the old list holds");
+        moveDiscoveryTo(other.server.address());
+        DiscoveryStandIn.push(
+                moved, StandIns.listJson(2, true, StandIns.endpointJson("t", "127.0.0.1:1", "in_service")));
+        assertEquals(
+                "FULL [t 1 READY]", StandIns.awaitNext(balancer.listEvents, "the other's list, and no failure before"));
+        assertEquals(0, other.server.received.size(), "the same address is no move");
     }
 
     @Test
-    void aMoveToWhereNobodyAnswersFailsWithinWhatCountsAsTold() throws Exception {
-        Discovery mute = keep(new Discovery());
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
-        discovery.asked();
-        move(mute.server.address());
-        Peers.next(mute.server.seen, "the watch that is not answered").awaitEnd();
-        assertEquals("failed", Peers.next(module.lists, "the failure"));
-        move(discovery.server.address());
-        Discovery.push(discovery.asked(), Peers.list(9, true));
-        assertEquals("FULL []", Peers.next(module.lists, "the list after moving back"));
+    void moveToAnUnresponsiveDiscoveryFails() throws Exception {
+        DiscoveryStandIn unresponsive = closeAfterTest(new DiscoveryStandIn());
+        startProxy("", StandIns.endpointJson("s", "127.0.0.1:1", "in_service"));
+        discovery.acceptWatch();
+        moveDiscoveryTo(unresponsive.server.address());
+        StandIns.awaitNext(unresponsive.server.received, "the watch that is not answered")
+                .awaitConnectionEnd();
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the failure"));
+        moveDiscoveryTo(discovery.server.address());
+        DiscoveryStandIn.push(discovery.acceptWatch(), StandIns.listJson(9, true));
+        assertEquals("FULL []", StandIns.awaitNext(balancer.listEvents, "the list after moving back"));
     }
 }
--- a/src/test/java/mulleinfront/proxy/IdleClientsTest.java
+++ b/src/test/java/mulleinfront/proxy/IdleClientsTest.java
@@ -17,58 +17,58 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Discovery;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
+import mulleinfront.proxy.StandIns.Client;
+import mulleinfront.proxy.StandIns.DiscoveryStandIn;
+import mulleinfront.proxy.StandIns.Message;
+import mulleinfront.proxy.StandIns.ReceivedRequest;
+import mulleinfront.proxy.StandIns.Server;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Idle clients fill the descriptors while discovery is down: the whole program, held by the system to the
- * limit that its configuration names, so that one too many of clients is one too few for discovery or a host.
+ * Idle clients use up the descriptors while discovery is unreachable. The whole program runs under a system limit that
+ * equals the configured one, so that each client too many takes a descriptor from discovery or an endpoint.
  */
 class IdleClientsTest {
-    /** Descriptors that the configuration of {@link Peers#config} grants. */
-    private static final int SOCKETS = 160;
-    /** What is left of them for clients once the process and connections to hosts have theirs. */
-    private static final int MOST_CLIENTS = (SOCKETS - ClientProxy.OWN_SOCKETS) / 2;
-    /** The module has no more attempts out at a host of which it has had no answer yet. */
-    private static final int OUT = 2;
+    /** Descriptor limit in the configuration of {@link StandIns#configJson}. */
+    private static final int DESCRIPTOR_LIMIT = 160;
+    /** Descriptors left for clients besides those of the process and of connections to endpoints. */
+    private static final int MAX_CLIENTS = (DESCRIPTOR_LIMIT - ClientProxy.OWN_SOCKETS) / 2;
+    /** Attempts that the balancer has in flight, at most, at an endpoint that has not answered yet. */
+    private static final int MAX_UNANSWERED_ATTEMPTS = 2;
 
     @TempDir
     Path folder;
 
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private Process process;
     private int port;
 
-    private <T extends AutoCloseable> T keep(T one) {
-        open.add(one);
-        return one;
+    private <T extends AutoCloseable> T closeAfterTest(T resource) {
+        resources.add(resource);
+        return resource;
     }
 
     @AfterEach
     void closeAll() throws Exception {
-        for (AutoCloseable one : open) {
-            one.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
         if (process != null) {
             process.destroyForcibly().waitFor();
         }
     }
 
-    private void start(String discovery, String known) throws Exception {
+    private void startProxy(String discovery, String knownList) throws Exception {
         port = ServeTest.freePort();
         Path file = folder.resolve("config.json");
-        Files.writeString(file, Peers.config(port, discovery, "", known));
-        // The JVM of a test holds a descriptor for each part of its class path; the deployed one has one jar.
-        int limit = SOCKETS + System.getProperty("java.class.path").split(File.pathSeparator).length;
+        Files.writeString(file, StandIns.configJson(port, discovery, "", knownList));
+        // A test's JVM holds a descriptor for each class path entry; the deployed program has a single jar.
+        int limit = DESCRIPTOR_LIMIT + System.getProperty("java.class.path").split(File.pathSeparator).length;
         List<String> command =
                 new ArrayList<>(List.of("/bin/sh", "-c", "ulimit -n " + limit + " && exec \"$@\"", "sh"));
-        command.addAll(ServeTest.command());
+        command.addAll(ServeTest.serveCommand());
         ProcessBuilder builder = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT);
         builder.environment().put("NODE_CONFIG", file.toString());
         process = builder.start();
@@ -83,16 +83,17 @@
         }
     }
 
-    /** More connections than there is room for, on which nobody says anything. */
-    private void crowd() throws IOException {
-        for (int i = 0; i < SOCKETS; i++) {
-            keep(new Socket(InetAddress.getLoopbackAddress(), port));
+    /** Opens more idle connections than the proxy has descriptors for. */
+    private void floodConnections() throws IOException {
+        for (int i = 0; i < DESCRIPTOR_LIMIT; i++) {
+            closeAfterTest(new Socket(InetAddress.getLoopbackAddress(), port));
         }
     }
 
-    private long sockets() throws IOException {
-        try (Stream<Path> all = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
-            return all.filter(fd -> {
+    private long openSockets() throws IOException {
+        try (Stream<Path> descriptors = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
+            return descriptors
+                    .filter(fd -> {
                         try {
                             return Files.readSymbolicLink(fd).toString().startsWith("socket");
                         } catch (IOException e) {
@@ -104,14 +105,14 @@
     }
 
     /**
-     * A request of a client that comes again where its connection is closed on unread, as may be in a crowd;
-     * more of those that say nothing come before each try.
+     * Sends a request, and sends it again if its connection is closed before it is read, as may happen in a connection
+     * flood; more idle connections are opened before each try.
      */
-    private Message ask(String id) throws Exception {
+    private Message sendUntilRead(String idPrefix) throws Exception {
         for (int i = 0; ; i++) {
-            crowd();
+            floodConnections();
             try (Client client = new Client(port)) {
-                return client.safe(id + "-" + i, 20_000).read();
+                return client.getSafe(idPrefix + "-" + i, 20_000).read();
             } catch (IOException e) {
                 assertTrue(i < 20 && process.isAlive(), "closed on unread, again and again: " + e);
             }
@@ -119,63 +120,67 @@
     }
 
     @Test
-    void discoveryThatComesBackIsReachedAndSoAreTheHostsThatItNames() throws Exception {
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server old = keep(new Server(out::add));
-        Server fresh = keep(new Server(s -> s.served("fresh")));
-        Discovery before = keep(new Discovery());
-        int at = before.server.socket.getLocalPort();
-        String list = Peers.list(1, true, Peers.host("old", old.address(), "in_service"));
-        start(before.server.address(), list);
-        Seen watch = before.asked();
-        Discovery.push(watch, list);
+    void returningDiscoveryAndItsEndpointsAreReached() throws Exception {
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
+        Server oldServer = closeAfterTest(new Server(received::add));
+        Server newServer = closeAfterTest(new Server(request -> request.respondOk("fresh")));
+        DiscoveryStandIn firstDiscovery = closeAfterTest(new DiscoveryStandIn());
+        int discoveryPort = firstDiscovery.server.socket.getLocalPort();
+        String list = StandIns.listJson(1, true, StandIns.endpointJson("old", oldServer.address(), "in_service"));
+        startProxy(firstDiscovery.server.address(), list);
+        ReceivedRequest watch = firstDiscovery.acceptWatch();
+        DiscoveryStandIn.push(watch, list);
 
-        // Some have a request out at a host before the crowd comes.
+        // Some clients have a request in flight at an endpoint before the connection flood.
         List<Client> busy = new ArrayList<>();
-        List<Seen> open = new ArrayList<>();
-        for (int i = 0; i < OUT; i++) {
-            busy.add(keep(new Client(port)).safe("busy" + i, 20_000));
+        List<ReceivedRequest> inFlight = new ArrayList<>();
+        for (int i = 0; i < MAX_UNANSWERED_ATTEMPTS; i++) {
+            busy.add(closeAfterTest(new Client(port)).getSafe("busy" + i, 20_000));
         }
         for (int i = 0; i < busy.size(); i++) {
-            open.add(Peers.next(out, "request " + i + " of those that are out"));
+            inFlight.add(StandIns.awaitNext(received, "request " + i + " of those that are out"));
         }
-        before.close();
-        crowd();
-        // A new client's answer tells that all who came before it have been accepted, or closed to make room.
-        Client last = keep(new Client(port)).write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n");
-        long most = 0;
+        firstDiscovery.close();
+        floodConnections();
+        // A new client's response means that all earlier connections have been accepted, or closed to make room.
+        Client last = closeAfterTest(new Client(port)).write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n");
+        long maxSockets = 0;
         while (last.in.available() == 0) {
-            most = Math.max(most, sockets());
+            maxSockets = Math.max(maxSockets, openSockets());
         }
         assertEquals(404, last.read().status());
-        assertTrue(most <= MOST_CLIENTS + ClientProxy.OWN_SOCKETS, most + " sockets: nothing is left for others");
+        assertTrue(
+                maxSockets <= MAX_CLIENTS + ClientProxy.OWN_SOCKETS,
+                maxSockets + " sockets: nothing is left for others");
 
-        try (ServerSocket back = new ServerSocket(at, 50, InetAddress.getLoopbackAddress())) {
-            crowd();
-            back.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Peers.PATIENCE_S));
-            Socket call = keep(back.accept());
-            crowd();
-            assertTrue(Peers.read(call.getInputStream()).first().startsWith("GET /api/targets"));
-            String now = Peers.list(
+        try (ServerSocket returnedDiscovery = new ServerSocket(discoveryPort, 50, InetAddress.getLoopbackAddress())) {
+            floodConnections();
+            returnedDiscovery.setSoTimeout((int) TimeUnit.SECONDS.toMillis(StandIns.TIMEOUT_S));
+            Socket watchConnection = closeAfterTest(returnedDiscovery.accept());
+            floodConnections();
+            assertTrue(
+                    StandIns.read(watchConnection.getInputStream()).startLine().startsWith("GET /api/targets"));
+            String update = StandIns.listJson(
                             2,
                             true,
-                            Peers.host("old", old.address(), "terminating"),
-                            Peers.host("fresh", fresh.address(), "in_service"))
+                            StandIns.endpointJson("old", oldServer.address(), "terminating"),
+                            StandIns.endpointJson("fresh", newServer.address(), "in_service"))
                     + "\n";
-            call.getOutputStream()
-                    .write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(now.length())
-                                    + "\r\n" + now + "\r\n")
+            watchConnection
+                    .getOutputStream()
+                    .write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                    + Integer.toHexString(update.length()) + "\r\n" + update + "\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
-            crowd();
-            open.forEach(s -> s.served("old"));
+            floodConnections();
+            inFlight.forEach(request -> request.respondOk("old"));
             for (Client client : busy) {
                 assertEquals("old", client.read().text(), "what is out on old connections is served");
             }
-            // Whether the list has been read by now is not known; a drain is not sent to once it has.
+            // The list may not have been read yet; once it has, nothing is sent to the draining endpoint.
             Message answer;
-            for (int i = 0; !(answer = ask("new" + i)).text().equals("fresh"); ) {
+            for (int i = 0; !(answer = sendUntilRead("new" + i)).text().equals("fresh"); ) {
                 i++;
-                assertTrue(i < 20, "the new host is never reached: " + answer.first());
+                assertTrue(i < 20, "the new host is never reached: " + answer.startLine());
             }
         }
     }
--- a/src/test/java/mulleinfront/proxy/ListsTest.java
+++ b/src/test/java/mulleinfront/proxy/ListsTest.java
@@ -9,131 +9,136 @@
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
-import mulleinfront.proxy.Peers.Discovery;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
+import mulleinfront.proxy.StandIns.DiscoveryStandIn;
+import mulleinfront.proxy.StandIns.ReceivedRequest;
+import mulleinfront.proxy.StandIns.Server;
 import mulleinfront.settings.Config;
 import org.junit.jupiter.api.Test;
 
 /**
- * Lists in every form and cut at every byte, watches that end instead of telling, and moves while discovery
- * is down.
+ * Lists in every form and split at every byte, watches that end instead of sending an update, and moves while discovery
+ * is unreachable.
  */
-class ListsTest extends ProxyRig {
-    private static void chunk(Seen watch, String text) {
+class ListsTest extends ProxyTestBase {
+    private static void pushChunk(ReceivedRequest watch, String text) {
         if (!text.isEmpty()) {
             watch.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
         }
     }
 
-    private static String indented(String list, String end) {
-        return list.replace("{", "{" + end + "  ")
-                .replace(",", "," + end + "\t")
-                .replace("}", end + "}")
+    private static String indented(String list, String lineEnd) {
+        return list.replace("{", "{" + lineEnd + "  ")
+                .replace(",", "," + lineEnd + "\t")
+                .replace("}", lineEnd + "}")
                 .replace("\":", "\" : ");
     }
 
     @Test
-    void everyFormOfAListIsReadCutAtEveryByte() throws Exception {
-        start("", Peers.host("s", "127.0.0.1:1", "in_service"));
-        Seen watch = discovery.asked();
+    void everyListFormIsReadSplitAtEveryByte() throws Exception {
+        startProxy("", StandIns.endpointJson("s", "127.0.0.1:1", "in_service"));
+        ReceivedRequest watch = discovery.acceptWatch();
         int version = 1;
         for (boolean full : new boolean[] {true, false}) {
-            String plain = Peers.list(99, full, Peers.host("s", "127.0.0.1:1", "terminating"));
-            // What the page doesn't name may come, with brackets in its strings.
-            String more = "\"more\":{\"a}\":[1,\"]{\\\"\"]},\"cell\"";
+            String compact = StandIns.listJson(99, full, StandIns.endpointJson("s", "127.0.0.1:1", "terminating"));
+            // Unknown members are allowed, with brackets in their strings.
+            String unknownMembers = "\"more\":{\"a}\":[1,\"]{\\\"\"]},\"cell\"";
             for (String form : List.of(
-                    plain + "\n",
-                    plain,
-                    indented(plain, "\n") + "\n",
-                    indented(plain, "\r\n") + "\r\n",
-                    "\n\n" + plain + "\n\n")) {
-                for (int cut = 0; cut <= form.length() + more.length(); cut++) {
-                    String list = form.replace("\"cell\"", more).replaceFirst("99", String.valueOf(1000 + ++version));
-                    int at = Math.min(cut, list.length());
-                    chunk(watch, list.substring(0, at));
-                    chunk(watch, list.substring(at));
+                    compact + "\n",
+                    compact,
+                    indented(compact, "\n") + "\n",
+                    indented(compact, "\r\n") + "\r\n",
+                    "\n\n" + compact + "\n\n")) {
+                for (int splitAt = 0; splitAt <= form.length() + unknownMembers.length(); splitAt++) {
+                    String list = form.replace("\"cell\"", unknownMembers)
+                            .replaceFirst("99", String.valueOf(1000 + ++version));
+                    int firstLength = Math.min(splitAt, list.length());
+                    pushChunk(watch, list.substring(0, firstLength));
+                    pushChunk(watch, list.substring(firstLength));
                     assertEquals(
                             (full ? "FULL" : "DELTA") + " [s 1 DRAINING]",
-                            Peers.next(module.lists, "cut at " + cut),
-                            "cut at " + cut + " of " + form);
+                            StandIns.awaitNext(balancer.listEvents, "cut at " + splitAt),
+                            "cut at " + splitAt + " of " + form);
                 }
             }
         }
-        assertTrue(module.lists.isEmpty(), "each was told once");
+        assertTrue(balancer.listEvents.isEmpty(), "each was told once");
     }
 
-    /** A module that asks again at once whenever a call or watch has failed. */
-    private void askAgain() {
-        module.onRequest = r -> {
-            module.actions.subscribe();
-            module.actions.send(r.id(), "s", 0);
+    /** Makes the balancer subscribe and send an attempt on each request, and refuse the request if the attempt fails. */
+    private void subscribeOnEachRequest() {
+        balancer.onRequest = request -> {
+            balancer.actions.subscribe();
+            balancer.actions.send(request.id(), "s", 0);
         };
-        module.onEnd = e -> {
-            if (!e.requestDone()) {
-                module.actions.refuse(e.requestId(), 0);
+        balancer.onAttemptEnd = attemptEnd -> {
+            if (!attemptEnd.requestDone()) {
+                balancer.actions.refuse(attemptEnd.requestId(), 0);
             }
         };
     }
 
     @Test
-    void aWatchThatEndsInsteadOfTellingIsAskedForAndWhatTheWholeListLacksIsGone() throws Exception {
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server host = host(seen -> {
-            out.add(seen);
-            seen.served("x");
+    void endedWatchIsReopenedAndUnlistedEndpointsAreRemoved() throws Exception {
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
+        Server host = startServer(request -> {
+            received.add(request);
+            request.respondOk("x");
         });
-        start("", Peers.host("s", host.address(), "in_service"));
-        Seen watch = discovery.asked();
-        Discovery.push(watch, "");
-        askAgain();
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
+        ReceivedRequest watch = discovery.acceptWatch();
+        DiscoveryStandIn.push(watch, "");
+        subscribeOnEachRequest();
         watch.write("0\r\n\r\n");
-        assertEquals("failed", Peers.next(module.lists, "the end"));
-        // The module asks with its next request, which goes out by the list it still has.
-        assertEquals(200, client().unsafe("id1", 20_000).read().status());
-        Seen again = discovery.asked();
-        assertTrue(again.message().first().contains("after=1 "), again.message().first());
-        Discovery.push(again, Peers.list(2, true, Peers.host("t", host.address(), "in_service")));
-        assertEquals("FULL [t 1 READY]", Peers.next(module.lists, "the whole list"));
-        assertEquals(503, client().unsafe("id2", 20_000).read().status(), "it answers still, and is gone");
-        assertEquals(1, out.size());
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the end"));
+        // The balancer subscribes on its next request, which is sent by the current list.
+        assertEquals(200, connectClient().postUnsafe("id1", 20_000).read().status());
+        ReceivedRequest secondWatch = discovery.acceptWatch();
+        assertTrue(
+                secondWatch.message().startLine().contains("after=1 "),
+                secondWatch.message().startLine());
+        DiscoveryStandIn.push(
+                secondWatch, StandIns.listJson(2, true, StandIns.endpointJson("t", host.address(), "in_service")));
+        assertEquals("FULL [t 1 READY]", StandIns.awaitNext(balancer.listEvents, "the whole list"));
+        assertEquals(503, connectClient().postUnsafe("id2", 20_000).read().status(), "it answers still, and is gone");
+        assertEquals(1, received.size());
     }
 
-    private void move(String address) throws Exception {
-        proxy.reload(Config.parse(Peers.config(0, address, "", "null").getBytes(StandardCharsets.UTF_8)));
+    private void moveDiscoveryTo(String address) throws Exception {
+        proxy.reload(Config.parse(StandIns.configJson(0, address, "", "null").getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void aMoveToADiscoveryThatIsDownIsAFailedCallAndADrainToldUponItsReturnHolds() throws Exception {
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server host = host(seen -> {
-            out.add(seen);
-            seen.served("x");
+    void moveToAnUnreachableDiscoveryFailsAndALaterDrainApplies() throws Exception {
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
+        Server host = startServer(request -> {
+            received.add(request);
+            request.respondOk("x");
         });
-        start("", Peers.host("s", host.address(), "in_service"));
-        Seen before = discovery.asked();
-        // Down before the move, too: the old watch ends first.
-        before.reset();
-        assertEquals("failed", Peers.next(module.lists, "the old one's end"));
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
+        ReceivedRequest oldWatch = discovery.acceptWatch();
+        // The old discovery fails before the move.
+        oldWatch.reset();
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the old one's end"));
         int port;
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = taken.getLocalPort();
+        try (ServerSocket reserved = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = reserved.getLocalPort();
         }
-        askAgain();
-        move("127.0.0.1:" + port);
-        assertEquals("failed", Peers.next(module.lists, "the new one is down"));
-        Discovery other = keep(new Discovery());
-        move(other.server.address());
-        Seen moved = other.asked();
-        Discovery.push(moved, Peers.list(1, true, Peers.host("s", host.address(), "terminating")));
-        assertEquals("FULL [s 1 DRAINING]", Peers.next(module.lists, "the drain, told at once"));
-        assertEquals(503, client().unsafe("id1", 20_000).read().status());
-        assertEquals(0, out.size(), "nothing went to the host that drains");
-        // And down after it: the list holds, drain and all.
-        moved.reset();
-        assertEquals("failed", Peers.next(module.lists, "its end"));
-        assertEquals(503, client().unsafe("id2", 20_000).read().status());
-        assertEquals(0, out.size());
-        assertEquals(0, discovery.server.seen.size(), "the old one is not asked any more");
+        subscribeOnEachRequest();
+        moveDiscoveryTo("127.0.0.1:" + port);
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the new one is down"));
+        DiscoveryStandIn other = closeAfterTest(new DiscoveryStandIn());
+        moveDiscoveryTo(other.server.address());
+        ReceivedRequest newWatch = other.acceptWatch();
+        DiscoveryStandIn.push(
+                newWatch, StandIns.listJson(1, true, StandIns.endpointJson("s", host.address(), "terminating")));
+        assertEquals("FULL [s 1 DRAINING]", StandIns.awaitNext(balancer.listEvents, "the drain, told at once"));
+        assertEquals(503, connectClient().postUnsafe("id1", 20_000).read().status());
+        assertEquals(0, received.size(), "nothing went to the host that drains");
+        // The other discovery fails after the move: the current list, including its drain, still applies.
+        newWatch.reset();
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "its end"));
+        assertEquals(503, connectClient().postUnsafe("id2", 20_000).read().status());
+        assertEquals(0, received.size());
+        assertEquals(0, discovery.server.received.size(), "the old one is not asked any more");
     }
 }
--- a/src/test/java/mulleinfront/proxy/LoopStallTest.java
+++ b/src/test/java/mulleinfront/proxy/LoopStallTest.java
@@ -7,23 +7,23 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Server;
+import mulleinfront.proxy.StandIns.Client;
+import mulleinfront.proxy.StandIns.Server;
 import org.junit.jupiter.api.Test;
 
-/** A request that came while the process stood still is as old as that, not as new as its reading. */
-class LoopStallTest extends ProxyRig {
+/** A request that arrived while the event loop stalled counts as old as the stall, not as new as its reading. */
+class LoopStallTest extends ProxyTestBase {
     private static final long TICK_US = 100_000;
     private static final long DEADLINE_MS = 300;
     private static final long STALL_MS = 700;
-    private final BlockingQueue<String> decided = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> decidedRequests = new LinkedBlockingQueue<>();
 
     private static long nanos(long us) {
         return TimeUnit.MICROSECONDS.toNanos(us);
     }
 
     @Test
-    void aLateTickIsAStallAndSoIsAReadBeforeIt() {
+    void lateTickOrReadIsAStall() {
         LoopStall stall = new LoopStall(TICK_US, 0);
         assertEquals(0, stall.ageUs(nanos(TICK_US + LoopStall.LEAST_US)), "within the slack");
         assertEquals(1_200_000, stall.ageUs(nanos(1_200_000)));
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void ticksInTimeAreNone() {
+    void timelyTicksAreNoStall() {
         LoopStall stall = new LoopStall(TICK_US, 0);
         for (long us = TICK_US; us < 5_000_000; us += TICK_US) {
             stall.tick(nanos(us));
@@ -41,38 +41,38 @@
         }
     }
 
-    /** Soak 904 of issue 43's leads: the attempt went out after its client's time. */
+    /** Guards against an attempt after its client's deadline, which passes while the loop stalls. */
     @Test
-    void aRequestWhoseTimePassedInAStallIsRefusedAndNotSent() throws Exception {
-        Server host = host(s -> s.served("ok"));
-        CountDownLatch stalls = new CountDownLatch(1);
-        CountDownLatch sent = new CountDownLatch(1);
-        start("", Peers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> {
-            decided.add(r.id());
-            if (r.id().equals("stalls")) {
-                stalls.countDown();
-                standStill(sent);
-                module.actions.refuse(r.id(), 0);
+    void requestExpiredDuringAStallIsRefusedAndNotSent() throws Exception {
+        Server host = startServer(request -> request.respondOk("ok"));
+        CountDownLatch stallStarted = new CountDownLatch(1);
+        CountDownLatch requestWritten = new CountDownLatch(1);
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
+        balancer.onRequest = request -> {
+            decidedRequests.add(request.id());
+            if (request.id().equals("stalls")) {
+                stallStarted.countDown();
+                stallAfter(requestWritten);
+                balancer.actions.refuse(request.id(), 0);
             } else {
-                module.actions.send(r.id(), "s", 0);
+                balancer.actions.send(request.id(), "s", 0);
             }
         };
-        Client first = client().unsafe("stalls", 20_000);
-        assertTrue(stalls.await(Peers.PATIENCE_S, TimeUnit.SECONDS));
-        Client second = client().unsafe("late", DEADLINE_MS);
-        sent.countDown();
+        Client first = connectClient().postUnsafe("stalls", 20_000);
+        assertTrue(stallStarted.await(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
+        Client second = connectClient().postUnsafe("late", DEADLINE_MS);
+        requestWritten.countDown();
         assertEquals(503, second.read().status());
         first.read();
-        assertEquals("stalls", Peers.next(decided, "the first decision"));
-        assertEquals(0, decided.size(), "the late one was not given to the module");
-        assertEquals(0, host.seen.size());
+        assertEquals("stalls", StandIns.awaitNext(decidedRequests, "the first decision"));
+        assertEquals(0, decidedRequests.size(), "the late one was not given to the module");
+        assertEquals(0, host.received.size());
     }
 
-    /** Longer than the second request's client waits, counted from when that was written. */
-    private static void standStill(CountDownLatch sent) {
+    /** Stalls for longer than the second client waits, counted from when its request was written. */
+    private static void stallAfter(CountDownLatch requestWritten) {
         try {
-            sent.await();
+            requestWritten.await();
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/mulleinfront/proxy/PiecesTest.java
+++ b/src/test/java/mulleinfront/proxy/PiecesTest.java
@@ -5,23 +5,24 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Seen;
+import mulleinfront.proxy.StandIns.Client;
+import mulleinfront.proxy.StandIns.Message;
+import mulleinfront.proxy.StandIns.ReceivedRequest;
 import org.junit.jupiter.api.Test;
 
 /**
- * Requests in every form that the protocol allows, cut at every byte: each comes to its host as it was sent. A piece
- * has surely been read by itself once another connection has had two answers, each a turn of the loop, after it.
+ * Requests in every form that the protocol allows, split at every byte: each reaches its endpoint as it was sent. The
+ * first part has been read by itself once another connection has had two responses after it, each of which takes a turn
+ * of the event loop.
  */
-class PiecesTest extends ProxyRig {
+class PiecesTest extends ProxyTestBase {
     private static final String ID = "id0000";
     private static final String BODY = "\0b\r\n\r\nGET /api HTTP/1.1\r\n\u00ff0\r\n\r\n";
-    private int ids;
-    private Client other;
+    private int idCount;
+    private Client otherClient;
 
-    /** A request, and what a host gets of it: method, target, id, key of its effect and body. */
-    private record Form(String text, String got) {}
+    /** A request, and what its endpoint receives: request line, request id, idempotency key and body. */
+    private record Form(String text, String received) {}
 
     private static Map<String, Form> forms() {
         Map<String, Form> forms = new LinkedHashMap<>();
@@ -84,121 +85,134 @@
         return forms;
     }
 
-    private static void echo(Seen s) {
-        Message m = s.message();
-        s.served(m.first() + "|" + m.header("x-request-id") + "|" + m.header("idempotency-key") + "|" + m.text());
+    private static void echo(ReceivedRequest request) {
+        Message message = request.message();
+        request.respondOk(message.startLine() + "|" + message.header("x-request-id") + "|"
+                + message.header("idempotency-key") + "|" + message.text());
     }
 
-    private String fresh() {
-        return String.format("id%04d", ++ids);
+    private String newId() {
+        return String.format("id%04d", ++idCount);
     }
 
-    /** Lets the loop turn until all that was written before has been read. */
-    private void turn() throws Exception {
+    /** Lets the event loop turn until everything written before has been read. */
+    private void awaitTwoLoopTurns() throws Exception {
         for (int i = 0; i < 2; i++) {
             assertEquals(
                     404,
-                    other.write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n").read().status());
+                    otherClient
+                            .write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n")
+                            .read()
+                            .status());
         }
     }
 
-    private Client quick() throws Exception {
-        Client client = client();
+    private Client connectWithoutDelay() throws Exception {
+        Client client = connectClient();
         client.socket.setTcpNoDelay(true);
         return client;
     }
 
-    private void begin() throws Exception {
-        start("", Peers.host("s", host(PiecesTest::echo).address(), "in_service"));
-        module.onRequest = r -> module.actions.send(r.id(), "s", 0);
-        other = quick();
+    private void startWithEchoServer() throws Exception {
+        startProxy("", StandIns.endpointJson("s", startServer(PiecesTest::echo).address(), "in_service"));
+        balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
+        otherClient = connectWithoutDelay();
     }
 
     @Test
-    void everyFormMayBeCutAtEveryByte() throws Exception {
-        begin();
-        Client client = quick();
-        for (Map.Entry<String, Form> one : forms().entrySet()) {
-            String text = one.getValue().text();
-            for (int cut = 1; cut < text.length(); cut++) {
-                String id = fresh();
-                String now = text.replace(ID, id);
-                client.write(now.substring(0, cut));
-                turn();
-                Message answer = client.write(now.substring(cut)).read();
-                assertEquals(one.getValue().got().replace(ID, id), answer.text(), one.getKey() + " cut at " + cut);
+    void everyFormMayBeSplitAtEveryByte() throws Exception {
+        startWithEchoServer();
+        Client client = connectWithoutDelay();
+        for (Map.Entry<String, Form> form : forms().entrySet()) {
+            String text = form.getValue().text();
+            for (int splitAt = 1; splitAt < text.length(); splitAt++) {
+                String id = newId();
+                String request = text.replace(ID, id);
+                client.write(request.substring(0, splitAt));
+                awaitTwoLoopTurns();
+                Message answer = client.write(request.substring(splitAt)).read();
+                assertEquals(
+                        form.getValue().received().replace(ID, id),
+                        answer.text(),
+                        form.getKey() + " cut at " + splitAt);
                 assertEquals(200, answer.status());
             }
         }
-        assertTrue(ids > 1_000, "cuts: " + ids);
+        assertTrue(idCount > 1_000, "cuts: " + idCount);
     }
 
     @Test
-    void everyFormMayComeByTheByte() throws Exception {
-        begin();
-        Client client = quick();
-        for (Map.Entry<String, Form> one : forms().entrySet()) {
-            String id = fresh();
-            for (char c : one.getValue().text().replace(ID, id).toCharArray()) {
+    void everyFormMayArriveByteByByte() throws Exception {
+        startWithEchoServer();
+        Client client = connectWithoutDelay();
+        for (Map.Entry<String, Form> form : forms().entrySet()) {
+            String id = newId();
+            for (char c : form.getValue().text().replace(ID, id).toCharArray()) {
                 client.write(String.valueOf(c));
-                turn();
+                awaitTwoLoopTurns();
             }
-            assertEquals(one.getValue().got().replace(ID, id), client.read().text(), one.getKey());
+            assertEquals(
+                    form.getValue().received().replace(ID, id), client.read().text(), form.getKey());
         }
     }
 
     @Test
-    void anyTwoFormsMayFollowEachOtherCutAtEveryByteOfTheirMeeting() throws Exception {
-        begin();
-        Client client = quick();
-        for (Map.Entry<String, Form> one : forms().entrySet()) {
-            for (Map.Entry<String, Form> next : forms().entrySet()) {
-                for (int cut = -6; cut <= 6; cut++) {
-                    String id = fresh();
-                    String first = one.getValue().text().replace(ID, id);
-                    String nextId = fresh();
-                    String both = first + next.getValue().text().replace(ID, nextId);
-                    client.write(both.substring(0, first.length() + cut));
-                    turn();
-                    client.write(both.substring(first.length() + cut));
-                    String what = one.getKey() + ", then " + next.getKey() + ", cut at " + cut;
+    void pipelinedFormsMayBeSplitAroundTheirBoundary() throws Exception {
+        startWithEchoServer();
+        Client client = connectWithoutDelay();
+        for (Map.Entry<String, Form> form : forms().entrySet()) {
+            for (Map.Entry<String, Form> nextForm : forms().entrySet()) {
+                for (int splitAt = -6; splitAt <= 6; splitAt++) {
+                    String id = newId();
+                    String first = form.getValue().text().replace(ID, id);
+                    String nextId = newId();
+                    String both = first + nextForm.getValue().text().replace(ID, nextId);
+                    client.write(both.substring(0, first.length() + splitAt));
+                    awaitTwoLoopTurns();
+                    client.write(both.substring(first.length() + splitAt));
+                    String description = form.getKey() + ", then " + nextForm.getKey() + ", cut at " + splitAt;
                     assertEquals(
-                            one.getValue().got().replace(ID, id), client.read().text(), what);
+                            form.getValue().received().replace(ID, id),
+                            client.read().text(),
+                            description);
                     assertEquals(
-                            next.getValue().got().replace(ID, nextId),
+                            nextForm.getValue().received().replace(ID, nextId),
                             client.read().text(),
-                            what);
+                            description);
                 }
             }
         }
     }
 
     @Test
-    void theLastOfAConnectionAndOneThatAsksFirstMayBeCutToo() throws Exception {
-        begin();
+    void closingAndExpectContinueRequestsMayBeSplit() throws Exception {
+        startWithEchoServer();
         String head = "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + ID + "\r\nX-Class: unsafe\r\n"
                 + "X-Deadline-Ms: 20000\r\nContent-Length: 4\r\n";
-        String last = head + "Connection: close\r\n\r\nbody";
-        String asks = head + "Expect: 100-continue\r\n\r\n";
-        for (int cut = 1; cut < last.length(); cut++) {
-            String id = fresh();
-            Client client = quick().write(last.replace(ID, id).substring(0, cut));
-            turn();
-            Message answer = client.write(last.replace(ID, id).substring(cut)).read();
-            assertEquals("POST /api HTTP/1.1|" + id + "|null|body", answer.text(), "cut at " + cut);
+        String closing = head + "Connection: close\r\n\r\nbody";
+        String expectContinue = head + "Expect: 100-continue\r\n\r\n";
+        for (int splitAt = 1; splitAt < closing.length(); splitAt++) {
+            String id = newId();
+            Client client = connectWithoutDelay().write(closing.replace(ID, id).substring(0, splitAt));
+            awaitTwoLoopTurns();
+            Message answer =
+                    client.write(closing.replace(ID, id).substring(splitAt)).read();
+            assertEquals("POST /api HTTP/1.1|" + id + "|null|body", answer.text(), "cut at " + splitAt);
             assertEquals("close", answer.header("connection"));
             assertEquals(-1, client.in.read());
             client.close();
         }
-        Client client = quick();
-        for (int cut = 1; cut < asks.length(); cut++) {
-            String id = fresh();
-            client.write(asks.replace(ID, id).substring(0, cut));
-            turn();
+        Client client = connectWithoutDelay();
+        for (int splitAt = 1; splitAt < expectContinue.length(); splitAt++) {
+            String id = newId();
+            client.write(expectContinue.replace(ID, id).substring(0, splitAt));
+            awaitTwoLoopTurns();
             assertEquals(
                     100,
-                    client.write(asks.replace(ID, id).substring(cut)).read().status(),
-                    "cut at " + cut);
+                    client.write(expectContinue.replace(ID, id).substring(splitAt))
+                            .read()
+                            .status(),
+                    "cut at " + splitAt);
             assertEquals(
                     "POST /api HTTP/1.1|" + id + "|null|body",
                     client.write("body").read().text());
