--- a/src/test/java/mulleinfront/proxy/ServeTest.java
+++ b/src/test/java/mulleinfront/proxy/ServeTest.java
@@ -21,42 +21,46 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Discovery;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
+import mulleinfront.proxy.StandIns.Client;
+import mulleinfront.proxy.StandIns.DiscoveryStandIn;
+import mulleinfront.proxy.StandIns.Message;
+import mulleinfront.proxy.StandIns.ReceivedRequest;
+import mulleinfront.proxy.StandIns.Server;
 import mulleinfront.settings.Config;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole program, started as it is deployed, with the real module. */
+/** The whole program, started as it is deployed, with the real balancer. */
 class ServeTest {
     @TempDir
     Path folder;
 
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private Process process;
-    private Discovery discovery;
+    private DiscoveryStandIn discovery;
 
     private int start(Server... hosts) throws Exception {
-        discovery = keep(new Discovery());
-        List<String> known = new ArrayList<>();
+        discovery = closeAfterTest(new DiscoveryStandIn());
+        List<String> entries = new ArrayList<>();
         for (Server host : hosts) {
-            known.add(Peers.host("s" + known.size(), host.address(), "in_service"));
+            entries.add(StandIns.endpointJson("s" + entries.size(), host.address(), "in_service"));
         }
         int port = freePort();
         launch(
-                Peers.config(port, discovery.server.address(), "", Peers.list(1, true, known.toArray(String[]::new))),
+                StandIns.configJson(
+                        port,
+                        discovery.server.address(),
+                        "",
+                        StandIns.listJson(1, true, entries.toArray(String[]::new))),
                 ProcessBuilder.Redirect.INHERIT);
-        Discovery.push(discovery.asked(), Peers.list(2, true, known.toArray(String[]::new)));
+        DiscoveryStandIn.push(discovery.acceptWatch(), StandIns.listJson(2, true, entries.toArray(String[]::new)));
         awaitReady(port);
         return port;
     }
 
     private void awaitReady(int port) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peers.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StandIns.TIMEOUT_S);
         while (System.nanoTime() < end) {
             try (Client client = new Client(port)) {
                 if (client.write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -73,20 +77,20 @@
         throw new AssertionError("never ready");
     }
 
-    /** A port under those that the system gives to outgoing connections, which could take it again. */
+    /** A free port below the ephemeral range, so that no outgoing connection takes it. */
     static int freePort() {
         while (true) {
             int port = ThreadLocalRandom.current().nextInt(20_000, 30_000);
-            try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-                return s.getLocalPort();
+            try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
+                return socket.getLocalPort();
             } catch (IOException e) {
-                // taken: try another
+                // in use: try another
             }
         }
     }
 
-    /** Starts the program as it is deployed, but for the memory bounds. */
-    static List<String> command() {
+    /** Command line that starts the program as it is deployed, except for the memory limits. */
+    static List<String> serveCommand() {
         return List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
@@ -96,29 +100,29 @@
                 "serve");
     }
 
-    private void launch(String config, ProcessBuilder.Redirect errors, String... more) throws IOException {
+    private void launch(String config, ProcessBuilder.Redirect errors, String... moreArguments) throws IOException {
         Path file = folder.resolve("config.json");
         Files.writeString(file, config);
-        List<String> command = new ArrayList<>(command());
-        command.addAll(List.of(more));
+        List<String> command = new ArrayList<>(serveCommand());
+        command.addAll(List.of(moreArguments));
         ProcessBuilder builder = new ProcessBuilder(command).redirectError(errors);
         builder.environment().put("NODE_CONFIG", file.toString());
         process = builder.start();
     }
 
-    private Server host(Consumer<Seen> script) throws Exception {
-        return keep(new Server(script));
+    private Server startServer(Consumer<ReceivedRequest> script) throws Exception {
+        return closeAfterTest(new Server(script));
     }
 
-    private <T extends AutoCloseable> T keep(T one) {
-        open.add(one);
-        return one;
+    private <T extends AutoCloseable> T closeAfterTest(T resource) {
+        resources.add(resource);
+        return resource;
     }
 
     @AfterEach
     void closeAll() throws Exception {
-        for (AutoCloseable one : open) {
-            one.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
         if (process != null) {
             process.destroyForcibly().waitFor();
@@ -126,75 +130,76 @@
     }
 
     @Test
-    void anUnsafeRequestIsTriedAgainOnlyWhenItSurelyDidNotRun() throws Exception {
+    void unsafeRequestIsRetriedOnlyIfItWasNotExecuted() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
-        Consumer<Seen> script = s -> {
+        Consumer<ReceivedRequest> script = request -> {
             boolean first = attempts.getAndIncrement() == 0;
-            switch (s.message().header("x-request-id")) {
+            switch (request.message().header("x-request-id")) {
                 case "not-run" -> {
                     if (first) {
-                        s.notRun();
+                        request.respondNotExecuted();
                     } else {
-                        s.served("x");
+                        request.respondOk("x");
                     }
                 }
-                case "error" -> s.answer(500, "", "");
-                default -> s.reset();
+                case "error" -> request.respond(500, "", "");
+                default -> request.reset();
             }
         };
-        int port = start(host(script), host(script), host(script));
+        int port = start(startServer(script), startServer(script), startServer(script));
         try (Client client = new Client(port)) {
-            assertEquals(200, client.unsafe("not-run", 20_000).read().status());
+            assertEquals(200, client.postUnsafe("not-run", 20_000).read().status());
             assertEquals(2, attempts.getAndSet(0), "tried again after it was turned away");
-            assertEquals(502, client.unsafe("error", 20_000).read().status());
+            assertEquals(502, client.postUnsafe("error", 20_000).read().status());
             assertEquals(1, attempts.getAndSet(0), "an error may have run");
-            assertEquals(502, client.unsafe("reset", 20_000).read().status());
+            assertEquals(502, client.postUnsafe("reset", 20_000).read().status());
             assertEquals(1, attempts.getAndSet(0), "a reset may have run");
-            // Safe to repeat: it goes on to another host, and a refusal is a true word whatever came of it.
-            int status = client.safe("reset", 20_000).read().status();
+            // Safe to repeat: it is retried at another endpoint, and a refusal is correct whatever the attempts did.
+            int status = client.getSafe("reset", 20_000).read().status();
             assertEquals(503, status);
             assertTrue(attempts.get() > 1, "tried again: " + attempts);
         }
     }
 
     @Test
-    void afterSigtermAllThatComesIsServedAndThenItEnds() throws Exception {
-        Server host = host(s -> {
-            if (!s.message().header("x-request-id").equals("out")) {
-                s.served("x");
+    void sigtermServesIncomingRequestsAndThenExits() throws Exception {
+        Server host = startServer(request -> {
+            if (!request.message().header("x-request-id").equals("out")) {
+                request.respondOk("x");
             }
         });
         int port = start(host);
         try (Client kept = new Client(port);
-                Client out = new Client(port);
+                Client open = new Client(port);
                 Client idle = new Client(port)) {
-            assertEquals(200, kept.unsafe("before", 20_000).read().status());
-            Peers.next(host.seen, "the first request");
-            out.unsafe("out", 20_000);
-            Seen waiting = Peers.next(host.seen, "the request that is out");
-            long told = System.nanoTime();
+            assertEquals(200, kept.postUnsafe("before", 20_000).read().status());
+            StandIns.awaitNext(host.received, "the first request");
+            open.postUnsafe("out", 20_000);
+            ReceivedRequest inFlight = StandIns.awaitNext(host.received, "the request that is out");
+            long signalledAtNanos = System.nanoTime();
             process.destroy();
             try {
                 Message last = null;
-                // The signal takes a moment: until then answers keep the connection.
+                // Until the signal takes effect, responses keep the connection open.
                 for (int i = 0; last == null || last.header("connection") == null; i++) {
-                    last = kept.unsafe("after" + i, 20_000).read();
+                    last = kept.postUnsafe("after" + i, 20_000).read();
                     assertEquals(200, last.status());
                 }
                 assertEquals("close", last.header("connection"));
                 assertTrue(kept.closed());
-                try (Client fresh = new Client(port)) {
-                    assertEquals(200, fresh.unsafe("fresh", 20_000).read().status(), "new ones are served");
+                try (Client newClient = new Client(port)) {
+                    assertEquals(
+                            200, newClient.postUnsafe("fresh", 20_000).read().status(), "new ones are served");
                 }
             } catch (IOException e) {
-                // Only this machine's being slow excuses it: the time in which requests still come was over.
-                assertTrue(System.nanoTime() - told > TimeUnit.MILLISECONDS.toNanos(500), e.toString());
+                // Accepted only on a slow machine, after the time in which new requests are still served.
+                assertTrue(System.nanoTime() - signalledAtNanos > TimeUnit.MILLISECONDS.toNanos(500), e.toString());
             }
             assertTrue(idle.closed(), "idle connections close in the end");
             assertTrue(process.isAlive(), "one request is out");
-            waiting.served("late");
-            assertEquals("late", out.read().text());
-            assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
+            inFlight.respondOk("late");
+            assertEquals("late", open.read().text());
+            assertTrue(process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
         }
     }
 
@@ -206,75 +211,76 @@
     }
 
     @Test
-    void aRequestTakenBeforeTheStartIsDoneIsAnsweredThoughSigtermComesThen() throws Exception {
-        // Guards rule 1: clients are served while the operators' door is still waited for.
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server host = host(out::add);
-        discovery = keep(new Discovery());
+    void requestAcceptedDuringTheStartIsAnsweredAfterSigterm() throws Exception {
+        // Guards against a lost request: clients are served while the start still waits for the management address.
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
+        Server host = startServer(received::add);
+        discovery = closeAfterTest(new DiscoveryStandIn());
         File errors = folder.resolve("errors").toFile();
         int port = freePort();
-        try (ServerSocket door = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             launch(
-                    Peers.config(
+                    StandIns.configJson(
                                     port,
                                     discovery.server.address(),
                                     "",
-                                    Peers.list(1, true, Peers.host("s0", host.address(), "in_service")))
+                                    StandIns.listJson(
+                                            1, true, StandIns.endpointJson("s0", host.address(), "in_service")))
                             .replace(
                                     "{\"name\":\"n0\"",
-                                    "{\"name\":\"n0\",\"management\":\"127.0.0.1:" + door.getLocalPort() + "\""),
+                                    "{\"name\":\"n0\",\"management\":\"127.0.0.1:" + occupied.getLocalPort() + "\""),
                     ProcessBuilder.Redirect.to(errors));
             awaitLine(errors, "; trying on");
             try (Client client = new Client(port)) {
-                client.unsafe("a", 20_000);
-                Seen open = Peers.next(out, "the request");
+                client.postUnsafe("a", 20_000);
+                ReceivedRequest inFlight = StandIns.awaitNext(received, "the request");
                 process.destroy();
                 awaitLine(errors, "told to end");
-                open.served("whole");
+                inFlight.respondOk("whole");
                 assertEquals("whole", client.read().text());
             }
-            assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
         }
     }
 
     @Test
-    void aSecondSigtermAndASighupMeanwhileChangeNothing() throws Exception {
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server host = host(out::add);
+    void signalsDuringTheShutdownChangeNothing() throws Exception {
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
+        Server host = startServer(received::add);
         File errors = folder.resolve("errors").toFile();
-        discovery = keep(new Discovery());
+        discovery = closeAfterTest(new DiscoveryStandIn());
         int port = freePort();
         launch(
-                Peers.config(
+                StandIns.configJson(
                         port,
                         discovery.server.address(),
                         "",
-                        Peers.list(1, true, Peers.host("s0", host.address(), "in_service"))),
+                        StandIns.listJson(1, true, StandIns.endpointJson("s0", host.address(), "in_service"))),
                 ProcessBuilder.Redirect.to(errors));
         awaitReady(port);
         try (Client client = new Client(port)) {
-            client.unsafe("a", 20_000);
-            Seen open = Peers.next(out, "the request");
-            hangUp();
+            client.postUnsafe("a", 20_000);
+            ReceivedRequest inFlight = StandIns.awaitNext(received, "the request");
+            sendSighup();
             process.destroy();
             awaitLine(errors, "told to end");
-            hangUp();
+            sendSighup();
             process.destroy();
             Thread.sleep(50);
-            open.served("whole");
+            inFlight.respondOk("whole");
             assertEquals("whole", client.read().text());
         }
-        assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(143, process.exitValue());
     }
 
     @Test
-    void sigtermDuringTheRehearsalEndsItAtOnceAndNobodyIsTaken() throws Exception {
-        discovery = keep(new Discovery());
+    void sigtermDuringTheWarmUpExitsWithoutServing() throws Exception {
+        discovery = closeAfterTest(new DiscoveryStandIn());
         File errors = folder.resolve("errors").toFile();
         int port = freePort();
-        launch(Peers.config(port, discovery.server.address(), "", "null"), ProcessBuilder.Redirect.to(errors));
-        // The rehearsal answers on that port, and says that it is not ready.
+        launch(StandIns.configJson(port, discovery.server.address(), "", "null"), ProcessBuilder.Redirect.to(errors));
+        // The warm-up listens on that port and answers that it is not ready.
         int status = 0;
         while (status == 0) {
             try (Client client = new Client(port)) {
@@ -287,43 +293,46 @@
         }
         process.destroy();
         assertEquals(503, status);
-        assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(143, process.exitValue());
     }
 
     @Test
-    void sighupMovesTheWatchAndABadFileChangesNothing() throws Exception {
-        Server host = host(s -> s.served("x"));
+    void sighupMovesTheWatchAndAnInvalidFileChangesNothing() throws Exception {
+        Server host = startServer(request -> request.respondOk("x"));
         int port = start(host);
-        Discovery other = keep(new Discovery());
+        DiscoveryStandIn other = closeAfterTest(new DiscoveryStandIn());
         Path file = folder.resolve("config.json");
-        String good = Files.readString(file);
+        String validConfig = Files.readString(file);
         Files.writeString(file, "{");
-        hangUp();
-        Files.writeString(file, good.replace(discovery.server.address(), other.server.address()));
-        hangUp();
-        hangUp();
-        Discovery.push(other.asked(), Peers.list(1, true, Peers.host("s0", host.address(), "in_service")));
+        sendSighup();
+        Files.writeString(file, validConfig.replace(discovery.server.address(), other.server.address()));
+        sendSighup();
+        sendSighup();
+        DiscoveryStandIn.push(
+                other.acceptWatch(),
+                StandIns.listJson(1, true, StandIns.endpointJson("s0", host.address(), "in_service")));
         try (Client client = new Client(port)) {
-            assertEquals(200, client.unsafe("after", 20_000).read().status());
+            assertEquals(200, client.postUnsafe("after", 20_000).read().status());
         }
-        assertEquals(0, other.server.seen.size(), "one watch for two signals with the same file");
+        assertEquals(0, other.server.received.size(), "one watch for two signals with the same file");
     }
 
-    private void hangUp() throws Exception {
+    private void sendSighup() throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor());
-        // Signals of one kind that are still pending are one: only the last of them is sure to be seen.
+        // Pending signals of one kind are merged: only the last of them is sure to be handled.
         Thread.sleep(50);
     }
 
-    /** The JVM's own are few; the rehearsal had opened some thirty. */
+    /** Guards against leaking the warm-up's sockets, about 30; the JVM itself has few. */
     @Test
-    void nothingIsLeftOpenOfTheRehearsal() throws Exception {
-        start(host(s -> s.served("x")));
-        try (Stream<Path> all = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
-            long sockets = all.filter(fd -> {
+    void warmUpLeavesNoSocketsOpen() throws Exception {
+        start(startServer(request -> request.respondOk("x")));
+        try (Stream<Path> descriptors = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
+            long sockets = descriptors
+                    .filter(fd -> {
                         try {
                             return Files.readSymbolicLink(fd).toString().startsWith("socket");
                         } catch (IOException e) {
@@ -336,66 +345,77 @@
     }
 
     @Test
-    void severalLoopsShareThePortAndNothingElse() throws Exception {
-        Server host = host(s -> s.served("x"));
-        discovery = keep(new Discovery());
-        String known = Peers.list(1, true, Peers.host("s0", host.address(), "in_service"));
+    void eventLoopsShareThePortAndNothingElse() throws Exception {
+        Server host = startServer(request -> request.respondOk("x"));
+        discovery = closeAfterTest(new DiscoveryStandIn());
+        String known = StandIns.listJson(1, true, StandIns.endpointJson("s0", host.address(), "in_service"));
         int port = freePort();
-        Path machine = folder.resolve("machine.toml");
-        Files.writeString(machine, "loops = 3\n");
+        Path processFile = folder.resolve("machine.toml");
+        Files.writeString(processFile, "loops = 3\n");
         launch(
-                Peers.config(port, discovery.server.address(), "", known),
+                StandIns.configJson(port, discovery.server.address(), "", known),
                 ProcessBuilder.Redirect.INHERIT,
                 "--machine",
-                machine.toString());
-        List<Seen> watches = new ArrayList<>();
+                processFile.toString());
+        List<ReceivedRequest> watches = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            watches.add(discovery.asked());
+            watches.add(discovery.acceptWatch());
         }
-        watches.forEach(watch -> Discovery.push(watch, known));
+        watches.forEach(watch -> DiscoveryStandIn.push(watch, known));
         awaitReady(port);
-        // With 48 connections the chance that one loop has none is under one in a hundred million.
+        // With 48 connections the probability that one loop has none is about one in a hundred million.
         for (int i = 0; i < 48; i++) {
             assertEquals(
-                    200, keep(new Client(port)).unsafe("a" + i, 20_000).read().status());
+                    200,
+                    closeAfterTest(new Client(port))
+                            .postUnsafe("a" + i, 20_000)
+                            .read()
+                            .status());
         }
-        assertEquals(48, host.seen.size(), "each sent once");
-        // The drain reaches all of them: nothing new goes out on any.
-        String drained = Peers.list(2, true, Peers.host("s0", host.address(), "terminating"));
-        watches.forEach(watch -> Discovery.push(watch, drained));
+        assertEquals(48, host.received.size(), "each sent once");
+        // The drain reaches all event loops: none of them sends anything new.
+        String drained = StandIns.listJson(2, true, StandIns.endpointJson("s0", host.address(), "terminating"));
+        watches.forEach(watch -> DiscoveryStandIn.push(watch, drained));
         Thread.sleep(300);
         for (int i = 0; i < 24; i++) {
-            assertEquals(503, keep(new Client(port)).unsafe("b" + i, 300).read().status());
+            assertEquals(
+                    503,
+                    closeAfterTest(new Client(port))
+                            .postUnsafe("b" + i, 300)
+                            .read()
+                            .status());
         }
-        assertEquals(48, host.seen.size(), "nothing to a draining host");
+        assertEquals(48, host.received.size(), "nothing to a draining host");
         process.destroy();
-        assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS), "all of them end");
+        assertTrue(process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS), "all of them end");
     }
 
     @Test
-    void aBadConfigurationIsOnePlainLine() throws Exception {
-        String good = Peers.config(1, "127.0.0.1:1", "", "null");
+    void invalidConfigurationIsReportedInOneLine() throws Exception {
+        String validConfig = StandIns.configJson(1, "127.0.0.1:1", "", "null");
         for (String config : List.of(
                 "{",
                 "7",
                 "{\"listen\":\"here\"}",
                 "{}",
                 "{\"settings\":5}",
-                good.replace("{\"cores\"", "5,\"x\":{\"cores\""),
-                good.replace("8c1f30d27a5be964", "x"),
-                good.replace("\"maxAttempts\":4", "\"maxAttempts\":0"),
-                good.replace("\"cores\":1.0", "\"cores\":-1"),
-                good.replace("\"cores\":1.0", "\"cores\":1e400"),
-                good.replace("\"sockets\":160", "\"sockets\":0"),
-                good.replace("\"balancers\":3", "\"balancers\":0"),
-                good.replace("\"worth\":1", "\"worth\":1e400"),
-                good.replace("\"deadlineUs\":20000000", "\"deadlineUs\":1e300"))) {
+                validConfig.replace("{\"cores\"", "5,\"x\":{\"cores\""),
+                validConfig.replace("8c1f30d27a5be964", "x"),
+                validConfig.replace("\"maxAttempts\":4", "\"maxAttempts\":0"),
+                validConfig.replace("\"cores\":1.0", "\"cores\":-1"),
+                validConfig.replace("\"cores\":1.0", "\"cores\":1e400"),
+                validConfig.replace("\"sockets\":160", "\"sockets\":0"),
+                validConfig.replace("\"balancers\":3", "\"balancers\":0"),
+                validConfig.replace("\"worth\":1", "\"worth\":1e400"),
+                validConfig.replace("\"deadlineUs\":20000000", "\"deadlineUs\":1e300"))) {
             byte[] bytes = config.getBytes(StandardCharsets.UTF_8);
             assertThrows(Exception.class, () -> Config.parse(bytes), config);
         }
         File errors = folder.resolve("errors").toFile();
-        launch(good.replace("\"effect\":\"retryable\"", "\"effect\":\"odd\""), ProcessBuilder.Redirect.to(errors));
-        assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
+        launch(
+                validConfig.replace("\"effect\":\"retryable\"", "\"effect\":\"odd\""),
+                ProcessBuilder.Redirect.to(errors));
+        assertTrue(process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(1, process.exitValue());
         assertEquals(
                 "mulleinfront: " + folder.resolve("config.json") + ": settings: safe: unknown effect odd\n",
@@ -403,13 +423,13 @@
     }
 
     @Test
-    void theSampleConfigurationServesOnLoopback() throws Exception {
-        // What README tells a newcomer to start: as it is shipped, but for the ports, which may be in use here.
+    void sampleConfigurationServesOnLoopback() throws Exception {
+        // The sample that README starts, as shipped except for the ports, which may be in use here.
         Path sample = Path.of("deploy/sample-config.json");
         Config shipped = Config.load(sample.toString());
         assertTrue(shipped.listen().getAddress().isLoopbackAddress());
         assertTrue(shipped.discovery().getAddress().isLoopbackAddress());
-        Server host = host(s -> s.served("x"));
+        Server host = startServer(request -> request.respondOk("x"));
         int port = freePort();
         launch(
                 Files.readString(sample)
@@ -431,11 +451,13 @@
     }
 
     @Test
-    void aPortInUseIsOnePlainLine() throws Exception {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+    void portInUseIsReportedInOneLine() throws Exception {
+        try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             File errors = folder.resolve("errors").toFile();
-            launch(Peers.config(taken.getLocalPort(), "127.0.0.1:1", "", "null"), ProcessBuilder.Redirect.to(errors));
-            assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
+            launch(
+                    StandIns.configJson(occupied.getLocalPort(), "127.0.0.1:1", "", "null"),
+                    ProcessBuilder.Redirect.to(errors));
+            assertTrue(process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
             assertFalse(process.exitValue() == 0);
             List<String> lines = Files.readAllLines(errors.toPath());
             assertEquals(2, lines.size(), lines.toString());
@@ -445,19 +467,19 @@
     }
 
     @Test
-    void aPortInUseForAMomentIsWaitedFor() throws Exception {
-        Server host = host(s -> s.served("x"));
-        discovery = keep(new Discovery());
+    void portInUseForAMomentIsRetried() throws Exception {
+        Server host = startServer(request -> request.respondOk("x"));
+        discovery = closeAfterTest(new DiscoveryStandIn());
         File errors = folder.resolve("errors").toFile();
         int port;
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = taken.getLocalPort();
+        try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = occupied.getLocalPort();
             launch(
-                    Peers.config(
+                    StandIns.configJson(
                             port,
                             discovery.server.address(),
                             "",
-                            Peers.list(1, true, Peers.host("s0", host.address(), "in_service"))),
+                            StandIns.listJson(1, true, StandIns.endpointJson("s0", host.address(), "in_service"))),
                     ProcessBuilder.Redirect.to(errors));
             awaitLine(errors, "; trying on");
         }
--- a/src/test/java/mulleinfront/proxy/ShutdownTest.java
+++ b/src/test/java/mulleinfront/proxy/ShutdownTest.java
@@ -15,296 +15,310 @@
 import java.util.function.Consumer;
 import mulleinfront.Balancer.Outcome;
 import mulleinfront.Balancer.Request;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Deaf;
-import mulleinfront.proxy.Peers.Message;
-import mulleinfront.proxy.Peers.Seen;
-import mulleinfront.proxy.Peers.Server;
+import mulleinfront.proxy.StandIns.Client;
+import mulleinfront.proxy.StandIns.FullBacklogEndpoint;
+import mulleinfront.proxy.StandIns.Message;
+import mulleinfront.proxy.StandIns.ReceivedRequest;
+import mulleinfront.proxy.StandIns.Server;
 import org.junit.jupiter.api.Test;
 
-/** What a request is in the middle of when the process is told to end: each has its one final answer. */
-class ShutdownTest extends ProxyRig {
-    private final BlockingQueue<String> taken = new LinkedBlockingQueue<>();
-    private Future<?> draining;
-    /** Clients here wait for 20 s; after SIGTERM there are 3.7. */
-    private static final long WAITS_NANOS = TimeUnit.SECONDS.toNanos(15);
+/** Requests in each stage when the process is asked to shut down: every request gets exactly one final answer. */
+class ShutdownTest extends ProxyTestBase {
+    private final BlockingQueue<String> accepted = new LinkedBlockingQueue<>();
+    private Future<?> shutdown;
+    /** Below the 20 s that clients here wait, and above the 3.7 s that remain after SIGTERM. */
+    private static final long SHUTDOWN_BOUND_NANOS = TimeUnit.SECONDS.toNanos(15);
 
     private void sendAll(String host) {
-        module.onRequest = r -> {
-            module.actions.send(r.id(), host, 0);
-            taken.add(r.id());
+        balancer.onRequest = request -> {
+            balancer.actions.send(request.id(), host, 0);
+            accepted.add(request.id());
         };
     }
 
-    private static void lastAnswer(Client client, int status) throws Exception {
+    private static void assertFinalResponse(Client client, int status) throws Exception {
         Message answer = client.read();
         assertEquals(status, answer.status());
         assertEquals("close", answer.header("connection"));
         assertEquals(-1, client.in.read());
     }
 
-    private void ends() throws Exception {
-        assertTrue(draining.await(Peers.PATIENCE_S, TimeUnit.SECONDS), "it ends");
+    private void awaitShutdown() throws Exception {
+        assertTrue(shutdown.await(StandIns.TIMEOUT_S, TimeUnit.SECONDS), "it ends");
         proxy = null;
     }
 
-    private void drain() {
-        draining = proxy.drain();
+    private void startDrain() {
+        shutdown = proxy.drain();
     }
 
     @Test
-    void aRequestThatIsHalfReadIsReadToItsEndAndServed() throws Exception {
-        Server host = host(s -> s.served("x"));
-        start("", Peers.host("s", host.address(), "in_service"));
+    void halfReadRequestIsReadAndServed() throws Exception {
+        Server host = startServer(request -> request.respondOk("x"));
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
         sendAll("s");
-        String whole = "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\nX-Class: unsafe\r\nX-Deadline-Ms: 20000\r\n"
-                + "Content-Length: 4\r\n\r\nbo";
-        Client client = client().write(whole);
-        // Whoever is accepted later is read later: by its answer the half request has been read.
+        String firstPart =
+                "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\nX-Class: unsafe\r\nX-Deadline-Ms: 20000\r\n"
+                        + "Content-Length: 4\r\n\r\nbo";
+        Client client = connectClient().write(firstPart);
+        // Connections accepted later are read later: this response means that the half request has been read.
         assertEquals(
                 404,
-                client().write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n").read().status());
-        drain();
+                connectClient()
+                        .write("GET /other HTTP/1.1\r\nHost: h\r\n\r\n")
+                        .read()
+                        .status());
+        startDrain();
         client.write("dy");
-        assertEquals("a", Peers.next(taken, "the request"));
-        lastAnswer(client, 200);
-        ends();
+        assertEquals("a", StandIns.awaitNext(accepted, "the request"));
+        assertFinalResponse(client, 200);
+        awaitShutdown();
     }
 
     @Test
-    void aRequestThatWaitsForItsFirstAttemptIsSentWhenAHostComes() throws Exception {
-        Server host = host(s -> s.served("x"));
-        start("", Peers.host("s", host.address(), "in_service"));
-        module.onRequest = r -> taken.add(r.id());
-        Client client = client().unsafe("a", 20_000);
-        Peers.next(taken, "the request");
-        drain();
-        // The drain has begun once a new connection's answer is its last.
+    void queuedRequestIsSentDuringTheDrain() throws Exception {
+        Server host = startServer(request -> request.respondOk("x"));
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
+        balancer.onRequest = request -> accepted.add(request.id());
+        Client client = connectClient().postUnsafe("a", 20_000);
+        StandIns.awaitNext(accepted, "the request");
+        startDrain();
+        // The drain has begun once a response on a new connection closes it.
         assertEquals(
                 "close",
-                client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                connectClient()
+                        .write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                         .read()
                         .header("connection"));
-        module.onRequest = r -> {
-            module.actions.send("a", "s", 0);
-            module.actions.refuse(r.id(), 0);
+        balancer.onRequest = request -> {
+            balancer.actions.send("a", "s", 0);
+            balancer.actions.refuse(request.id(), 0);
         };
-        lastAnswer(client().unsafe("b", 20_000), 503);
-        lastAnswer(client, 200);
-        ends();
+        assertFinalResponse(connectClient().postUnsafe("b", 20_000), 503);
+        assertFinalResponse(client, 200);
+        awaitShutdown();
     }
 
     @Test
-    void aRequestThatWaitsForEverIsToldInTime() throws Exception {
-        start("");
-        module.onRequest = r -> taken.add(r.id());
-        Client client = client().unsafe("a", 20_000);
-        Peers.next(taken, "the request");
-        long toldAt = System.nanoTime();
-        drain();
-        lastAnswer(client, 503);
-        assertTrue(System.nanoTime() - toldAt < WAITS_NANOS, "long before its own time was up");
-        ends();
+    void unservableRequestIsRefusedInTime() throws Exception {
+        startProxy("");
+        balancer.onRequest = request -> accepted.add(request.id());
+        Client client = connectClient().postUnsafe("a", 20_000);
+        StandIns.awaitNext(accepted, "the request");
+        long drainedAtNanos = System.nanoTime();
+        startDrain();
+        assertFinalResponse(client, 503);
+        assertTrue(System.nanoTime() - drainedAtNanos < SHUTDOWN_BOUND_NANOS, "long before its own time was up");
+        awaitShutdown();
     }
 
     @Test
-    void anAttemptWhoseConnectionComesUpIsMadeAndServed() throws Exception {
-        try (Deaf deaf = new Deaf()) {
-            start("", Peers.host("s", deaf.address(), "in_service"));
+    void attemptConnectedDuringTheDrainIsServed() throws Exception {
+        try (FullBacklogEndpoint deaf = new FullBacklogEndpoint()) {
+            startProxy("", StandIns.endpointJson("s", deaf.address(), "in_service"));
             sendAll("s");
-            Client client = client().unsafe("a", 20_000);
-            Peers.next(taken, "the request");
-            drain();
-            deaf.hear();
-            Message got = Peers.read(deaf.in());
-            assertEquals("a", got.header("x-request-id"));
+            Client client = connectClient().postUnsafe("a", 20_000);
+            StandIns.awaitNext(accepted, "the request");
+            startDrain();
+            deaf.acceptPending();
+            Message request = StandIns.read(deaf.in());
+            assertEquals("a", request.header("x-request-id"));
             deaf.write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
-            lastAnswer(client, 200);
-            ends();
+            assertFinalResponse(client, 200);
+            awaitShutdown();
         }
     }
 
     @Test
-    void anAttemptWhoseHostHangsEndsInTimeAndWithATrueWord() throws Exception {
-        Server host = host(s -> {});
-        start("", Peers.host("s", host.address(), "in_service"));
+    void attemptAtAnUnresponsiveEndpointEndsInTime() throws Exception {
+        Server host = startServer(request -> {});
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
         sendAll("s");
-        Client unsafe = client().unsafe("a", 20_000);
-        Client safe = client().safe("b", 20_000);
-        Seen first = Peers.next(host.seen, "the one");
-        Seen second = Peers.next(host.seen, "the other");
-        long toldAt = System.nanoTime();
-        drain();
-        lastAnswer(unsafe, 504);
-        lastAnswer(safe, 503);
-        assertTrue(System.nanoTime() - toldAt < WAITS_NANOS, "long before their own time was up");
-        first.awaitEnd();
-        second.awaitEnd();
-        ends();
+        Client unsafe = connectClient().postUnsafe("a", 20_000);
+        Client safe = connectClient().getSafe("b", 20_000);
+        ReceivedRequest first = StandIns.awaitNext(host.received, "the one");
+        ReceivedRequest second = StandIns.awaitNext(host.received, "the other");
+        long drainedAtNanos = System.nanoTime();
+        startDrain();
+        assertFinalResponse(unsafe, 504);
+        assertFinalResponse(safe, 503);
+        assertTrue(System.nanoTime() - drainedAtNanos < SHUTDOWN_BOUND_NANOS, "long before their own time was up");
+        first.awaitConnectionEnd();
+        second.awaitConnectionEnd();
+        awaitShutdown();
     }
 
     @Test
-    void aRetryThatIsDueIsMade() throws Exception {
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server first = host(out::add);
-        Server second = host(s -> s.served("second"));
-        start("", Peers.host("s", first.address(), "in_service"), Peers.host("t", second.address(), "in_service"));
+    void retryDuringTheDrainIsSent() throws Exception {
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
+        Server first = startServer(received::add);
+        Server second = startServer(request -> request.respondOk("second"));
+        startProxy(
+                "",
+                StandIns.endpointJson("s", first.address(), "in_service"),
+                StandIns.endpointJson("t", second.address(), "in_service"));
         sendAll("s");
-        module.onEnd = e -> {
-            if (!e.requestDone()) {
-                module.actions.send(e.requestId(), "t", 0);
+        balancer.onAttemptEnd = attemptEnd -> {
+            if (!attemptEnd.requestDone()) {
+                balancer.actions.send(attemptEnd.requestId(), "t", 0);
             }
         };
-        Client client = client().safe("a", 20_000);
-        Seen open = Peers.next(out, "the first attempt");
-        drain();
+        Client client = connectClient().getSafe("a", 20_000);
+        ReceivedRequest inFlight = StandIns.awaitNext(received, "the first attempt");
+        startDrain();
         assertEquals(
                 "close",
-                client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                connectClient()
+                        .write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                         .read()
                         .header("connection"));
-        open.reset();
-        assertEquals(Outcome.RESET, Peers.next(module.ends, "its end").outcome());
-        lastAnswer(client, 200);
-        assertEquals(1, second.seen.size());
-        ends();
+        inFlight.reset();
+        assertEquals(
+                Outcome.RESET,
+                StandIns.awaitNext(balancer.attemptEnds, "its end").outcome());
+        assertFinalResponse(client, 200);
+        assertEquals(1, second.received.size());
+        awaitShutdown();
     }
 
     @Test
-    void aClientThatRestsUntilItIsClosedOnDoesNotHoldUpTheEnd() throws Exception {
-        Server host = host(s -> s.served("x"));
-        start("", Peers.host("s", host.address(), "in_service"));
+    void idleClientsDoNotDelayTheShutdown() throws Exception {
+        Server host = startServer(request -> request.respondOk("x"));
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
         sendAll("s");
-        Client rests = client().safe("a", 20_000);
-        assertEquals(200, rests.read().status());
-        Client silent = client();
-        drain();
-        // It never closes its own end, whatever it reads.
-        ends();
-        assertEquals(-1, rests.in.read());
+        Client idle = connectClient().getSafe("a", 20_000);
+        assertEquals(200, idle.read().status());
+        Client silent = connectClient();
+        startDrain();
+        // The client never closes its own end.
+        awaitShutdown();
+        assertEquals(-1, idle.in.read());
         assertTrue(silent.closed());
-        assertFalse(rests.socket.isClosed(), "its own end is open");
+        assertFalse(idle.socket.isClosed(), "its own end is open");
     }
 
     @Test
-    void nothingIsSentOnForARequestReadAfterTheEndOfItsConnection() throws Exception {
-        BlockingQueue<Seen> out = new LinkedBlockingQueue<>();
-        Server host = host(out::add);
-        start("", Peers.host("s", host.address(), "in_service"));
+    void requestAfterTheCloseIsNotForwarded() throws Exception {
+        BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
+        Server host = startServer(received::add);
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
         sendAll("s");
-        Client keeps = client().unsafe("keeps", 20_000);
-        Seen open = Peers.next(out, "the one that keeps the process");
-        drain();
+        Client keepsProcessOpen = connectClient().postUnsafe("keeps", 20_000);
+        ReceivedRequest inFlight = StandIns.awaitNext(received, "the one that keeps the process");
+        startDrain();
         assertEquals(
                 "close",
-                client().write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                connectClient()
+                        .write("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                         .read()
                         .header("connection"));
-        Client last = client().unsafe("last", 20_000);
-        Peers.next(out, "the last").served("x");
+        Client last = connectClient().postUnsafe("last", 20_000);
+        StandIns.awaitNext(received, "the last").respondOk("x");
         assertEquals(200, last.read().status());
         assertEquals(-1, last.in.read());
-        last.unsafe("late", 20_000);
-        open.served("x");
-        lastAnswer(keeps, 200);
-        ends();
-        assertEquals(0, out.size(), "nothing more was sent on");
-        assertEquals(2, taken.size());
+        last.postUnsafe("late", 20_000);
+        inFlight.respondOk("x");
+        assertFinalResponse(keepsProcessOpen, 200);
+        awaitShutdown();
+        assertEquals(0, received.size(), "nothing more was sent on");
+        assertEquals(2, accepted.size());
     }
 
-    /** The loop stands still at each of these requests until it is let go on, and refuses it then. */
-    private final Map<String, CountDownLatch> stands =
+    /** Requests at which the event loop blocks until the test releases it; it refuses them after that. */
+    private final Map<String, CountDownLatch> releases =
             Map.of("stand0", new CountDownLatch(1), "stand1", new CountDownLatch(1), "stand2", new CountDownLatch(1));
 
-    private void standsStill() {
-        Consumer<Request> others = module.onRequest;
-        module.onRequest = r -> {
-            if (!stands.containsKey(r.id())) {
-                others.accept(r);
+    private void blockAtReleases() {
+        Consumer<Request> onOtherRequest = balancer.onRequest;
+        balancer.onRequest = request -> {
+            if (!releases.containsKey(request.id())) {
+                onOtherRequest.accept(request);
                 return;
             }
-            taken.add(r.id());
+            accepted.add(request.id());
             try {
-                assertTrue(stands.get(r.id()).await(Peers.PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(releases.get(request.id()).await(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
-            module.actions.refuse(r.id(), 0);
+            balancer.actions.refuse(request.id(), 0);
         };
     }
 
-    private void standsAt(String id) throws Exception {
-        assertEquals(id, Peers.next(taken, "standing still at " + id));
+    private void awaitBlockedAt(String id) throws Exception {
+        assertEquals(id, StandIns.awaitNext(accepted, "standing still at " + id));
     }
 
-    private void goOn(String id) {
-        stands.get(id).countDown();
+    private void release(String id) {
+        releases.get(id).countDown();
     }
 
-    /** The drain begins between two stands, and the loop stands still in the second. */
-    private void drainThenStand() throws Exception {
-        standsStill();
-        client().safe("stand0", 20_000);
-        standsAt("stand0");
-        drain();
-        client().safe("stand1", 20_000);
-        goOn("stand0");
-        standsAt("stand1");
+    /** Starts the drain between two blocking requests; the event loop is blocked at the second on return. */
+    private void drainAndBlock() throws Exception {
+        blockAtReleases();
+        connectClient().getSafe("stand0", 20_000);
+        awaitBlockedAt("stand0");
+        startDrain();
+        connectClient().getSafe("stand1", 20_000);
+        release("stand0");
+        awaitBlockedAt("stand1");
     }
 
-    private static void pass(long ms) {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
+    private static void spinFor(long durationMs) {
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMs);
         while (System.nanoTime() < until) {
             Thread.onSpinWait();
         }
     }
 
     @Test
-    void whatWaitsToBeAcceptedAsTheListenerClosesIsServed() throws Exception {
-        // Guards rule 1: the system had accepted it for us, and would reset it, and what was sent there.
-        Server host = host(s -> s.served("x"));
-        start("", Peers.host("s", host.address(), "in_service"));
+    void pendingConnectionsAreServedWhenTheListenerCloses() throws Exception {
+        // Guards against lost requests: the system had accepted these connections and would reset them with the
+        // listener.
+        Server host = startServer(request -> request.respondOk("x"));
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
         sendAll("s");
-        drainThenStand();
+        drainAndBlock();
         List<Client> waiting = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            waiting.add(client().unsafe("a" + i, 20_000));
+            waiting.add(connectClient().postUnsafe("a" + i, 20_000));
         }
-        // Past the time at which the listener closes, and of what comes after that.
-        pass(800);
-        goOn("stand1");
-        for (Client one : waiting) {
-            lastAnswer(one, 200);
+        // Past the time at which the listener closes, and past the last read after it.
+        spinFor(800);
+        release("stand1");
+        for (Client client : waiting) {
+            assertFinalResponse(client, 200);
         }
-        ends();
-        assertEquals(40, host.seen.size());
+        awaitShutdown();
+        assertEquals(40, host.received.size());
     }
 
     @Test
-    void whatHasComeAndIsNotReadAtTheLastCallIsServed() throws Exception {
-        // Guards rule 1: what was read and dropped then had come whole before its connection ended.
-        Server host = host(s -> s.served("x"));
-        start("", Peers.host("s", host.address(), "in_service"));
+    void requestsUnreadAtTheLastReadAreServed() throws Exception {
+        // Guards against lost requests: those discarded at the last read had arrived whole before their connection
+        // ended.
+        Server host = startServer(request -> request.respondOk("x"));
+        startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
         sendAll("s");
-        drainThenStand();
+        drainAndBlock();
         List<Client> silent = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            silent.add(client());
+            silent.add(connectClient());
         }
-        client().safe("stand2", 20_000);
-        pass(800);
-        // The listener closes, and takes these before; the loop stands still again up to the last call.
-        goOn("stand1");
-        standsAt("stand2");
+        connectClient().getSafe("stand2", 20_000);
+        spinFor(800);
+        // The listener accepts these connections and closes; the loop is then blocked until the last read.
+        release("stand1");
+        awaitBlockedAt("stand2");
         for (int i = 0; i < 10; i++) {
-            silent.get(i).unsafe("a" + i, 20_000);
+            silent.get(i).postUnsafe("a" + i, 20_000);
         }
-        pass(300);
-        goOn("stand2");
-        for (Client one : silent) {
-            lastAnswer(one, 200);
+        spinFor(300);
+        release("stand2");
+        for (Client client : silent) {
+            assertFinalResponse(client, 200);
         }
-        ends();
-        assertEquals(10, host.seen.size());
+        awaitShutdown();
+        assertEquals(10, host.received.size());
     }
 }
--- a/src/test/java/mulleinfront/proxy/Peers.java
+++ b/src/test/java/mulleinfront/proxy/StandIns.java
@@ -22,23 +22,23 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** The other ends of a client proxy, as small as they can be: plain sockets that do what a test says. */
-final class Peers {
-    /** Bound of every wait; a test that passes waits for no more than it needs. */
-    static final long PATIENCE_S = 30;
+/** Stand-ins for the clients, endpoints and discovery of a client proxy: minimal plain-socket peers that tests script. */
+final class StandIns {
+    /** Timeout of every wait; reaching it fails the test. */
+    static final long TIMEOUT_S = 30;
 
-    private Peers() {}
+    private StandIns() {}
 
-    static <T> T next(BlockingQueue<T> queue, String what) throws InterruptedException {
-        T got = queue.poll(PATIENCE_S, TimeUnit.SECONDS);
-        if (got == null) {
-            throw new AssertionError("never came: " + what);
+    static <T> T awaitNext(BlockingQueue<T> queue, String description) throws InterruptedException {
+        T element = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        if (element == null) {
+            throw new AssertionError("never came: " + description);
         }
-        return got;
+        return element;
     }
 
-    /** A message as it came: its first line and headers in lower case names, and its body. */
-    record Message(String first, List<String> headers, byte[] body) {
+    /** An HTTP message as received: start line, header lines and body. {@link #header} takes names in lower case. */
+    record Message(String startLine, List<String> headers, byte[] body) {
         String header(String name) {
             return headers.stream()
                     .filter(h -> h.toLowerCase(Locale.ROOT).startsWith(name + ":"))
@@ -52,30 +52,30 @@
         }
 
         int status() {
-            return Integer.parseInt(first.split(" ")[1]);
+            return Integer.parseInt(startLine.split(" ")[1]);
         }
     }
 
     /**
-     * Reads one message with a Content-Length, in chunks or without a body; an end of the stream is an
+     * Reads one message whose body has a Content-Length, is chunked or is absent; the end of the stream is an
      * {@link IOException}.
      */
     static Message read(InputStream in) throws IOException {
-        Message bare = readHead(in);
-        if ("chunked".equals(bare.header("transfer-encoding"))) {
+        Message head = readHead(in);
+        if ("chunked".equals(head.header("transfer-encoding"))) {
             ByteArrayOutputStream body = new ByteArrayOutputStream();
             for (byte[] chunk; (chunk = readChunk(in)).length > 0; ) {
                 body.write(chunk);
             }
-            return new Message(bare.first(), bare.headers(), body.toByteArray());
+            return new Message(head.startLine(), head.headers(), body.toByteArray());
         }
-        String stated = bare.header("content-length");
-        int length = stated == null ? 0 : Integer.parseInt(stated);
+        String contentLength = head.header("content-length");
+        int length = contentLength == null ? 0 : Integer.parseInt(contentLength);
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
             throw new EOFException("ended in the body");
         }
-        return new Message(bare.first(), bare.headers(), body);
+        return new Message(head.startLine(), head.headers(), body);
     }
 
     /** Reads one chunk; the last one is empty. */
@@ -108,58 +108,58 @@
         return new Message(lines.get(0), lines.subList(1, lines.size()), new byte[0]);
     }
 
-    /** A listening peer: each message that comes is noted, then the script deals with it. */
+    /** A listening server that records each message it receives and then passes it to the script. */
     static final class Server implements AutoCloseable {
         final ServerSocket socket;
-        final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
+        final BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
         final List<Socket> connections = new CopyOnWriteArrayList<>();
-        private final Consumer<Seen> script;
+        private final Consumer<ReceivedRequest> script;
 
-        Server(Consumer<Seen> script) throws IOException {
+        Server(Consumer<ReceivedRequest> script) throws IOException {
             this.script = script;
             this.socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-            start(this::accept);
+            startDaemonThread(this::accept);
         }
 
         String address() {
             return "127.0.0.1:" + socket.getLocalPort();
         }
 
-        private static void start(Runnable task) {
+        private static void startDaemonThread(Runnable task) {
             Thread thread = new Thread(task);
             thread.setDaemon(true);
             thread.start();
         }
 
-        private final CompletableFuture<Void> deaf = new CompletableFuture<>();
+        private final CompletableFuture<Void> acceptLoopEnded = new CompletableFuture<>();
 
         private void accept() {
             try {
                 while (true) {
-                    Socket s = socket.accept();
-                    connections.add(s);
-                    start(() -> serve(s));
+                    Socket connection = socket.accept();
+                    connections.add(connection);
+                    startDaemonThread(() -> serve(connection));
                 }
             } catch (IOException e) {
-                // closed
-                deaf.complete(null);
+                // the server socket was closed
+                acceptLoopEnded.complete(null);
             }
         }
 
-        /** Listens no more; returns once nobody takes a connection: a close alone leaves who waits for one a moment. */
-        void listenNoMore() throws Exception {
+        /** Stops listening and waits until the accept loop has ended; right after a close alone it may still accept. */
+        void stopListening() throws Exception {
             socket.close();
-            deaf.get(PATIENCE_S, TimeUnit.SECONDS);
+            acceptLoopEnded.get(TIMEOUT_S, TimeUnit.SECONDS);
         }
 
-        private void serve(Socket s) {
+        private void serve(Socket connection) {
             CompletableFuture<Void> ended = new CompletableFuture<>();
             try {
-                InputStream in = new BufferedInputStream(s.getInputStream());
+                InputStream in = new BufferedInputStream(connection.getInputStream());
                 while (true) {
-                    Seen one = new Seen(read(in), s, ended);
-                    seen.add(one);
-                    script.accept(one);
+                    ReceivedRequest request = new ReceivedRequest(read(in), connection, ended);
+                    received.add(request);
+                    script.accept(request);
                 }
             } catch (IOException e) {
                 ended.complete(null);
@@ -169,35 +169,35 @@
         @Override
         public void close() throws IOException {
             socket.close();
-            for (Socket s : connections) {
-                s.close();
+            for (Socket connection : connections) {
+                connection.close();
             }
         }
     }
 
-    /** A message that a server got; {@code ended} is done when its connection is. */
-    record Seen(Message message, Socket socket, CompletableFuture<Void> ended) {
+    /** A message that a server received; {@code ended} completes when the connection ends. */
+    record ReceivedRequest(Message message, Socket socket, CompletableFuture<Void> connectionEnded) {
         void write(String text) {
             try {
                 socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             } catch (IOException e) {
-                // the peer has closed
+                // the peer has closed the connection
             }
         }
 
-        void answer(int status, String headers, String body) {
+        void respond(int status, String headers, String body) {
             write("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
-        void served(String body) {
-            answer(200, "", body);
+        void respondOk(String body) {
+            respond(200, "", body);
         }
 
-        void notRun() {
-            answer(503, "X-Not-Run: 1\r\n", "");
+        void respondNotExecuted() {
+            respond(503, "X-Not-Run: 1\r\n", "");
         }
 
-        void finish() {
+        void shutDownOutput() {
             try {
                 socket.shutdownOutput();
             } catch (IOException e) {
@@ -214,19 +214,19 @@
             }
         }
 
-        void awaitEnd() throws Exception {
-            ended.get(PATIENCE_S, TimeUnit.SECONDS);
+        void awaitConnectionEnd() throws Exception {
+            connectionEnded.get(TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 
-    /** The application's end of one connection. */
+    /** One client connection of an application. */
     static final class Client implements AutoCloseable {
         final Socket socket;
         final InputStream in;
 
         Client(int port) throws IOException {
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
-            socket.setSoTimeout((int) PATIENCE_S * 1000);
+            socket.setSoTimeout((int) TIMEOUT_S * 1000);
             in = new BufferedInputStream(socket.getInputStream());
         }
 
@@ -235,27 +235,27 @@
             return this;
         }
 
-        Client unsafe(String id, long deadlineMs) throws IOException {
+        Client postUnsafe(String id, long deadlineMs) throws IOException {
             return write("POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + id
                     + "\r\nX-Class: unsafe\r\nX-Deadline-Ms: " + deadlineMs
                     + "\r\nContent-Length: 4\r\n\r\nbody");
         }
 
-        Client safe(String id, long deadlineMs) throws IOException {
+        Client getSafe(String id, long deadlineMs) throws IOException {
             return write("GET /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + id
                     + "\r\nX-Class: safe\r\nX-Deadline-Ms: " + deadlineMs + "\r\n\r\n");
         }
 
         Message read() throws IOException {
-            return Peers.read(in);
+            return StandIns.read(in);
         }
 
-        /** The head of an answer; its body is left to be read from {@link #in}. */
+        /** Reads the head of a response; its body remains to be read from {@link #in}. */
         Message readHead() throws IOException {
-            return Peers.readHead(in);
+            return StandIns.readHead(in);
         }
 
-        /** Whether the proxy has closed, with nothing more sent. */
+        /** Whether the proxy has closed the connection without sending anything more. */
         boolean closed() throws IOException {
             try {
                 return in.read() < 0;
@@ -270,19 +270,19 @@
         }
     }
 
-    /** Discovery: answers a watch when the test asks for it, and leaves it open for {@link #push}. */
-    static final class Discovery implements AutoCloseable {
+    /** Discovery stand-in: accepts a watch when the test asks for it and keeps it open for {@link #push}. */
+    static final class DiscoveryStandIn implements AutoCloseable {
         final Server server = new Server(seen -> {});
 
-        Discovery() throws IOException {}
+        DiscoveryStandIn() throws IOException {}
 
-        Seen asked() throws InterruptedException {
-            Seen watch = next(server.seen, "a watch");
+        ReceivedRequest acceptWatch() throws InterruptedException {
+            ReceivedRequest watch = awaitNext(server.received, "a watch");
             watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             return watch;
         }
 
-        static void push(Seen watch, String line) {
+        static void push(ReceivedRequest watch, String line) {
             watch.write(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
         }
 
@@ -292,22 +292,22 @@
         }
     }
 
-    /** A host whose queue of connections is full, so that none comes up until {@link #hear}. */
-    static final class Deaf implements AutoCloseable {
+    /** An endpoint whose accept backlog is full: no further connection is established before {@link #acceptPending}. */
+    static final class FullBacklogEndpoint implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        private final List<Socket> fill = new ArrayList<>();
-        private Socket last;
+        private final List<Socket> backlog = new ArrayList<>();
+        private Socket accepted;
 
-        Deaf() throws Exception {
+        FullBacklogEndpoint() throws Exception {
             for (int i = 0; i < 8; i++) {
-                Socket s = new Socket();
+                Socket connection = new Socket();
                 try {
-                    s.connect(new InetSocketAddress(server.getInetAddress(), server.getLocalPort()), 1000);
+                    connection.connect(new InetSocketAddress(server.getInetAddress(), server.getLocalPort()), 1000);
                 } catch (SocketTimeoutException full) {
-                    s.close();
+                    connection.close();
                     return;
                 }
-                fill.add(s);
+                backlog.add(connection);
             }
             throw new AssertionError("the queue never filled");
         }
@@ -316,64 +316,65 @@
             return "127.0.0.1:" + server.getLocalPort();
         }
 
-        /** Takes the connections that fill the queue, and then the one that waited. */
-        void hear() throws Exception {
-            server.setSoTimeout((int) Peers.PATIENCE_S * 1000);
-            for (int i = 0; i <= fill.size(); i++) {
-                last = server.accept();
+        /** Accepts the connections that fill the backlog and then the one that was waiting. */
+        void acceptPending() throws Exception {
+            server.setSoTimeout((int) StandIns.TIMEOUT_S * 1000);
+            for (int i = 0; i <= backlog.size(); i++) {
+                accepted = server.accept();
             }
         }
 
         InputStream in() throws IOException {
-            last.setSoTimeout((int) Peers.PATIENCE_S * 1000);
-            return last.getInputStream();
+            accepted.setSoTimeout((int) StandIns.TIMEOUT_S * 1000);
+            return accepted.getInputStream();
         }
 
         void write(String text) throws IOException {
-            last.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+            accepted.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
         Message readHead() throws IOException {
-            return Peers.readHead(in());
+            return StandIns.readHead(in());
         }
 
-        boolean silent() throws Exception {
-            last.setSoTimeout((int) Peers.PATIENCE_S * 1000);
-            return last.getInputStream().read() < 0;
+        boolean endedWithoutData() throws Exception {
+            accepted.setSoTimeout((int) StandIns.TIMEOUT_S * 1000);
+            return accepted.getInputStream().read() < 0;
         }
 
         @Override
         public void close() throws IOException {
             server.close();
-            for (Socket s : fill) {
-                s.close();
+            for (Socket connection : backlog) {
+                connection.close();
             }
         }
     }
 
-    static String host(String id, String address, String state) {
+    static String endpointJson(String id, String address, String state) {
         return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"east\","
                 + "\"kind\":\"m\",\"cell\":1,\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
-    static String list(int version, boolean full, String... hosts) {
+    static String listJson(int version, boolean full, String... hosts) {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", hosts) + "]}";
     }
 
-    /** A configuration; {@code limits} are further ones, each with a comma before it. */
-    static String config(int port, String discovery, String limits, String known) {
-        String one = "{\"name\":\"%s\",\"effect\":\"%s\",\"dedupScope\":\"zone\",\"dedupWindowUs\":20000000,"
+    /** A proxy configuration; {@code limits} are additional limits in JSON, each preceded by a comma. */
+    static String configJson(int port, String discovery, String moreLimits, String knownList) {
+        String classTemplate = "{\"name\":\"%s\",\"effect\":\"%s\",\"dedupScope\":\"zone\",\"dedupWindowUs\":20000000,"
                 + "\"onTimeUs\":20000000,\"deadlineUs\":20000000,\"worth\":1}";
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"" + discovery
-                + "\",\"seed\":\"8c1f30d27a5be964\",\"known\":" + known
+                + "\",\"seed\":\"8c1f30d27a5be964\",\"known\":" + knownList
                 + ",\"limits\":{\"cores\":1.0,\"sockets\":160},\"peers\":[],\"settings\":{"
                 + "\"azs\":[\"west\",\"east\"],\"kinds\":[\"m\"],\"balancers\":3,"
                 + "\"membershipMode\":\"subscribe\","
                 + "\"customers\":[{\"name\":\"acme\",\"share\":1}],\"classes\":["
-                + String.format(one, "safe", "retryable") + "," + String.format(one, "keyed", "dedup") + ","
-                + String.format(one, "unsafe", "fragile") + "],\"limits\":{"
+                + String.format(classTemplate, "safe", "retryable") + ","
+                + String.format(classTemplate, "keyed", "dedup") + ","
+                + String.format(classTemplate, "unsafe", "fragile") + "],\"limits\":{"
                 + "\"maxAttempts\":4,\"mayCancel\":true,\"mayProbe\":true,\"retryAfter\":true,"
                 + "\"maxRetryAfterUs\":2000000,\"dialTimeoutUs\":20000000"
-                + limits + "},\"contract\":{\"askWithinUs\":10000000}}}";
+                + moreLimits + "},\"contract\":{\"askWithinUs\":10000000}}}";
     }
 }
--- a/src/test/java/mulleinfront/proxy/StartTest.java
+++ b/src/test/java/mulleinfront/proxy/StartTest.java
@@ -10,67 +10,68 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicBoolean;
-import mulleinfront.proxy.Peers.Deaf;
-import mulleinfront.proxy.Peers.Discovery;
+import mulleinfront.proxy.StandIns.DiscoveryStandIn;
+import mulleinfront.proxy.StandIns.FullBacklogEndpoint;
 import mulleinfront.settings.Config;
 import org.junit.jupiter.api.Test;
 
 /**
- * What a start waits for: when everything restarts at once discovery is down or has too many callers, hosts are
- * not up yet, and clients come early. A client proxy that knows hosts is ready whatever they do.
+ * What a start waits for. When everything restarts at once, discovery is unreachable or overloaded, endpoints are not up
+ * yet and clients connect early; a client proxy that has a list of endpoints is ready all the same.
  */
-class StartTest extends ProxyRig {
-    /** More than the rehearsal has room for. */
-    private static final int EARLY = 300;
+class StartTest extends ProxyTestBase {
+    /** More clients than the warm-up has room for. */
+    private static final int EARLY_CLIENTS = 300;
 
     private Config config(int port, String discovery, String host) throws Exception {
-        return Config.parse(Peers.config(port, discovery, "", Peers.list(1, true, Peers.host("s", host, "in_service")))
+        return Config.parse(StandIns.configJson(
+                        port, discovery, "", StandIns.listJson(1, true, StandIns.endpointJson("s", host, "in_service")))
                 .replace("\"balancers\":3", "\"balancers\":670")
                 .getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void whoKnowsHostsIsReadyThoughDiscoveryAndHostsSayNothing() throws Exception {
-        discovery = keep(new Discovery());
-        try (Deaf deaf = new Deaf()) {
+    void readyThoughDiscoveryAndEndpointsAreUnresponsive() throws Exception {
+        discovery = closeAfterTest(new DiscoveryStandIn());
+        try (FullBacklogEndpoint deaf = new FullBacklogEndpoint()) {
             proxy = ClientProxy.start(config(0, discovery.server.address(), deaf.address()));
-            assertEquals(200, ready(), "no list has come, and no host has been reached");
+            assertEquals(200, readyStatus(), "no list has come, and no host has been reached");
             proxy.drain();
         }
     }
 
     @Test
-    void whoKnowsHostsIsReadyThoughNobodyListensAtDiscovery() throws Exception {
+    void readyThoughDiscoveryIsUnreachable() throws Exception {
         proxy = ClientProxy.start(config(0, "127.0.0.1:1", "127.0.0.1:1"));
-        assertEquals(200, ready());
+        assertEquals(200, readyStatus());
     }
 
     @Test
-    void clientsThatComeTooEarlyAndSayNothingDoNotHoldItUp() throws Exception {
+    void earlyIdleClientsDoNotDelayTheStart() throws Exception {
         int port = ServeTest.freePort();
-        AtomicBoolean over = new AtomicBoolean();
+        AtomicBoolean stopFlood = new AtomicBoolean();
         List<Socket> early = new CopyOnWriteArrayList<>();
-        Thread crowd = new Thread(() -> {
-            while (!over.get() && early.size() < EARLY) {
+        Thread flood = new Thread(() -> {
+            while (!stopFlood.get() && early.size() < EARLY_CLIENTS) {
                 try {
                     early.add(new Socket(InetAddress.getLoopbackAddress(), port));
                 } catch (IOException e) {
-                    Thread.onSpinWait(); // nobody listens: not yet, or between rehearsal and start
+                    Thread.onSpinWait(); // not listening: before the warm-up, or between the warm-up and the start
                 }
             }
         });
-        crowd.start();
+        flood.start();
         try {
             proxy = ClientProxy.start(config(port, "127.0.0.1:1", "127.0.0.1:1"));
-            over.set(true);
-            crowd.join();
+            stopFlood.set(true);
+            flood.join();
             assertTrue(early.size() > 0, "somebody came before it was ready");
-            assertEquals(200, ready());
+            assertEquals(200, readyStatus());
         } finally {
-            over.set(true);
-            crowd.join();
-            for (Socket s : early) {
-                s.close();
+            stopFlood.set(true);
+            flood.join();
+            for (Socket socket : early) {
+                socket.close();
             }
         }
     }
--- a/src/test/java/mulleinfront/proxy/UpgradeTest.java
+++ b/src/test/java/mulleinfront/proxy/UpgradeTest.java
@@ -19,17 +19,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import mulleinfront.proxy.Peers.Client;
-import mulleinfront.proxy.Peers.Discovery;
-import mulleinfront.proxy.Peers.Server;
+import mulleinfront.proxy.StandIns.Client;
+import mulleinfront.proxy.StandIns.DiscoveryStandIn;
+import mulleinfront.proxy.StandIns.Server;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A process replaced under load, as a platform does that holds the listening socket. Java can't hand a socket to a
- * process that it starts, so a few lines of Perl are the platform: they listen, and start what they are told with
- * that socket as descriptor 0.
+ * A process is replaced under load by a platform that holds the listening socket. Java cannot pass a socket to a child
+ * process, so a short Perl script acts as the platform: it listens, and starts the commands that it reads with that
+ * socket as descriptor 0.
  */
 class UpgradeTest {
     private static final String PLATFORM = """
@@ -47,51 +47,53 @@
     @TempDir
     Path folder;
 
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private final List<ProcessHandle> started = new ArrayList<>();
     private Process platform;
-    private BufferedReader told;
+    private BufferedReader platformOutput;
     private int port;
 
-    private void listen() throws IOException {
+    private void startPlatform() throws IOException {
         platform = new ProcessBuilder("perl", "-e", PLATFORM)
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
-        told = new BufferedReader(new InputStreamReader(platform.getInputStream(), StandardCharsets.US_ASCII));
-        port = Integer.parseInt(told.readLine());
+        platformOutput =
+                new BufferedReader(new InputStreamReader(platform.getInputStream(), StandardCharsets.US_ASCII));
+        port = Integer.parseInt(platformOutput.readLine());
     }
 
-    /** Starts the program with the socket; returns its process. */
-    private ProcessHandle start(String name, int management, Discovery discovery, String known) throws Exception {
+    /** Starts the program with the inherited socket; returns its process. */
+    private ProcessHandle start(String name, int management, DiscoveryStandIn discovery, String known)
+            throws Exception {
         Path config = folder.resolve(name + ".json");
         Files.writeString(
                 config,
-                Peers.config(port, discovery.server.address(), "", known)
+                StandIns.configJson(port, discovery.server.address(), "", known)
                         .replace(
                                 "{\"name\":\"n0\"",
                                 "{\"name\":\"n0\",\"management\":\"127.0.0.1:" + management + "\""));
         String command = "env NODE_INHERITED_FD=0 NODE_CONFIG='" + config + "' '"
-                + String.join("' '", ServeTest.command()) + "'\n";
+                + String.join("' '", ServeTest.serveCommand()) + "'\n";
         platform.getOutputStream().write(command.getBytes(StandardCharsets.UTF_8));
         platform.getOutputStream().flush();
         ProcessHandle process =
-                ProcessHandle.of(Long.parseLong(told.readLine())).orElseThrow();
+                ProcessHandle.of(Long.parseLong(platformOutput.readLine())).orElseThrow();
         started.add(process);
         return process;
     }
 
     private void awaitHealth(int management) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peers.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StandIns.TIMEOUT_S);
         String answer = "";
         while (System.nanoTime() < end) {
             try {
-                answer = "" + OperatedTest.call(management, "health\n");
+                answer = "" + OperatedTest.sendCommand(management, "health\n");
                 if (answer.equals("+OK serving")) {
                     return;
                 }
                 assertTrue(answer.equals("-ERR starting") || answer.equals("null"), answer);
             } catch (IOException e) {
-                // not listening, or between the rehearsal and the real one
+                // not listening yet, or between the warm-up and the start
             }
             Thread.sleep(5);
         }
@@ -100,8 +102,8 @@
 
     @AfterEach
     void end() throws Exception {
-        for (AutoCloseable one : open) {
-            one.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
         started.forEach(ProcessHandle::destroyForcibly);
         if (platform != null) {
@@ -110,73 +112,73 @@
     }
 
     @Test
-    void aNewProcessTakesOverUnderLoadAndNoRequestIsTurnedBack() throws Exception {
-        Server host = new Server(s -> s.served(s.message().header("x-request-id")));
-        Discovery discovery = new Discovery();
-        open.add(host);
-        open.add(discovery);
-        String known = Peers.list(1, true, Peers.host("s0", host.address(), "in_service"));
-        listen();
-        int oldDoor = ServeTest.freePort();
-        ProcessHandle old = start("old", oldDoor, discovery, known);
-        awaitHealth(oldDoor);
-        AtomicBoolean enough = new AtomicBoolean();
+    void newProcessTakesOverUnderLoadWithoutLosingRequests() throws Exception {
+        Server host = new Server(request -> request.respondOk(request.message().header("x-request-id")));
+        DiscoveryStandIn discovery = new DiscoveryStandIn();
+        resources.add(host);
+        resources.add(discovery);
+        String known = StandIns.listJson(1, true, StandIns.endpointJson("s0", host.address(), "in_service"));
+        startPlatform();
+        int oldManagementPort = ServeTest.freePort();
+        ProcessHandle old = start("old", oldManagementPort, discovery, known);
+        awaitHealth(oldManagementPort);
+        AtomicBoolean stopLoad = new AtomicBoolean();
         AtomicInteger sent = new AtomicInteger();
-        Queue<String> wrong = new ConcurrentLinkedQueue<>();
-        List<Thread> load = new ArrayList<>();
+        Queue<String> errors = new ConcurrentLinkedQueue<>();
+        List<Thread> loadThreads = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            load.add(new Thread(() -> {
-                while (!enough.get()) {
+            loadThreads.add(new Thread(() -> {
+                while (!stopLoad.get()) {
                     String id = "r" + sent.incrementAndGet();
                     try (Client client = new Client(port)) {
-                        String text = client.unsafe(id, 20_000).read().text();
+                        String text = client.postUnsafe(id, 20_000).read().text();
                         if (!text.equals(id)) {
-                            wrong.add(id + " got " + text);
+                            errors.add(id + " got " + text);
                         }
                     } catch (IOException e) {
-                        wrong.add(id + " " + e);
+                        errors.add(id + " " + e);
                     }
                 }
             }));
         }
-        load.forEach(Thread::start);
-        int newDoor = ServeTest.freePort();
-        ProcessHandle next = start("new", newDoor, discovery, known);
-        awaitHealth(newDoor);
+        loadThreads.forEach(Thread::start);
+        int newManagementPort = ServeTest.freePort();
+        ProcessHandle replacement = start("new", newManagementPort, discovery, known);
+        awaitHealth(newManagementPort);
         assertTrue(old.isAlive());
         old.destroy();
-        old.onExit().get(Peers.PATIENCE_S, TimeUnit.SECONDS);
-        int whenOldEnded = sent.get();
-        while (sent.get() < whenOldEnded + 200 && wrong.isEmpty()) {
+        old.onExit().get(StandIns.TIMEOUT_S, TimeUnit.SECONDS);
+        int sentWhenOldEnded = sent.get();
+        while (sent.get() < sentWhenOldEnded + 200 && errors.isEmpty()) {
             Thread.sleep(5);
         }
-        enough.set(true);
-        for (Thread one : load) {
-            one.join();
+        stopLoad.set(true);
+        for (Thread thread : loadThreads) {
+            thread.join();
         }
-        assertEquals(List.of(), List.copyOf(wrong));
-        // Its port may have been another's discovery a moment ago: what has no id is nobody's request.
-        List<String> ids = host.seen.stream()
-                .map(s -> s.message().header("x-request-id"))
+        assertEquals(List.of(), List.copyOf(errors));
+        // Another test's discovery may have had this port just before: messages without an id are not requests.
+        List<String> ids = host.received.stream()
+                .map(request -> request.message().header("x-request-id"))
                 .filter(Objects::nonNull)
                 .toList();
         assertEquals(sent.get(), ids.size(), "each sent once");
         assertEquals(sent.get(), new HashSet<>(ids).size(), "each sent once");
-        assertTrue(next.isAlive());
+        assertTrue(replacement.isAlive());
         assertFalse(old.isAlive());
     }
 
     @Test
-    void whatWasNotInheritedIsSaidInOneLine() throws Exception {
+    void invalidInheritedDescriptorIsReportedInOneLine() throws Exception {
         for (String descriptor : List.of("7", "0")) {
             Path errors = folder.resolve("errors");
             Path config = folder.resolve("config.json");
-            Files.writeString(config, Peers.config(1, "127.0.0.1:1", "", "null"));
-            ProcessBuilder builder = new ProcessBuilder(ServeTest.command()).redirectError(errors.toFile());
+            Files.writeString(config, StandIns.configJson(1, "127.0.0.1:1", "", "null"));
+            ProcessBuilder builder = new ProcessBuilder(ServeTest.serveCommand()).redirectError(errors.toFile());
             builder.environment().put("NODE_CONFIG", config.toString());
             builder.environment().put("NODE_INHERITED_FD", descriptor);
             Process process = builder.start();
-            assertTrue(process.waitFor(Peers.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
             assertEquals(1, process.exitValue());
             assertEquals(
                     descriptor.equals("7")
--- a/src/test/java/mulleinfront/proxy/RehearsalTest.java
+++ b/src/test/java/mulleinfront/proxy/WarmUpTest.java
@@ -19,16 +19,16 @@
 import mulleinfront.settings.Config;
 import org.junit.jupiter.api.Test;
 
-/** When a start rehearses: what it costs is paid by every instance of a fleet, whatever it is there for. */
-class RehearsalTest {
-    private static Config config(double cores, int instances, String... allowances) throws Exception {
+/** When a start warms up: every instance of a fleet pays the cost, however little traffic it gets. */
+class WarmUpTest {
+    private static Config config(double cores, int instances, String... tenants) throws Exception {
         return Config.parse(
                 ("""
                 {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
                  "limits": {"cores": %s, "memory_mb": 160, "sockets": 512},
                  "settings": {"balancers": %d, "customers": [%s],
                   "classes": [{"name": "c", "effect": "retryable", "onTimeUs": 1000, "deadlineUs": 1000}]}}
-                """.formatted(cores, instances, String.join(",", allowances))).getBytes(StandardCharsets.UTF_8));
+                """.formatted(cores, instances, String.join(",", tenants))).getBytes(StandardCharsets.UTF_8));
     }
 
     private static String tenant(String name, double allowancePerS) {
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void whatTenantsMaySendIsDividedByAllInstances() throws Exception {
+    void tenantAllowancesAreDividedByAllInstances() throws Exception {
         Config config = config(0.5, 60, tenant("a", 400), tenant("b", 240));
         assertEquals(640.0 / 60, config.requestsPerS(), 1e-9);
         assertEquals(0.5, config.cores());
@@ -44,46 +44,50 @@
     }
 
     @Test
-    void anInstanceOfManyWithLittleTrafficDoesNotRehearse() throws Exception {
+    void instanceWithLittleTrafficDoesNotWarmUp() throws Exception {
         assertFalse(Rehearsal.pays(config(0.5, 60, tenant("a", 400), tenant("b", 240))));
     }
 
     @Test
-    void anInstanceThatIsBusyFromItsFirstSecondDoes() throws Exception {
+    void busyInstanceWarmsUp() throws Exception {
         assertTrue(Rehearsal.pays(config(0.5, 3, tenant("a", 400), tenant("b", 240))));
         assertTrue(Rehearsal.pays(config(0.05, 60, tenant("a", 400), tenant("b", 240))));
     }
 
-    /** Netty's event loop may end without closing what is registered with it: this caller waited for ever. */
+    /** Guards against a connection that stays open for ever: Netty's event loop may end without closing its channels. */
     @Test
-    void whoeverCallsTheOperatorsDoorMeanwhileIsClosedOn() throws Exception {
-        String config =
-                Peers.config(0, "127.0.0.1:1", "", Peers.list(1, true, Peers.host("s", "127.0.0.1:1", "in_service")));
+    void managementConnectionsDuringTheWarmUpAreClosed() throws Exception {
+        String config = StandIns.configJson(
+                0,
+                "127.0.0.1:1",
+                "",
+                StandIns.listJson(1, true, StandIns.endpointJson("s", "127.0.0.1:1", "in_service")));
         ExecutorService starter = Executors.newSingleThreadExecutor();
-        try (ServerSocketChannel held = ServerSocketChannel.open()) {
-            held.bind(new InetSocketAddress("127.0.0.1", 0));
-            int door = ServeTest.freePort();
-            Config operated = Config.parse(
-                    config.replace("{\"name\":\"n0\"", "{\"name\":\"n0\",\"management\":\"127.0.0.1:" + door + "\"")
-                            .getBytes(StandardCharsets.UTF_8));
-            Future<ClientProxy> started = starter.submit(() -> ClientProxy.start(operated, held, begun -> {}));
-            Socket silent = connect(door, started);
-            assertNotNull(silent, "the rehearsal was over before anybody came");
-            ClientProxy proxy = started.get(Peers.PATIENCE_S, TimeUnit.SECONDS);
-            silent.setSoTimeout((int) Peers.PATIENCE_S * 1000);
-            try (silent) {
-                assertEquals(-1, silent.getInputStream().read());
+        try (ServerSocketChannel inherited = ServerSocketChannel.open()) {
+            inherited.bind(new InetSocketAddress("127.0.0.1", 0));
+            int managementPort = ServeTest.freePort();
+            Config configWithManagement = Config.parse(config.replace(
+                            "{\"name\":\"n0\"", "{\"name\":\"n0\",\"management\":\"127.0.0.1:" + managementPort + "\"")
+                    .getBytes(StandardCharsets.UTF_8));
+            Future<ClientProxy> started =
+                    starter.submit(() -> ClientProxy.start(configWithManagement, inherited, begun -> {}));
+            Socket idleConnection = connect(managementPort, started);
+            assertNotNull(idleConnection, "the rehearsal was over before anybody came");
+            ClientProxy proxy = started.get(StandIns.TIMEOUT_S, TimeUnit.SECONDS);
+            idleConnection.setSoTimeout((int) StandIns.TIMEOUT_S * 1000);
+            try (idleConnection) {
+                assertEquals(-1, idleConnection.getInputStream().read());
             } catch (SocketException reset) {
-                // closed on, too
+                // the connection was closed by a reset
             }
-            proxy.drain().await(Peers.PATIENCE_S, TimeUnit.SECONDS);
+            proxy.drain().await(StandIns.TIMEOUT_S, TimeUnit.SECONDS);
         } finally {
             starter.shutdownNow();
         }
     }
 
-    private static Socket connect(int port, Future<?> unless) throws Exception {
-        while (!unless.isDone()) {
+    private static Socket connect(int port, Future<?> start) throws Exception {
+        while (!start.isDone()) {
             try {
                 return new Socket(InetAddress.getLoopbackAddress(), port);
             } catch (IOException e) {
@@ -94,7 +98,7 @@
     }
 
     @Test
-    void whereNothingIsSaidOfTrafficItDoes() throws Exception {
+    void instanceWithUnknownTrafficWarmsUp() throws Exception {
         assertTrue(Rehearsal.pays(config(1, 60, "{\"name\": \"a\", \"share\": 1}")));
         assertTrue(Rehearsal.pays(config(1, 60)));
     }
