--- a/src/main/java/mulleinfront/keep/Codec.java
+++ b/src/main/java/mulleinfront/keep/Codec.java
@@ -36,21 +36,22 @@
 import mulleinfront.config.VersionLog;
 
 /**
- * The library's messages and log entries as bytes, for the wire and for the disk: the fields of its model
- * interfaces in their order, by {@link DataOutputStream}. Each starts with the format's number. Reading
- * believes no length: text and lists are held against what is left of the bytes.
+ * Encodes Raft messages, log entries and snapshots to bytes, for the network and the disk, and decodes them. The
+ * fields of the library's model interfaces are written in a fixed order by a {@link DataOutputStream}, after a
+ * format number. Decoding checks the lengths of strings and lists against the bytes that remain before it
+ * allocates memory for them.
  */
 final class Codec {
-    /** What the library calls the group; one a fleet. */
-    static final String GROUP = "configuration";
-    /** Bytes of a snapshot's part, about: a part ends with the version that fills it. */
-    static final int PART_BYTES = 1 << 20;
+    /** Id of the Raft group; a fleet has one group. */
+    static final String GROUP_ID = "configuration";
+    /** Approximate size of a snapshot part: a part ends with the version that reaches this size. */
+    static final int SNAPSHOT_PART_BYTES = 1 << 20;
 
-    private static final int FORMAT = 1;
+    private static final int FORMAT_VERSION = 1;
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
-    /** Messages by their number on the wire. */
-    private enum Kind {
+    /** Message types; the ordinal is the type number on the wire. */
+    private enum MessageType {
         APPEND,
         APPEND_SUCCESS,
         APPEND_FAILURE,
@@ -63,14 +64,14 @@
         TRIGGER_ELECTION
     }
 
-    /** Operations by their number in the log. */
-    private enum Tag {
+    /** Operation types; the ordinal is the type number on the wire and in the log. */
+    private enum OperationType {
         TERM_START,
         CHANGE,
         PART
     }
 
-    /** Writes without the checked exception, which memory never has. */
+    /** Writes one value to a stream. */
     private interface Writer {
         void write(DataOutputStream out) throws IOException;
     }
@@ -82,11 +83,11 @@
 
     private Codec() {}
 
-    private static byte[] bytes(Writer writer) {
+    private static byte[] encode(Writer writer) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try {
             DataOutputStream out = new DataOutputStream(bytes);
-            out.writeByte(FORMAT);
+            out.writeByte(FORMAT_VERSION);
             writer.write(out);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -94,12 +95,12 @@
         return bytes.toByteArray();
     }
 
-    private static <T> T read(byte[] bytes, Reader<T> reader) {
+    private static <T> T decode(byte[] bytes, Reader<T> reader) {
         try {
             DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
             int format = in.readUnsignedByte();
-            if (format != FORMAT) {
-                throw new IllegalArgumentException("format " + format + " is not known, " + FORMAT + " is");
+            if (format != FORMAT_VERSION) {
+                throw new IllegalArgumentException("format " + format + " is not known, " + FORMAT_VERSION + " is");
             }
             T value = reader.read(in);
             if (in.available() > 0) {
@@ -114,27 +115,27 @@
     // ---- messages
 
     static byte[] message(RaftMessage message) {
-        return bytes(out -> {
+        return encode(out -> {
             if (message instanceof AppendEntriesRequest m) {
-                head(out, Kind.APPEND, m);
+                writeHeader(out, MessageType.APPEND, m);
                 out.writeInt(m.getPreviousLogTerm());
                 out.writeLong(m.getPreviousLogIndex());
                 out.writeLong(m.getCommitIndex());
                 out.writeInt(m.getLogEntries().size());
-                for (LogEntry e : m.getLogEntries()) {
-                    entry(out, e);
+                for (LogEntry entry : m.getLogEntries()) {
+                    entry(out, entry);
                 }
-                sequences(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
+                writeSequenceNumbers(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
             } else if (message instanceof AppendEntriesSuccessResponse m) {
-                head(out, Kind.APPEND_SUCCESS, m);
+                writeHeader(out, MessageType.APPEND_SUCCESS, m);
                 out.writeLong(m.getLastLogIndex());
-                sequences(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
+                writeSequenceNumbers(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
             } else if (message instanceof AppendEntriesFailureResponse m) {
-                head(out, Kind.APPEND_FAILURE, m);
+                writeHeader(out, MessageType.APPEND_FAILURE, m);
                 out.writeLong(m.getExpectedNextIndex());
-                sequences(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
+                writeSequenceNumbers(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
             } else if (message instanceof InstallSnapshotRequest m) {
-                head(out, Kind.INSTALL, m);
+                writeHeader(out, MessageType.INSTALL, m);
                 out.writeBoolean(m.isSenderLeader());
                 out.writeInt(m.getSnapshotTerm());
                 out.writeLong(m.getSnapshotIndex());
@@ -145,29 +146,29 @@
                 }
                 endpoints(out, m.getSnapshottedMembers());
                 members(out, m.getGroupMembersView());
-                sequences(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
+                writeSequenceNumbers(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
             } else if (message instanceof InstallSnapshotResponse m) {
-                head(out, Kind.INSTALL_RESPONSE, m);
+                writeHeader(out, MessageType.INSTALL_RESPONSE, m);
                 out.writeLong(m.getSnapshotIndex());
                 out.writeInt(m.getRequestedSnapshotChunkIndex());
-                sequences(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
+                writeSequenceNumbers(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
             } else if (message instanceof PreVoteRequest m) {
-                head(out, Kind.PRE_VOTE, m);
+                writeHeader(out, MessageType.PRE_VOTE, m);
                 out.writeInt(m.getLastLogTerm());
                 out.writeLong(m.getLastLogIndex());
             } else if (message instanceof PreVoteResponse m) {
-                head(out, Kind.PRE_VOTE_RESPONSE, m);
+                writeHeader(out, MessageType.PRE_VOTE_RESPONSE, m);
                 out.writeBoolean(m.isGranted());
             } else if (message instanceof VoteRequest m) {
-                head(out, Kind.VOTE, m);
+                writeHeader(out, MessageType.VOTE, m);
                 out.writeInt(m.getLastLogTerm());
                 out.writeLong(m.getLastLogIndex());
                 out.writeBoolean(m.isSticky());
             } else if (message instanceof VoteResponse m) {
-                head(out, Kind.VOTE_RESPONSE, m);
+                writeHeader(out, MessageType.VOTE_RESPONSE, m);
                 out.writeBoolean(m.isGranted());
             } else if (message instanceof TriggerLeaderElectionRequest m) {
-                head(out, Kind.TRIGGER_ELECTION, m);
+                writeHeader(out, MessageType.TRIGGER_ELECTION, m);
                 out.writeInt(m.getLastLogTerm());
                 out.writeLong(m.getLastLogIndex());
             } else {
@@ -176,117 +177,118 @@
         });
     }
 
-    private static void head(DataOutputStream out, Kind kind, RaftMessage message) throws IOException {
-        out.writeByte(kind.ordinal());
-        text(out, (String) message.getSender().getId());
+    private static void writeHeader(DataOutputStream out, MessageType type, RaftMessage message) throws IOException {
+        out.writeByte(type.ordinal());
+        writeText(out, (String) message.getSender().getId());
         out.writeInt(message.getTerm());
     }
 
-    private static void sequences(DataOutputStream out, long query, long flow) throws IOException {
-        out.writeLong(query);
-        out.writeLong(flow);
+    private static void writeSequenceNumbers(DataOutputStream out, long querySequence, long flowControlSequence)
+            throws IOException {
+        out.writeLong(querySequence);
+        out.writeLong(flowControlSequence);
     }
 
-    /** @throws IllegalArgumentException if these are not one whole message */
+    /** @throws IllegalArgumentException if the bytes are not exactly one valid message */
     static RaftMessage message(byte[] bytes) {
-        return read(bytes, in -> {
-            Kind kind = one(Kind.values(), in.readUnsignedByte());
-            RaftEndpoint sender = new Member(text(in));
-            int term = natural(in.readInt());
-            return switch (kind) {
+        return decode(bytes, in -> {
+            MessageType type = constantAt(MessageType.values(), in.readUnsignedByte());
+            RaftEndpoint sender = new ReplicaEndpoint(readText(in));
+            int term = nonNegative(in.readInt());
+            return switch (type) {
                 case APPEND ->
                     MODEL.createAppendEntriesRequestBuilder()
-                            .setGroupId(GROUP)
+                            .setGroupId(GROUP_ID)
                             .setSender(sender)
                             .setTerm(term)
-                            .setPreviousLogTerm(natural(in.readInt()))
-                            .setPreviousLogIndex(natural(in.readLong()))
-                            .setCommitIndex(natural(in.readLong()))
+                            .setPreviousLogTerm(nonNegative(in.readInt()))
+                            .setPreviousLogIndex(nonNegative(in.readLong()))
+                            .setCommitIndex(nonNegative(in.readLong()))
                             .setLogEntries(entries(in))
-                            .setQuerySequenceNumber(natural(in.readLong()))
-                            .setFlowControlSequenceNumber(natural(in.readLong()))
+                            .setQuerySequenceNumber(nonNegative(in.readLong()))
+                            .setFlowControlSequenceNumber(nonNegative(in.readLong()))
                             .build();
                 case APPEND_SUCCESS ->
                     MODEL.createAppendEntriesSuccessResponseBuilder()
-                            .setGroupId(GROUP)
+                            .setGroupId(GROUP_ID)
                             .setSender(sender)
                             .setTerm(term)
-                            .setLastLogIndex(natural(in.readLong()))
-                            .setQuerySequenceNumber(natural(in.readLong()))
-                            .setFlowControlSequenceNumber(natural(in.readLong()))
+                            .setLastLogIndex(nonNegative(in.readLong()))
+                            .setQuerySequenceNumber(nonNegative(in.readLong()))
+                            .setFlowControlSequenceNumber(nonNegative(in.readLong()))
                             .build();
                 case APPEND_FAILURE ->
                     MODEL.createAppendEntriesFailureResponseBuilder()
-                            .setGroupId(GROUP)
+                            .setGroupId(GROUP_ID)
                             .setSender(sender)
                             .setTerm(term)
-                            .setExpectedNextIndex(natural(in.readLong()))
-                            .setQuerySequenceNumber(natural(in.readLong()))
-                            .setFlowControlSequenceNumber(natural(in.readLong()))
+                            .setExpectedNextIndex(nonNegative(in.readLong()))
+                            .setQuerySequenceNumber(nonNegative(in.readLong()))
+                            .setFlowControlSequenceNumber(nonNegative(in.readLong()))
                             .build();
                 case INSTALL ->
                     MODEL.createInstallSnapshotRequestBuilder()
-                            .setGroupId(GROUP)
+                            .setGroupId(GROUP_ID)
                             .setSender(sender)
                             .setTerm(term)
                             .setSenderLeader(in.readBoolean())
-                            .setSnapshotTerm(natural(in.readInt()))
-                            .setSnapshotIndex(natural(in.readLong()))
-                            .setTotalSnapshotChunkCount(natural(in.readInt()))
+                            .setSnapshotTerm(nonNegative(in.readInt()))
+                            .setSnapshotIndex(nonNegative(in.readLong()))
+                            .setTotalSnapshotChunkCount(nonNegative(in.readInt()))
                             .setSnapshotChunk(in.readBoolean() ? chunk(in) : null)
                             .setSnapshottedMembers(endpoints(in))
                             .setGroupMembersView(members(in))
-                            .setQuerySequenceNumber(natural(in.readLong()))
-                            .setFlowControlSequenceNumber(natural(in.readLong()))
+                            .setQuerySequenceNumber(nonNegative(in.readLong()))
+                            .setFlowControlSequenceNumber(nonNegative(in.readLong()))
                             .build();
                 case INSTALL_RESPONSE ->
                     MODEL.createInstallSnapshotResponseBuilder()
-                            .setGroupId(GROUP)
+                            .setGroupId(GROUP_ID)
                             .setSender(sender)
                             .setTerm(term)
-                            .setSnapshotIndex(natural(in.readLong()))
-                            .setRequestedSnapshotChunkIndex(natural(in.readInt()))
-                            .setQuerySequenceNumber(natural(in.readLong()))
-                            .setFlowControlSequenceNumber(natural(in.readLong()))
+                            .setSnapshotIndex(nonNegative(in.readLong()))
+                            .setRequestedSnapshotChunkIndex(nonNegative(in.readInt()))
+                            .setQuerySequenceNumber(nonNegative(in.readLong()))
+                            .setFlowControlSequenceNumber(nonNegative(in.readLong()))
                             .build();
                 case PRE_VOTE ->
                     MODEL.createPreVoteRequestBuilder()
-                            .setGroupId(GROUP)
+                            .setGroupId(GROUP_ID)
                             .setSender(sender)
                             .setTerm(term)
-                            .setLastLogTerm(natural(in.readInt()))
-                            .setLastLogIndex(natural(in.readLong()))
+                            .setLastLogTerm(nonNegative(in.readInt()))
+                            .setLastLogIndex(nonNegative(in.readLong()))
                             .build();
                 case PRE_VOTE_RESPONSE ->
                     MODEL.createPreVoteResponseBuilder()
-                            .setGroupId(GROUP)
+                            .setGroupId(GROUP_ID)
                             .setSender(sender)
                             .setTerm(term)
                             .setGranted(in.readBoolean())
                             .build();
                 case VOTE ->
                     MODEL.createVoteRequestBuilder()
-                            .setGroupId(GROUP)
+                            .setGroupId(GROUP_ID)
                             .setSender(sender)
                             .setTerm(term)
-                            .setLastLogTerm(natural(in.readInt()))
-                            .setLastLogIndex(natural(in.readLong()))
+                            .setLastLogTerm(nonNegative(in.readInt()))
+                            .setLastLogIndex(nonNegative(in.readLong()))
                             .setSticky(in.readBoolean())
                             .build();
                 case VOTE_RESPONSE ->
                     MODEL.createVoteResponseBuilder()
-                            .setGroupId(GROUP)
+                            .setGroupId(GROUP_ID)
                             .setSender(sender)
                             .setTerm(term)
                             .setGranted(in.readBoolean())
                             .build();
                 case TRIGGER_ELECTION ->
                     MODEL.createTriggerLeaderElectionRequestBuilder()
-                            .setGroupId(GROUP)
+                            .setGroupId(GROUP_ID)
                             .setSender(sender)
                             .setTerm(term)
-                            .setLastLogTerm(natural(in.readInt()))
-                            .setLastLogIndex(natural(in.readLong()))
+                            .setLastLogTerm(nonNegative(in.readInt()))
+                            .setLastLogIndex(nonNegative(in.readLong()))
                             .build();
             };
         });
@@ -295,27 +297,27 @@
     // ---- log entries, snapshots, members
 
     static byte[] entry(LogEntry entry) {
-        return bytes(out -> entry(out, entry));
+        return encode(out -> entry(out, entry));
     }
 
     static LogEntry entry(byte[] bytes) {
-        return read(bytes, Codec::entry);
+        return decode(bytes, Codec::entry);
     }
 
     static byte[] chunk(SnapshotChunk chunk) {
-        return bytes(out -> chunk(out, chunk));
+        return encode(out -> chunk(out, chunk));
     }
 
     static SnapshotChunk chunk(byte[] bytes) {
-        return read(bytes, Codec::chunk);
+        return decode(bytes, Codec::chunk);
     }
 
     static byte[] members(RaftGroupMembersView members) {
-        return bytes(out -> members(out, members));
+        return encode(out -> members(out, members));
     }
 
     static RaftGroupMembersView members(byte[] bytes) {
-        return read(bytes, Codec::members);
+        return decode(bytes, Codec::members);
     }
 
     private static void entry(DataOutputStream out, LogEntry entry) throws IOException {
@@ -326,14 +328,14 @@
 
     private static LogEntry entry(DataInputStream in) throws IOException {
         return MODEL.createLogEntryBuilder()
-                .setIndex(natural(in.readLong()))
-                .setTerm(natural(in.readInt()))
+                .setIndex(nonNegative(in.readLong()))
+                .setTerm(nonNegative(in.readInt()))
                 .setOperation(operation(in))
                 .build();
     }
 
     private static List<LogEntry> entries(DataInputStream in) throws IOException {
-        int count = count(in);
+        int count = readCount(in);
         List<LogEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             entries.add(entry(in));
@@ -352,10 +354,10 @@
 
     private static SnapshotChunk chunk(DataInputStream in) throws IOException {
         return MODEL.createSnapshotChunkBuilder()
-                .setIndex(natural(in.readLong()))
-                .setTerm(natural(in.readInt()))
-                .setSnapshotChunkIndex(natural(in.readInt()))
-                .setSnapshotChunkCount(natural(in.readInt()))
+                .setIndex(nonNegative(in.readLong()))
+                .setTerm(nonNegative(in.readInt()))
+                .setSnapshotChunkIndex(nonNegative(in.readInt()))
+                .setSnapshotChunkCount(nonNegative(in.readInt()))
                 .setGroupMembersView(members(in))
                 .setOperation(operation(in))
                 .build();
@@ -369,7 +371,7 @@
 
     private static RaftGroupMembersView members(DataInputStream in) throws IOException {
         return MODEL.createRaftGroupMembersViewBuilder()
-                .setLogIndex(natural(in.readLong()))
+                .setLogIndex(nonNegative(in.readLong()))
                 .setMembers(endpoints(in))
                 .setVotingMembers(endpoints(in))
                 .build();
@@ -377,216 +379,223 @@
 
     private static void endpoints(DataOutputStream out, Collection<RaftEndpoint> members) throws IOException {
         out.writeInt(members.size());
-        for (RaftEndpoint m : members) {
-            text(out, (String) m.getId());
+        for (RaftEndpoint member : members) {
+            writeText(out, (String) member.getId());
         }
     }
 
     private static Collection<RaftEndpoint> endpoints(DataInputStream in) throws IOException {
-        int count = count(in);
+        int count = readCount(in);
         Collection<RaftEndpoint> members = new LinkedHashSet<>();
         for (int i = 0; i < count; i++) {
-            members.add(new Member(text(in)));
+            members.add(new ReplicaEndpoint(readText(in)));
         }
         return members;
     }
 
     private static void operation(DataOutputStream out, Object operation) throws IOException {
         if (operation instanceof Operation.TermStart) {
-            out.writeByte(Tag.TERM_START.ordinal());
-        } else if (operation instanceof Operation.Change c) {
-            out.writeByte(Tag.CHANGE.ordinal());
-            proposal(out, c.proposal());
-        } else if (operation instanceof Operation.Part p) {
-            out.writeByte(Tag.PART.ordinal());
-            out.writeInt(p.bytes().length);
-            out.write(p.bytes());
+            out.writeByte(OperationType.TERM_START.ordinal());
+        } else if (operation instanceof Operation.Change change) {
+            out.writeByte(OperationType.CHANGE.ordinal());
+            proposal(out, change.proposal());
+        } else if (operation instanceof Operation.SnapshotPart part) {
+            out.writeByte(OperationType.PART.ordinal());
+            out.writeInt(part.bytes().length);
+            out.write(part.bytes());
         } else {
-            // The three keepers are fixed by the settings: no operation of the library's own is ever asked
-            // for.
+            // The group's members are fixed by the settings, so the library never appends a membership change
+            // or another operation of its own.
             throw new IllegalArgumentException("not an operation: " + operation);
         }
     }
 
     private static Operation operation(DataInputStream in) throws IOException {
-        return switch (one(Tag.values(), in.readUnsignedByte())) {
+        return switch (constantAt(OperationType.values(), in.readUnsignedByte())) {
             case TERM_START -> new Operation.TermStart();
             case CHANGE -> new Operation.Change(proposal(in));
             case PART -> {
-                byte[] part = new byte[count(in)];
+                byte[] part = new byte[readCount(in)];
                 in.readFully(part);
-                yield new Operation.Part(part);
+                yield new Operation.SnapshotPart(part);
             }
         };
     }
 
-    // ---- proposals and answers between keepers
+    // ---- proposals and their results, between replicas
 
     static byte[] proposal(Proposal proposal) {
-        return bytes(out -> proposal(out, proposal));
+        return encode(out -> proposal(out, proposal));
     }
 
     static Proposal proposal(byte[] bytes) {
-        return read(bytes, Codec::proposal);
+        return decode(bytes, Codec::proposal);
     }
 
-    static byte[] answer(VersionLog.ProposalResult answer) {
-        return bytes(out -> answer(out, answer));
+    static byte[] proposalResult(VersionLog.ProposalResult result) {
+        return encode(out -> proposalResult(out, result));
     }
 
-    static VersionLog.ProposalResult answer(byte[] bytes) {
-        return read(bytes, Codec::answer);
+    static VersionLog.ProposalResult proposalResult(byte[] bytes) {
+        return decode(bytes, Codec::proposalResult);
     }
 
-    private static void proposal(DataOutputStream out, Proposal p) throws IOException {
-        text(out, p.id());
-        out.writeLong(p.basedOn());
-        entries(out, p.entries());
-        text(out, p.why());
-        out.writeLong(p.atMillis());
+    private static void proposal(DataOutputStream out, Proposal proposal) throws IOException {
+        writeText(out, proposal.id());
+        out.writeLong(proposal.basedOn());
+        entries(out, proposal.entries());
+        writeText(out, proposal.why());
+        out.writeLong(proposal.atMillis());
     }
 
     private static Proposal proposal(DataInputStream in) throws IOException {
-        return new Proposal(text(in), in.readLong(), texts(in), text(in), in.readLong());
+        return new Proposal(readText(in), in.readLong(), readTextMap(in), readText(in), in.readLong());
     }
 
-    private static void answer(DataOutputStream out, VersionLog.ProposalResult answer) throws IOException {
-        out.writeByte(answer.what().ordinal());
-        out.writeLong(answer.number());
-        text(out, answer.reason());
+    private static void proposalResult(DataOutputStream out, VersionLog.ProposalResult result) throws IOException {
+        out.writeByte(result.what().ordinal());
+        out.writeLong(result.number());
+        writeText(out, result.reason());
     }
 
-    private static VersionLog.ProposalResult answer(DataInputStream in) throws IOException {
+    private static VersionLog.ProposalResult proposalResult(DataInputStream in) throws IOException {
         return new VersionLog.ProposalResult(
-                one(VersionLog.ProposalOutcome.values(), in.readUnsignedByte()), natural(in.readLong()), text(in));
+                constantAt(VersionLog.ProposalOutcome.values(), in.readUnsignedByte()),
+                nonNegative(in.readLong()),
+                readText(in));
     }
 
-    // ---- the register's snapshot
+    // ---- snapshots of the state machine
 
-    /** The register's contents: the first part the ids, the others versions. */
-    static List<byte[]> parts(
-            Collection<Version> versions, Map<String, Long> decided, Map<String, VersionLog.ProposalResult> refused) {
+    /** Encodes the state machine: the first part has the proposal ids, the others have the versions. */
+    static List<byte[]> encodeSnapshot(
+            Collection<Version> versions,
+            Map<String, Long> acceptedVersions,
+            Map<String, VersionLog.ProposalResult> refusedResults) {
         List<byte[]> parts = new ArrayList<>();
-        parts.add(bytes(out -> {
+        parts.add(encode(out -> {
             out.writeInt(versions.size());
-            out.writeInt(decided.size());
-            for (Map.Entry<String, Long> e : decided.entrySet()) {
-                text(out, e.getKey());
+            out.writeInt(acceptedVersions.size());
+            for (Map.Entry<String, Long> e : acceptedVersions.entrySet()) {
+                writeText(out, e.getKey());
                 out.writeLong(e.getValue());
             }
-            out.writeInt(refused.size());
-            for (Map.Entry<String, VersionLog.ProposalResult> e : refused.entrySet()) {
-                text(out, e.getKey());
-                answer(out, e.getValue());
+            out.writeInt(refusedResults.size());
+            for (Map.Entry<String, VersionLog.ProposalResult> e : refusedResults.entrySet()) {
+                writeText(out, e.getKey());
+                proposalResult(out, e.getValue());
             }
         }));
-        List<Version> some = new ArrayList<>();
-        long size = 0;
-        for (Version v : versions) {
-            some.add(v);
-            size += bytes(out -> version(out, v)).length;
-            if (size >= PART_BYTES) {
-                parts.add(versions(some));
-                some.clear();
-                size = 0;
+        List<Version> partVersions = new ArrayList<>();
+        long partBytes = 0;
+        for (Version version : versions) {
+            partVersions.add(version);
+            partBytes += encode(out -> version(out, version)).length;
+            if (partBytes >= SNAPSHOT_PART_BYTES) {
+                parts.add(versions(partVersions));
+                partVersions.clear();
+                partBytes = 0;
             }
         }
-        if (!some.isEmpty()) {
-            parts.add(versions(some));
+        if (!partVersions.isEmpty()) {
+            parts.add(versions(partVersions));
         }
         return parts;
     }
 
     private static byte[] versions(List<Version> versions) {
-        return bytes(out -> {
+        return encode(out -> {
             out.writeInt(versions.size());
-            for (Version v : versions) {
-                version(out, v);
+            for (Version version : versions) {
+                version(out, version);
             }
         });
     }
 
-    static void load(
+    static void decodeSnapshot(
             List<byte[]> parts,
-            Consumer<Version> version,
-            Map<String, Long> decided,
-            Map<String, VersionLog.ProposalResult> refused) {
+            Consumer<Version> onVersion,
+            Map<String, Long> acceptedVersions,
+            Map<String, VersionLog.ProposalResult> refusedResults) {
         if (parts.isEmpty()) {
             throw new IllegalArgumentException("a snapshot without parts");
         }
-        int expected = read(parts.get(0), in -> {
-            int versions = natural(in.readInt());
-            for (int i = count(in); i > 0; i--) {
-                decided.put(text(in), natural(in.readLong()));
+        int expectedVersions = decode(parts.get(0), in -> {
+            int versions = nonNegative(in.readInt());
+            for (int i = readCount(in); i > 0; i--) {
+                acceptedVersions.put(readText(in), nonNegative(in.readLong()));
             }
-            for (int i = count(in); i > 0; i--) {
-                refused.put(text(in), answer(in));
+            for (int i = readCount(in); i > 0; i--) {
+                refusedResults.put(readText(in), proposalResult(in));
             }
             return versions;
         });
-        long[] last = {0, 0};
+        long[] countAndLast = {0, 0};
         for (byte[] part : parts.subList(1, parts.size())) {
-            read(part, in -> {
-                for (int i = count(in); i > 0; i--) {
-                    Version v = version(in);
-                    if (last[0] > 0 && v.number() != last[1] + 1) {
-                        throw new IllegalArgumentException("version " + v.number() + " after " + last[1]);
+            decode(part, in -> {
+                for (int i = readCount(in); i > 0; i--) {
+                    Version version = version(in);
+                    if (countAndLast[0] > 0 && version.number() != countAndLast[1] + 1) {
+                        throw new IllegalArgumentException("version " + version.number() + " after " + countAndLast[1]);
                     }
-                    last[0]++;
-                    last[1] = v.number();
-                    version.accept(v);
+                    countAndLast[0]++;
+                    countAndLast[1] = version.number();
+                    onVersion.accept(version);
                 }
                 return null;
             });
         }
-        if (last[0] != expected) {
-            throw new IllegalArgumentException(last[0] + " versions of " + expected);
+        if (countAndLast[0] != expectedVersions) {
+            throw new IllegalArgumentException(countAndLast[0] + " versions of " + expectedVersions);
         }
     }
 
-    private static void version(DataOutputStream out, Version v) throws IOException {
-        out.writeLong(v.number());
-        entries(out, v.entries());
-        text(out, v.why());
-        out.writeLong(v.decidedAtMillis());
+    private static void version(DataOutputStream out, Version version) throws IOException {
+        out.writeLong(version.number());
+        entries(out, version.entries());
+        writeText(out, version.why());
+        out.writeLong(version.decidedAtMillis());
     }
 
     private static Version version(DataInputStream in) throws IOException {
-        return new Version(natural(in.readLong()), texts(in), text(in), in.readLong());
+        return new Version(nonNegative(in.readLong()), readTextMap(in), readText(in), in.readLong());
     }
 
     // ---- text and numbers
 
     private static void entries(DataOutputStream out, Map<String, String> entries) throws IOException {
         out.writeInt(entries.size());
-        for (Map.Entry<String, String> e : entries.entrySet()) {
-            text(out, e.getKey());
-            text(out, e.getValue());
+        for (Map.Entry<String, String> entry : entries.entrySet()) {
+            writeText(out, entry.getKey());
+            writeText(out, entry.getValue());
         }
     }
 
-    private static TreeMap<String, String> texts(DataInputStream in) throws IOException {
+    private static TreeMap<String, String> readTextMap(DataInputStream in) throws IOException {
         TreeMap<String, String> entries = new TreeMap<>();
-        for (int i = count(in); i > 0; i--) {
-            entries.put(text(in), text(in));
+        for (int i = readCount(in); i > 0; i--) {
+            entries.put(readText(in), readText(in));
         }
         return entries;
     }
 
-    private static void text(DataOutputStream out, String text) throws IOException {
+    private static void writeText(DataOutputStream out, String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         out.writeInt(bytes.length);
         out.write(bytes);
     }
 
-    private static String text(DataInputStream in) throws IOException {
-        byte[] bytes = new byte[count(in)];
+    private static String readText(DataInputStream in) throws IOException {
+        byte[] bytes = new byte[readCount(in)];
         in.readFully(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** A length or a number of things of a byte or more each: there can't be more than there are bytes. */
-    private static int count(DataInputStream in) throws IOException {
+    /**
+     * Reads a byte length or an element count. It can't exceed the number of remaining bytes, because each element
+     * takes at least one byte.
+     */
+    private static int readCount(DataInputStream in) throws IOException {
         int count = in.readInt();
         if (count < 0 || count > in.available()) {
             throw new IllegalArgumentException("a length of " + count + " with " + in.available() + " bytes left");
@@ -594,18 +603,18 @@
         return count;
     }
 
-    private static int natural(int n) {
-        return (int) natural((long) n);
+    private static int nonNegative(int value) {
+        return (int) nonNegative((long) value);
     }
 
-    private static long natural(long n) {
-        if (n < 0) {
-            throw new IllegalArgumentException(n + " is below 0");
+    private static long nonNegative(long value) {
+        if (value < 0) {
+            throw new IllegalArgumentException(value + " is below 0");
         }
-        return n;
+        return value;
     }
 
-    private static <E> E one(E[] values, int ordinal) {
+    private static <E> E constantAt(E[] values, int ordinal) {
         if (ordinal >= values.length) {
             throw new IllegalArgumentException("kind " + ordinal + " is not known");
         }
--- a/src/main/java/mulleinfront/keep/DiskLog.java
+++ b/src/main/java/mulleinfront/keep/DiskLog.java
@@ -27,179 +27,183 @@
 import org.h2.mvstore.type.StringDataType;
 
 /**
- * A keeper's log on disk: H2's MVStore in one file, and a {@link Mark} beside it.
+ * The durable state of a replica on disk: an H2 MVStore in one file, and a {@link SaveCounterFile} beside it.
  *
- * <p>Each save counts up by one; the number is written to the store, forced, then to the mark, forced, and
- * only then is anything said that rests on it. A store that is found at a lower number than its mark was cut
- * or put back alone and is refused. A directory put back whole shows no such difference here: the others
- * remember the number ({@link KeeperWire}).
+ * <p>Each save increments the save counter. The counter is written to the store and forced to the disk, then to
+ * the counter file and forced, and only then does the replica send a message that depends on the save. A store
+ * with a lower counter than the counter file was truncated or replaced by an older copy, and is rejected. If the
+ * whole directory is replaced by an older copy, the two files agree; the other replicas detect that case because
+ * they remember the counter (see {@link ReplicaTransport}).
  *
- * <p>Each value carries a checksum of its own, since MVStore's cover chunk heads and page lengths, not
- * contents. After the first error nothing more is written and each call fails by the same: whoever can't
- * write must not go on.
+ * <p>Each value has its own checksum, because the checksums of MVStore cover chunk headers and page lengths but
+ * not the contents. After the first error nothing more is written and every write fails with the same exception:
+ * a replica that can't write must not continue.
  */
-final class DiskLog implements KeepLog, AutoCloseable {
-    static final String STORE = "keeper.mv";
-    static final String MARK = "keeper.mark";
+final class DiskLog implements ReplicaLog, AutoCloseable {
+    static final String STORE_FILE = "keeper.mv";
+    static final String COUNTER_FILE = "keeper.mark";
 
-    /** Saves between two goes at making the file smaller. */
-    private static final int SAVES_A_COMPACTION = 128;
+    /** Number of saves between two compactions of the store file. */
+    private static final int SAVES_PER_COMPACTION = 128;
 
-    private final Path file;
+    private final Path storePath;
     private final MVStore store;
     private final MVMap<String, byte[]> state;
     private final MVMap<Long, byte[]> log;
-    /** By snapshot's index and chunk's, see {@link #chunkKey}. */
+    /** Snapshot chunks by snapshot index and chunk index, see {@link #chunkKey}. */
     private final MVMap<Long, byte[]> chunks;
 
-    private final Mark mark;
+    private final SaveCounterFile counterFile;
     private final String name;
-    private final Collection<String> keepers;
-    private long saves;
-    private long committed;
-    private IOException fault;
+    private final Collection<String> replicaNames;
+    private long saveCount;
+    private long commitIndex;
+    private IOException firstError;
 
     /**
-     * Opens or creates it.
+     * Opens the log in a directory, or creates it.
      *
-     * @param name the keeper whose it is
-     * @param keepers names of all keepers
-     * @throws IOException one line with the file, if it can't be read whole, or is not that keeper's
+     * @param name name of the replica that owns the log
+     * @param replicaNames names of all replicas
+     * @throws IOException with a message of one line that names the file, if the log is incomplete or damaged, or
+     *        belongs to another replica
      */
-    DiskLog(Path directory, String name, Collection<String> keepers) throws IOException {
+    DiskLog(Path directory, String name, Collection<String> replicaNames) throws IOException {
         this.name = name;
-        this.keepers = Set.copyOf(keepers);
+        this.replicaNames = Set.copyOf(replicaNames);
         Files.createDirectories(directory);
-        file = directory.resolve(STORE);
-        boolean found = Files.exists(file);
-        Path marked = directory.resolve(MARK);
-        if (found && !Files.exists(marked)) {
-            throw new IOException(marked + ": is missing, and there is " + file + ": was part of the directory lost?");
+        storePath = directory.resolve(STORE_FILE);
+        boolean storeExists = Files.exists(storePath);
+        Path counterPath = directory.resolve(COUNTER_FILE);
+        if (storeExists && !Files.exists(counterPath)) {
+            throw new IOException(
+                    counterPath + ": is missing, but " + storePath + " exists: was part of the directory lost?");
         }
-        mark = Mark.open(marked);
-        MVStore opened = null;
+        counterFile = SaveCounterFile.open(counterPath);
+        MVStore openedStore = null;
         try {
-            opened = new MVStore.Builder()
-                    .fileName(file.toString())
+            openedStore = new MVStore.Builder()
+                    .fileName(storePath.toString())
                     .autoCommitDisabled()
                     .autoCommitBufferSize(0)
                     .cacheSize(1)
                     .open();
-            store = opened;
+            store = openedStore;
             store.setVersionsToKeep(0);
             state = store.openMap(
                     "state",
                     new MVMap.Builder<String, byte[]>()
                             .keyType(StringDataType.INSTANCE)
                             .valueType(ByteArrayDataType.INSTANCE));
-            log = store.openMap("log", longs());
-            chunks = store.openMap("chunks", longs());
-            saves = number("saves");
-            if (saves < mark.number()) {
-                throw new IllegalArgumentException("is at save " + saves + ", its mark at " + mark.number()
-                        + ": it was cut, or an older copy was put back");
+            log = store.openMap("log", longKeyedMap());
+            chunks = store.openMap("chunks", longKeyedMap());
+            saveCount = longValue("saves");
+            if (saveCount < counterFile.saveCount()) {
+                throw new IllegalArgumentException("is at save " + saveCount + ", its mark at "
+                        + counterFile.saveCount() + ": it was cut, or an older copy was put back");
             }
-            committed = number("committed");
+            commitIndex = longValue("committed");
             restore();
         } catch (RuntimeException | AssertionError e) {
-            // MVStore meets a file that isn't whole with whatever it stumbles over, a null among them.
-            if (opened != null) {
-                opened.closeImmediately();
+            // On a damaged file MVStore throws various exceptions, a NullPointerException among them.
+            if (openedStore != null) {
+                openedStore.closeImmediately();
             }
-            mark.close();
-            throw new IOException(file + ": " + line(e), e);
+            counterFile.close();
+            throw new IOException(storePath + ": " + firstLine(e), e);
         }
     }
 
-    private static MVMap.Builder<Long, byte[]> longs() {
+    private static MVMap.Builder<Long, byte[]> longKeyedMap() {
         return new MVMap.Builder<Long, byte[]>().keyType(LongDataType.INSTANCE).valueType(ByteArrayDataType.INSTANCE);
     }
 
-    private static String line(Throwable e) {
-        String message = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-        return e instanceof IllegalArgumentException || e instanceof MVStoreException
+    private static String firstLine(Throwable error) {
+        String message = String.valueOf(error.getMessage()).lines().findFirst().orElse("");
+        return error instanceof IllegalArgumentException || error instanceof MVStoreException
                 ? message
-                : "is not whole: " + e.getClass().getSimpleName() + " " + message;
+                : "is damaged: " + error.getClass().getSimpleName() + " " + message;
     }
 
-    // ---- at the start
+    // ---- startup
 
     private RestoredRaftState restore() {
-        byte[] endpoint = value(state, "endpoint");
-        byte[] members = value(state, "members");
+        byte[] endpoint = verifiedValue(state, "endpoint");
+        byte[] members = verifiedValue(state, "members");
         if (endpoint == null || members == null) {
-            // Both are saved before the first message: without them nothing was said.
+            // Both are saved before the first message, so without them this replica has never sent a message.
             if (!log.isEmpty() || state.containsKey("term")) {
-                throw new IllegalArgumentException("has a log and no keeper");
+                throw new IllegalArgumentException("has log entries or a term, but no replica name or group members");
             }
             return null;
         }
-        String whose = new String(endpoint, StandardCharsets.UTF_8);
-        if (!whose.equals(name)) {
-            throw new IllegalArgumentException("is keeper " + whose + "'s, not " + name + "'s");
+        String owner = new String(endpoint, StandardCharsets.UTF_8);
+        if (!owner.equals(name)) {
+            throw new IllegalArgumentException("is keeper " + owner + "'s, not " + name + "'s");
         }
-        RaftGroupMembersView initial = Codec.members(members);
-        Set<String> known = new HashSet<>();
-        initial.getMembers().forEach(m -> known.add((String) m.getId()));
-        if (!known.equals(keepers)) {
-            throw new IllegalArgumentException("was made for keepers " + known + ", the settings name " + keepers);
+        RaftGroupMembersView initialMembers = Codec.members(members);
+        Set<String> storedNames = new HashSet<>();
+        initialMembers.getMembers().forEach(m -> storedNames.add((String) m.getId()));
+        if (!storedNames.equals(replicaNames)) {
+            throw new IllegalArgumentException(
+                    "was created for the replicas " + storedNames + ", but the settings name " + replicaNames);
         }
-        byte[] vote = value(state, "vote");
+        byte[] vote = verifiedValue(state, "vote");
         TreeMap<Long, LogEntry> entries = new TreeMap<>();
         for (Long index : log.keySet()) {
-            entries.put(index, Codec.entry(value(log, index)));
+            entries.put(index, Codec.entry(verifiedValue(log, index)));
         }
         return Recovery.restore(
                 name,
-                initial,
-                (int) number("term"),
+                initialMembers,
+                (int) longValue("term"),
                 vote == null ? null : new String(vote, StandardCharsets.UTF_8),
                 snapshots(),
-                number("taken"),
+                longValue("taken"),
                 entries,
-                committed);
+                commitIndex);
     }
 
     private TreeMap<Long, List<SnapshotChunk>> snapshots() {
         TreeMap<Long, List<SnapshotChunk>> snapshots = new TreeMap<>();
         for (Long key : chunks.keySet()) {
-            snapshots.computeIfAbsent(key >> 16, i -> new ArrayList<>()).add(Codec.chunk(value(chunks, key)));
+            snapshots.computeIfAbsent(key >> 16, i -> new ArrayList<>()).add(Codec.chunk(verifiedValue(chunks, key)));
         }
         return snapshots;
     }
 
     @Override
-    public RestoredRaftState restored() {
+    public RestoredRaftState restoredState() {
         try {
             return restore();
         } catch (MVStoreException | NullPointerException | IndexOutOfBoundsException e) {
-            throw new IllegalArgumentException(line(e), e);
+            throw new IllegalArgumentException(firstLine(e), e);
         }
     }
 
     @Override
-    public long committed() {
-        return committed;
+    public long commitIndex() {
+        return commitIndex;
     }
 
-    /** Saves so far, all durable. */
-    long saves() {
-        return saves;
+    /** Number of saves so far, all durable. */
+    long saveCount() {
+        return saveCount;
     }
 
-    /** The highest number of saves that another keeper has told of, as far as was saved here; 0 if none. */
-    long heard(String keeper) {
-        return number("heard/" + keeper);
+    /** The highest save counter received from another replica, as recorded here; 0 if none. */
+    long highestSaveCount(String replica) {
+        return longValue("heard/" + replica);
     }
 
-    /** Remembers it; durable with the next save. */
-    void heard(String keeper, long number) throws IOException {
-        write(() -> put(state, "heard/" + keeper, number));
+    /** Records a save counter received from another replica; becomes durable with the next save. */
+    void recordSaveCount(String replica, long count) throws IOException {
+        update(() -> put(state, "heard/" + replica, count));
     }
 
     // ---- values
 
-    private <K> byte[] value(MVMap<K, byte[]> map, K key) {
+    private <K> byte[] verifiedValue(MVMap<K, byte[]> map, K key) {
         byte[] stored = map.get(key);
         if (stored == null) {
             return null;
@@ -207,10 +211,10 @@
         if (stored.length < Integer.BYTES) {
             throw new IllegalArgumentException("has no checksum at " + map.getName() + " " + key);
         }
-        ByteBuffer b = ByteBuffer.wrap(stored);
-        int expected = b.getInt();
-        byte[] bytes = new byte[b.remaining()];
-        b.get(bytes);
+        ByteBuffer buffer = ByteBuffer.wrap(stored);
+        int expected = buffer.getInt();
+        byte[] bytes = new byte[buffer.remaining()];
+        buffer.get(bytes);
         if (checksum(bytes) != expected) {
             throw new IllegalArgumentException("has a wrong checksum at " + map.getName() + " " + key);
         }
@@ -223,8 +227,8 @@
         return (int) crc.getValue();
     }
 
-    private long number(String key) {
-        byte[] bytes = value(state, key);
+    private long longValue(String key) {
+        byte[] bytes = verifiedValue(state, key);
         return bytes == null ? 0 : ByteBuffer.wrap(bytes).getLong();
     }
 
@@ -241,55 +245,55 @@
         put(map, key, ByteBuffer.allocate(Long.BYTES).putLong(number).array());
     }
 
-    /** One change of the maps; after an error there is none any more. */
-    private void write(Runnable change) throws IOException {
-        if (fault != null) {
-            throw fault;
+    /** Applies a change to the maps; fails without applying it after an earlier error. */
+    private void update(Runnable change) throws IOException {
+        if (firstError != null) {
+            throw firstError;
         }
         try {
             change.run();
         } catch (RuntimeException | AssertionError e) {
-            fault = new IOException(file + ": " + line(e), e);
-            throw fault;
+            firstError = new IOException(storePath + ": " + firstLine(e), e);
+            throw firstError;
         }
     }
 
     private void save() throws IOException {
-        write(() -> {
-            put(state, "saves", saves + 1);
-            if ((saves + 1) % SAVES_A_COMPACTION == 0) {
+        update(() -> {
+            put(state, "saves", saveCount + 1);
+            if ((saveCount + 1) % SAVES_PER_COMPACTION == 0) {
                 store.compact(50, 1 << 20);
             }
             store.commit();
             store.sync();
         });
         try {
-            mark.write(saves + 1);
+            counterFile.write(saveCount + 1);
         } catch (IOException e) {
-            fault = e;
+            firstError = e;
             throw e;
         }
-        saves++;
+        saveCount++;
     }
 
-    // ---- what the library asks for
+    // ---- RaftStore and ReplicaLog
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) throws IOException {
         RaftEndpoint local = endpoint.getLocalEndpoint();
-        write(() -> put(state, "endpoint", ((String) local.getId()).getBytes(StandardCharsets.UTF_8)));
+        update(() -> put(state, "endpoint", ((String) local.getId()).getBytes(StandardCharsets.UTF_8)));
         save();
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-        write(() -> put(state, "members", Codec.members(members)));
+        update(() -> put(state, "members", Codec.members(members)));
         save();
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
-        write(() -> {
+        update(() -> {
             put(state, "term", term.getTerm());
             if (term.getVotedFor() == null) {
                 state.remove("vote");
@@ -302,12 +306,12 @@
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        write(() -> entries.forEach(e -> put(log, e.getIndex(), Codec.entry(e))));
+        update(() -> entries.forEach(e -> put(log, e.getIndex(), Codec.entry(e))));
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        write(() -> put(chunks, chunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex()), Codec.chunk(chunk)));
+        update(() -> put(chunks, chunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex()), Codec.chunk(chunk)));
     }
 
     private static long chunkKey(long index, int chunk) {
@@ -316,7 +320,7 @@
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        write(() -> {
+        update(() -> {
             for (Long i = log.ceilingKey(index); i != null; i = log.ceilingKey(index)) {
                 log.remove(i);
             }
@@ -325,25 +329,25 @@
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        write(() -> {
-            long begin = Recovery.begin(Recovery.whole(snapshots()), number("taken"));
-            for (Long i = log.floorKey(begin); i != null; i = log.floorKey(begin)) {
+        update(() -> {
+            long startIndex = Recovery.startIndex(Recovery.completeSnapshots(snapshots()), longValue("taken"));
+            for (Long i = log.floorKey(startIndex); i != null; i = log.floorKey(startIndex)) {
                 log.remove(i);
             }
-            for (Long k = chunks.lowerKey(begin << 16); k != null; k = chunks.lowerKey(begin << 16)) {
-                chunks.remove(k);
+            for (Long key = chunks.lowerKey(startIndex << 16); key != null; key = chunks.lowerKey(startIndex << 16)) {
+                chunks.remove(key);
             }
         });
     }
 
     @Override
-    public void taking(long index) throws IOException {
-        write(() -> put(state, "taken", index));
+    public void beginSnapshot(long index) throws IOException {
+        update(() -> put(state, "taken", index));
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        write(() -> {
+        update(() -> {
             for (int i = 0; i < count; i++) {
                 chunks.remove(chunkKey(index, i));
             }
@@ -356,16 +360,16 @@
     }
 
     @Override
-    public void persistAndFlushCommitted(long index) throws IOException {
-        write(() -> put(state, "committed", index));
+    public void persistAndFlushCommitIndex(long index) throws IOException {
+        update(() -> put(state, "committed", index));
         save();
-        committed = index;
+        commitIndex = index;
     }
 
-    /** Lets go of the files; what wasn't saved is lost, as if the process had been killed. */
+    /** Closes the files; unsaved changes are lost, as if the process had been killed. */
     @Override
     public void close() {
         store.closeImmediately();
-        mark.close();
+        counterFile.close();
     }
 }
--- a/src/main/java/mulleinfront/keep/Operation.java
+++ b/src/main/java/mulleinfront/keep/Operation.java
@@ -2,14 +2,14 @@
 
 import mulleinfront.config.Proposal;
 
-/** What stands in an entry of the replicated log, or in a part of a snapshot. */
+/** The operation in a Raft log entry or a snapshot chunk. */
 sealed interface Operation {
-    /** The first entry of each leader: with it all entries before are decided. Changes nothing. */
+    /** The first entry of a new leader; its commit commits all earlier entries too. Changes no state. */
     record TermStart() implements Operation {}
 
-    /** A proposal that the state machine decides on when it comes to it. */
+    /** A proposed version; the state machine accepts or refuses it when the entry is applied. */
     record Change(Proposal proposal) implements Operation {}
 
-    /** One part of a snapshot; the register alone reads it. */
-    record Part(byte[] bytes) implements Operation {}
+    /** One part of a snapshot of the state machine, as encoded by {@link Codec}. */
+    record SnapshotPart(byte[] bytes) implements Operation {}
 }
--- a/src/main/java/mulleinfront/keep/Peers.java
+++ b/src/main/java/mulleinfront/keep/Peers.java
@@ -5,19 +5,19 @@
 import mulleinfront.config.Proposal;
 import mulleinfront.config.VersionLog;
 
-/** The other keepers, as far as messages to them go; any of them may be lost, late or there twice. */
+/** Sends messages to the other replicas. A message may be lost, delayed or duplicated. */
 interface Peers {
-    /** Sends, or doesn't; never blocks or throws. */
-    void send(String to, RaftMessage message);
+    /** Sends a message if possible, else drops it; never blocks or throws. */
+    void send(String peer, RaftMessage message);
 
     /**
-     * Asks another keeper to decide.
+     * Forwards a proposal to another replica.
      *
-     * @param reply called once, within a second or when the answer has come: what it says, or null if nothing
-     *        came
+     * @param reply called once, within about a second: with the other replica's result, or with null if none
+     *        arrived
      */
-    void propose(String to, Proposal proposal, Consumer<VersionLog.ProposalResult> reply);
+    void propose(String peer, Proposal proposal, Consumer<VersionLog.ProposalResult> reply);
 
-    /** Whether messages got through lately, as far as is known. */
-    boolean reachable(String keeper);
+    /** Whether messages can currently be sent to that replica, as far as is known. */
+    boolean reachable(String peer);
 }
--- a/src/main/java/mulleinfront/keep/Recovery.java
+++ b/src/main/java/mulleinfront/keep/Recovery.java
@@ -16,13 +16,14 @@
 import java.util.TreeSet;
 
 /**
- * What of a log is handed to the library at a start, and what may go of it before.
+ * Selects the part of the stored log that is restored at startup, and thereby the part that may be deleted.
  *
- * <p>The library restores no entry at or before its snapshot. A follower that comes back with a snapshot at
- * entry S then refuses every request of a leader that last heard of it before S, as "previous entry unknown",
- * and the leader never goes back behind what the follower once had: the follower stays where it is until
- * there is another leader. So the last two snapshots are kept, with all entries between, and a start is made
- * from the older one.
+ * <p>The library restores no entry at or before the snapshot from which it starts. A follower that restarts
+ * from a snapshot at entry S rejects every append request of a leader whose last known position of the follower
+ * is before S, because it doesn't know the previous entry. The leader never goes back behind the highest
+ * position that the follower has acknowledged, so the follower makes no progress until the leader changes.
+ * For this reason the last two snapshots are kept, with all entries between them, and a replica starts from the
+ * older one.
  */
 final class Recovery {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
@@ -30,14 +31,14 @@
     private Recovery() {}
 
     /**
-     * The state at a start.
+     * Builds the Raft state to start from.
      *
-     * @param vote whom it voted for in that term, or null
-     * @param snapshots chunks held, by snapshot's index and chunk's; also of snapshots not whole
-     * @param taken index of the newest snapshot that this keeper made of its own entries; 0 if none
-     * @param log entries held, by index
-     * @param committed entry that is known to be decided
-     * @throws IllegalArgumentException one line, if that can't have been
+     * @param vote name of the replica that this one voted for in that term, or null
+     * @param snapshots stored chunks in order, by snapshot index; incomplete snapshots included
+     * @param ownSnapshotIndex index of the newest snapshot taken of this replica's own state machine; 0 if none
+     * @param entriesByIndex stored log entries, by index
+     * @param commitIndex index of the newest entry known to be committed
+     * @throws IllegalArgumentException with a message of one line, if the stored state is inconsistent
      */
     static RestoredRaftState restore(
             String name,
@@ -45,35 +46,38 @@
             int term,
             String vote,
             NavigableMap<Long, List<SnapshotChunk>> snapshots,
-            long taken,
-            NavigableMap<Long, LogEntry> log,
-            long committed) {
-        long from = begin(whole(snapshots), taken);
+            long ownSnapshotIndex,
+            NavigableMap<Long, LogEntry> entriesByIndex,
+            long commitIndex) {
+        long startIndex = startIndex(completeSnapshots(snapshots), ownSnapshotIndex);
         List<LogEntry> entries = new ArrayList<>();
-        long last = from;
-        for (Map.Entry<Long, LogEntry> e : log.tailMap(from, false).entrySet()) {
-            if (e.getKey() != last + 1 || e.getValue().getIndex() != e.getKey()) {
+        long lastIndex = startIndex;
+        for (Map.Entry<Long, LogEntry> indexedEntry :
+                entriesByIndex.tailMap(startIndex, false).entrySet()) {
+            if (indexedEntry.getKey() != lastIndex + 1
+                    || indexedEntry.getValue().getIndex() != indexedEntry.getKey()) {
                 throw new IllegalArgumentException(
-                        "has log entry " + e.getValue().getIndex() + " after " + last);
+                        "has log entry " + indexedEntry.getValue().getIndex() + " after " + lastIndex);
             }
-            entries.add(e.getValue());
-            last++;
+            entries.add(indexedEntry.getValue());
+            lastIndex++;
         }
-        if (last < committed) {
-            throw new IllegalArgumentException("ends at entry " + last + ", but " + committed + " was decided");
+        if (lastIndex < commitIndex) {
+            throw new IllegalArgumentException(
+                    "ends at entry " + lastIndex + ", but entry " + commitIndex + " was committed");
         }
-        RaftEndpoint voted = vote == null ? null : new Member(vote);
+        RaftEndpoint votedFor = vote == null ? null : new ReplicaEndpoint(vote);
         return new RestoredRaftState(
                 MODEL.createRaftEndpointPersistentStateBuilder()
-                        .setLocalEndpoint(new Member(name))
+                        .setLocalEndpoint(new ReplicaEndpoint(name))
                         .setVoting(true)
                         .build(),
                 members,
                 MODEL.createRaftTermPersistentStateBuilder()
                         .setTerm(term)
-                        .setVotedFor(voted)
+                        .setVotedFor(votedFor)
                         .build(),
-                from == 0 ? null : snapshot(snapshots.get(from)),
+                startIndex == 0 ? null : snapshot(snapshots.get(startIndex)),
                 entries);
     }
 
@@ -87,33 +91,34 @@
                 .build();
     }
 
-    /** Indexes of the snapshots of which all chunks are there. */
-    static TreeSet<Long> whole(NavigableMap<Long, List<SnapshotChunk>> snapshots) {
-        TreeSet<Long> whole = new TreeSet<>();
+    /** Indexes of the snapshots of which all chunks are stored. */
+    static TreeSet<Long> completeSnapshots(NavigableMap<Long, List<SnapshotChunk>> snapshots) {
+        TreeSet<Long> complete = new TreeSet<>();
         snapshots.forEach((index, chunks) -> {
             if (chunks.size() == chunks.get(0).getSnapshotChunkCount()) {
-                whole.add(index);
+                complete.add(index);
             }
         });
-        return whole;
+        return complete;
     }
 
     /**
-     * Index of the snapshot that a start is made from, 0 for the beginning of the log: the one before the
-     * newest, if the newest was made of entries that are all still there; one that came from another keeper
-     * stands alone. Entries up to there and snapshots before may go.
+     * Index of the snapshot from which a replica starts, or 0 for the beginning of the log. It is the snapshot
+     * before the newest if the newest was taken of this replica's own state machine, because the entries between
+     * the two are then stored. It is the newest if that was received from another replica, because the entries
+     * before it may be missing. Entries up to this index, and older snapshots, may be deleted.
      *
-     * @param whole indexes of the snapshots held whole
+     * @param completeSnapshots indexes of the snapshots of which all chunks are stored
      */
-    static long begin(NavigableSet<Long> whole, long taken) {
-        if (whole.isEmpty()) {
+    static long startIndex(NavigableSet<Long> completeSnapshots, long ownSnapshotIndex) {
+        if (completeSnapshots.isEmpty()) {
             return 0;
         }
-        long newest = whole.last();
-        if (newest != taken) {
+        long newest = completeSnapshots.last();
+        if (newest != ownSnapshotIndex) {
             return newest;
         }
-        Long before = whole.lower(newest);
-        return before == null ? 0 : before;
+        Long previous = completeSnapshots.lower(newest);
+        return previous == null ? 0 : previous;
     }
 }
--- a/src/main/java/mulleinfront/keep/Register.java
+++ b/src/main/java/mulleinfront/keep/Register.java
@@ -11,48 +11,49 @@
 import mulleinfront.config.VersionLog;
 
 /**
- * The state machine: each decided proposal makes the next version. Without I/O, clock or chance, so that
- * every keeper that applies the same proposals in the same order holds the same.
+ * The replicated state machine: each accepted proposal becomes the next configuration version. It is
+ * deterministic (no I/O, clock or random source), so that all replicas that apply the same proposals in the same
+ * order have the same state.
  *
- * <p>Held are at most {@value #VERSIONS} versions of {@value #HISTORY_BYTES} bytes in all (the newest
- * always), the ids of the last {@value #DECIDED} decided proposals and of the last {@value #REFUSED} refused
- * ones. An id that comes again after as many others have gone by is taken for a new one: whoever repeats does
- * so within seconds.
+ * <p>It keeps at most {@value #VERSIONS} versions with at most {@value #HISTORY_BYTES} bytes in total (the
+ * newest version always), the ids of the last {@value #DECIDED} accepted proposals, and the results of the last
+ * {@value #REFUSED} refused ones. A proposal repeated after its id has been evicted counts as new; proposers
+ * repeat a proposal within seconds, long before that.
  */
 final class Register {
-    /** Versions held for differences and history. */
-    static final int VERSIONS = 256;
-    /** Bytes of all versions held, as {@link #size} counts them. */
-    static final long HISTORY_BYTES = 8L << 20;
-    /** Ids of decided proposals held. */
-    static final int DECIDED = 4096;
-    /** Ids of refused proposals held. */
-    static final int REFUSED = 1024;
-    /** Bytes of one version at most, as {@link #size} counts them. */
-    static final int VERSION_BYTES = 256 << 10;
-    /** Characters of a proposal's id at most. */
-    static final int ID_CHARS = 100;
-    /** Characters of a proposal's reason at most. */
-    static final int WHY_CHARS = 500;
+    /** Maximum number of versions kept for deltas and history. */
+    static final int MAX_VERSIONS = 256;
+    /** Maximum total size of the versions kept, as computed by {@link #size}. */
+    static final long MAX_HISTORY_BYTES = 8L << 20;
+    /** Maximum number of ids of accepted proposals kept. */
+    static final int MAX_ACCEPTED_IDS = 4096;
+    /** Maximum number of ids of refused proposals kept. */
+    static final int MAX_REFUSED_IDS = 1024;
+    /** Maximum size of one version, as computed by {@link #size}. */
+    static final int MAX_VERSION_BYTES = 256 << 10;
+    /** Maximum length of a proposal's id. */
+    static final int MAX_ID_CHARS = 100;
+    /** Maximum length of a proposal's reason. */
+    static final int MAX_REASON_CHARS = 500;
 
     private final ArrayDeque<Version> versions = new ArrayDeque<>();
-    private final Map<String, Long> decided = new LinkedHashMap<>();
-    private final Map<String, VersionLog.ProposalResult> refused = new LinkedHashMap<>();
-    private long bytes;
+    private final Map<String, Long> acceptedVersions = new LinkedHashMap<>();
+    private final Map<String, VersionLog.ProposalResult> refusedResults = new LinkedHashMap<>();
+    private long historyBytes;
 
-    /** @return why a proposal can be in no version, one line; null if it can */
-    static String check(Proposal proposal) {
-        if (proposal.id().isBlank() || proposal.id().length() > ID_CHARS) {
-            return "id has to have 1 to " + ID_CHARS + " characters";
+    /** @return why a proposal is invalid, in one line; null if it is valid */
+    static String validate(Proposal proposal) {
+        if (proposal.id().isBlank() || proposal.id().length() > MAX_ID_CHARS) {
+            return "id has to have 1 to " + MAX_ID_CHARS + " characters";
         }
-        if (proposal.why().length() > WHY_CHARS || proposal.why().chars().anyMatch(c -> c < ' ')) {
-            return "why has to be one line of at most " + WHY_CHARS + " characters";
+        if (proposal.why().length() > MAX_REASON_CHARS || proposal.why().chars().anyMatch(c -> c < ' ')) {
+            return "why has to be one line of at most " + MAX_REASON_CHARS + " characters";
         }
         long size = size(proposal.entries(), proposal.why());
-        return size <= VERSION_BYTES ? null : "is " + size + " bytes, at most " + VERSION_BYTES + " are taken";
+        return size <= MAX_VERSION_BYTES ? null : "is " + size + " bytes, at most " + MAX_VERSION_BYTES + " are taken";
     }
 
-    /** Bytes that a version is counted as: its text in UTF-16, and a fixed part for each entry. */
+    /** Size in bytes: the text in UTF-16, plus a fixed overhead for the version and for each entry. */
     private static long size(Map<String, String> entries, String why) {
         long size = 64 + 2L * why.length();
         for (Map.Entry<String, String> e : entries.entrySet()) {
@@ -61,12 +62,12 @@
         return size;
     }
 
-    /** Decides on a proposal; the same id gets the same answer again. */
+    /** Accepts or refuses a committed proposal; a repeated id gets the result of its first proposal. */
     VersionLog.ProposalResult apply(Proposal proposal) {
-        Long number = decided.get(proposal.id());
+        Long number = acceptedVersions.get(proposal.id());
         if (number != null) {
-            Version held = at(number);
-            return held == null || held.entries().equals(proposal.entries())
+            Version acceptedVersion = at(number);
+            return acceptedVersion == null || acceptedVersion.entries().equals(proposal.entries())
                     ? new VersionLog.ProposalResult(VersionLog.ProposalOutcome.DECIDED, number, "")
                     : new VersionLog.ProposalResult(
                             VersionLog.ProposalOutcome.REFUSED,
@@ -74,42 +75,42 @@
                             "the id " + proposal.id() + " was given to version " + number
                                     + ", which has other entries");
         }
-        VersionLog.ProposalResult before = refused.get(proposal.id());
-        if (before != null) {
-            return before;
+        VersionLog.ProposalResult earlierResult = refusedResults.get(proposal.id());
+        if (earlierResult != null) {
+            return earlierResult;
         }
-        String wrong = check(proposal);
-        if (wrong == null && proposal.basedOn() >= 0 && proposal.basedOn() != newest().number()) {
-            wrong = "based on version " + proposal.basedOn() + ", the newest is " + newest().number();
+        String problem = validate(proposal);
+        if (problem == null && proposal.basedOn() >= 0 && proposal.basedOn() != newest().number()) {
+            problem = "based on version " + proposal.basedOn() + ", the newest is " + newest().number();
         }
-        if (wrong != null) {
-            VersionLog.ProposalResult answer =
-                    new VersionLog.ProposalResult(VersionLog.ProposalOutcome.REFUSED, newest().number(), wrong);
-            // One that no keeper may hold is refused before it is in the log; its id isn't worth the room.
-            if (proposal.id().length() <= ID_CHARS) {
-                remember(refused, proposal.id(), answer, REFUSED);
+        if (problem != null) {
+            VersionLog.ProposalResult result =
+                    new VersionLog.ProposalResult(VersionLog.ProposalOutcome.REFUSED, newest().number(), problem);
+            // An id that is too long is not remembered: such a proposal is refused before it gets into the log.
+            if (proposal.id().length() <= MAX_ID_CHARS) {
+                putBounded(refusedResults, proposal.id(), result, MAX_REFUSED_IDS);
             }
-            return answer;
+            return result;
         }
         Version version = new Version(newest().number() + 1, proposal.entries(), proposal.why(), proposal.atMillis());
-        hold(version);
-        remember(decided, proposal.id(), version.number(), DECIDED);
+        addVersion(version);
+        putBounded(acceptedVersions, proposal.id(), version.number(), MAX_ACCEPTED_IDS);
         return new VersionLog.ProposalResult(VersionLog.ProposalOutcome.DECIDED, version.number(), "");
     }
 
-    private void hold(Version version) {
+    private void addVersion(Version version) {
         versions.addLast(version);
-        bytes += size(version.entries(), version.why());
-        while (versions.size() > 1 && (versions.size() > VERSIONS || bytes > HISTORY_BYTES)) {
+        historyBytes += size(version.entries(), version.why());
+        while (versions.size() > 1 && (versions.size() > MAX_VERSIONS || historyBytes > MAX_HISTORY_BYTES)) {
             Version oldest = versions.removeFirst();
-            bytes -= size(oldest.entries(), oldest.why());
+            historyBytes -= size(oldest.entries(), oldest.why());
         }
     }
 
-    private static <V> void remember(Map<String, V> memory, String id, V what, int most) {
-        memory.put(id, what);
-        if (memory.size() > most) {
-            Iterator<String> ids = memory.keySet().iterator();
+    private static <V> void putBounded(Map<String, V> results, String id, V value, int maxEntries) {
+        results.put(id, value);
+        if (results.size() > maxEntries) {
+            Iterator<String> ids = results.keySet().iterator();
             ids.next();
             ids.remove();
         }
@@ -119,7 +120,7 @@
         return versions.isEmpty() ? Version.NONE : versions.getLast();
     }
 
-    /** @return that version, or null if it is not held; 0 is held until there is another */
+    /** @return that version, or null if it is not kept; version 0 exists until version 1 is added */
     Version at(long number) {
         if (versions.isEmpty()) {
             return number == 0 ? Version.NONE : null;
@@ -135,8 +136,8 @@
         return null;
     }
 
-    /** Versions held that are newer than one, in order. */
-    List<Version> after(long number) {
+    /** The kept versions with a greater number, in order. */
+    List<Version> versionsAfter(long number) {
         List<Version> newer = new ArrayList<>();
         for (Version v : versions) {
             if (v.number() > number) {
@@ -146,19 +147,22 @@
         return newer;
     }
 
-    /** All that is held, in parts of some {@value Codec#PART_BYTES} bytes; the same for the same contents. */
-    List<byte[]> save() {
-        return Codec.parts(versions, decided, refused);
+    /**
+     * Encodes the whole state in parts of about {@value Codec#PART_BYTES} bytes; equal states give equal parts.
+     */
+    List<byte[]> encodeSnapshot() {
+        return Codec.encodeSnapshot(versions, acceptedVersions, refusedResults);
     }
 
     /**
-     * What was saved.
+     * Decodes a snapshot.
      *
-     * @throws IllegalArgumentException if it isn't whole
+     * @throws IllegalArgumentException if the snapshot is incomplete or damaged
      */
-    static Register load(List<byte[]> parts) {
-        Register register = new Register();
-        Codec.load(parts, register::hold, register.decided, register.refused);
-        return register;
+    static Register decodeSnapshot(List<byte[]> parts) {
+        Register stateMachine = new Register();
+        Codec.decodeSnapshot(
+                parts, stateMachine::addVersion, stateMachine.acceptedVersions, stateMachine.refusedResults);
+        return stateMachine;
     }
 }
--- a/src/main/java/mulleinfront/keep/Member.java
+++ b/src/main/java/mulleinfront/keep/ReplicaEndpoint.java
@@ -3,11 +3,11 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * A keeper as the consensus library knows it.
+ * The identity of a replica within the Raft group.
  *
- * @param name the name it has in the settings; never given to another machine
+ * @param name the replica's name in the settings; must never be reused for another replica
  */
-record Member(String name) implements RaftEndpoint {
+record ReplicaEndpoint(String name) implements RaftEndpoint {
     @Override
     public Object getId() {
         return name;
--- a/src/main/java/mulleinfront/keep/ReplicaNode.java
+++ b/src/main/java/mulleinfront/keep/ReplicaNode.java
@@ -11,44 +11,45 @@
 import mulleinfront.config.VersionLog;
 
 /**
- * A keeper: consensus, log on disk and wire to the others, on one event loop of NIO. Every method but
- * {@link #KeeperNode} is called on that loop, and what is given to it is called back there. Saves are forced
- * to the disk on the loop too: it stands still meanwhile (some ms a decision).
+ * A running replica: consensus, the log on disk and the connections to the other replicas, on one NIO event
+ * loop. All methods must be called on that loop, except the constructor; callbacks run on the loop too. Writes
+ * are forced to the disk on the loop, which blocks it for a few milliseconds per committed proposal.
  */
 public final class ReplicaNode implements VersionLog, AutoCloseable {
     private final DiskLog log;
-    private final KeeperWire wire;
-    private final Keeper keeper;
+    private final ReplicaTransport transport;
+    private final Replica replica;
 
     /**
-     * Opens the log and listens; takes part from {@link #start} on.
+     * Opens the log and binds the listening socket. The replica takes part in consensus once {@link #start} is
+     * called.
      *
-     * @param loop on which all of it runs; stays the caller's
-     * @throws IOException one line: the log can't be read whole or is another keeper's, or the address is
-     *        taken
+     * @param loop the event loop on which everything runs; the caller shuts it down
+     * @throws IOException with a message of one line, if the log is incomplete or belongs to another replica, or
+     *        if the address is in use
      */
     public ReplicaNode(ReplicaSettings settings, EventLoop loop) throws IOException {
         log = new DiskLog(
-                settings.directory(), settings.name(), settings.keepers().keySet());
+                settings.directory(), settings.name(), settings.replicas().keySet());
         try {
-            wire = new KeeperWire(settings, loop, log);
-            keeper = new Keeper(
+            transport = new ReplicaTransport(settings, loop, log);
+            replica = new Replica(
                     settings.name(),
-                    settings.keepers().keySet(),
-                    timers(loop),
+                    settings.replicas().keySet(),
+                    scheduler(loop),
                     new Random(),
                     log,
-                    wire,
-                    Keeper.SNAPSHOT_ENTRIES);
-            wire.bind(keeper);
+                    transport,
+                    Replica.SNAPSHOT_INTERVAL_ENTRIES);
+            transport.bind(replica);
         } catch (IOException e) {
             log.close();
             throw e;
         }
     }
 
-    private static Timers timers(EventLoop loop) {
-        return new Timers() {
+    private static Scheduler scheduler(EventLoop loop) {
+        return new Scheduler() {
             @Override
             public void execute(Runnable task) {
                 if (!loop.isShuttingDown()) {
@@ -70,52 +71,53 @@
         };
     }
 
-    /** Where it hears the other keepers. */
+    /** The address on which this replica listens for the others. */
     public InetSocketAddress address() {
-        return wire.address();
+        return transport.address();
     }
 
-    /** Takes part from now on. */
+    /** Starts to take part in consensus. */
     public void start() {
-        keeper.start();
+        replica.start();
     }
 
-    /** What it is now. */
+    /** The current status of this replica. */
     public ReplicaStatus status() {
-        return keeper.status();
+        return replica.status();
     }
 
-    /** Bytes sent to other keepers so far, heads of messages included. */
+    /** Bytes sent to other replicas so far, HTTP headers included. */
     public long bytesSent() {
-        return wire.bytesSent();
+        return transport.bytesSent();
     }
 
     /**
-     * Takes part no longer, lets go of address and directory. Proposals that wait are answered as unknown.
+     * Stops the replica and releases its address and directory. Open proposals end with {@link
+     * VersionLog.ProposalOutcome#UNKNOWN}.
      */
     @Override
     public void close() {
-        keeper.close();
-        wire.close();
+        replica.close();
+        transport.close();
         log.close();
     }
 
     @Override
     public Version newest() {
-        return keeper.newest();
+        return replica.newest();
     }
 
     @Override
     public Version at(long number) {
-        return keeper.at(number);
+        return replica.at(number);
     }
 
     @Override
-    public void propose(Proposal proposal, Consumer<ProposalResult> answer) {
-        keeper.propose(proposal, answer);
+    public void propose(Proposal proposal, Consumer<ProposalResult> onResult) {
+        replica.propose(proposal, onResult);
     }
 
-    /** It leads, or has heard its leader within the time after which one is given up. */
+    /** Whether this replica leads, or has heard its leader within the heartbeat timeout. */
     @Override
     public boolean hasQuorumContact() {
         ReplicaStatus.Role role = status().role();
@@ -123,7 +125,7 @@
     }
 
     @Override
-    public void listen(Consumer<Version> decided) {
-        keeper.listen(decided);
+    public void listen(Consumer<Version> listener) {
+        replica.listen(listener);
     }
 }
--- a/src/main/java/mulleinfront/keep/ReplicaSettings.java
+++ b/src/main/java/mulleinfront/keep/ReplicaSettings.java
@@ -7,33 +7,35 @@
 import java.util.TreeMap;
 
 /**
- * What a keeper has to be told.
+ * Settings of a replica.
  *
- * @param name its own name, one of the keepers'
- * @param keepers where each keeper hears the others, this one among them; three of them on loopback
- * @param directory where its log is; its own, made if it isn't there
+ * @param name the name of this replica, one of the keys of {@code replicas}
+ * @param replicas for each of the three replicas, this one included, its name and the loopback address on
+ *        which it listens for the others
+ * @param directory the directory for the log of this replica alone; created if it doesn't exist
  */
-public record ReplicaSettings(String name, SortedMap<String, InetSocketAddress> keepers, Path directory) {
-    /** @throws IllegalArgumentException one line, if these can't be */
+public record ReplicaSettings(String name, SortedMap<String, InetSocketAddress> replicas, Path directory) {
+    /** @throws IllegalArgumentException with a message of one line, if a setting is invalid */
     public ReplicaSettings {
-        keepers = Collections.unmodifiableSortedMap(new TreeMap<>(keepers));
-        if (keepers.size() != 3) {
-            throw new IllegalArgumentException("there have to be 3 keepers, not " + keepers.size());
+        replicas = Collections.unmodifiableSortedMap(new TreeMap<>(replicas));
+        if (replicas.size() != 3) {
+            throw new IllegalArgumentException("there must be 3 replicas, not " + replicas.size());
         }
-        if (!keepers.containsKey(name)) {
-            throw new IllegalArgumentException("keeper " + name + " is not one of " + keepers.keySet());
+        if (!replicas.containsKey(name)) {
+            throw new IllegalArgumentException("replica " + name + " is not one of " + replicas.keySet());
         }
-        keepers.forEach((keeper, address) -> {
-            if (!keeper.matches("[A-Za-z0-9._-]{1,64}")) {
+        replicas.forEach((replica, address) -> {
+            if (!replica.matches("[A-Za-z0-9._-]{1,64}")) {
                 throw new IllegalArgumentException(
-                        "a keeper's name is 1 to 64 letters, digits, " + "'.', '_' or '-', not " + keeper);
+                        "a replica's name must be 1 to 64 letters, digits, " + "'.', '_' or '-', not " + replica);
             }
             if (address.isUnresolved() || !address.getAddress().isLoopbackAddress()) {
-                throw new IllegalArgumentException("keeper " + keeper + " is not in 127.0.0.0/8: " + address);
+                throw new IllegalArgumentException(
+                        "address of replica " + replica + " is not in 127.0.0.0/8: " + address);
             }
         });
-        if (keepers.values().stream().distinct().count() < keepers.size()) {
-            throw new IllegalArgumentException("two keepers have the same address");
+        if (replicas.values().stream().distinct().count() < replicas.size()) {
+            throw new IllegalArgumentException("two replicas have the same address");
         }
     }
 }
--- a/src/main/java/mulleinfront/keep/ReplicaStatus.java
+++ b/src/main/java/mulleinfront/keep/ReplicaStatus.java
@@ -1,25 +1,25 @@
 package mulleinfront.keep;
 
 /**
- * A keeper as operators see it.
+ * The status of a replica.
  *
- * @param name its own
- * @param role what it is now
- * @param term the election it goes by
- * @param leader the leader's name as far as is known, else null
- * @param newest number of the newest version it knows to be decided
- * @param fault why it has stopped taking part, one line; null if it takes part
+ * @param name the replica's name
+ * @param role the replica's current role
+ * @param term the current Raft term
+ * @param leader the leader's name, or null if no leader is known
+ * @param newest number of the newest version that this replica knows to be committed
+ * @param fault why the replica has stopped, in one line; null unless it has stopped
  */
 public record ReplicaStatus(String name, Role role, int term, String leader, long newest, String fault) {
-    /** What a keeper can be. */
+    /** Roles of a replica. */
     public enum Role {
-        /** Proposals are decided through it. */
+        /** Replicates proposals to the other replicas. */
         LEADER,
-        /** It follows a leader that it heard lately. */
+        /** Has a leader, heard within the heartbeat timeout. */
         FOLLOWER,
-        /** It knows no leader: nothing can be decided through it now. */
-        SEEKING,
-        /** It can't take part until it is started again, see the fault. */
+        /** Knows no leader, so no proposal can be committed through it now. */
+        NO_LEADER,
+        /** Has stopped and does not take part until it is restarted; the fault says why. */
         STOPPED
     }
 }
--- a/src/main/java/mulleinfront/keep/package-info.java
+++ b/src/main/java/mulleinfront/keep/package-info.java
@@ -1,13 +1,14 @@
 /**
- * The keepers: three control machines that decide by consensus (Raft, by the library MicroRaft) which version
- * of the fleet's configuration is the newest, each holding it durably.
+ * Raft replicas of the control plane: three control-plane nodes agree on the sequence of configuration
+ * versions of the fleet, and each stores it durably. Consensus is implemented by the MicroRaft library.
  *
- * <p>{@link mulleinfront.keep.Register} is the state machine, without I/O; {@link mulleinfront.keep.Keeper}
- * drives the library, with executor, clock, chance, log and peers handed to it; {@link
- * mulleinfront.keep.KeepLog} is the log on disk; {@link mulleinfront.keep.KeeperWire} carries messages
- * between keepers; {@link mulleinfront.keep.ReplicaNode} puts them together on one event loop.
+ * <p>{@link mulleinfront.keep.Register} is the replicated state machine, without I/O; {@link
+ * mulleinfront.keep.Keeper} drives the library and receives its scheduler, random source, log and peers from
+ * the caller; {@link mulleinfront.keep.ReplicaLog} is the durable log; {@link mulleinfront.keep.ReplicaTransport} sends
+ * and receives messages between replicas; {@link mulleinfront.keep.ReplicaNode} runs them all on one event
+ * loop.
  *
- * <p>Of the program only {@code mulleinfront.config} is known here, and only the command line knows this
- * package.
+ * <p>This package depends only on {@code mulleinfront.config} within the program, and only the command line
+ * depends on this package.
  */
 package mulleinfront.keep;
--- a/src/test/java/mulleinfront/keep/CodecTest.java
+++ b/src/test/java/mulleinfront/keep/CodecTest.java
@@ -18,22 +18,22 @@
 import mulleinfront.config.VersionLog;
 import org.junit.jupiter.api.Test;
 
-/** Messages, entries and answers as bytes and back. */
+/** Encoding and decoding of messages, log entries and proposals. */
 class CodecTest {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
-    private static final RaftEndpoint K1 = new Member("k1");
+    private static final RaftEndpoint REPLICA_1 = new ReplicaEndpoint("k1");
 
-    private static List<RaftMessage> all() {
-        String g = Codec.GROUP;
+    private static List<RaftMessage> allMessages() {
+        String groupId = Codec.GROUP_ID;
         RaftGroupMembersView members = MODEL.createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
-                .setMembers(List.of(K1, new Member("k2")))
-                .setVotingMembers(List.of(K1))
+                .setMembers(List.of(REPLICA_1, new ReplicaEndpoint("k2")))
+                .setVotingMembers(List.of(REPLICA_1))
                 .build();
         LogEntry change = MODEL.createLogEntryBuilder()
                 .setIndex(7)
                 .setTerm(3)
-                .setOperation(new Operation.Change(Trio.proposal("p", 2, "żółć")))
+                .setOperation(new Operation.Change(TestCluster.proposal("p", 2, "żółć")))
                 .build();
         LogEntry start = MODEL.createLogEntryBuilder()
                 .setIndex(8)
@@ -42,8 +42,8 @@
                 .build();
         return List.of(
                 MODEL.createAppendEntriesRequestBuilder()
-                        .setGroupId(g)
-                        .setSender(K1)
+                        .setGroupId(groupId)
+                        .setSender(REPLICA_1)
                         .setTerm(4)
                         .setPreviousLogTerm(2)
                         .setPreviousLogIndex(6)
@@ -53,24 +53,24 @@
                         .setFlowControlSequenceNumber(10)
                         .build(),
                 MODEL.createAppendEntriesSuccessResponseBuilder()
-                        .setGroupId(g)
-                        .setSender(K1)
+                        .setGroupId(groupId)
+                        .setSender(REPLICA_1)
                         .setTerm(4)
                         .setLastLogIndex(8)
                         .setQuerySequenceNumber(1)
                         .setFlowControlSequenceNumber(2)
                         .build(),
                 MODEL.createAppendEntriesFailureResponseBuilder()
-                        .setGroupId(g)
-                        .setSender(K1)
+                        .setGroupId(groupId)
+                        .setSender(REPLICA_1)
                         .setTerm(4)
                         .setExpectedNextIndex(8)
                         .setQuerySequenceNumber(1)
                         .setFlowControlSequenceNumber(2)
                         .build(),
                 MODEL.createInstallSnapshotRequestBuilder()
-                        .setGroupId(g)
-                        .setSender(K1)
+                        .setGroupId(groupId)
+                        .setSender(REPLICA_1)
                         .setTerm(4)
                         .setSenderLeader(true)
                         .setSnapshotTerm(3)
@@ -79,19 +79,19 @@
                         .setSnapshotChunk(MODEL.createSnapshotChunkBuilder()
                                 .setIndex(128)
                                 .setTerm(3)
-                                .setOperation(new Operation.Part(new byte[] {1, 2, 3}))
+                                .setOperation(new Operation.SnapshotPart(new byte[] {1, 2, 3}))
                                 .setSnapshotChunkIndex(1)
                                 .setSnapshotChunkCount(2)
                                 .setGroupMembersView(members)
                                 .build())
-                        .setSnapshottedMembers(List.of(K1))
+                        .setSnapshottedMembers(List.of(REPLICA_1))
                         .setGroupMembersView(members)
                         .setQuerySequenceNumber(1)
                         .setFlowControlSequenceNumber(2)
                         .build(),
                 MODEL.createInstallSnapshotRequestBuilder()
-                        .setGroupId(g)
-                        .setSender(K1)
+                        .setGroupId(groupId)
+                        .setSender(REPLICA_1)
                         .setTerm(4)
                         .setSenderLeader(false)
                         .setSnapshotTerm(3)
@@ -104,8 +104,8 @@
                         .setFlowControlSequenceNumber(2)
                         .build(),
                 MODEL.createInstallSnapshotResponseBuilder()
-                        .setGroupId(g)
-                        .setSender(K1)
+                        .setGroupId(groupId)
+                        .setSender(REPLICA_1)
                         .setTerm(4)
                         .setSnapshotIndex(128)
                         .setRequestedSnapshotChunkIndex(1)
@@ -113,35 +113,35 @@
                         .setFlowControlSequenceNumber(2)
                         .build(),
                 MODEL.createPreVoteRequestBuilder()
-                        .setGroupId(g)
-                        .setSender(K1)
+                        .setGroupId(groupId)
+                        .setSender(REPLICA_1)
                         .setTerm(4)
                         .setLastLogTerm(3)
                         .setLastLogIndex(8)
                         .build(),
                 MODEL.createPreVoteResponseBuilder()
-                        .setGroupId(g)
-                        .setSender(K1)
+                        .setGroupId(groupId)
+                        .setSender(REPLICA_1)
                         .setTerm(4)
                         .setGranted(true)
                         .build(),
                 MODEL.createVoteRequestBuilder()
-                        .setGroupId(g)
-                        .setSender(K1)
+                        .setGroupId(groupId)
+                        .setSender(REPLICA_1)
                         .setTerm(4)
                         .setLastLogTerm(3)
                         .setLastLogIndex(8)
                         .setSticky(true)
                         .build(),
                 MODEL.createVoteResponseBuilder()
-                        .setGroupId(g)
-                        .setSender(K1)
+                        .setGroupId(groupId)
+                        .setSender(REPLICA_1)
                         .setTerm(4)
                         .setGranted(true)
                         .build(),
                 MODEL.createTriggerLeaderElectionRequestBuilder()
-                        .setGroupId(g)
-                        .setSender(K1)
+                        .setGroupId(groupId)
+                        .setSender(REPLICA_1)
                         .setTerm(4)
                         .setLastLogTerm(3)
                         .setLastLogIndex(8)
@@ -149,23 +149,23 @@
     }
 
     @Test
-    void eachMessageComesBackTheSame() {
-        for (RaftMessage message : all()) {
+    void messagesSurviveEncodingAndDecoding() {
+        for (RaftMessage message : allMessages()) {
             byte[] bytes = Codec.message(message);
-            RaftMessage back = Codec.message(bytes);
-            assertEquals(message.getClass(), back.getClass());
-            assertEquals(K1, back.getSender());
-            assertArrayEquals(bytes, Codec.message(back), message.toString());
+            RaftMessage decoded = Codec.message(bytes);
+            assertEquals(message.getClass(), decoded.getClass());
+            assertEquals(REPLICA_1, decoded.getSender());
+            assertArrayEquals(bytes, Codec.message(decoded), message.toString());
             if (!(message instanceof io.microraft.model.message.InstallSnapshotRequest)) {
-                // A part's bytes are shown by their identity.
-                assertEquals(message.toString(), back.toString());
+                // toString shows a snapshot part's bytes by identity.
+                assertEquals(message.toString(), decoded.toString());
             }
         }
     }
 
     @Test
-    void aMessageCutAtAnyByteOrWithMoreBehindIsRefused() {
-        for (RaftMessage message : all()) {
+    void truncatedOrExtendedMessagesAreRejected() {
+        for (RaftMessage message : allMessages()) {
             byte[] bytes = Codec.message(message);
             for (int length = 0; length < bytes.length; length++) {
                 byte[] cut = Arrays.copyOf(bytes, length);
@@ -177,11 +177,11 @@
     }
 
     @Test
-    void changedBytesAreAMessageOrRefusedAndNothingElse() {
+    void alteredMessagesDecodeOrAreRejected() {
         Random random = new Random(1);
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 20_000; i++) {
-            List<RaftMessage> all = all();
+            List<RaftMessage> all = allMessages();
             byte[] bytes = Codec.message(all.get(i % all.size()));
             for (int changes = 1 + random.nextInt(3); changes > 0; changes--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
@@ -189,25 +189,25 @@
             try {
                 Codec.message(bytes);
             } catch (IllegalArgumentException e) {
-                refused++;
+                rejected++;
             }
         }
-        assertTrue(refused > 5_000, refused + " were refused");
+        assertTrue(rejected > 5_000, rejected + " were rejected");
     }
 
     @Test
-    void proposalsAndAnswersComeBackTheSame() {
-        Proposal proposal = Trio.proposal("p", -1, "ż\u0000\ud83d\ude00");
+    void proposalsAndResultsSurviveEncodingAndDecoding() {
+        Proposal proposal = TestCluster.proposal("p", -1, "ż\u0000\ud83d\ude00");
         assertEquals(proposal, Codec.proposal(Codec.proposal(proposal)));
-        for (VersionLog.ProposalOutcome what : VersionLog.ProposalOutcome.values()) {
-            VersionLog.ProposalResult answer = new VersionLog.ProposalResult(what, 5, "why");
-            assertEquals(answer, Codec.answer(Codec.answer(answer)));
+        for (VersionLog.ProposalOutcome outcome : VersionLog.ProposalOutcome.values()) {
+            VersionLog.ProposalResult result = new VersionLog.ProposalResult(outcome, 5, "why");
+            assertEquals(result, Codec.proposalResult(Codec.proposalResult(result)));
         }
-        byte[] other = Codec.proposal(proposal);
-        other[0] = 2;
+        byte[] unknownFormat = Codec.proposal(proposal);
+        unknownFormat[0] = 2;
         assertEquals(
                 "format 2 is not known, 1 is",
-                assertThrows(IllegalArgumentException.class, () -> Codec.proposal(other))
+                assertThrows(IllegalArgumentException.class, () -> Codec.proposal(unknownFormat))
                         .getMessage());
     }
 }
--- a/src/test/java/mulleinfront/keep/DiskLogTest.java
+++ b/src/test/java/mulleinfront/keep/DiskLogTest.java
@@ -27,26 +27,27 @@
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
-/** A keeper's log on disk: killed, cut, changed and put back. */
+/** The log on disk after kills, truncated or altered files, and files replaced by an older copy. */
 @Execution(ExecutionMode.CONCURRENT)
 class DiskLogTest {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
-    /** Bytes from one cut to the next; with -Dkeep.stride=1 each byte is tried, which takes minutes. */
-    private static final int STRIDE = Integer.getInteger("keep.stride", 97);
+    /** Distance in bytes between tested positions; -Dkeep.stride=1 tests every byte, which takes minutes. */
+    private static final int STRIDE_BYTES = Integer.getInteger("keep.stride", 97);
 
-    private static final Set<String> KEEPERS = Set.of("k1", "k2", "k3");
+    private static final Set<String> REPLICA_NAMES = Set.of("k1", "k2", "k3");
 
     @TempDir
-    Path home;
+    Path baseDirectory;
 
     private static DiskLog open(Path directory) throws IOException {
-        return new DiskLog(directory, "k1", KEEPERS);
+        return new DiskLog(directory, "k1", REPLICA_NAMES);
     }
 
-    private static void begin(DiskLog log) throws IOException {
-        List<RaftEndpoint> members = List.of(new Member("k1"), new Member("k2"), new Member("k3"));
+    private static void initialize(DiskLog log) throws IOException {
+        List<RaftEndpoint> members =
+                List.of(new ReplicaEndpoint("k1"), new ReplicaEndpoint("k2"), new ReplicaEndpoint("k3"));
         log.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new Member("k1"))
+                .setLocalEndpoint(new ReplicaEndpoint("k1"))
                 .setVoting(true)
                 .build());
         log.persistAndFlushInitialGroupMembers(MODEL.createRaftGroupMembersViewBuilder()
@@ -56,10 +57,10 @@
                 .build());
     }
 
-    private static void term(DiskLog log, int term, String vote) throws IOException {
+    private static void persistTerm(DiskLog log, int term, String vote) throws IOException {
         log.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
                 .setTerm(term)
-                .setVotedFor(vote == null ? null : new Member(vote))
+                .setVotedFor(vote == null ? null : new ReplicaEndpoint(vote))
                 .build());
     }
 
@@ -67,7 +68,7 @@
         return MODEL.createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(1)
-                .setOperation(new Operation.Change(Trio.proposal("p" + index, -1, "v" + index)))
+                .setOperation(new Operation.Change(TestCluster.proposal("p" + index, -1, "v" + index)))
                 .build();
     }
 
@@ -77,161 +78,172 @@
     }
 
     @Test
-    void whatWasSavedIsThereAfterACrashAndWhatWasNotIsNot() throws Exception {
-        try (DiskLog log = open(home)) {
-            assertNull(log.restored());
-            begin(log);
-            term(log, 4, null);
+    void savedStateSurvivesACrashAndUnsavedChangesDoNot() throws Exception {
+        try (DiskLog log = open(baseDirectory)) {
+            assertNull(log.restoredState());
+            initialize(log);
+            persistTerm(log, 4, null);
             for (int i = 1; i <= 5; i++) {
                 append(log, i);
             }
             log.truncateLogEntriesFrom(5);
-            log.persistAndFlushCommitted(3);
+            log.persistAndFlushCommitIndex(3);
             log.persistLogEntries(List.of(entry(5)));
         }
-        try (DiskLog log = open(home)) {
-            RestoredRaftState state = log.restored();
+        try (DiskLog log = open(baseDirectory)) {
+            RestoredRaftState state = log.restoredState();
             assertEquals(4, state.getTermPersistentState().getTerm());
-            // No vote in the last term is a state like any other, not an empty log.
+            // A term without a vote must not be taken for an empty log.
             assertNull(state.getTermPersistentState().getVotedFor());
             assertEquals(4, state.getLogEntries().size());
-            assertEquals(3, log.committed());
-            term(log, 5, "k3");
+            assertEquals(3, log.commitIndex());
+            persistTerm(log, 5, "k3");
         }
-        try (DiskLog log = open(home)) {
+        try (DiskLog log = open(baseDirectory)) {
             assertEquals(
-                    new Member("k3"), log.restored().getTermPersistentState().getVotedFor());
+                    new ReplicaEndpoint("k3"),
+                    log.restoredState().getTermPersistentState().getVotedFor());
         }
     }
 
-    /** What a log says of itself, for comparison. */
-    private static String state(DiskLog log) {
-        RestoredRaftState state = log.restored();
-        return log.saves() + " " + log.committed() + " " + state.getTermPersistentState() + state.getLogEntries();
+    /** The restored state as text, for comparison. */
+    private static String stateText(DiskLog log) {
+        RestoredRaftState state = log.restoredState();
+        return log.saveCount() + " " + log.commitIndex() + " " + state.getTermPersistentState() + state.getLogEntries();
     }
 
-    /** Writes one with everything in it. */
-    private String written(Path directory) throws IOException {
+    /** Writes a log with a term, a vote, entries and a commit index. */
+    private String writeSampleLog(Path directory) throws IOException {
         try (DiskLog log = open(directory)) {
-            begin(log);
-            term(log, 1, "k2");
+            initialize(log);
+            persistTerm(log, 1, "k2");
             for (int i = 1; i <= 4; i++) {
                 append(log, i);
-                log.persistAndFlushCommitted(i);
+                log.persistAndFlushCommitIndex(i);
             }
-            return state(log);
+            return stateText(log);
         }
     }
 
     /**
-     * Opens a directory in which one file has other bytes: it is as it was, or refused in one line with a
-     * name.
+     * Opens a copy of the directory in which one file has the given bytes: the state must be unchanged, or opening
+     * must fail with a message of one line that names the path.
      */
-    private void wholeOrRefused(Path from, String file, byte[] bytes, String state, String what, TreeSet<String> kinds)
+    private void assertUnchangedOrRejected(
+            Path from, String file, byte[] bytes, String state, String description, TreeSet<String> outcomes)
             throws IOException {
-        Path to = home.resolve("changed");
+        Path to = baseDirectory.resolve("changed");
         Files.createDirectories(to);
-        for (String name : List.of(DiskLog.STORE, DiskLog.MARK)) {
+        for (String name : List.of(DiskLog.STORE_FILE, DiskLog.COUNTER_FILE)) {
             Files.write(to.resolve(name), name.equals(file) ? bytes : Files.readAllBytes(from.resolve(name)));
         }
         try (DiskLog log = open(to)) {
-            assertEquals(state, state(log), what);
-            kinds.add("whole");
+            assertEquals(state, stateText(log), description);
+            outcomes.add("unchanged");
         } catch (IOException e) {
-            assertTrue(e.getMessage().startsWith(to.toString()), what + ": " + e.getMessage());
-            assertEquals(1, e.getMessage().lines().count(), what);
-            kinds.add("refused");
+            assertTrue(e.getMessage().startsWith(to.toString()), description + ": " + e.getMessage());
+            assertEquals(1, e.getMessage().lines().count(), description);
+            outcomes.add("rejected");
         }
     }
 
     @Test
-    void aStoreCutAtAnyByteIsWholeOrRefused() throws Exception {
-        Path from = home.resolve("from");
-        String state = written(from);
-        byte[] store = Files.readAllBytes(from.resolve(DiskLog.STORE));
-        TreeSet<String> kinds = new TreeSet<>();
-        for (int length = 0; length < store.length; length += STRIDE) {
-            wholeOrRefused(from, DiskLog.STORE, Arrays.copyOf(store, length), state, "cut at " + length, kinds);
+    void truncatedStoreIsUnchangedOrRejected() throws Exception {
+        Path from = baseDirectory.resolve("from");
+        String state = writeSampleLog(from);
+        byte[] store = Files.readAllBytes(from.resolve(DiskLog.STORE_FILE));
+        TreeSet<String> outcomes = new TreeSet<>();
+        for (int length = 0; length < store.length; length += STRIDE_BYTES) {
+            assertUnchangedOrRejected(
+                    from, DiskLog.STORE_FILE, Arrays.copyOf(store, length), state, "truncated at " + length, outcomes);
         }
-        assertTrue(kinds.contains("refused"), kinds.toString());
+        assertTrue(outcomes.contains("rejected"), outcomes.toString());
     }
 
     @Test
-    void aStoreWithAChangedByteIsWholeOrRefused() throws Exception {
-        Path from = home.resolve("from");
-        String state = written(from);
-        byte[] store = Files.readAllBytes(from.resolve(DiskLog.STORE));
-        TreeSet<String> kinds = new TreeSet<>();
-        for (int at = 0; at < store.length; at += STRIDE) {
+    void alteredStoreIsUnchangedOrRejected() throws Exception {
+        Path from = baseDirectory.resolve("from");
+        String state = writeSampleLog(from);
+        byte[] store = Files.readAllBytes(from.resolve(DiskLog.STORE_FILE));
+        TreeSet<String> outcomes = new TreeSet<>();
+        for (int at = 0; at < store.length; at += STRIDE_BYTES) {
             byte[] changed = store.clone();
             changed[at] ^= 0x10;
-            wholeOrRefused(from, DiskLog.STORE, changed, state, "changed at " + at, kinds);
+            assertUnchangedOrRejected(from, DiskLog.STORE_FILE, changed, state, "altered at " + at, outcomes);
         }
-        assertEquals(Set.of("whole", "refused"), kinds);
+        assertEquals(Set.of("unchanged", "rejected"), outcomes);
     }
 
     @Test
-    void aMarkCutAtAnyByteIsRefused() throws Exception {
-        Path from = home.resolve("from");
-        String state = written(from);
-        byte[] mark = Files.readAllBytes(from.resolve(DiskLog.MARK));
-        TreeSet<String> kinds = new TreeSet<>();
-        for (int length = 0; length < mark.length; length += STRIDE) {
-            wholeOrRefused(from, DiskLog.MARK, Arrays.copyOf(mark, length), state, "cut at " + length, kinds);
+    void truncatedCounterFileIsRejected() throws Exception {
+        Path from = baseDirectory.resolve("from");
+        String state = writeSampleLog(from);
+        byte[] counterFile = Files.readAllBytes(from.resolve(DiskLog.COUNTER_FILE));
+        TreeSet<String> outcomes = new TreeSet<>();
+        for (int length = 0; length < counterFile.length; length += STRIDE_BYTES) {
+            assertUnchangedOrRejected(
+                    from,
+                    DiskLog.COUNTER_FILE,
+                    Arrays.copyOf(counterFile, length),
+                    state,
+                    "truncated at " + length,
+                    outcomes);
         }
-        assertEquals(Set.of("refused"), kinds);
-        for (int at = 0; at < mark.length; at += STRIDE) {
-            byte[] changed = mark.clone();
+        assertEquals(Set.of("rejected"), outcomes);
+        for (int at = 0; at < counterFile.length; at += STRIDE_BYTES) {
+            byte[] changed = counterFile.clone();
             changed[at] ^= 0x10;
-            wholeOrRefused(from, DiskLog.MARK, changed, state, "changed at " + at, kinds);
+            assertUnchangedOrRejected(from, DiskLog.COUNTER_FILE, changed, state, "altered at " + at, outcomes);
         }
     }
 
     @Test
-    void anOlderStoreBesideANewerMarkIsRefused() throws Exception {
+    void storeOlderThanItsCounterFileIsRejected() throws Exception {
         byte[] older;
-        try (DiskLog log = open(home)) {
-            begin(log);
+        try (DiskLog log = open(baseDirectory)) {
+            initialize(log);
             append(log, 1);
         }
-        older = Files.readAllBytes(home.resolve(DiskLog.STORE));
-        try (DiskLog log = open(home)) {
+        older = Files.readAllBytes(baseDirectory.resolve(DiskLog.STORE_FILE));
+        try (DiskLog log = open(baseDirectory)) {
             append(log, 2);
         }
-        Files.write(home.resolve(DiskLog.STORE), older);
-        String why = assertThrows(IOException.class, () -> open(home)).getMessage();
-        assertTrue(why.endsWith("is at save 3, its mark at 4: it was cut, or an older copy was put back"), why);
-        Files.delete(home.resolve(DiskLog.MARK));
-        why = assertThrows(IOException.class, () -> open(home)).getMessage();
-        assertTrue(why.contains("keeper.mark: is missing"), why);
+        Files.write(baseDirectory.resolve(DiskLog.STORE_FILE), older);
+        String message =
+                assertThrows(IOException.class, () -> open(baseDirectory)).getMessage();
+        assertTrue(message.endsWith("is at save 3, its mark at 4: it was cut, or an older copy was put back"), message);
+        Files.delete(baseDirectory.resolve(DiskLog.COUNTER_FILE));
+        message = assertThrows(IOException.class, () -> open(baseDirectory)).getMessage();
+        assertTrue(message.contains("keeper.mark: is missing"), message);
     }
 
     @Test
-    void afterAnErrorNothingIsWrittenAnyMore() throws Exception {
-        DiskLog log = open(home);
-        begin(log);
+    void noWriteIsAcceptedAfterAnError() throws Exception {
+        DiskLog log = open(baseDirectory);
+        initialize(log);
         log.close();
         String first = assertThrows(IOException.class, () -> append(log, 1)).getMessage();
         assertEquals(
-                first, assertThrows(IOException.class, () -> term(log, 2, null)).getMessage());
-        assertEquals(2, log.saves());
+                first,
+                assertThrows(IOException.class, () -> persistTerm(log, 2, null)).getMessage());
+        assertEquals(2, log.saveCount());
     }
 
     @Test
-    void theFileDoesNotGrowWithTheNumberOfChanges() throws Exception {
-        try (DiskLog log = open(home)) {
-            begin(log);
+    void storeSizeStaysBoundedWithSnapshots() throws Exception {
+        try (DiskLog log = open(baseDirectory)) {
+            initialize(log);
             for (int i = 1; i <= 1500; i++) {
                 append(log, i);
                 if (i % 128 == 0) {
-                    log.taking(i);
+                    log.beginSnapshot(i);
                     log.persistSnapshotChunk(MODEL.createSnapshotChunkBuilder()
                             .setIndex(i)
                             .setTerm(1)
-                            .setOperation(new Operation.Part(new byte[10_000]))
+                            .setOperation(new Operation.SnapshotPart(new byte[10_000]))
                             .setSnapshotChunkIndex(0)
                             .setSnapshotChunkCount(1)
-                            .setGroupMembersView(log.restored().getInitialGroupMembers())
+                            .setGroupMembersView(log.restoredState().getInitialGroupMembers())
                             .build());
                     log.flush();
                     log.truncateLogEntriesUntil(i);
@@ -239,27 +251,27 @@
                 }
             }
         }
-        long size = Files.size(home.resolve(DiskLog.STORE));
-        assertTrue(size < 16 << 20, size + " bytes after 1,500 changes");
-        try (DiskLog log = open(home)) {
-            RestoredRaftState state = log.restored();
-            // 11 snapshots of 128; the start is made from the one before the newest.
+        long size = Files.size(baseDirectory.resolve(DiskLog.STORE_FILE));
+        assertTrue(size < 16 << 20, size + " bytes after 1,500 entries");
+        try (DiskLog log = open(baseDirectory)) {
+            RestoredRaftState state = log.restoredState();
+            // 11 snapshots, 128 entries apart; a start uses the one before the newest.
             assertEquals(10 * 128, state.getSnapshotEntry().getIndex());
             assertEquals(1500 - 10 * 128, state.getLogEntries().size());
         }
     }
 
-    /** Appends and says each entry after it is durable, until it is killed. */
+    /** Appends entries and prints the index of each once it is durable, until the process is killed. */
     public static final class Child {
         private Child() {}
 
         public static void main(String[] args) throws IOException {
             DiskLog log = open(Path.of(args[0]));
             long index = 0;
-            if (log.restored() == null) {
-                begin(log);
+            if (log.restoredState() == null) {
+                initialize(log);
             } else {
-                index = log.restored().getLogEntries().size();
+                index = log.restoredState().getLogEntries().size();
             }
             while (true) {
                 append(log, ++index);
@@ -270,8 +282,8 @@
     }
 
     @Test
-    void killedAtAnyTimeItHoldsWhatItSaid() throws Exception {
-        long said = 0;
+    void acknowledgedEntriesSurviveAKill() throws Exception {
+        long acknowledged = 0;
         for (int round = 0; round < 5; round++) {
             Process child = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
@@ -279,32 +291,34 @@
                             "-cp",
                             System.getProperty("java.class.path"),
                             Child.class.getName(),
-                            home.toString())
+                            baseDirectory.toString())
                     .redirectError(ProcessBuilder.Redirect.INHERIT)
                     .start();
             try (BufferedReader lines = new BufferedReader(new InputStreamReader(child.getInputStream()))) {
                 for (int i = 0; i < 20 + 17 * round; i++) {
                     String line = lines.readLine();
                     assertNotNull(line);
-                    assertEquals(said + 1, Long.parseLong(line));
-                    said = Long.parseLong(line);
+                    assertEquals(acknowledged + 1, Long.parseLong(line));
+                    acknowledged = Long.parseLong(line);
                 }
-                // By its handle: the process itself would close what it has said.
+                // Through its handle: Process.destroyForcibly would close the output stream, which is still read.
                 child.toHandle().destroyForcibly();
                 for (String line = lines.readLine(); line != null && !line.isEmpty(); line = lines.readLine()) {
-                    said = Long.parseLong(line);
+                    acknowledged = Long.parseLong(line);
                 }
             }
             assertTrue(child.waitFor(10, TimeUnit.SECONDS));
-            try (DiskLog log = open(home)) {
-                List<LogEntry> entries = new ArrayList<>(log.restored().getLogEntries());
-                assertTrue(entries.size() >= said, entries.size() + " entries, " + said + " were said");
+            try (DiskLog log = open(baseDirectory)) {
+                List<LogEntry> entries = new ArrayList<>(log.restoredState().getLogEntries());
+                assertTrue(
+                        entries.size() >= acknowledged,
+                        entries.size() + " entries, " + acknowledged + " were acknowledged");
                 assertEquals(
-                        "p" + said,
-                        ((Operation.Change) entries.get((int) said - 1).getOperation())
+                        "p" + acknowledged,
+                        ((Operation.Change) entries.get((int) acknowledged - 1).getOperation())
                                 .proposal()
                                 .id());
-                said = entries.size();
+                acknowledged = entries.size();
             }
         }
     }
--- a/src/test/java/mulleinfront/keep/MemoryLog.java
+++ b/src/test/java/mulleinfront/keep/MemoryLog.java
@@ -9,38 +9,38 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** A keeper's log in memory that loses at a crash what wasn't saved; it can be made to lie about that. */
-final class MemoryLog implements KeepLog {
-    /** What is wrong with a log, to be found out. */
+/** A replica's log in memory. A crash loses unsaved changes; faults can be built in. */
+final class MemoryLog implements ReplicaLog {
+    /** Faults of a log that the simulation must detect. */
     enum Fault {
         NONE,
-        /** Says that it has saved, and saves when it comes to it. */
-        SAVES_LATER,
-        /** Doesn't keep the vote. */
-        FORGETS_VOTE,
-        /** Restores nothing if there was no vote in the last term, as microraft-store-sqlite 0.7 does. */
-        FORGETS_ALL_WITHOUT_VOTE
+        /** Saves only every 12th time, though it reports each save as done. */
+        SKIPS_SAVES,
+        /** Does not restore the vote. */
+        LOSES_VOTE,
+        /** Restores nothing if there is no vote in the last term, a fault of microraft-store-sqlite 0.7. */
+        LOSES_STATE_WITHOUT_VOTE
     }
 
-    /** All that it holds. */
-    private static final class Image {
+    /** The complete contents of the log. */
+    private static final class Contents {
         String endpoint;
         byte[] members;
         int term;
         String vote;
-        long committed;
-        long taken;
+        long commitIndex;
+        long ownSnapshotIndex;
         final TreeMap<Long, byte[]> log = new TreeMap<>();
         final TreeMap<Long, TreeMap<Integer, byte[]>> chunks = new TreeMap<>();
 
-        Image copy() {
-            Image copy = new Image();
+        Contents copy() {
+            Contents copy = new Contents();
             copy.endpoint = endpoint;
             copy.members = members;
             copy.term = term;
             copy.vote = vote;
-            copy.committed = committed;
-            copy.taken = taken;
+            copy.commitIndex = commitIndex;
+            copy.ownSnapshotIndex = ownSnapshotIndex;
             copy.log.putAll(log);
             chunks.forEach((index, parts) -> copy.chunks.put(index, new TreeMap<>(parts)));
             return copy;
@@ -48,117 +48,117 @@
     }
 
     private final Fault fault;
-    private Image saved = new Image();
-    private Image image = new Image();
-    private int unsaved;
+    private Contents saved = new Contents();
+    private Contents current = new Contents();
+    private int saveCalls;
 
     MemoryLog(Fault fault) {
         this.fault = fault;
     }
 
-    /** What wasn't saved is lost. */
+    /** Discards the changes since the last save. */
     void crash() {
-        image = saved.copy();
-        unsaved = 0;
+        current = saved.copy();
+        saveCalls = 0;
     }
 
     private void save() {
-        if (fault == Fault.SAVES_LATER && unsaved++ % 12 < 11) {
+        if (fault == Fault.SKIPS_SAVES && saveCalls++ % 12 < 11) {
             return;
         }
-        saved = image.copy();
+        saved = current.copy();
     }
 
     @Override
-    public RestoredRaftState restored() {
-        if (image.endpoint == null
-                || image.members == null
-                || fault == Fault.FORGETS_ALL_WITHOUT_VOTE && image.vote == null) {
+    public RestoredRaftState restoredState() {
+        if (current.endpoint == null
+                || current.members == null
+                || fault == Fault.LOSES_STATE_WITHOUT_VOTE && current.vote == null) {
             return null;
         }
         TreeMap<Long, LogEntry> entries = new TreeMap<>();
-        image.log.forEach((index, bytes) -> entries.put(index, Codec.entry(bytes)));
+        current.log.forEach((index, bytes) -> entries.put(index, Codec.entry(bytes)));
         return Recovery.restore(
-                image.endpoint,
-                Codec.members(image.members),
-                image.term,
-                fault == Fault.FORGETS_VOTE ? null : image.vote,
+                current.endpoint,
+                Codec.members(current.members),
+                current.term,
+                fault == Fault.LOSES_VOTE ? null : current.vote,
                 snapshots(),
-                image.taken,
+                current.ownSnapshotIndex,
                 entries,
-                fault == Fault.NONE ? image.committed : 0);
+                fault == Fault.NONE ? current.commitIndex : 0);
     }
 
     private TreeMap<Long, List<SnapshotChunk>> snapshots() {
         TreeMap<Long, List<SnapshotChunk>> snapshots = new TreeMap<>();
-        image.chunks.forEach((index, parts) ->
+        current.chunks.forEach((index, parts) ->
                 snapshots.put(index, parts.values().stream().map(Codec::chunk).toList()));
         return snapshots;
     }
 
     @Override
-    public void taking(long index) {
-        image.taken = index;
+    public void beginSnapshot(long index) {
+        current.ownSnapshotIndex = index;
     }
 
     @Override
-    public long committed() {
-        return image.committed;
+    public long commitIndex() {
+        return current.commitIndex;
     }
 
     @Override
-    public void persistAndFlushCommitted(long index) {
-        image.committed = index;
+    public void persistAndFlushCommitIndex(long index) {
+        current.commitIndex = index;
         save();
     }
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) {
-        image.endpoint = (String) endpoint.getLocalEndpoint().getId();
+        current.endpoint = (String) endpoint.getLocalEndpoint().getId();
         save();
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) {
-        image.members = Codec.members(members);
+        current.members = Codec.members(members);
         save();
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState term) {
-        image.term = term.getTerm();
-        image.vote =
+        current.term = term.getTerm();
+        current.vote =
                 term.getVotedFor() == null ? null : (String) term.getVotedFor().getId();
         save();
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) {
-        entries.forEach(e -> image.log.put(e.getIndex(), Codec.entry(e)));
+        entries.forEach(e -> current.log.put(e.getIndex(), Codec.entry(e)));
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) {
-        image.chunks
+        current.chunks
                 .computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
                 .put(chunk.getSnapshotChunkIndex(), Codec.chunk(chunk));
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) {
-        image.log.tailMap(index, true).clear();
+        current.log.tailMap(index, true).clear();
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) {
-        long begin = Recovery.begin(Recovery.whole(snapshots()), image.taken);
-        image.log.headMap(begin, true).clear();
-        image.chunks.headMap(begin, false).clear();
+        long startIndex = Recovery.startIndex(Recovery.completeSnapshots(snapshots()), current.ownSnapshotIndex);
+        current.log.headMap(startIndex, true).clear();
+        current.chunks.headMap(startIndex, false).clear();
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) {
-        image.chunks.remove(index);
+        current.chunks.remove(index);
     }
 
     @Override
--- a/src/test/java/mulleinfront/keep/RegisterTest.java
+++ b/src/test/java/mulleinfront/keep/RegisterTest.java
@@ -15,135 +15,149 @@
 import mulleinfront.config.VersionLog.ProposalResult;
 import org.junit.jupiter.api.Test;
 
-/** The state machine alone. */
+/** The state machine without Raft. */
 class RegisterTest {
-    private static ProposalResult decided(long number) {
+    private static ProposalResult committed(long number) {
         return new ProposalResult(ProposalOutcome.DECIDED, number, "");
     }
 
-    private static Proposal sized(String id, int characters) {
-        return Trio.proposal(id, -1, "x".repeat(characters));
+    private static Proposal proposalOfSize(String id, int characters) {
+        return TestCluster.proposal(id, -1, "x".repeat(characters));
     }
 
     @Test
-    void numbersAreConsecutiveAndBeginWithOne() {
-        Register register = new Register();
-        assertEquals(Version.NONE, register.newest());
-        assertEquals(Version.NONE, register.at(0));
-        assertEquals(decided(1), register.apply(Trio.proposal("a", 0, "1")));
-        assertEquals(decided(2), register.apply(Trio.proposal("b", -1, "2")));
-        assertEquals(decided(3), register.apply(Trio.proposal("c", 2, "3")));
-        assertEquals("2", register.at(2).entries().get("limit"));
-        assertEquals("because of c", register.newest().why());
-        assertNull(register.at(0));
-        assertNull(register.at(4));
-        assertEquals(List.of(register.at(2), register.at(3)), register.after(1));
+    void versionNumbersAreConsecutiveFromOne() {
+        Register stateMachine = new Register();
+        assertEquals(Version.NONE, stateMachine.newest());
+        assertEquals(Version.NONE, stateMachine.at(0));
+        assertEquals(committed(1), stateMachine.apply(TestCluster.proposal("a", 0, "1")));
+        assertEquals(committed(2), stateMachine.apply(TestCluster.proposal("b", -1, "2")));
+        assertEquals(committed(3), stateMachine.apply(TestCluster.proposal("c", 2, "3")));
+        assertEquals("2", stateMachine.at(2).entries().get("limit"));
+        assertEquals("because of c", stateMachine.newest().why());
+        assertNull(stateMachine.at(0));
+        assertNull(stateMachine.at(4));
+        assertEquals(List.of(stateMachine.at(2), stateMachine.at(3)), stateMachine.versionsAfter(1));
     }
 
     @Test
-    void anIdHasOneAnswer() {
-        Register register = new Register();
-        register.apply(Trio.proposal("a", -1, "1"));
-        register.apply(Trio.proposal("b", -1, "2"));
-        assertEquals(decided(1), register.apply(Trio.proposal("a", -1, "1")));
-        ProposalResult refused = register.apply(Trio.proposal("early", 5, "1"));
+    void repeatedIdGetsTheSameResult() {
+        Register stateMachine = new Register();
+        stateMachine.apply(TestCluster.proposal("a", -1, "1"));
+        stateMachine.apply(TestCluster.proposal("b", -1, "2"));
+        assertEquals(committed(1), stateMachine.apply(TestCluster.proposal("a", -1, "1")));
+        ProposalResult refused = stateMachine.apply(TestCluster.proposal("early", 5, "1"));
         assertEquals(new ProposalResult(ProposalOutcome.REFUSED, 2, "based on version 5, the newest is 2"), refused);
         for (int i = 3; i <= 5; i++) {
-            register.apply(Trio.proposal("p" + i, -1, "" + i));
+            stateMachine.apply(TestCluster.proposal("p" + i, -1, "" + i));
         }
-        assertEquals(refused, register.apply(Trio.proposal("early", 5, "1")), "now 5 is the newest, the id isn't new");
-        assertEquals(decided(6), register.apply(Trio.proposal("late", 5, "1")));
+        assertEquals(
+                refused,
+                stateMachine.apply(TestCluster.proposal("early", 5, "1")),
+                "a repeated id keeps its result although version 5 is now the newest");
+        assertEquals(committed(6), stateMachine.apply(TestCluster.proposal("late", 5, "1")));
     }
 
     @Test
-    void anIdForOtherEntriesIsRefused() {
-        Register register = new Register();
-        register.apply(Trio.proposal("a", -1, "1"));
-        ProposalResult answer = register.apply(Trio.proposal("a", -1, "2"));
-        assertEquals(ProposalOutcome.REFUSED, answer.what());
-        assertTrue(answer.reason().startsWith("the id a was given to version 1"), answer.reason());
-        assertEquals(1, register.newest().number());
+    void repeatedIdWithOtherEntriesIsRefused() {
+        Register stateMachine = new Register();
+        stateMachine.apply(TestCluster.proposal("a", -1, "1"));
+        ProposalResult result = stateMachine.apply(TestCluster.proposal("a", -1, "2"));
+        assertEquals(ProposalOutcome.REFUSED, result.what());
+        assertTrue(result.reason().startsWith("the id a was given to version 1"), result.reason());
+        assertEquals(1, stateMachine.newest().number());
     }
 
     @Test
-    void whatIsTooLargeOrNotOneLineIsRefused() {
-        Register register = new Register();
+    void invalidProposalsAreRefused() {
+        Register stateMachine = new Register();
         assertEquals(
                 ProposalOutcome.REFUSED,
-                register.apply(sized("big", Register.VERSION_BYTES)).what());
+                stateMachine
+                        .apply(proposalOfSize("big", Register.MAX_VERSION_BYTES))
+                        .what());
         assertEquals(
                 ProposalOutcome.REFUSED,
-                register.apply(Trio.proposal("", -1, "1")).what());
+                stateMachine.apply(TestCluster.proposal("", -1, "1")).what());
         assertEquals(
                 ProposalOutcome.REFUSED,
-                register.apply(Trio.proposal("i".repeat(101), -1, "1")).what());
+                stateMachine
+                        .apply(TestCluster.proposal("i".repeat(101), -1, "1"))
+                        .what());
         assertEquals(
                 ProposalOutcome.REFUSED,
-                register.apply(new Proposal("two", -1, new TreeMap<>(), "one\ntwo", 0))
+                stateMachine
+                        .apply(new Proposal("two", -1, new TreeMap<>(), "one\ntwo", 0))
                         .what());
-        assertEquals(0, register.newest().number());
+        assertEquals(0, stateMachine.newest().number());
     }
 
     @Test
-    void historyIsBoundedByNumberAndByBytes() {
+    void historyIsBoundedByCountAndSize() {
         Register many = new Register();
-        for (int i = 1; i <= Register.VERSIONS + 10; i++) {
-            many.apply(Trio.proposal("p" + i, -1, "" + i));
+        for (int i = 1; i <= Register.MAX_VERSIONS + 10; i++) {
+            many.apply(TestCluster.proposal("p" + i, -1, "" + i));
         }
         assertNull(many.at(10));
         assertNotNull(many.at(11));
         Register large = new Register();
         for (int i = 1; i <= 100; i++) {
-            assertEquals(decided(i), large.apply(sized("p" + i, 100_000)));
+            assertEquals(committed(i), large.apply(proposalOfSize("p" + i, 100_000)));
         }
-        // 100,000 characters count as 200,000 bytes, and a few.
-        long held = Register.HISTORY_BYTES / 200_000;
-        assertNull(large.at(100 - held));
-        assertNotNull(large.at(100 - held + 2));
+        // 100,000 characters count as slightly more than 200,000 bytes.
+        long keptVersions = Register.MAX_HISTORY_BYTES / 200_000;
+        assertNull(large.at(100 - keptVersions));
+        assertNotNull(large.at(100 - keptVersions + 2));
     }
 
     @Test
-    void theMemoryOfIdsIsBounded() {
-        Register register = new Register();
-        register.apply(Trio.proposal("first", -1, "1"));
-        for (int i = 1; i < Register.DECIDED; i++) {
-            register.apply(Trio.proposal("p" + i, -1, "1"));
+    void rememberedIdsAreBounded() {
+        Register stateMachine = new Register();
+        stateMachine.apply(TestCluster.proposal("first", -1, "1"));
+        for (int i = 1; i < Register.MAX_ACCEPTED_IDS; i++) {
+            stateMachine.apply(TestCluster.proposal("p" + i, -1, "1"));
         }
-        for (int i = 0; i < 3 * Register.REFUSED; i++) {
-            register.apply(Trio.proposal("r" + i, 0, "1"));
+        for (int i = 0; i < 3 * Register.MAX_REFUSED_IDS; i++) {
+            stateMachine.apply(TestCluster.proposal("r" + i, 0, "1"));
         }
-        assertEquals(decided(1), register.apply(Trio.proposal("first", -1, "1")), "refused ones push out none");
-        register.apply(Trio.proposal("last", -1, "1"));
-        assertEquals(decided(Register.DECIDED + 2), register.apply(Trio.proposal("first", -1, "1")));
+        assertEquals(
+                committed(1),
+                stateMachine.apply(TestCluster.proposal("first", -1, "1")),
+                "refused proposals must not evict accepted ones");
+        stateMachine.apply(TestCluster.proposal("last", -1, "1"));
+        assertEquals(
+                committed(Register.MAX_ACCEPTED_IDS + 2), stateMachine.apply(TestCluster.proposal("first", -1, "1")));
     }
 
     @Test
-    void whatIsSavedIsLoadedTheSame() {
-        Register register = new Register();
+    void snapshotRestoresTheState() {
+        Register stateMachine = new Register();
         for (int i = 1; i <= 60; i++) {
-            register.apply(sized("p" + i, 30_000 + i));
+            stateMachine.apply(proposalOfSize("p" + i, 30_000 + i));
         }
-        register.apply(Trio.proposal("refused", 1, "1"));
-        List<byte[]> parts = register.save();
+        stateMachine.apply(TestCluster.proposal("refused", 1, "1"));
+        List<byte[]> parts = stateMachine.encodeSnapshot();
         assertTrue(parts.size() > 2, parts.size() + " parts");
         for (byte[] part : parts) {
-            assertTrue(part.length < KeeperWire.BODY_BYTES / 2, "a part of " + part.length);
+            assertTrue(part.length < ReplicaTransport.MAX_BODY_BYTES / 2, "a part of " + part.length);
         }
-        Register loaded = Register.load(parts);
-        assertEquals(register.after(0), loaded.after(0));
-        assertEquals(decided(7), loaded.apply(sized("p7", 30_007)));
-        assertEquals(register.apply(Trio.proposal("refused", 1, "1")), loaded.apply(Trio.proposal("refused", 1, "1")));
-        assertEquals(decided(61), loaded.apply(Trio.proposal("next", 60, "1")));
-        assertThrows(IllegalArgumentException.class, () -> Register.load(parts.subList(0, parts.size() - 1)));
-        assertThrows(IllegalArgumentException.class, () -> Register.load(List.of()));
+        Register loaded = Register.decodeSnapshot(parts);
+        assertEquals(stateMachine.versionsAfter(0), loaded.versionsAfter(0));
+        assertEquals(committed(7), loaded.apply(proposalOfSize("p7", 30_007)));
+        assertEquals(
+                stateMachine.apply(TestCluster.proposal("refused", 1, "1")),
+                loaded.apply(TestCluster.proposal("refused", 1, "1")));
+        assertEquals(committed(61), loaded.apply(TestCluster.proposal("next", 60, "1")));
+        assertThrows(IllegalArgumentException.class, () -> Register.decodeSnapshot(parts.subList(0, parts.size() - 1)));
+        assertThrows(IllegalArgumentException.class, () -> Register.decodeSnapshot(List.of()));
     }
 
     @Test
-    void entriesAreNotTheProposersAnyMore() {
-        Register register = new Register();
+    void laterChangesOfTheProposersMapHaveNoEffect() {
+        Register stateMachine = new Register();
         TreeMap<String, String> entries = new TreeMap<>(Map.of("a", "1"));
-        register.apply(new Proposal("p", -1, entries, "", 0));
+        stateMachine.apply(new Proposal("p", -1, entries, "", 0));
         entries.put("a", "2");
-        assertEquals("1", register.newest().entries().get("a"));
+        assertEquals("1", stateMachine.newest().entries().get("a"));
     }
 }
--- a/src/test/java/mulleinfront/keep/Trio.java
+++ b/src/test/java/mulleinfront/keep/TestCluster.java
@@ -21,21 +21,21 @@
 import mulleinfront.config.Version;
 import mulleinfront.config.VersionLog;
 
-/** Three keepers on loopback sockets, each on an event loop and in a directory of its own. */
-final class Trio implements AutoCloseable {
+/** Three replicas on loopback sockets, each with its own event loop and directory. */
+final class TestCluster implements AutoCloseable {
     static final String[] NAMES = {"k1", "k2", "k3"};
-    private static final int PATIENCE_SECONDS = 20;
+    private static final int TIMEOUT_SECONDS = 20;
 
     final SortedMap<String, InetSocketAddress> addresses = new TreeMap<>();
     final Map<String, ReplicaNode> nodes = new HashMap<>();
-    /** What each heard since it was started, in order. */
-    final Map<String, BlockingQueue<Version>> heard = new HashMap<>();
+    /** The versions that each replica has reported since it was last started, in order. */
+    final Map<String, BlockingQueue<Version>> reportedVersions = new HashMap<>();
 
     private final Map<String, EventLoopGroup> loops = new HashMap<>();
-    private final Path home;
+    private final Path baseDirectory;
 
-    Trio(Path home) throws Exception {
-        this.home = home;
+    TestCluster(Path baseDirectory) throws Exception {
+        this.baseDirectory = baseDirectory;
         for (String name : NAMES) {
             loops.put(name, new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()));
             try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
@@ -44,16 +44,16 @@
         }
     }
 
-    static Trio started(Path home) throws Exception {
-        Trio trio = new Trio(home);
+    static TestCluster startAll(Path baseDirectory) throws Exception {
+        TestCluster cluster = new TestCluster(baseDirectory);
         for (String name : NAMES) {
-            trio.start(name);
+            cluster.start(name);
         }
-        return trio;
+        return cluster;
     }
 
     Path directory(String name) {
-        return home.resolve(name);
+        return baseDirectory.resolve(name);
     }
 
     ReplicaNode start(String name) throws Exception {
@@ -62,8 +62,8 @@
                 loops.get(name).next());
         nodes.put(name, node);
         BlockingQueue<Version> queue = new LinkedBlockingQueue<>();
-        heard.put(name, queue);
-        on(name, () -> {
+        reportedVersions.put(name, queue);
+        runOnLoop(name, () -> {
             node.listen(queue::add);
             node.start();
             return null;
@@ -71,15 +71,15 @@
         return node;
     }
 
-    /** Runs something on a keeper's loop. */
-    <T> T on(String name, Callable<T> what) throws Exception {
-        return loops.get(name).next().submit(what).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    /** Runs a task on a replica's event loop. */
+    <T> T runOnLoop(String name, Callable<T> task) throws Exception {
+        return loops.get(name).next().submit(task).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     void stop(String name) throws Exception {
         ReplicaNode node = nodes.remove(name);
         if (node != null) {
-            on(name, () -> {
+            runOnLoop(name, () -> {
                 node.close();
                 return null;
             });
@@ -92,65 +92,65 @@
         return new Proposal(id, basedOn, entries, "because of " + id, 1_700_000_000_000L);
     }
 
-    CompletableFuture<VersionLog.ProposalResult> proposing(String at, Proposal proposal) throws Exception {
-        CompletableFuture<VersionLog.ProposalResult> answer = new CompletableFuture<>();
-        ReplicaNode node = nodes.get(at);
-        on(at, () -> {
-            node.propose(proposal, answer::complete);
+    CompletableFuture<VersionLog.ProposalResult> proposeAsync(String replica, Proposal proposal) throws Exception {
+        CompletableFuture<VersionLog.ProposalResult> result = new CompletableFuture<>();
+        ReplicaNode node = nodes.get(replica);
+        runOnLoop(replica, () -> {
+            node.propose(proposal, result::complete);
             return null;
         });
-        return answer;
+        return result;
     }
 
-    VersionLog.ProposalResult propose(String at, Proposal proposal) throws Exception {
-        return proposing(at, proposal).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    VersionLog.ProposalResult propose(String replica, Proposal proposal) throws Exception {
+        return proposeAsync(replica, proposal).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Proposes under one id until it is known what became of it. */
-    VersionLog.ProposalResult settle(String at, Proposal proposal) throws Exception {
-        VersionLog.ProposalResult answer;
+    /** Repeats a proposal under its id until its result is known. */
+    VersionLog.ProposalResult proposeUntilKnown(String replica, Proposal proposal) throws Exception {
+        VersionLog.ProposalResult result;
         do {
-            answer = propose(at, proposal);
-        } while (answer.what() == VersionLog.ProposalOutcome.UNKNOWN);
-        return answer;
+            result = propose(replica, proposal);
+        } while (result.what() == VersionLog.ProposalOutcome.UNKNOWN);
+        return result;
     }
 
-    /** The next version that a keeper hears of. */
-    Version next(String name) throws Exception {
-        Version version = heard.get(name).poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    /** The next version that a replica reports. */
+    Version nextVersion(String name) throws Exception {
+        Version version = reportedVersions.get(name).poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (version == null) {
-            throw new IOException(name + " heard of nothing; it is " + status(name));
+            throw new IOException(name + " reported no version; its status is " + status(name));
         }
         return version;
     }
 
     ReplicaStatus status(String name) throws Exception {
         ReplicaNode node = nodes.get(name);
-        return on(name, node::status);
+        return runOnLoop(name, node::status);
     }
 
     Version newest(String name) throws Exception {
         ReplicaNode node = nodes.get(name);
-        return on(name, node::newest);
+        return runOnLoop(name, node::newest);
     }
 
-    /** The one that leads by its own word; a change must have been decided before. */
+    /** The replica that reports itself as the leader; a proposal must have been committed before. */
     String leader() throws Exception {
         for (String name : NAMES) {
             if (nodes.containsKey(name) && status(name).role() == ReplicaStatus.Role.LEADER) {
                 return name;
             }
         }
-        throw new IOException("nobody leads");
+        throw new IOException("no replica is the leader");
     }
 
-    String other(String... than) {
+    String runningReplicaExcept(String... excluded) {
         for (String name : NAMES) {
-            if (nodes.containsKey(name) && !java.util.List.of(than).contains(name)) {
+            if (nodes.containsKey(name) && !java.util.List.of(excluded).contains(name)) {
                 return name;
             }
         }
-        throw new IllegalStateException("no other is started");
+        throw new IllegalStateException("no other replica is running");
     }
 
     @Override
