--- a/src/main/java/mulleinfront/keep/Codec.java
+++ b/src/main/java/mulleinfront/keep/Codec.java
@@ -470,18 +470,18 @@
     /** Encodes the state machine: the first part has the proposal ids, the others have the versions. */
     static List<byte[]> encodeSnapshot(
             Collection<Version> versions,
-            Map<String, Long> acceptedVersions,
-            Map<String, VersionLog.ProposalResult> refusedResults) {
+            Map<String, Long> versionNumbersById,
+            Map<String, VersionLog.ProposalResult> refusedResultsById) {
         List<byte[]> parts = new ArrayList<>();
         parts.add(encode(out -> {
             out.writeInt(versions.size());
-            out.writeInt(acceptedVersions.size());
-            for (Map.Entry<String, Long> e : acceptedVersions.entrySet()) {
+            out.writeInt(versionNumbersById.size());
+            for (Map.Entry<String, Long> e : versionNumbersById.entrySet()) {
                 writeText(out, e.getKey());
                 out.writeLong(e.getValue());
             }
-            out.writeInt(refusedResults.size());
-            for (Map.Entry<String, VersionLog.ProposalResult> e : refusedResults.entrySet()) {
+            out.writeInt(refusedResultsById.size());
+            for (Map.Entry<String, VersionLog.ProposalResult> e : refusedResultsById.entrySet()) {
                 writeText(out, e.getKey());
                 proposalResult(out, e.getValue());
             }
@@ -515,18 +515,18 @@
     static void decodeSnapshot(
             List<byte[]> parts,
             Consumer<Version> onVersion,
-            Map<String, Long> acceptedVersions,
-            Map<String, VersionLog.ProposalResult> refusedResults) {
+            Map<String, Long> versionNumbersById,
+            Map<String, VersionLog.ProposalResult> refusedResultsById) {
         if (parts.isEmpty()) {
             throw new IllegalArgumentException("a snapshot without parts");
         }
         int expectedVersions = decode(parts.get(0), in -> {
             int versions = nonNegative(in.readInt());
             for (int i = readCount(in); i > 0; i--) {
-                acceptedVersions.put(readText(in), nonNegative(in.readLong()));
+                versionNumbersById.put(readText(in), nonNegative(in.readLong()));
             }
             for (int i = readCount(in); i > 0; i--) {
-                refusedResults.put(readText(in), proposalResult(in));
+                refusedResultsById.put(readText(in), proposalResult(in));
             }
             return versions;
         });
--- a/src/main/java/mulleinfront/keep/DiskLog.java
+++ b/src/main/java/mulleinfront/keep/DiskLog.java
@@ -143,7 +143,7 @@
         }
         RaftGroupMembersView initialMembers = Codec.members(members);
         Set<String> storedNames = new HashSet<>();
-        initialMembers.getMembers().forEach(m -> storedNames.add((String) m.getId()));
+        initialMembers.getMembers().forEach(member -> storedNames.add((String) member.getId()));
         if (!storedNames.equals(replicaNames)) {
             throw new IllegalArgumentException(
                     "was created for the replicas " + storedNames + ", but the settings name " + replicaNames);
@@ -330,7 +330,7 @@
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
         update(() -> {
-            long startIndex = Recovery.startIndex(Recovery.completeSnapshots(snapshots()), longValue("taken"));
+            long startIndex = Recovery.findStartIndex(Recovery.completeSnapshots(snapshots()), longValue("taken"));
             for (Long i = log.floorKey(startIndex); i != null; i = log.floorKey(startIndex)) {
                 log.remove(i);
             }
--- a/src/main/java/mulleinfront/keep/Recovery.java
+++ b/src/main/java/mulleinfront/keep/Recovery.java
@@ -49,7 +49,7 @@
             long ownSnapshotIndex,
             NavigableMap<Long, LogEntry> entriesByIndex,
             long commitIndex) {
-        long startIndex = startIndex(completeSnapshots(snapshots), ownSnapshotIndex);
+        long startIndex = findStartIndex(completeSnapshots(snapshots), ownSnapshotIndex);
         List<LogEntry> entries = new ArrayList<>();
         long lastIndex = startIndex;
         for (Map.Entry<Long, LogEntry> indexedEntry :
@@ -110,7 +110,7 @@
      *
      * @param completeSnapshots indexes of the snapshots of which all chunks are stored
      */
-    static long startIndex(NavigableSet<Long> completeSnapshots, long ownSnapshotIndex) {
+    static long findStartIndex(NavigableSet<Long> completeSnapshots, long ownSnapshotIndex) {
         if (completeSnapshots.isEmpty()) {
             return 0;
         }
--- a/src/main/java/mulleinfront/keep/Register.java
+++ b/src/main/java/mulleinfront/keep/Register.java
@@ -15,9 +15,9 @@
  * deterministic (no I/O, clock or random source), so that all replicas that apply the same proposals in the same
  * order have the same state.
  *
- * <p>It keeps at most {@value #VERSIONS} versions with at most {@value #HISTORY_BYTES} bytes in total (the
- * newest version always), the ids of the last {@value #DECIDED} accepted proposals, and the results of the last
- * {@value #REFUSED} refused ones. A proposal repeated after its id has been evicted counts as new; proposers
+ * <p>It keeps at most {@value #MAX_VERSIONS} versions with at most {@value #MAX_HISTORY_BYTES} bytes in total (the
+ * newest version always), the ids of the last {@value #MAX_ACCEPTED_IDS} accepted proposals, and the results of the last
+ * {@value #MAX_REFUSED_IDS} refused ones. A proposal repeated after its id has been evicted counts as new; proposers
  * repeat a proposal within seconds, long before that.
  */
 final class Register {
@@ -37,8 +37,8 @@
     static final int MAX_REASON_CHARS = 500;
 
     private final ArrayDeque<Version> versions = new ArrayDeque<>();
-    private final Map<String, Long> acceptedVersions = new LinkedHashMap<>();
-    private final Map<String, VersionLog.ProposalResult> refusedResults = new LinkedHashMap<>();
+    private final Map<String, Long> versionNumbersById = new LinkedHashMap<>();
+    private final Map<String, VersionLog.ProposalResult> refusedResultsById = new LinkedHashMap<>();
     private long historyBytes;
 
     /** @return why a proposal is invalid, in one line; null if it is valid */
@@ -64,7 +64,7 @@
 
     /** Accepts or refuses a committed proposal; a repeated id gets the result of its first proposal. */
     VersionLog.ProposalResult apply(Proposal proposal) {
-        Long number = acceptedVersions.get(proposal.id());
+        Long number = versionNumbersById.get(proposal.id());
         if (number != null) {
             Version acceptedVersion = at(number);
             return acceptedVersion == null || acceptedVersion.entries().equals(proposal.entries())
@@ -75,7 +75,7 @@
                             "the id " + proposal.id() + " was given to version " + number
                                     + ", which has other entries");
         }
-        VersionLog.ProposalResult earlierResult = refusedResults.get(proposal.id());
+        VersionLog.ProposalResult earlierResult = refusedResultsById.get(proposal.id());
         if (earlierResult != null) {
             return earlierResult;
         }
@@ -88,13 +88,13 @@
                     new VersionLog.ProposalResult(VersionLog.ProposalOutcome.REFUSED, newest().number(), problem);
             // An id that is too long is not remembered: such a proposal is refused before it gets into the log.
             if (proposal.id().length() <= MAX_ID_CHARS) {
-                putBounded(refusedResults, proposal.id(), result, MAX_REFUSED_IDS);
+                putBounded(refusedResultsById, proposal.id(), result, MAX_REFUSED_IDS);
             }
             return result;
         }
         Version version = new Version(newest().number() + 1, proposal.entries(), proposal.why(), proposal.atMillis());
         addVersion(version);
-        putBounded(acceptedVersions, proposal.id(), version.number(), MAX_ACCEPTED_IDS);
+        putBounded(versionNumbersById, proposal.id(), version.number(), MAX_ACCEPTED_IDS);
         return new VersionLog.ProposalResult(VersionLog.ProposalOutcome.DECIDED, version.number(), "");
     }
 
@@ -107,10 +107,10 @@
         }
     }
 
-    private static <V> void putBounded(Map<String, V> results, String id, V value, int maxEntries) {
-        results.put(id, value);
-        if (results.size() > maxEntries) {
-            Iterator<String> ids = results.keySet().iterator();
+    private static <V> void putBounded(Map<String, V> valuesById, String id, V value, int maxEntries) {
+        valuesById.put(id, value);
+        if (valuesById.size() > maxEntries) {
+            Iterator<String> ids = valuesById.keySet().iterator();
             ids.next();
             ids.remove();
         }
@@ -148,10 +148,10 @@
     }
 
     /**
-     * Encodes the whole state in parts of about {@value Codec#PART_BYTES} bytes; equal states give equal parts.
+     * Encodes the whole state in parts of about {@value Codec#SNAPSHOT_PART_BYTES} bytes; equal states give equal parts.
      */
     List<byte[]> encodeSnapshot() {
-        return Codec.encodeSnapshot(versions, acceptedVersions, refusedResults);
+        return Codec.encodeSnapshot(versions, versionNumbersById, refusedResultsById);
     }
 
     /**
@@ -162,7 +162,7 @@
     static Register decodeSnapshot(List<byte[]> parts) {
         Register stateMachine = new Register();
         Codec.decodeSnapshot(
-                parts, stateMachine::addVersion, stateMachine.acceptedVersions, stateMachine.refusedResults);
+                parts, stateMachine::addVersion, stateMachine.versionNumbersById, stateMachine.refusedResultsById);
         return stateMachine;
     }
 }
--- a/src/main/java/mulleinfront/keep/Replica.java
+++ b/src/main/java/mulleinfront/keep/Replica.java
@@ -40,7 +40,7 @@
  * same code runs on an event loop and in virtual time.
  *
  * <p>The library configures heartbeats in whole seconds, which is too coarse here, so its clock and timers run
- * {@value #PACE} times as fast as real time: a leader sends a heartbeat every 250 ms, and a follower looks for a
+ * {@value #TIME_SCALE} times as fast as real time: a leader sends a heartbeat every 250 ms, and a follower looks for a
  * new leader after one second without.
  */
 final class Replica implements VersionLog {
@@ -74,8 +74,8 @@
     /** Incremented whenever the library's node is rebuilt; tasks of an earlier node are dropped. */
     private int nodeGeneration;
     /**
-     * Index of the snapshot at which the library's log begins; {@link #entryTerms} has the terms of the entries after
-     * it.
+     * Index of the snapshot at which the library's log begins; {@link #entryTerms} has the terms of the later
+     * entries.
      */
     private long snapshotIndex;
 
@@ -98,7 +98,8 @@
     /**
      * @param replicaNames names of all replicas, this one included
      * @param random source of the randomised election timeouts
-     * @param snapshotEntries committed entries between two snapshots: {@link #SNAPSHOT_INTERVAL_ENTRIES} except in tests
+     * @param snapshotIntervalEntries committed entries between two snapshots; {@link #SNAPSHOT_INTERVAL_ENTRIES}
+     *        except in tests
      * @throws IOException with a message of one line, if the stored state can't be read
      */
     Replica(
@@ -136,7 +137,7 @@
             RestoredRaftState restored = log.restoredState();
             if (restored == null) {
                 List<RaftEndpoint> endpoints = new ArrayList<>();
-                replicaNames.forEach(m -> endpoints.add(new ReplicaEndpoint(m)));
+                replicaNames.forEach(replicaName -> endpoints.add(new ReplicaEndpoint(replicaName)));
                 builder.setLocalEndpoint(new ReplicaEndpoint(name)).setInitialGroupMembers(endpoints);
             } else {
                 recoveredState = recoverState(restored, log.commitIndex());
@@ -238,7 +239,7 @@
      * <p>The library knows no entry at or before its snapshot, and rejects a request whose previous entry is
      * there even if it already has entries after the snapshot. If the response for those entries was lost, the
      * leader sends the same request forever. Entries up to the snapshot are committed and therefore equal on both
-     * sides, so the request is shortened to start after the first entry behind the snapshot. If this replica has a
+     * sides, so the request is shortened to start after the first entry past the snapshot. If this replica has a
      * different entry there, its entry and all later ones conflict with the leader's log and are deleted, as the
      * library would do if it got that far.
      */
@@ -382,7 +383,7 @@
 
     /**
      * The attempts for one proposal: sends it under the same id to the current leader until there is a result or
-     * {@link #PROPOSAL_TIMEOUT_NS} are over.
+     * {@link #PROPOSAL_TIMEOUT_NS} have passed.
      */
     private final class ProposalAttempts {
         private final Proposal proposal;
--- a/src/test/java/mulleinfront/keep/CodecTest.java
+++ b/src/test/java/mulleinfront/keep/CodecTest.java
@@ -168,8 +168,8 @@
         for (RaftMessage message : allMessages()) {
             byte[] bytes = Codec.message(message);
             for (int length = 0; length < bytes.length; length++) {
-                byte[] cut = Arrays.copyOf(bytes, length);
-                assertThrows(IllegalArgumentException.class, () -> Codec.message(cut));
+                byte[] truncated = Arrays.copyOf(bytes, length);
+                assertThrows(IllegalArgumentException.class, () -> Codec.message(truncated));
             }
             byte[] longer = Arrays.copyOf(bytes, bytes.length + 1);
             assertThrows(IllegalArgumentException.class, () -> Codec.message(longer));
--- a/src/test/java/mulleinfront/keep/DiskLogTest.java
+++ b/src/test/java/mulleinfront/keep/DiskLogTest.java
@@ -130,18 +130,18 @@
      * must fail with a message of one line that names the path.
      */
     private void assertUnchangedOrRejected(
-            Path from, String file, byte[] bytes, String state, String description, TreeSet<String> outcomes)
+            Path original, String file, byte[] bytes, String state, String description, TreeSet<String> outcomes)
             throws IOException {
-        Path to = baseDirectory.resolve("changed");
-        Files.createDirectories(to);
+        Path copy = baseDirectory.resolve("changed");
+        Files.createDirectories(copy);
         for (String name : List.of(DiskLog.STORE_FILE, DiskLog.COUNTER_FILE)) {
-            Files.write(to.resolve(name), name.equals(file) ? bytes : Files.readAllBytes(from.resolve(name)));
+            Files.write(copy.resolve(name), name.equals(file) ? bytes : Files.readAllBytes(original.resolve(name)));
         }
-        try (DiskLog log = open(to)) {
+        try (DiskLog log = open(copy)) {
             assertEquals(state, stateText(log), description);
             outcomes.add("unchanged");
         } catch (IOException e) {
-            assertTrue(e.getMessage().startsWith(to.toString()), description + ": " + e.getMessage());
+            assertTrue(e.getMessage().startsWith(copy.toString()), description + ": " + e.getMessage());
             assertEquals(1, e.getMessage().lines().count(), description);
             outcomes.add("rejected");
         }
@@ -149,40 +149,45 @@
 
     @Test
     void truncatedStoreIsUnchangedOrRejected() throws Exception {
-        Path from = baseDirectory.resolve("from");
-        String state = writeSampleLog(from);
-        byte[] store = Files.readAllBytes(from.resolve(DiskLog.STORE_FILE));
+        Path original = baseDirectory.resolve("from");
+        String state = writeSampleLog(original);
+        byte[] store = Files.readAllBytes(original.resolve(DiskLog.STORE_FILE));
         TreeSet<String> outcomes = new TreeSet<>();
         for (int length = 0; length < store.length; length += STRIDE_BYTES) {
             assertUnchangedOrRejected(
-                    from, DiskLog.STORE_FILE, Arrays.copyOf(store, length), state, "truncated at " + length, outcomes);
+                    original,
+                    DiskLog.STORE_FILE,
+                    Arrays.copyOf(store, length),
+                    state,
+                    "truncated at " + length,
+                    outcomes);
         }
         assertTrue(outcomes.contains("rejected"), outcomes.toString());
     }
 
     @Test
     void alteredStoreIsUnchangedOrRejected() throws Exception {
-        Path from = baseDirectory.resolve("from");
-        String state = writeSampleLog(from);
-        byte[] store = Files.readAllBytes(from.resolve(DiskLog.STORE_FILE));
+        Path original = baseDirectory.resolve("from");
+        String state = writeSampleLog(original);
+        byte[] store = Files.readAllBytes(original.resolve(DiskLog.STORE_FILE));
         TreeSet<String> outcomes = new TreeSet<>();
         for (int at = 0; at < store.length; at += STRIDE_BYTES) {
             byte[] changed = store.clone();
             changed[at] ^= 0x10;
-            assertUnchangedOrRejected(from, DiskLog.STORE_FILE, changed, state, "altered at " + at, outcomes);
+            assertUnchangedOrRejected(original, DiskLog.STORE_FILE, changed, state, "altered at " + at, outcomes);
         }
         assertEquals(Set.of("unchanged", "rejected"), outcomes);
     }
 
     @Test
     void truncatedCounterFileIsRejected() throws Exception {
-        Path from = baseDirectory.resolve("from");
-        String state = writeSampleLog(from);
-        byte[] counterFile = Files.readAllBytes(from.resolve(DiskLog.COUNTER_FILE));
+        Path original = baseDirectory.resolve("from");
+        String state = writeSampleLog(original);
+        byte[] counterFile = Files.readAllBytes(original.resolve(DiskLog.COUNTER_FILE));
         TreeSet<String> outcomes = new TreeSet<>();
         for (int length = 0; length < counterFile.length; length += STRIDE_BYTES) {
             assertUnchangedOrRejected(
-                    from,
+                    original,
                     DiskLog.COUNTER_FILE,
                     Arrays.copyOf(counterFile, length),
                     state,
@@ -193,7 +198,7 @@
         for (int at = 0; at < counterFile.length; at += STRIDE_BYTES) {
             byte[] changed = counterFile.clone();
             changed[at] ^= 0x10;
-            assertUnchangedOrRejected(from, DiskLog.COUNTER_FILE, changed, state, "altered at " + at, outcomes);
+            assertUnchangedOrRejected(original, DiskLog.COUNTER_FILE, changed, state, "altered at " + at, outcomes);
         }
     }
 
--- a/src/test/java/mulleinfront/keep/MemoryLog.java
+++ b/src/test/java/mulleinfront/keep/MemoryLog.java
@@ -151,7 +151,7 @@
 
     @Override
     public void truncateLogEntriesUntil(long index) {
-        long startIndex = Recovery.startIndex(Recovery.completeSnapshots(snapshots()), current.ownSnapshotIndex);
+        long startIndex = Recovery.findStartIndex(Recovery.completeSnapshots(snapshots()), current.ownSnapshotIndex);
         current.log.headMap(startIndex, true).clear();
         current.chunks.headMap(startIndex, false).clear();
     }
