--- a/src/main/java/mulleinfront/keep/Codec.java
+++ b/src/main/java/mulleinfront/keep/Codec.java
@@ -38,7 +38,7 @@
 /**
  * Encodes Raft messages, log entries and snapshots to bytes, for the network and the disk, and decodes them. The
  * fields of the library's model interfaces are written in a fixed order by a {@link DataOutputStream}, after a
- * format number. Decoding checks the lengths of strings and lists against the bytes that remain before it
+ * format version. Decoding checks the lengths of strings and lists against the bytes that remain before it
  * allocates memory for them.
  */
 final class Codec {
@@ -71,7 +71,7 @@
         PART
     }
 
-    /** Writes one value to a stream. */
+    /** Writes one value to a stream; the exception never occurs, because the stream writes to memory. */
     private interface Writer {
         void write(DataOutputStream out) throws IOException;
     }
--- a/src/test/java/mulleinfront/keep/DiskLogTest.java
+++ b/src/test/java/mulleinfront/keep/DiskLogTest.java
@@ -172,9 +172,9 @@
         byte[] store = Files.readAllBytes(original.resolve(DiskLog.STORE_FILE));
         TreeSet<String> outcomes = new TreeSet<>();
         for (int at = 0; at < store.length; at += STRIDE_BYTES) {
-            byte[] changed = store.clone();
-            changed[at] ^= 0x10;
-            assertUnchangedOrRejected(original, DiskLog.STORE_FILE, changed, state, "altered at " + at, outcomes);
+            byte[] altered = store.clone();
+            altered[at] ^= 0x10;
+            assertUnchangedOrRejected(original, DiskLog.STORE_FILE, altered, state, "altered at " + at, outcomes);
         }
         assertEquals(Set.of("unchanged", "rejected"), outcomes);
     }
@@ -196,9 +196,9 @@
         }
         assertEquals(Set.of("rejected"), outcomes);
         for (int at = 0; at < counterFile.length; at += STRIDE_BYTES) {
-            byte[] changed = counterFile.clone();
-            changed[at] ^= 0x10;
-            assertUnchangedOrRejected(original, DiskLog.COUNTER_FILE, changed, state, "altered at " + at, outcomes);
+            byte[] altered = counterFile.clone();
+            altered[at] ^= 0x10;
+            assertUnchangedOrRejected(original, DiskLog.COUNTER_FILE, altered, state, "altered at " + at, outcomes);
         }
     }
 
