--- a/src/main/java/mulleinfront/capacity/Capacity.java
+++ b/src/main/java/mulleinfront/capacity/Capacity.java
@@ -8,10 +8,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The size, the slopes and the rows together, and what follows from them. */
+/**
+ * The capacity model: the cost slopes, the cost rows and the requirements at one fleet size, with the estimates that
+ * follow from them.
+ */
 public final class Capacity {
-    /** What stands for the figure of a row that nothing carries, where there is nothing to measure. */
-    private static final Row.Cell NOTHING = new Row.Cell(Row.Measure.TIME, List.of(), null, null, Double.NaN);
+    /** Placeholder cell of a row without a mechanism, where there is nothing to measure. */
+    private static final Row.Cell PLACEHOLDER_CELL = new Row.Cell(Row.Measure.TIME, List.of(), null, null, Double.NaN);
 
     private final Size size;
     private final Map<String, Slope> slopes = new TreeMap<>();
@@ -20,34 +23,34 @@
     private final List<Need> needs;
 
     /**
-     * @throws IllegalArgumentException if a row names a slope, size or budget that there is not, or a slope
-     *        is no slope
+     * @throws IllegalArgumentException if a row names an unknown slope, size or budget, a name is not unique, or a
+     *        slope can't be fitted
      */
-    public Capacity(Size size, List<Slope> slopes, List<Row> rows, List<Need> needs) {
+    public Capacity(Size size, List<Slope> slopes, List<Row> rows, List<Need> requirements) {
         this.size = size;
         this.rows = List.copyOf(rows);
-        this.needs = List.copyOf(needs);
-        for (Slope s : slopes) {
+        this.needs = List.copyOf(requirements);
+        for (Slope slope : slopes) {
             try {
-                if (!s.points().isEmpty()) {
-                    fits.put(s.id(), s.fit());
+                if (!slope.points().isEmpty()) {
+                    fits.put(slope.id(), slope.fit());
                 }
             } catch (IllegalArgumentException e) {
-                throw new IllegalArgumentException("slope " + s.id() + ": " + e.getMessage(), e);
+                throw new IllegalArgumentException("slope " + slope.id() + ": " + e.getMessage(), e);
             }
-            if (this.slopes.put(s.id(), s) != null) {
-                throw new IllegalArgumentException("slope " + s.id() + " is there twice");
+            if (this.slopes.put(slope.id(), slope) != null) {
+                throw new IllegalArgumentException("slope " + slope.id() + " is defined twice");
             }
         }
-        Set<String> seen = new HashSet<>();
+        Set<String> rowNames = new HashSet<>();
         for (Row row : rows) {
-            if (!seen.add(row.role() + "/" + row.part() + "/" + row.when())) {
+            if (!rowNames.add(row.role() + "/" + row.part() + "/" + row.when())) {
                 throw new IllegalArgumentException(
-                        "row " + row.role() + ", " + row.part() + ", " + row.when() + " is there twice");
+                        "row " + row.role() + ", " + row.part() + ", " + row.when() + " is defined twice");
             }
         }
         figures();
-        needs.forEach(n -> n.faults().forEach(size::of));
+        requirements.forEach(n -> n.faults().forEach(size::of));
     }
 
     public Size size() {
@@ -58,7 +61,7 @@
         return List.copyOf(slopes.values());
     }
 
-    /** The line of a slope; null if it is not measured yet. */
+    /** Returns the curve fitted to a slope; null if the slope has no measurements. */
     public Fit fit(String slope) {
         return fits.get(slope);
     }
@@ -71,46 +74,47 @@
         return needs;
     }
 
-    /** The same with other slopes in place of those of their ids, or beside them. */
+    /** Returns a copy with these slopes added; they replace slopes of the same id. */
     public Capacity with(List<Slope> measured) {
-        Map<String, Slope> all = new TreeMap<>(slopes);
-        measured.forEach(s -> all.put(s.id(), s));
-        return new Capacity(size, List.copyOf(all.values()), rows, needs);
+        Map<String, Slope> merged = new TreeMap<>(slopes);
+        measured.forEach(s -> merged.put(s.id(), s));
+        return new Capacity(size, List.copyOf(merged.values()), rows, needs);
     }
 
-    /** The same at another size. */
-    public Capacity at(Size other) {
-        return new Capacity(other, slopes(), rows, needs);
+    /** Returns a copy at another fleet size. */
+    public Capacity withSize(Size newSize) {
+        return new Capacity(newSize, slopes(), rows, needs);
     }
 
-    /** Each cell of each row, in the rows' order. */
+    /** Returns the estimate of each cell of each row, in the order of the rows. */
     public List<Figure> figures() {
-        List<Figure> all = new ArrayList<>();
+        List<Figure> estimates = new ArrayList<>();
         for (Row row : rows) {
             for (Row.Cell cell : row.cells()) {
-                all.add(figure(row, cell));
+                estimates.add(estimate(row, cell));
             }
-            if (row.none() && row.cells().isEmpty()) {
-                all.add(figure(row, NOTHING));
+            if (row.hasNoMechanism() && row.cells().isEmpty()) {
+                estimates.add(estimate(row, PLACEHOLDER_CELL));
             }
         }
-        return all;
+        return estimates;
     }
 
-    Figure figure(Row row, Row.Cell cell) {
+    Figure estimate(Row row, Row.Cell cell) {
         double value = cell.terms().isEmpty() || !Double.isNaN(cell.given()) ? cell.given() : 0;
-        for (Row.Term t : cell.terms()) {
-            boolean counted = t.slope().equals(Row.Term.COUNT);
-            Fit fit = counted ? null : fits.get(t.slope());
-            if (!counted && !slopes.containsKey(t.slope())) {
+        for (Row.Term term : cell.terms()) {
+            boolean isCount = term.slope().equals(Row.Term.COUNT);
+            Fit fit = isCount ? null : fits.get(term.slope());
+            if (!isCount && !slopes.containsKey(term.slope())) {
                 throw new IllegalArgumentException("row " + row.role() + ", " + row.part() + ", " + row.when()
-                        + ": there is no slope " + t.slope());
+                        + ": there is no slope " + term.slope());
             }
-            double part = !counted && fit == null ? Double.NaN : counted ? size.of(t.at()) : fit.at(size.of(t.at()));
-            for (String times : t.times()) {
-                part *= factor(times);
+            double summand =
+                    !isCount && fit == null ? Double.NaN : isCount ? size.of(term.at()) : fit.at(size.of(term.at()));
+            for (String factor : term.times()) {
+                summand *= factor(factor);
             }
-            value += part;
+            value += summand;
         }
         return new Figure(row, cell, value, cell.budget() == null ? Double.NaN : size.of(cell.budget()));
     }
@@ -124,58 +128,59 @@
     }
 
     /**
-     * The worst figure of each row over its budget, largest first; rows without a bounded figure are left
-     * out.
+     * Returns the estimate of each row that takes the largest share of its budget, largest share first. Rows without a
+     * budgeted estimate are left out.
      */
-    public List<Figure> order() {
+    public List<Figure> byBudgetShare() {
         List<Figure> worst = new ArrayList<>();
         for (Row row : rows) {
-            List<Row.Cell> cells = row.none() && row.cells().isEmpty() ? List.of(NOTHING) : row.cells();
+            List<Row.Cell> cells =
+                    row.hasNoMechanism() && row.cells().isEmpty() ? List.of(PLACEHOLDER_CELL) : row.cells();
             cells.stream()
-                    .map(c -> figure(row, c))
-                    .max(Comparator.comparingDouble(Figure::share))
-                    .filter(f -> f.share() > 0)
+                    .map(c -> estimate(row, c))
+                    .max(Comparator.comparingDouble(Figure::budgetShare))
+                    .filter(f -> f.budgetShare() > 0)
                     .ifPresent(worst::add);
         }
-        worst.sort(Comparator.comparingDouble(Figure::share).reversed());
+        worst.sort(Comparator.comparingDouble(Figure::budgetShare).reversed());
         return worst;
     }
 
-    /** Kinds of fault of the ordinary day that need it. */
-    public int kinds(Need need) {
-        return (int) need.faults().stream().distinct().count();
+    /** Returns the number of fault types of an ordinary day that need the mechanism. */
+    public int faultTypes(Need requirement) {
+        return (int) requirement.faults().stream().distinct().count();
     }
 
-    /** Happenings of an ordinary day that need it. */
-    public double daily(Need need) {
-        return need.faults().stream().distinct().mapToDouble(size::of).sum();
+    /** Returns how often on an ordinary day the mechanism is needed. */
+    public double occurrencesPerDay(Need requirement) {
+        return requirement.faults().stream().distinct().mapToDouble(size::of).sum();
     }
 
-    /** Rows that nothing carries and that this would carry. */
-    public List<Row> missing(Need need) {
+    /** Returns the rows without a mechanism that this one would serve. */
+    public List<Row> unsupportedRows(Need requirement) {
         return rows.stream()
-                .filter(r -> r.none() && r.part().equals(need.rows()))
+                .filter(r -> r.hasNoMechanism() && r.part().equals(requirement.rows()))
                 .toList();
     }
 
-    /** Largest share of a budget among the rows that it carries or would carry. */
-    public double worst(Need need) {
-        return order().stream()
-                .filter(f -> f.row().part().equals(need.rows()))
-                .mapToDouble(Figure::share)
+    /** Returns the largest share of a budget among the rows that the mechanism serves or would serve. */
+    public double maxBudgetShare(Need requirement) {
+        return byBudgetShare().stream()
+                .filter(f -> f.row().part().equals(requirement.rows()))
+                .mapToDouble(Figure::budgetShare)
                 .findFirst()
                 .orElse(0);
     }
 
     /**
-     * Mechanisms by what they are short of: figure over budget first, then how many kinds of fault and days
-     * need them.
+     * Returns the mechanisms by urgency: the largest share of a budget first, then the number of fault types and the
+     * daily occurrences that need the mechanism.
      */
-    public List<Need> neededFirst() {
-        List<Need> all = new ArrayList<>(needs);
-        all.sort(Comparator.<Need>comparingDouble(n -> -worst(n))
-                .thenComparingInt(n -> -kinds(n))
-                .thenComparingDouble(n -> -daily(n)));
-        return all;
+    public List<Need> requirementsByUrgency() {
+        List<Need> sorted = new ArrayList<>(needs);
+        sorted.sort(Comparator.<Need>comparingDouble(n -> -maxBudgetShare(n))
+                .thenComparingInt(n -> -faultTypes(n))
+                .thenComparingDouble(n -> -occurrencesPerDay(n)));
+        return sorted;
     }
 }
--- a/src/main/java/mulleinfront/capacity/Figure.java
+++ b/src/main/java/mulleinfront/capacity/Figure.java
@@ -1,28 +1,31 @@
 package mulleinfront.capacity;
 
 /**
- * One figure at the size.
+ * The estimate of one cell at the fleet size.
  *
- * @param value in the measure's unit; NaN: not measured
- * @param budget in the same; NaN: nothing bounds it
+ * @param row the cell's row
+ * @param cell the cell
+ * @param value the estimate in the measure's unit; NaN if it was not measured
+ * @param budget the budget in the same unit; NaN if there is none
  */
 public record Figure(Row row, Row.Cell cell, double value, double budget) {
     /**
-     * The figure over its budget: infinite where nothing carries the row, 0 where one of the two is not
-     * known.
+     * Returns the estimate as a share of its budget: infinite if the row has no mechanism, 0 if the estimate or the
+     * budget is unknown.
      */
-    public double share() {
-        if (row.none()) {
+    public double budgetShare() {
+        if (row.hasNoMechanism()) {
             return Double.POSITIVE_INFINITY;
         }
         return Double.isNaN(value) || Double.isNaN(budget) ? 0 : value / budget;
     }
 
+    /** Returns whether the estimate exceeds its budget. */
     public boolean over() {
-        return share() > 1;
+        return budgetShare() > 1;
     }
 
-    /** What is left of the budget, as a part of it; below 0 where it is over. */
+    /** Returns the unused share of the budget; negative if the estimate exceeds it. */
     public double margin() {
         return 1 - value / budget;
     }
--- a/src/main/java/mulleinfront/capacity/Fit.java
+++ b/src/main/java/mulleinfront/capacity/Fit.java
@@ -5,45 +5,49 @@
 import java.util.Locale;
 
 /**
- * A line through measured points: {@code base + slope * g(x)}, where g is what the form says.
+ * A curve fitted to measured points: {@code base + slope * g(x)}, where the form determines g; {@code BOUNDED} is
+ * {@code min(base, slope * x)}.
  *
- * @param worst largest distance of a point from the line, as a part of the largest value
+ * @param form form of the curve
+ * @param base constant part; the bound of {@code BOUNDED}
+ * @param slope factor of the growing part
+ * @param maxResidual largest distance of a point from the curve, relative to the largest value
  */
-public record Fit(Form form, double base, double slope, double worst) {
-    /** Fewer sizes than this say little of how a figure grows. */
+public record Fit(Form form, double base, double slope, double maxResidual) {
+    /** Minimum number of distinct sizes; fewer do not show how a value grows. */
     public static final int LEAST_POINTS = 4;
-    /** Values that differ by less than this part of their mean count as one at every size. */
-    private static final double SAME = 0.1;
-    /** A form with more to it must be nearer than this part of the simpler one's distance. */
-    private static final double NEARER = 0.8;
+    /** Values whose spread is at most this share of their mean count as constant. */
+    private static final double CONSTANT_TOLERANCE = 0.1;
+    /** A more complex form is chosen only if its residual is below this share of the simpler form's residual. */
+    private static final double REQUIRED_IMPROVEMENT = 0.8;
 
-    /** How a figure grows with the size. */
+    /** How a value grows with the size. */
     public enum Form {
-        /** It does not. */
+        /** Does not grow. */
         CONSTANT("constant"),
-        /** In proportion up to a bound. */
+        /** Proportional up to a bound. */
         BOUNDED("in proportion up to a bound"),
-        /** In proportion, beside a part that is always there. */
+        /** Linear with a constant part. */
         AFFINE("affine"),
-        /** With its logarithm, beside a part that is always there. */
+        /** Logarithmic with a constant part. */
         LOG("log n"),
-        /** With n log n, beside a part that is always there. */
+        /** Proportional to n log n, with a constant part. */
         N_LOG_N("n log n"),
-        /** With the square, as what each of n keeps of each of n does. */
+        /** Quadratic with a constant part, as state that each of n processes keeps about each of n. */
         SQUARE("square");
 
-        private final String word;
+        private final String outputName;
 
-        Form(String word) {
-            this.word = word;
+        Form(String outputName) {
+            this.outputName = outputName;
         }
 
-        /** The form in words. */
-        public String word() {
-            return word;
+        /** Returns the name of the form in reports. */
+        public String outputName() {
+            return outputName;
         }
 
-        private double of(double x) {
+        private double growth(double x) {
             return switch (this) {
                 case CONSTANT -> 0;
                 case AFFINE, BOUNDED -> x;
@@ -54,95 +58,103 @@
         }
     }
 
-    /** One measurement. */
+    /**
+     * One measurement.
+     *
+     * @param x the size
+     * @param y the measured value
+     */
     public record Point(double x, double y) {}
 
     /**
-     * The simplest form that lies near the points.
+     * Returns the fit of the simplest form that is close to the points.
      *
-     * @throws IllegalArgumentException if there are fewer than {@link #LEAST_POINTS} sizes, or one is no
-     *        number
+     * @throws IllegalArgumentException if there are fewer than {@link #LEAST_POINTS} distinct sizes, a size is not
+     *        above 0, or a size or value is not a finite number
      */
-    public static Fit of(List<Point> points) {
+    public static Fit select(List<Point> points) {
         if (points.stream().mapToDouble(Point::x).distinct().count() < LEAST_POINTS) {
             throw new IllegalArgumentException("a slope needs " + LEAST_POINTS + " sizes or more");
         }
         if (points.stream().anyMatch(p -> !Double.isFinite(p.y) || !Double.isFinite(p.x) || p.x <= 0)) {
-            throw new IllegalArgumentException("a slope needs sizes above 0 and figures that are numbers");
+            throw new IllegalArgumentException("a slope needs sizes above 0 and finite values");
         }
         double mean = points.stream().mapToDouble(Point::y).average().orElseThrow();
         double low = points.stream().mapToDouble(Point::y).min().orElseThrow();
         double high = points.stream().mapToDouble(Point::y).max().orElseThrow();
-        Fit best = through(points, Form.CONSTANT);
-        if (high - low <= SAME * Math.abs(mean)) {
+        Fit best = leastSquares(points, Form.CONSTANT);
+        if (high - low <= CONSTANT_TOLERANCE * Math.abs(mean)) {
             return best;
         }
         for (Form form : List.of(Form.AFFINE, Form.LOG, Form.BOUNDED, Form.N_LOG_N, Form.SQUARE)) {
-            Fit next = form == Form.BOUNDED ? bounded(points) : through(points, form);
-            best = next.worst < NEARER * best.worst ? next : best;
+            Fit candidate = form == Form.BOUNDED ? fitBounded(points) : leastSquares(points, form);
+            best = candidate.maxResidual < REQUIRED_IMPROVEMENT * best.maxResidual ? candidate : best;
         }
         return best;
     }
 
-    /** What grows in proportion until it meets a bound, at which two sizes or more stand. */
-    private static Fit bounded(List<Point> points) {
+    /** Fits proportional growth up to a bound; at least the two largest points are at the bound. */
+    private static Fit fitBounded(List<Point> points) {
         List<Point> sorted =
                 points.stream().sorted(Comparator.comparingDouble(Point::x)).toList();
-        double most = points.stream().mapToDouble(Point::y).max().orElseThrow();
+        double maxValue = points.stream().mapToDouble(Point::y).max().orElseThrow();
         Fit best = null;
-        for (int below = 1; below <= sorted.size() - 2; below++) {
-            double bound =
-                    sorted.stream().skip(below).mapToDouble(Point::y).average().orElseThrow();
+        for (int growing = 1; growing <= sorted.size() - 2; growing++) {
+            double bound = sorted.stream()
+                    .skip(growing)
+                    .mapToDouble(Point::y)
+                    .average()
+                    .orElseThrow();
             double slope = sorted.stream()
-                    .limit(below)
+                    .limit(growing)
                     .mapToDouble(p -> p.y / p.x)
                     .average()
                     .orElseThrow();
             Fit fit = new Fit(Form.BOUNDED, bound, slope, 0);
-            double off = points.stream()
+            double residual = points.stream()
                             .mapToDouble(p -> Math.abs(fit.at(p.x) - p.y))
                             .max()
                             .orElseThrow()
-                    / most;
-            best = best == null || off < best.worst ? new Fit(Form.BOUNDED, bound, slope, off) : best;
+                    / maxValue;
+            best = best == null || residual < best.maxResidual ? new Fit(Form.BOUNDED, bound, slope, residual) : best;
         }
         return best;
     }
 
-    /** Least squares of one form. */
-    static Fit through(List<Point> points, Form form) {
+    /** Fits one form by least squares. */
+    static Fit leastSquares(List<Point> points, Form form) {
         double n = points.size();
-        double sx = 0;
-        double sy = 0;
-        double sxx = 0;
-        double sxy = 0;
-        double most = 0;
+        double sumX = 0;
+        double sumY = 0;
+        double sumXX = 0;
+        double sumXY = 0;
+        double maxValue = 0;
         for (Point p : points) {
-            double g = form.of(p.x);
-            sx += g;
-            sy += p.y;
-            sxx += g * g;
-            sxy += g * p.y;
-            most = Math.max(most, Math.abs(p.y));
+            double g = form.growth(p.x);
+            sumX += g;
+            sumY += p.y;
+            sumXX += g * g;
+            sumXY += g * p.y;
+            maxValue = Math.max(maxValue, Math.abs(p.y));
         }
-        double spread = n * sxx - sx * sx;
-        double slope = spread == 0 ? 0 : (n * sxy - sx * sy) / spread;
-        double base = (sy - slope * sx) / n;
-        double off = 0;
+        double spread = n * sumXX - sumX * sumX;
+        double slope = spread == 0 ? 0 : (n * sumXY - sumX * sumY) / spread;
+        double base = (sumY - slope * sumX) / n;
+        double residual = 0;
         for (Point p : points) {
-            off = Math.max(off, Math.abs(base + slope * form.of(p.x) - p.y));
+            residual = Math.max(residual, Math.abs(base + slope * form.growth(p.x) - p.y));
         }
-        return new Fit(form, base, slope, most == 0 ? 0 : off / most);
+        return new Fit(form, base, slope, maxValue == 0 ? 0 : residual / maxValue);
     }
 
-    /** The figure at a size; never below nothing. */
+    /** Returns the fitted value at a size; never negative. */
     public double at(double x) {
-        return form == Form.BOUNDED ? Math.min(base, slope * x) : Math.max(0, base + slope * form.of(x));
+        return form == Form.BOUNDED ? Math.min(base, slope * x) : Math.max(0, base + slope * form.growth(x));
     }
 
-    /** In one line: the form, its two numbers and how far the farthest point is. */
-    public String text() {
-        String line = form == Form.CONSTANT
+    /** Returns a one-line description: the form, its coefficients and the largest residual. */
+    public String summary() {
+        String coefficients = form == Form.CONSTANT
                 ? ""
                 : form == Form.BOUNDED
                         ? ", " + Page.number(slope) + " x n, " + Page.number(base) + " at most"
@@ -151,7 +163,9 @@
                                 ", %s + %s x %s",
                                 Page.number(base),
                                 Page.number(slope),
-                                form == Form.AFFINE ? "n" : form.word());
-        return form.word() + line + String.format(Locale.ROOT, "; worst point %.0f%% off", 100 * worst);
+                                form == Form.AFFINE ? "n" : form.outputName());
+        return form.outputName()
+                + coefficients
+                + String.format(Locale.ROOT, "; worst point %.0f%% off", 100 * maxResidual);
     }
 }
--- a/src/main/java/mulleinfront/capacity/Need.java
+++ b/src/main/java/mulleinfront/capacity/Need.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * Something that has to be there at the size, and which happenings of a day need it.
+ * A mechanism that the fleet needs at its size, and the daily events that require it.
  *
- * @param name the mechanism
- * @param rows the part of the rows that it carries, as {@link Row#part}
- * @param faults kinds of fault of the ordinary day that need it, each the name of its count a day in {@link
- *        Size}
- * @param why in one sentence
+ * @param name name of the mechanism
+ * @param rows the {@link ProxyStatus#part} of the rows that the mechanism serves
+ * @param faults fault types of an ordinary day that need the mechanism, each by the name of its daily count in
+ *        {@link Size}
+ * @param why the reason, one sentence
  */
 public record Need(String name, String rows, List<String> faults, String why) {
     public Need {
--- a/src/main/java/mulleinfront/capacity/Page.java
+++ b/src/main/java/mulleinfront/capacity/Page.java
@@ -13,47 +13,47 @@
 import mulleinfront.capacity.Row.Measure;
 
 /**
- * The tables of docs/CAPACITY.md. Words stand in the page, figures between {@code <!-- begin NAME -->} and
- * {@code <!-- end NAME -->}, and only those are written here.
+ * Generates the tables of docs/CAPACITY.md. Each table is between {@code <!-- begin NAME -->} and
+ * {@code <!-- end NAME -->}; the text around them is left unchanged.
  */
 public final class Page {
     private static final String BEGIN = "<!-- begin ";
     private static final String CLOSE = " -->";
-    /** Rows of the order that the page shows beside those that are over. */
-    private static final int SHOWN = 25;
+    /** Number of rows within budget that the {@code order} table lists after those over budget. */
+    private static final int MAX_ROWS_WITHIN_BUDGET = 25;
 
-    private final Capacity all;
+    private final Capacity capacity;
 
-    public Page(Capacity all) {
-        this.all = all;
+    public Page(Capacity capacity) {
+        this.capacity = capacity;
     }
 
     /**
-     * The page with its tables as the slopes give them.
+     * Returns the page with its tables regenerated.
      *
-     * @throws IllegalArgumentException if a table begins that there is not, or does not end
+     * @throws IllegalArgumentException if a table's name is unknown or its end marker is missing
      */
     public String fill(String text) {
         StringBuilder out = new StringBuilder();
-        int done = 0;
-        for (int at = text.indexOf(BEGIN); at >= 0; at = text.indexOf(BEGIN, done)) {
-            int named = text.indexOf(CLOSE, at);
-            String name = named < 0 ? "" : text.substring(at + BEGIN.length(), named);
-            int end = text.indexOf("<!-- end " + name + CLOSE, at);
-            if (named < 0 || end < 0) {
+        int copied = 0;
+        for (int start = text.indexOf(BEGIN); start >= 0; start = text.indexOf(BEGIN, copied)) {
+            int nameEnd = text.indexOf(CLOSE, start);
+            String name = nameEnd < 0 ? "" : text.substring(start + BEGIN.length(), nameEnd);
+            int end = text.indexOf("<!-- end " + name + CLOSE, start);
+            if (nameEnd < 0 || end < 0) {
                 throw new IllegalArgumentException("the table " + name + " does not end");
             }
-            out.append(text, done, named + CLOSE.length()).append('\n').append(table(name));
-            done = end;
+            out.append(text, copied, nameEnd + CLOSE.length()).append('\n').append(table(name));
+            copied = end;
         }
-        return out.append(text, done, text.length()).toString();
+        return out.append(text, copied, text.length()).toString();
     }
 
     private String table(String name) {
-        int of = name.indexOf(": ");
-        if (of > 0 && name.startsWith("rows")) {
-            String[] words = name.substring(of + 2).split(", ", 2);
-            return rows(words[0], words.length > 1 ? words[1] : "");
+        int separator = name.indexOf(": ");
+        if (separator > 0 && name.startsWith("rows")) {
+            String[] roleAndPart = name.substring(separator + 2).split(", ", 2);
+            return rows(roleAndPart[0], roleAndPart.length > 1 ? roleAndPart[1] : "");
         }
         Map<String, Supplier<String>> tables = Map.of(
                 "size",
@@ -68,15 +68,15 @@
                 this::depth);
         Supplier<String> table = tables.get(name);
         if (table == null) {
-            throw new IllegalArgumentException("there is no table " + name);
+            throw new IllegalArgumentException("unknown table " + name);
         }
         return table.get();
     }
 
     private String size() {
-        Size s = all.size();
+        Size size = capacity.size();
         StringBuilder out = new StringBuilder("| what | figure |\n| --- | --- |\n");
-        s.given().forEach((name, value) -> line(out, name, number(value)));
+        size.given().forEach((name, value) -> appendRow(out, name, number(value)));
         for (String name : List.of(
                 "calls-per-proxy",
                 "calls-per-proxy-deep",
@@ -86,78 +86,90 @@
                 "zone-hosts",
                 "zone-hosts-least",
                 "region-hosts")) {
-            line(out, name + " (follows)", number(s.of(name)));
+            appendRow(out, name + " (follows)", number(size.of(name)));
         }
         return out.toString();
     }
 
-    /** The rows of one role's part, a measure a column. */
+    /** Returns the table of the rows of one part of a role, with a column for each measure. */
     String rows(String role, String part) {
-        List<Row> rows = all.rows().stream()
+        List<Row> rows = capacity.rows().stream()
                 .filter(r -> r.role().equals(role) && r.part().equals(part))
                 .toList();
         if (rows.isEmpty()) {
             throw new IllegalArgumentException("there are no rows of " + role + ", " + part);
         }
         StringBuilder out = new StringBuilder("| when |");
-        for (Measure m : Measure.values()) {
-            out.append(' ').append(m.word()).append(", ").append(m.unit()).append(" |");
+        for (Measure measure : Measure.values()) {
+            out.append(' ')
+                    .append(measure.word())
+                    .append(", ")
+                    .append(measure.unit())
+                    .append(" |");
         }
         out.append(" carried by |\n| --- |")
                 .append(" --- |".repeat(Measure.values().length))
                 .append(" --- |\n");
         for (Row row : rows) {
-            Map<Measure, Figure> by = new EnumMap<>(Measure.class);
-            row.cells().forEach(c -> by.put(c.measure(), all.figure(row, c)));
+            Map<Measure, Figure> byMeasure = new EnumMap<>(Measure.class);
+            row.cells().forEach(c -> byMeasure.put(c.measure(), capacity.estimate(row, c)));
             out.append("| ").append(row.when()).append(" |");
-            for (Measure m : Measure.values()) {
-                out.append(' ').append(cell(by.get(m))).append(" |");
+            for (Measure measure : Measure.values()) {
+                out.append(' ').append(formatCell(byMeasure.get(measure))).append(" |");
             }
-            out.append(' ').append(row.none() ? "**none**" : row.mechanism()).append(" |\n");
+            out.append(' ')
+                    .append(row.hasNoMechanism() ? "**none**" : row.mechanism())
+                    .append(" |\n");
         }
         return out.toString();
     }
 
-    private static String cell(Figure f) {
-        if (f == null || Double.isNaN(f.value())) {
+    private static String formatCell(Figure estimate) {
+        if (estimate == null || Double.isNaN(estimate.value())) {
             return "not measured";
         }
-        if (Double.isNaN(f.budget())) {
-            return number(f.value());
+        if (Double.isNaN(estimate.budget())) {
+            return number(estimate.value());
         }
-        String share = number(f.value()) + " (" + percent(f.value() / f.budget()) + ")";
-        return f.value() > f.budget() ? "**" + share + "**" : share;
+        String share = number(estimate.value()) + " (" + percent(estimate.value() / estimate.budget()) + ")";
+        return estimate.value() > estimate.budget() ? "**" + share + "**" : share;
     }
 
     private String slopes() {
         StringBuilder out = new StringBuilder(
                 "| slope | what | measured | fit | at the size |\n" + "| --- | --- | --- | --- | --- |\n");
-        for (Slope s : all.slopes()) {
-            Fit fit = all.fit(s.id());
+        for (Slope slope : capacity.slopes()) {
+            Fit fit = capacity.fit(slope.id());
             if (fit == null) {
-                line(out, "`" + s.id() + "`", s.what() + ", " + s.unit() + ", by " + s.per(), "not measured", "-", "-");
+                appendRow(
+                        out,
+                        "`" + slope.id() + "`",
+                        slope.what() + ", " + slope.unit() + ", by " + slope.per(),
+                        "not measured",
+                        "-",
+                        "-");
                 continue;
             }
             StringBuilder points = new StringBuilder();
-            s.points()
+            slope.points()
                     .forEach(p -> points.append(points.isEmpty() ? "" : ", ")
                             .append(number(p.x()))
                             .append(": ")
                             .append(number(p.y())));
-            String at = s.per().equals("services")
-                    ? number(fit.at(all.size().of("services"))) + " (services)"
-                    : s.per().equals("calls a second")
-                            ? number(fit.at(all.size().of("calls-per-proxy")))
+            String atSize = slope.per().equals("services")
+                    ? number(fit.at(capacity.size().of("services"))) + " (services)"
+                    : slope.per().equals("calls a second")
+                            ? number(fit.at(capacity.size().of("calls-per-proxy")))
                                     + "; "
-                                    + number(fit.at(all.size().of("calls-per-proxy-deep"))) + " (calls)"
-                            : number(fit.at(all.size().of("hosts")));
-            line(
+                                    + number(fit.at(capacity.size().of("calls-per-proxy-deep"))) + " (calls)"
+                            : number(fit.at(capacity.size().of("hosts")));
+            appendRow(
                     out,
-                    "`" + s.id() + "`",
-                    s.what() + ", " + s.unit() + ", by " + s.per(),
+                    "`" + slope.id() + "`",
+                    slope.what() + ", " + slope.unit() + ", by " + slope.per(),
                     points.toString(),
-                    fit.text(),
-                    at);
+                    fit.summary(),
+                    atSize);
         }
         return out.toString();
     }
@@ -166,30 +178,31 @@
         StringBuilder out = new StringBuilder("| role, part | when | figure | budget | margin | carried by"
                 + " |\n| --- | --- | --- | --- | --- | --- |\n");
         int shown = 0;
-        Map<String, List<String>> none = new LinkedHashMap<>();
-        all.order().stream()
+        Map<String, List<String>> unsupported = new LinkedHashMap<>();
+        capacity.byBudgetShare().stream()
                 .map(Figure::row)
-                .filter(Row::none)
-                .forEach(r -> none.computeIfAbsent(r.role() + ", " + r.part(), p -> new ArrayList<>())
+                .filter(Row::hasNoMechanism)
+                .forEach(r -> unsupported
+                        .computeIfAbsent(r.role() + ", " + r.part(), p -> new ArrayList<>())
                         .add(r.when()));
-        none.forEach((part, when) ->
-                line(out, part, String.join("; ", when), "nothing to measure", "-", "none carries it", "**none**"));
-        for (Figure f : all.order()) {
-            Row row = f.row();
-            if (row.none()) {
+        unsupported.forEach((part, when) -> appendRow(
+                out, part, String.join("; ", when), "nothing to measure", "-", "none carries it", "**none**"));
+        for (Figure estimate : capacity.byBudgetShare()) {
+            Row row = estimate.row();
+            if (row.hasNoMechanism()) {
                 continue;
             }
-            if (!f.over() && ++shown > SHOWN) {
+            if (!estimate.over() && ++shown > MAX_ROWS_WITHIN_BUDGET) {
                 break;
             }
-            Measure m = f.cell().measure();
-            line(
+            Measure measure = estimate.cell().measure();
+            appendRow(
                     out,
                     row.role() + ", " + row.part(),
                     row.when(),
-                    m.word() + " " + number(f.value()) + " " + m.unit(),
-                    number(f.budget()),
-                    percent(f.margin()),
+                    measure.word() + " " + number(estimate.value()) + " " + measure.unit(),
+                    number(estimate.budget()),
+                    percent(estimate.margin()),
                     row.mechanism());
         }
         return out.toString();
@@ -199,33 +212,38 @@
         StringBuilder out = new StringBuilder("| | mechanism | worst figure over budget | kinds of fault or"
                 + " change of an ordinary day that need it | times a day | why |\n"
                 + "| --- | --- | --- | --- | --- | --- |\n");
-        int place = 0;
-        for (Need n : all.neededFirst()) {
-            double worst = all.worst(n);
-            line(
+        int rank = 0;
+        for (Need requirement : capacity.requirementsByUrgency()) {
+            double worst = capacity.maxBudgetShare(requirement);
+            appendRow(
                     out,
-                    "" + ++place,
-                    n.name(),
+                    "" + ++rank,
+                    requirement.name(),
                     Double.isInfinite(worst) ? "none carries it" : percent(worst),
-                    all.kinds(n) + ": " + (n.faults().isEmpty() ? "-" : String.join(", ", n.faults())),
-                    number(all.daily(n)),
-                    n.why());
+                    capacity.faultTypes(requirement) + ": "
+                            + (requirement.faults().isEmpty() ? "-" : String.join(", ", requirement.faults())),
+                    number(capacity.occurrencesPerDay(requirement)),
+                    requirement.why());
         }
         return out.toString();
     }
 
-    /** What a percentile of one hop is for a whole call. */
+    /** Returns the table of what a percentile of one hop means for a whole call. */
     private String depth() {
         StringBuilder out = new StringBuilder("| hops | calls with a hop beyond its p99 | the hop's part that"
                 + " all hops must keep for 99 in 100 calls |\n| --- | --- | --- |\n");
-        int deepest = (int) all.size().of("depth");
+        int deepest = (int) capacity.size().of("depth");
         for (int hops = 1; hops <= deepest; hops++) {
-            line(out, "" + hops, percent(1 - Math.pow(0.99, hops)), "p" + number(100 * Math.pow(0.99, 1.0 / hops), 5));
+            appendRow(
+                    out,
+                    "" + hops,
+                    percent(1 - Math.pow(0.99, hops)),
+                    "p" + number(100 * Math.pow(0.99, 1.0 / hops), 5));
         }
         return out.toString();
     }
 
-    private static void line(StringBuilder out, String... cells) {
+    private static void appendRow(StringBuilder out, String... cells) {
         out.append('|');
         for (String cell : cells) {
             out.append(' ').append(cell).append(" |");
@@ -233,12 +251,12 @@
         out.append('\n');
     }
 
-    static String percent(double part) {
-        double p = 100 * part;
-        return number(p, Math.abs(p) < 1 ? 2 : 3) + "%";
+    static String percent(double fraction) {
+        double percentage = 100 * fraction;
+        return number(percentage, Math.abs(percentage) < 1 ? 2 : 3) + "%";
     }
 
-    /** Three significant digits, thousands apart. */
+    /** Formats a number with three significant digits and thousands separators; integers below a million are exact. */
     public static String number(double value) {
         return number(value, 3);
     }
@@ -250,10 +268,10 @@
         if (value == Math.rint(value) && Math.abs(value) < 1e6) {
             return String.format(Locale.ROOT, "%,d", (long) value);
         }
-        BigDecimal short3 = new BigDecimal(value).round(new MathContext(digits, RoundingMode.HALF_UP));
+        BigDecimal rounded = new BigDecimal(value).round(new MathContext(digits, RoundingMode.HALF_UP));
         if (Math.abs(value) >= 1000) {
-            return String.format(Locale.ROOT, "%,d", short3.toBigInteger());
+            return String.format(Locale.ROOT, "%,d", rounded.toBigInteger());
         }
-        return short3.stripTrailingZeros().toPlainString();
+        return rounded.stripTrailingZeros().toPlainString();
     }
 }
--- a/src/main/java/mulleinfront/capacity/Row.java
+++ b/src/main/java/mulleinfront/capacity/Row.java
@@ -3,36 +3,36 @@
 import java.util.List;
 
 /**
- * What one role bears in one state of the fleet.
+ * The cost of one part of a role's work in one state of the fleet.
  *
- * @param role who
- * @param part of what it does
- * @param when the state: at rest, at the peak, or which fault
- * @param mechanism what carries it; {@link #NONE} if nothing does
- * @param cells its figures
+ * @param role process or component that has the cost
+ * @param part part of the role's work
+ * @param when state of the fleet: at rest, at the peak, or a fault
+ * @param mechanism mechanism that handles the state; {@link #NONE} if there is none
+ * @param cells the measures of the cost
  */
 public record Row(String role, String part, String when, String mechanism, List<Cell> cells) {
-    /** What a row says that nothing carries. */
+    /** Mechanism of a row that no mechanism handles. */
     public static final String NONE = "none";
 
     public Row {
         cells = List.copyOf(cells);
     }
 
-    /** Whether nothing carries it. */
-    public boolean none() {
+    /** Returns whether no mechanism handles this row. */
+    public boolean hasNoMechanism() {
         return mechanism.equals(NONE);
     }
 
     /**
-     * One slope's part of a figure: the slope at a size, so many times.
+     * One summand of a cell: the value of a slope at a size, multiplied by factors.
      *
-     * @param slope its id, or {@link #COUNT}: the size itself
-     * @param at a name of {@link Size}
-     * @param times names of {@link Size} or numbers, multiplied
+     * @param slope id of the slope, or {@link #COUNT} for the size itself
+     * @param at name of a number in {@link Size}
+     * @param times factors: names of numbers in {@link Size} or literal numbers; a leading {@code /} divides
      */
     public record Term(String slope, String at, List<String> times) {
-        /** In a slope's place: nothing was measured here, the size is the figure. */
+        /** Takes the place of a slope: the value is the size itself, without a measurement. */
         public static final String COUNT = "count";
 
         public Term {
@@ -41,14 +41,14 @@
     }
 
     /**
-     * One figure.
+     * One measure of a row.
      *
-     * @param measure which column it stands in
-     * @param terms what it is the sum of; empty: not measured
-     * @param budget a name of {@link Size}, or null: nothing bounds it
-     * @param source where the given part comes from: a constant of the program, or the command that measures
-     *        it; null: all comes from the terms
-     * @param given a part that no slope gives, or all of it; NaN: none
+     * @param measure the measure
+     * @param terms summands of the value; empty if no slope contributes
+     * @param budget name of the budget in {@link Size}; null if there is none
+     * @param source origin of {@code given}: a constant of the program, or the command that measures it; null if there
+     *        is none
+     * @param given constant summand that comes from no slope; NaN if there is none
      */
     public record Cell(Measure measure, List<Term> terms, String budget, String source, double given) {
         public Cell {
@@ -56,7 +56,7 @@
         }
     }
 
-    /** What is measured. */
+    /** A measured quantity, with its unit. */
     public enum Measure {
         STATE("state", "bytes"),
         MESSAGES("messages", "/s"),
@@ -68,8 +68,8 @@
         private final String word;
         private final String unit;
 
-        Measure(String word, String unit) {
-            this.word = word;
+        Measure(String outputName, String unit) {
+            this.word = outputName;
             this.unit = unit;
         }
 
@@ -81,14 +81,18 @@
             return unit;
         }
 
-        /** @throws IllegalArgumentException if there is none of this name */
-        public static Measure of(String word) {
-            for (Measure m : values()) {
-                if (m.word.equals(word)) {
-                    return m;
+        /**
+         * Returns the measure with this output name.
+         *
+         * @throws IllegalArgumentException if there is none
+         */
+        public static Measure of(String outputName) {
+            for (Measure measure : values()) {
+                if (measure.word.equals(outputName)) {
+                    return measure;
                 }
             }
-            throw new IllegalArgumentException("there is no measure " + word);
+            throw new IllegalArgumentException("unknown measure " + outputName);
         }
     }
 }
--- a/src/main/java/mulleinfront/capacity/Size.java
+++ b/src/main/java/mulleinfront/capacity/Size.java
@@ -4,14 +4,13 @@
 import java.util.TreeMap;
 
 /**
- * The size that is asked for and what it allows, as numbers by name; the names are those of
- * docs/capacity.json.
+ * The fleet size and the budgets, as numbers by name; the names are the keys in docs/capacity.json.
  *
- * @param given as the operators gave them
+ * @param given the numbers that the operators provide
  */
 public record Size(Map<String, Double> given) {
-    /** Names without which nothing can be worked out. */
-    private static final String[] NEEDED = {
+    /** Names of the required numbers. */
+    private static final String[] REQUIRED = {
         "hosts",
         "services",
         "calls-per-s",
@@ -25,41 +24,41 @@
         "restarts-per-day"
     };
 
-    /** @throws IllegalArgumentException if one is missing or not above 0 */
+    /** @throws IllegalArgumentException if a required number is missing or not above 0 */
     public Size {
         given = new TreeMap<>(given);
-        for (String name : NEEDED) {
+        for (String name : REQUIRED) {
             if (!(given.getOrDefault(name, 0.0) > 0)) {
                 throw new IllegalArgumentException("size: " + name + " must be above 0");
             }
         }
     }
 
-    /** The same with another number of hosts, and the calls in proportion. */
+    /** Returns a copy with another number of hosts; the calls per second change in proportion. */
     public Size withHosts(int hosts) {
-        Map<String, Double> other = new TreeMap<>(given);
-        other.put("calls-per-s", given.get("calls-per-s") * hosts / given.get("hosts"));
-        other.put("hosts", (double) hosts);
-        return new Size(other);
+        Map<String, Double> changed = new TreeMap<>(given);
+        changed.put("calls-per-s", given.get("calls-per-s") * hosts / given.get("hosts"));
+        changed.put("hosts", (double) hosts);
+        return new Size(changed);
     }
 
     /**
-     * A number by its name: one of those given, or what follows from them.
+     * Returns a provided number, or one derived from the provided numbers, by its name.
      *
-     * @throws IllegalArgumentException if there is none of this name
+     * @throws IllegalArgumentException if the name is unknown
      */
     public double of(String name) {
         double hosts = given.get("hosts");
         return switch (name) {
             case "one" -> 1;
-            // Both readings of the calls: all of them, or those at the edge, each of which makes up to so
-            // many.
+            // The operators' figure can mean all calls, or only calls at the edge, each of which causes up to
+            // depth calls; both are computed.
             case "calls-per-proxy" -> given.get("calls-per-s") / hosts;
             case "calls-per-proxy-deep" -> given.get("calls-per-s") / hosts * given.get("depth");
             case "proxies-per-machine" -> Math.ceil(hosts / given.get("machines"));
             case "proxies-per-machine-one-gone" -> Math.ceil(hosts / Math.max(1, given.get("machines") - 1));
             case "hosts-per-service" -> hosts / given.get("services");
-            // Both readings of the zones: so many in all, or in each region.
+            // The operators' figure can mean all zones, or the zones of each region; both are computed.
             case "zone-hosts" -> hosts / given.get("zones");
             case "zone-hosts-least" -> hosts / (given.get("zones") * given.get("regions"));
             case "region-hosts" -> hosts / given.get("regions");
--- a/src/main/java/mulleinfront/capacity/Slope.java
+++ b/src/main/java/mulleinfront/capacity/Slope.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * One figure as it was measured at several sizes.
+ * A quantity measured at several sizes.
  *
- * @param id its name in rows
- * @param what in words
- * @param unit of the figure
- * @param per what is counted by the size: client proxies, hosts in a list, calls a second
- * @param points size and figure; none: not measured yet
- * @param command what measures it again
+ * @param id name by which rows refer to it
+ * @param what description of the quantity
+ * @param unit unit of the quantity
+ * @param per what the size counts: client proxies, hosts in a list, calls per second
+ * @param points the measurements; empty if there are none
+ * @param command command that repeats the measurements
  */
 public record Slope(String id, String what, String unit, String per, List<Fit.Point> points, String command) {
     public Slope {
         points = List.copyOf(points);
     }
 
-    /** The line through its points. */
+    /** Returns the curve fitted to the measurements. */
     public Fit fit() {
-        return Fit.of(points);
+        return Fit.select(points);
     }
 }
--- a/src/main/java/mulleinfront/capacity/package-info.java
+++ b/src/main/java/mulleinfront/capacity/package-info.java
@@ -1,12 +1,10 @@
 /**
- * What the fleet costs at a size: measured slopes, the figure that each gives at that size, its budget and
- * margin, and which missing mechanism comes first. Pure arithmetic on figures that others have measured: no
- * I/O, clock or thread.
+ * Capacity model of the fleet: estimates costs at a size from measured slopes, compares them with budgets, and orders
+ * the missing mechanisms by urgency. Pure arithmetic without I/O, clock or threads.
  *
- * <p>The way of data: {@code bench} measures {@code Slope}s and reads {@code Row}s from a file, {@code
- * Capacity} works out {@code Figure}s and their order, {@code Page} writes them as the tables of
- * docs/CAPACITY.md.
+ * <p>Data flow: {@code bench} measures {@code Slope}s and reads {@code Row}s from a file, {@code Capacity} computes the
+ * estimates and their order, {@code Page} formats them as the tables of docs/CAPACITY.md.
  *
- * <p>Imports nothing of this program.
+ * <p>Has no dependency on other packages of this program.
  */
 package mulleinfront.capacity;
--- a/src/main/java/mulleinfront/cli/Bench.java
+++ b/src/main/java/mulleinfront/cli/Bench.java
@@ -20,11 +20,16 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code bench}: measurements that anyone can repeat; no test depends on them. */
+/** {@code bench}: repeatable measurements; no test depends on them. */
 @Command(
         name = "bench",
         mixinStandardHelpOptions = true,
-        subcommands = {Bench.Emulator.class, Bench.Module.class, Bench.OnSockets.class, CapacityCommand.class},
+        subcommands = {
+            Bench.EmulatorBench.class,
+            Bench.BalancerBench.class,
+            Bench.ThroughputBench.class,
+            CapacityCommand.class
+        },
         description = "Measures this program on this machine.")
 final class Bench implements Runnable {
     @Spec
@@ -35,20 +40,21 @@
         spec.commandLine().usage(spec.commandLine().getOut());
     }
 
-    /** Speed and memory of the emulator, on one thread, as client proxies become more. */
+    /** Measures speed and memory of the emulator on one thread for increasing numbers of client proxies. */
     @Command(
             name = "emulator",
             mixinStandardHelpOptions = true,
-            description = "Virtual seconds a second of wall time on one thread, as client proxies become more. For"
-                    + " steady figures give the JVM one collector thread: java -XX:+UseSerialGC -jar ...")
-    static final class Emulator implements Runnable {
+            description =
+                    "Virtual seconds per second of wall time on one thread, for increasing numbers of client proxies."
+                            + " For stable results use the serial collector: java -XX:+UseSerialGC -jar ...")
+    static final class EmulatorBench implements Runnable {
         @Spec
         private CommandSpec spec;
 
         @Parameters(
                 paramLabel = "SCENARIO",
                 defaultValue = "scenarios/calm.toml",
-                description = "the world; its count of client proxies is replaced (default ${DEFAULT-VALUE})")
+                description = "the scenario; its number of client proxies is overridden (default ${DEFAULT-VALUE})")
         private Path file;
 
         @Option(
@@ -56,14 +62,14 @@
                 split = ",",
                 paramLabel = "N",
                 defaultValue = "5,50,500,5000",
-                description = "counts of client proxies (default ${DEFAULT-VALUE})")
+                description = "numbers of client proxies (default ${DEFAULT-VALUE})")
         private int[] instances;
 
         @Option(
                 names = "--rounds",
                 paramLabel = "N",
                 defaultValue = "5",
-                description = "counted rounds of each, after one that is not (default ${DEFAULT-VALUE})")
+                description = "measured rounds for each number, after one warm-up round (default ${DEFAULT-VALUE})")
         private int rounds;
 
         @Override
@@ -92,25 +98,25 @@
             } catch (BadFileException e) {
                 throw new IllegalArgumentException(e.getMessage(), e);
             }
-            double virtual = (scenario.lengthUs() + scenario.settleUs()) / 1e6;
-            double[] walls = new double[rounds];
+            double virtualSeconds = (scenario.lengthUs() + scenario.settleUs()) / 1e6;
+            double[] wallSeconds = new double[rounds];
             World.Result last = null;
-            long held = 0;
+            long heapBytes = 0;
             for (int i = -1; i < rounds; i++) {
-                long before = i < 0 ? settled() : 0;
+                long before = i < 0 ? heapBytesAfterCollection() : 0;
                 World world = World.of(scenario, 100 + i, null);
                 long from = System.nanoTime();
                 last = world.play();
                 double wall = (System.nanoTime() - from) / 1e9;
                 if (i >= 0) {
-                    walls[i] = wall;
+                    wallSeconds[i] = wall;
                 } else {
-                    held = settled() - before;
+                    heapBytes = heapBytesAfterCollection() - before;
                     Reference.reachabilityFence(world);
                 }
             }
-            Arrays.sort(walls);
-            double median = walls[rounds / 2];
+            Arrays.sort(wallSeconds);
+            double median = wallSeconds[rounds / 2];
             out.printf(
                     Locale.ROOT,
                     "%9d %9d %9d %9d %12.0f %14.1f %10.1f%n",
@@ -118,13 +124,13 @@
                     last.service().asks(),
                     last.events(),
                     last.decisions(),
-                    virtual / median,
+                    virtualSeconds / median,
                     median * 1e6 / last.service().asks(),
-                    held / 1e6);
+                    heapBytes / 1e6);
         }
 
-        /** Bytes in use after collection. */
-        private static long settled() {
+        /** Returns the heap bytes in use after garbage collection. */
+        private static long heapBytesAfterCollection() {
             Runtime jvm = Runtime.getRuntime();
             for (int i = 0; i < 4; i++) {
                 System.gc();
@@ -133,13 +139,13 @@
         }
     }
 
-    /** The decision module by itself. */
+    /** Measures the balancer in isolation. */
     @Command(
             name = "decisions",
             mixinStandardHelpOptions = true,
-            description = "Cost of the decision module by itself as hosts become more: a request with its answer, one"
-                    + " host replaced, a whole list that says nothing new.")
-    static final class Module implements Runnable {
+            description = "Cost of the balancer in isolation, for increasing numbers of endpoints: a request with its"
+                    + " response, the replacement of one endpoint, a complete list without changes.")
+    static final class BalancerBench implements Runnable {
         @Spec
         private CommandSpec spec;
 
@@ -148,21 +154,21 @@
                 split = ",",
                 paramLabel = "N",
                 defaultValue = "12,200,1000,5000",
-                description = "sizes of the fleet (default ${DEFAULT-VALUE})")
+                description = "numbers of endpoints (default ${DEFAULT-VALUE})")
         private int[] hosts;
 
         @Option(
                 names = "--requests",
                 paramLabel = "N",
                 defaultValue = "400000",
-                description = "counted requests of each size (default ${DEFAULT-VALUE})")
+                description = "measured requests for each size (default ${DEFAULT-VALUE})")
         private int requests;
 
         @Option(
                 names = "--changes",
                 paramLabel = "N",
                 defaultValue = "2000",
-                description = "counted replacements of a host (default ${DEFAULT-VALUE})")
+                description = "measured endpoint replacements (default ${DEFAULT-VALUE})")
         private int changes;
 
         @Override
@@ -182,13 +188,13 @@
         }
     }
 
-    /** Direct, relay and client proxy under the same load. */
+    /** Measures direct connections, a byte relay and the client proxy under the same load. */
     @Command(
             name = "throughput",
             mixinStandardHelpOptions = true,
-            description = "Requests a second, latency, CPU and allocation a request: straight to stand-in hosts, over a"
-                    + " plain byte relay, and through the client proxy, in turn in one run on loopback.")
-    static final class OnSockets implements Callable<Integer> {
+            description = "Requests per second, latency, and CPU and allocation per request: directly to stand-in"
+                    + " servers, through a plain byte relay, and through the client proxy, in turn on loopback.")
+    static final class ThroughputBench implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
@@ -197,7 +203,8 @@
                 split = ",",
                 paramLabel = "MS",
                 defaultValue = "0,1,5,20",
-                description = "mean times to a host's answer, drawn plus or minus half (default ${DEFAULT-VALUE})")
+                description =
+                        "mean service times of the servers, drawn from plus or minus half (default ${DEFAULT-VALUE})")
         private double[] hostsMs;
 
         @Option(
@@ -205,49 +212,50 @@
                 split = ",",
                 paramLabel = "N",
                 defaultValue = "1,32,64,256",
-                description = "connections of clients (default ${DEFAULT-VALUE})")
+                description = "numbers of client connections (default ${DEFAULT-VALUE})")
         private int[] connections;
 
         @Option(
                 names = "--seconds",
                 paramLabel = "S",
                 defaultValue = "5",
-                description = "measured time of each, after half of it that is not (default ${DEFAULT-VALUE})")
+                description =
+                        "measured time of each case, after a warm-up of half that time (default ${DEFAULT-VALUE})")
         private double seconds;
 
         @Option(
                 names = "--open",
                 paramLabel = "PART",
                 defaultValue = "0",
-                description = "also an open loop at this part of the slower one's rate, each request measured from when"
-                        + " it was due; 0: none (default ${DEFAULT-VALUE})")
-        private double open;
+                description = "also measures an open loop at this share of the lower rate; latency counts from the time"
+                        + " a request was due; 0: none (default ${DEFAULT-VALUE})")
+        private double openLoopShare;
 
         @Option(
                 names = "--cpu",
                 paramLabel = "N[-M]",
                 defaultValue = "",
-                description = "keeps relay and client proxy on these processors, where taskset is installed")
-        private String cpu;
+                description = "pins relay and client proxy to these CPUs, where taskset is installed")
+        private String cpuList;
 
         @Option(
                 names = "--loops",
                 split = ",",
                 paramLabel = "N",
-                description = "the client proxy alone, with these"
-                        + " numbers of event loops in turn, each against the first")
+                description = "measures only the client proxy, with"
+                        + " these numbers of event loops in turn, each compared with the first")
         private int[] loops = {};
 
         @Option(
                 names = "--proxy-jvm",
                 paramLabel = "FLAG",
-                description = "a further flag of the client proxy's JVM; may" + " be given more than once")
+                description = "additional flag of the client proxy's JVM; may" + " be given more than once")
         private List<String> proxyJvm = List.of();
 
         @Override
         public Integer call() throws IOException, InterruptedException {
             Throughput bench = new Throughput(
-                    spec.commandLine().getOut(), (long) (500 * seconds), (long) (1000 * seconds), cpu, proxyJvm);
+                    spec.commandLine().getOut(), (long) (500 * seconds), (long) (1000 * seconds), cpuList, proxyJvm);
             for (double ms : hostsMs) {
                 for (int count : loops.length == 0 ? new int[0] : connections) {
                     bench.measureLoops((long) (ms * 1000), count, loops);
@@ -255,9 +263,9 @@
                 if (loops.length > 0) {
                     continue;
                 }
-                bench.measure((long) (ms * 1000), connections, open);
+                bench.measure((long) (ms * 1000), connections, openLoopShare);
             }
-            return CommandLine.KEPT;
+            return CommandLine.SUCCESS;
         }
     }
 }
--- a/src/main/java/mulleinfront/cli/CapacityCommand.java
+++ b/src/main/java/mulleinfront/cli/CapacityCommand.java
@@ -32,18 +32,18 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code bench capacity}: measures the slopes of docs/CAPACITY.md and holds the figures at the size against
- * budgets.
+ * {@code bench capacity}: measures the slopes of docs/CAPACITY.md and compares the estimates at the fleet size with
+ * their budgets.
  */
 @Command(
         name = "capacity",
         mixinStandardHelpOptions = true,
-        description = "Measures each slope at four sizes or more, fits it, works the figure out at the size,"
-                + " and prints budget and margin.",
+        description = "Measures each slope at four sizes or more, fits a curve, computes the estimate at the fleet"
+                + " size, and prints budget and margin.",
         footer = {
             "",
-            "Exit codes: 0 all figures are within budget, 2 bad input (one line on standard error),"
-                    + " 3 one is over, or nothing carries a row."
+            "Exit codes: 0 all estimates are within budget, 2 bad input (one line on standard error),"
+                    + " 3 an estimate is over budget, or a row has no mechanism."
         })
 final class CapacityCommand implements Callable<Integer> {
     @Spec
@@ -52,8 +52,8 @@
     @Option(
             names = "--role",
             paramLabel = "R",
-            description = "this role's rows and slopes only: the words of a role, or"
-                    + " of a part of it, as the page has them")
+            description = "only the rows and slopes of this role: the name of a role,"
+                    + " or of a part of one, as on the page")
     private String role;
 
     @Option(
@@ -61,25 +61,25 @@
             paramLabel = "FILE",
             defaultValue = "docs/capacity.json",
             description = "size, slopes, rows and mechanisms (default ${DEFAULT-VALUE})")
-    private Path from;
+    private Path input;
 
     @Option(
             names = "--json",
             paramLabel = "F",
             description =
-                    "writes all of it with what was measured in place of what" + " was held; may be the same file")
-    private Path json;
+                    "writes the input with the new measurements in place of the" + " old ones; may be the same file")
+    private Path output;
 
     @Option(
             names = "--page",
             paramLabel = "FILE",
-            description = "writes the tables of a page anew, as the slopes give" + " them")
+            description = "regenerates the tables of a page from the slopes" + " and rows")
     private Path page;
 
     @Option(
             names = "--size",
             paramLabel = "N",
-            description = "so many hosts in place of the file's, calls in proportion")
+            description = "number of hosts, in place of the file's; the calls change in proportion")
     private Integer hosts;
 
     @Option(
@@ -88,14 +88,14 @@
             paramLabel = "N",
             defaultValue = "50,167,335,670,1340",
             description = "sizes to measure at (default ${DEFAULT-VALUE})")
-    private int[] at;
+    private int[] sizes;
 
     @Option(
             names = "--rates",
             split = ",",
             paramLabel = "N",
             defaultValue = "60,150,300,600",
-            description = "calls a second to measure the data path at (default ${DEFAULT-VALUE})")
+            description = "calls per second to measure the data path at (default ${DEFAULT-VALUE})")
     private int[] rates;
 
     @Option(
@@ -110,31 +110,31 @@
             names = "--sample",
             paramLabel = "FILE",
             defaultValue = "deploy/sample-config.json",
-            description = "whose settings stand for each service's (default ${DEFAULT-VALUE})")
-    private Path sample;
+            description = "configuration file whose settings are used for each service (default ${DEFAULT-VALUE})")
+    private Path sampleConfig;
 
     @Option(
             names = "--requests",
             paramLabel = "N",
             defaultValue = "1000",
-            description = "calls measured at each rate, at the least (default ${DEFAULT-VALUE})")
+            description = "minimum number of calls measured at each rate (default ${DEFAULT-VALUE})")
     private int requests;
 
     @Option(
             names = "--seed",
             paramLabel = "N",
             defaultValue = "1",
-            description = "the one source of chance on virtual time (default ${DEFAULT-VALUE})")
+            description = "random seed of the simulations (default ${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--as-held", description = "measures nothing: the figures that the file's slopes give")
-    private boolean asHeld;
+    @Option(names = "--as-held", description = "measures nothing and uses the slopes of the file")
+    private boolean withoutMeasuring;
 
     @Override
     public Integer call() throws BadFileException, IOException, InterruptedException {
-        for (int[] sizes : List.of(at, rates, services)) {
-            if (Arrays.stream(sizes).distinct().count() < Fit.LEAST_POINTS
-                    || Arrays.stream(sizes).anyMatch(n -> n < 10)) {
+        for (int[] points : List.of(sizes, rates, services)) {
+            if (Arrays.stream(points).distinct().count() < Fit.LEAST_POINTS
+                    || Arrays.stream(points).anyMatch(n -> n < 10)) {
                 throw new ParameterException(
                         spec.commandLine(),
                         "a slope needs " + Fit.LEAST_POINTS + " sizes or more, each of 10 at least");
@@ -145,116 +145,117 @@
                     spec.commandLine(),
                     hosts != null && hosts < 10 ? "--size must be 10 at least" : "--requests must be 1 at least");
         }
-        Capacity all = CapacityFile.read(from);
-        List<Row> rows = rows(all);
+        Capacity capacity = CapacityFile.read(input);
+        List<Row> rows = rows(capacity);
         PrintWriter out = spec.commandLine().getOut();
-        if (!asHeld) {
-            all = all.with(measure(all, rows, out));
+        if (!withoutMeasuring) {
+            capacity = capacity.with(measure(capacity, rows, out));
         }
-        if (json != null) {
-            CapacityFile.write(json, all);
+        if (output != null) {
+            CapacityFile.write(output, capacity);
         }
         if (page != null) {
             try {
-                Files.writeString(page, new Page(all).fill(Files.readString(page)));
+                Files.writeString(page, new Page(capacity).fill(Files.readString(page)));
             } catch (IllegalArgumentException e) {
                 throw new BadFileException(page + ": " + e.getMessage());
             } catch (IOException e) {
                 throw new BadFileException(page + ": can't be read or written");
             }
         }
-        return print(hosts == null ? all : all.at(all.size().withHosts(hosts)), rows, out);
+        return print(
+                hosts == null ? capacity : capacity.withSize(capacity.size().withHosts(hosts)), rows, out);
     }
 
-    private List<Row> rows(Capacity all) {
-        List<Row> rows = all.rows().stream()
+    private List<Row> rows(Capacity capacity) {
+        List<Row> rows = capacity.rows().stream()
                 .filter(r -> role == null || r.role().equals(role) || r.part().equals(role))
                 .toList();
         if (rows.isEmpty()) {
             throw new ParameterException(
                     spec.commandLine(),
                     "there is no role " + role + "; there are "
-                            + all.rows().stream().map(Row::role).distinct().collect(Collectors.joining(", ")));
+                            + capacity.rows().stream().map(Row::role).distinct().collect(Collectors.joining(", ")));
         }
         return rows;
     }
 
-    /** Only what these rows stand on is measured; what each group measures begins with its name. */
-    private List<Slope> measure(Capacity all, List<Row> rows, PrintWriter out)
+    /** Measures only the slopes that these rows use; the id of a slope begins with the name of its group. */
+    private List<Slope> measure(Capacity capacity, List<Row> rows, PrintWriter out)
             throws IOException, InterruptedException {
         Set<String> groups = rows.stream()
                 .flatMap(r -> r.cells().stream())
                 .flatMap(c -> c.terms().stream())
                 .map(t -> t.slope().substring(0, Math.max(0, t.slope().indexOf('.'))))
                 .collect(Collectors.toSet());
-        String again = "bench capacity --role ";
+        String command = "bench capacity --role ";
         List<Slope> measured = new ArrayList<>();
         if (groups.contains("membership")) {
             measured.addAll(MembershipCost.measure(
                     out,
-                    at,
+                    sizes,
                     seed,
-                    all.size().of("rack-hosts") / all.size().of("hosts"),
-                    (int) all.size().of("zones"),
-                    again + "membership"));
+                    capacity.size().of("rack-hosts") / capacity.size().of("hosts"),
+                    (int) capacity.size().of("zones"),
+                    command + "membership"));
         }
         if (groups.contains("lists")) {
-            measured.addAll(ListCost.measure(at, again + "lists"));
+            measured.addAll(ListCost.measure(sizes, command + "lists"));
         }
         if (groups.contains("configuration")) {
-            measured.addAll(SnapshotCost.measure(services, sample, again + "configuration"));
+            measured.addAll(SnapshotCost.measure(services, sampleConfig, command + "configuration"));
         }
         if (groups.contains("idle")) {
-            measured.addAll(IdleCost.measure(at, again + "process"));
+            measured.addAll(IdleCost.measure(sizes, command + "process"));
         }
         if (groups.contains("data")) {
-            measured.addAll(new AddedTime(out).measure(rates, requests, again + "\"data path\""));
+            measured.addAll(new AddedTime(out).measure(rates, requests, command + "\"data path\""));
         }
         return measured;
     }
 
-    private Integer print(Capacity all, List<Row> rows, PrintWriter out) {
+    private Integer print(Capacity capacity, List<Row> rows, PrintWriter out) {
         Set<String> used = rows.stream()
-                .flatMap(r -> r.cells().stream())
+                .flatMap(row -> row.cells().stream())
                 .flatMap(c -> c.terms().stream())
                 .map(Row.Term::slope)
                 .collect(Collectors.toSet());
-        for (Slope s : all.slopes()) {
-            if (used.contains(s.id()) && all.fit(s.id()) != null) {
+        for (Slope slope : capacity.slopes()) {
+            if (used.contains(slope.id()) && capacity.fit(slope.id()) != null) {
                 out.printf(
                         Locale.ROOT,
                         "%-28s %s, by %s: %s%n",
-                        s.id(),
-                        s.unit(),
-                        s.per(),
-                        all.fit(s.id()).text());
+                        slope.id(),
+                        slope.unit(),
+                        slope.per(),
+                        capacity.fit(slope.id()).summary());
             }
         }
-        Set<Row> mine = Set.copyOf(rows);
-        List<Figure> figures = all.figures().stream()
-                .filter(f -> mine.contains(f.row()))
-                .sorted(Comparator.comparingDouble(Figure::share).reversed())
+        Set<Row> selected = Set.copyOf(rows);
+        List<Figure> estimates = capacity.figures().stream()
+                .filter(estimate -> selected.contains(estimate.row()))
+                .sorted(Comparator.comparingDouble(Figure::budgetShare).reversed())
                 .toList();
         out.printf(Locale.ROOT, "%n%-64s %-10s %12s %12s %8s%n", "row", "measure", "figure", "budget", "margin");
-        for (Figure f : figures) {
-            Row r = f.row();
-            boolean bounded = !Double.isNaN(f.budget());
+        for (Figure estimate : estimates) {
+            Row row = estimate.row();
+            boolean bounded = !Double.isNaN(estimate.budget());
             out.printf(
                     Locale.ROOT,
                     "%-64s %-10s %12s %12s %8s%s%n",
-                    r.role() + ", " + r.part() + ", " + r.when(),
-                    f.cell().measure().word(),
-                    Double.isNaN(f.value()) ? "-" : Page.number(f.value()),
-                    bounded ? Page.number(f.budget()) : "-",
-                    r.none()
+                    row.role() + ", " + row.part() + ", " + row.when(),
+                    estimate.cell().measure().word(),
+                    Double.isNaN(estimate.value()) ? "-" : Page.number(estimate.value()),
+                    bounded ? Page.number(estimate.budget()) : "-",
+                    row.hasNoMechanism()
                             ? "none"
-                            : bounded && !Double.isNaN(f.value())
-                                    ? String.format(Locale.ROOT, "%.0f%%", 100 * f.margin())
+                            : bounded && !Double.isNaN(estimate.value())
+                                    ? String.format(Locale.ROOT, "%.0f%%", 100 * estimate.margin())
                                     : "-",
-                    f.over() ? "  over" : "");
+                    estimate.over() ? "  over" : "");
         }
-        boolean over = figures.stream().anyMatch(Figure::over);
+        boolean over = estimates.stream().anyMatch(Figure::over);
         out.println(over ? "over budget, or carried by nothing" : "all within budget");
-        return over ? CommandLine.RULE_BROKEN : CommandLine.KEPT;
+        return over ? CommandLine.VIOLATION : CommandLine.SUCCESS;
     }
 }
--- a/src/main/java/mulleinfront/cli/CommandLine.java
+++ b/src/main/java/mulleinfront/cli/CommandLine.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The words of the command line and what is common to them: exit codes, and errors in one line. */
+/** The root command, with the exit codes and the one-line error messages that all commands share. */
 @Command(
         name = "mulleinfront",
         subcommands = {
@@ -21,26 +21,26 @@
             HollowCommand.class
         },
         mixinStandardHelpOptions = true,
-        versionProvider = CommandLine.Own.class,
-        description = "A client proxy, and a world to rehearse it in.",
+        versionProvider = CommandLine.OwnVersion.class,
+        description = "A client-side load-balancing proxy, with an emulator and a test kit.",
         footer = {
             "",
-            "serve      a client proxy on sockets, as NODE_CONFIG says",
-            "benchlink  the same decisions on the simulator's wire",
-            "rehearse   for the build"
+            "serve      runs a client proxy with the configuration that NODE_CONFIG names",
+            "benchlink  runs the balancer over the simulator's protocol",
+            "rehearse   warm-up run, for the build"
         })
 public final class CommandLine implements Runnable {
-    /** All is well and the rules were kept. */
-    public static final int KEPT = 0;
-    /** Something went wrong that is not the user's doing. */
+    /** Success; no invariant was violated. */
+    public static final int SUCCESS = 0;
+    /** The command failed for a reason other than its input. */
     public static final int FAILED = 1;
-    /** What was asked for can't be done as it was written. */
+    /** The arguments or an input file are invalid. */
     public static final int BAD_INPUT = 2;
-    /** A rule was broken. */
-    public static final int RULE_BROKEN = 3;
+    /** An invariant was violated, or a budget exceeded. */
+    public static final int VIOLATION = 3;
 
-    /** {@code --version}. */
-    static final class Own implements picocli.CommandLine.IVersionProvider {
+    /** Prints the version for {@code --version}. */
+    static final class OwnVersion implements picocli.CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
             return new String[] {"mulleinfront " + Version.OWN};
@@ -57,28 +57,29 @@
                 "a word is missing: emulate, kit, bench," + " fleet, keep, config, serve or benchlink");
     }
 
-    /** Runs a command line; gives the exit code. */
+    /** Runs a command line on standard output and error; returns the exit code. */
     public static int run(String... args) {
         return run(new PrintWriter(System.out, true), new PrintWriter(System.err, true), args);
     }
 
-    /** The same with its output elsewhere. */
+    /** Runs a command line with the given output and error streams; returns the exit code. */
     public static int run(PrintWriter out, PrintWriter err, String... args) {
         picocli.CommandLine line =
                 new picocli.CommandLine(new CommandLine()).setOut(out).setErr(err);
         line.setParameterExceptionHandler((wrong, words) -> {
-            wrong.getCommandLine().getErr().println("mulleinfront: " + plain(wrong));
+            wrong.getCommandLine().getErr().println("mulleinfront: " + singleLine(wrong));
             return BAD_INPUT;
         });
         line.setExecutionExceptionHandler((failure, at, parsed) -> {
             boolean bad = failure instanceof BadFileException;
-            at.getErr().println("mulleinfront: " + plain(failure));
+            at.getErr().println("mulleinfront: " + singleLine(failure));
             return bad ? BAD_INPUT : FAILED;
         });
         return line.execute(args);
     }
 
-    private static String plain(Exception e) {
-        return String.valueOf(e.getMessage() == null ? e : e.getMessage()).replace('\n', ' ');
+    private static String singleLine(Exception exception) {
+        return String.valueOf(exception.getMessage() == null ? exception : exception.getMessage())
+                .replace('\n', ' ');
     }
 }
--- a/src/main/java/mulleinfront/cli/ConfigCommand.java
+++ b/src/main/java/mulleinfront/cli/ConfigCommand.java
@@ -34,7 +34,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code config}: the fleet's configuration: looked at, proposed, and who is at what. */
+/** {@code config}: checks and proposes the fleet-wide configuration, and shows its status and history. */
 @Command(
         name = "config",
         mixinStandardHelpOptions = true,
@@ -44,13 +44,13 @@
             ConfigCommand.Status.class,
             ConfigCommand.History.class
         },
-        description = "The configuration of the whole fleet, which the control machines decide and hand out.")
+        description = "The fleet-wide configuration, which the control-plane nodes commit and distribute.")
 final class ConfigCommand implements Runnable {
-    /** Somebody is behind, or a control machine is not there. */
-    static final int BEHIND = 6;
-    /** It was not decided: another version was since, say. */
+    /** A client proxy lacks the newest version, or a control-plane node does not answer or has no quorum contact. */
+    static final int NOT_CURRENT = 6;
+    /** The proposal was rejected, for example because another version was committed first. */
     static final int REFUSED = 7;
-    /** Nobody can say whether it was decided. */
+    /** It is unknown whether the proposal was committed. */
     static final int UNKNOWN = 8;
 
     private static final JsonFactory JSON = new JsonFactory();
@@ -67,8 +67,8 @@
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
-            description = "Reads a file of the fleet's configuration as a proposal would.",
-            footer = {"", "Exit codes: 0 it can be proposed, 2 it can't (one line with file, line and reason)."})
+            description = "Validates a configuration file without proposing it.",
+            footer = {"", "Exit codes: 0 valid, 2 invalid (one line with file, line and reason)."})
     static final class Check implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -84,17 +84,17 @@
                     .getOut()
                     .printf(
                             Locale.ROOT,
-                            "%s: %d keys; the whole is %d bytes on the way to one that" + " starts with nothing%n",
+                            "%s: %d keys; %d bytes are sent to a client proxy" + " without a cached copy%n",
                             file,
                             entries.size(),
                             bytes);
             spec.commandLine().getOut().flush();
-            return CommandLine.KEPT;
+            return CommandLine.SUCCESS;
         }
     }
 
-    /** What asks control machines. */
-    abstract static class Asking implements Callable<Integer> {
+    /** A command that calls control-plane nodes. */
+    abstract static class NodeCommand implements Callable<Integer> {
         @Spec
         CommandSpec spec;
 
@@ -102,42 +102,47 @@
                 names = "--config",
                 paramLabel = "FILE",
                 defaultValue = "deploy/control.toml",
-                description = "where the control machines are (default ${DEFAULT-VALUE})")
+                description = "the control-plane file (default ${DEFAULT-VALUE})")
         Path config;
 
         PrintWriter out() {
             return spec.commandLine().getOut();
         }
 
-        /** Asks one; a body is a POST. Throws if it does not answer in words. */
-        static Map<String, Object> ask(ControlFile.Machine machine, String call, byte[] body, int patienceMs)
+        /**
+         * Calls one node and returns the JSON object of its response, which may be an error response.
+         *
+         * @param body body of a POST request; null for a GET request
+         * @throws IOException if there is no response or it is not a JSON object
+         */
+        static Map<String, Object> call(ControlFile.Machine node, String path, byte[] body, int timeoutMs)
                 throws IOException {
-            InetSocketAddress door = machine.clientAddress();
-            String host = door.getAddress().getHostAddress();
-            URI at = URI.create(
-                    "http://" + (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + door.getPort() + call);
-            HttpURLConnection http = (HttpURLConnection) at.toURL().openConnection(Proxy.NO_PROXY);
+            InetSocketAddress address = node.clientAddress();
+            String host = address.getAddress().getHostAddress();
+            URI uri = URI.create(
+                    "http://" + (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + address.getPort() + path);
+            HttpURLConnection http = (HttpURLConnection) uri.toURL().openConnection(Proxy.NO_PROXY);
             try {
                 http.setConnectTimeout(1_000);
-                http.setReadTimeout(patienceMs);
+                http.setReadTimeout(timeoutMs);
                 if (body != null) {
                     http.setDoOutput(true);
                     http.setRequestMethod("POST");
                     http.getOutputStream().write(body);
                 }
-                boolean well = http.getResponseCode() == 200;
-                try (JsonParser in = JSON.createParser(well ? http.getInputStream() : http.getErrorStream())) {
+                boolean success = http.getResponseCode() == 200;
+                try (JsonParser in = JSON.createParser(success ? http.getInputStream() : http.getErrorStream())) {
                     in.nextToken();
-                    return object(in);
+                    return readObject(in);
                 }
             } finally {
                 http.disconnect();
             }
         }
 
-        private static Map<String, Object> object(JsonParser in) throws IOException {
+        private static Map<String, Object> readObject(JsonParser in) throws IOException {
             if (in.currentToken() != JsonToken.START_OBJECT) {
-                throw new IOException("it does not answer as a control machine");
+                throw new IOException("the response is not that of a control-plane node");
             }
             Map<String, Object> map = new HashMap<>();
             while (in.nextToken() == JsonToken.FIELD_NAME) {
@@ -145,7 +150,7 @@
                 if (in.nextToken() == JsonToken.START_ARRAY) {
                     List<Map<String, Object>> list = new ArrayList<>();
                     while (in.nextToken() == JsonToken.START_OBJECT) {
-                        list.add(object(in));
+                        list.add(readObject(in));
                     }
                     map.put(name, list);
                 } else {
@@ -169,53 +174,57 @@
     @Command(
             name = "propose",
             mixinStandardHelpOptions = true,
-            description = "Has a file decided as the next version, in force at all client proxies.",
+            description = "Proposes a file as the next version for all client proxies.",
             footer = {
                 "",
-                "Exit codes: 0 decided; 2 bad input; 7 refused; 8 unknown (ask again with the --id that it"
-                        + " says); 1 no control machine answers."
+                "Exit codes: 0 committed; 2 bad input; 7 refused; 8 unknown (repeat with the --id that is"
+                        + " printed); 1 no control-plane node answers."
             })
-    static final class Propose extends Asking {
-        private static final int PATIENCE_MS = 4_000;
-        private static final long GIVE_UP_MS = 12_000;
-        private static final long AGAIN_MS = 200;
+    static final class Propose extends NodeCommand {
+        private static final int TIMEOUT_MS = 4_000;
+        private static final long TOTAL_TIMEOUT_MS = 12_000;
+        private static final long RETRY_DELAY_MS = 200;
 
-        @Parameters(paramLabel = "FILE", description = "TOML, the whole")
+        @Parameters(paramLabel = "FILE", description = "complete configuration, TOML")
         private Path file;
 
-        @Option(names = "--why", required = true, paramLabel = "TEXT", description = "one line for people")
+        @Option(names = "--why", required = true, paramLabel = "TEXT", description = "reason, one line for operators")
         private String why;
 
         @Option(
                 names = "--based-on",
                 paramLabel = "N",
                 defaultValue = "-1",
-                description = "refused if another version than this is the newest")
+                description = "refused unless this is the newest version")
         private long basedOn;
 
-        @Option(names = "--id", paramLabel = "ID", description = "of a proposal that may have been decided already")
+        @Option(
+                names = "--id",
+                paramLabel = "ID",
+                description = "id of an earlier proposal that may have been committed")
         private String id;
 
         @Override
         public Integer call() throws BadFileException, IOException, InterruptedException {
             SortedMap<String, String> entries = FleetConfiguration.load(file);
             ControlFile control = ControlFile.load(config);
-            String own = id == null ? UUID.randomUUID().toString() : id;
-            byte[] body = WatchLine.proposal(new Proposal(own, basedOn, entries, why, System.currentTimeMillis()));
-            long end = System.nanoTime() + GIVE_UP_MS * 1_000_000;
-            boolean maybe = false;
-            String last = "";
-            for (int turn = 0; turn == 0 || System.nanoTime() < end; turn++) {
-                ControlFile.Machine machine =
-                        control.machines().get(turn % control.machines().size());
+            String proposalId = id == null ? UUID.randomUUID().toString() : id;
+            byte[] body =
+                    WatchLine.proposal(new Proposal(proposalId, basedOn, entries, why, System.currentTimeMillis()));
+            long deadline = System.nanoTime() + TOTAL_TIMEOUT_MS * 1_000_000;
+            boolean possiblyCommitted = false;
+            String lastError = "";
+            for (int attempt = 0; attempt == 0 || System.nanoTime() < deadline; attempt++) {
+                ControlFile.Machine node =
+                        control.machines().get(attempt % control.machines().size());
                 try {
-                    Map<String, Object> answer = ask(machine, "/config/propose", body, PATIENCE_MS);
+                    Map<String, Object> answer = call(node, "/config/propose", body, TIMEOUT_MS);
                     String reason = String.valueOf(answer.getOrDefault("reason", ""));
                     switch (String.valueOf(answer.get("what"))) {
                         case "decided" -> {
                             out().println("version " + answer.get("version") + " is decided");
                             out().flush();
-                            return CommandLine.KEPT;
+                            return CommandLine.SUCCESS;
                         }
                         case "bad" -> throw new BadFileException(file + ": " + reason);
                         case "refused" -> {
@@ -223,26 +232,26 @@
                             return REFUSED;
                         }
                         default -> {
-                            maybe = true;
-                            last = machine.name() + ": " + reason;
+                            possiblyCommitted = true;
+                            lastError = node.name() + ": " + reason;
                         }
                     }
-                } catch (IOException e) {
-                    // It may have been taken before the answer was lost: asked again under its id it is
-                    // decided once.
-                    maybe |= !(e instanceof java.net.ConnectException);
-                    last = machine.name() + ": " + e.getMessage();
+                } catch (IOException exception) {
+                    // The proposal may have been accepted before the response was lost. Repeating it with the same
+                    // id commits it at most once.
+                    possiblyCommitted |= !(exception instanceof java.net.ConnectException);
+                    lastError = node.name() + ": " + exception.getMessage();
                 }
-                Thread.sleep(AGAIN_MS);
+                Thread.sleep(RETRY_DELAY_MS);
             }
             spec.commandLine()
                     .getErr()
                     .println("mulleinfront: "
-                            + (maybe
-                                    ? "nobody can say whether it is decided; ask again with --id " + own
-                                    : "no control machine answers")
-                            + " (" + last + ")");
-            return maybe ? UNKNOWN : CommandLine.FAILED;
+                            + (possiblyCommitted
+                                    ? "unknown whether the proposal is committed; repeat it with --id " + proposalId
+                                    : "no control-plane node answers")
+                            + " (" + lastError + ")");
+            return possiblyCommitted ? UNKNOWN : CommandLine.FAILED;
         }
     }
 
@@ -250,21 +259,25 @@
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
-            description = "Which version is the newest, and who is at what.",
+            description = "Shows the newest version and the active versions of the client proxies.",
             footer = {
                 "",
-                "Exit codes: 0 all that are there have the newest; 6 somebody is behind or a control machine is"
-                        + " not there; 1 no control machine answers; 2 bad input."
+                "Exit codes: 0 all client proxies have the newest version; 6 a client proxy is behind or a"
+                        + " control-plane node is down or has no quorum; 1 no control-plane node answers; 2 bad input."
             })
-    static final class Status extends Asking {
-        private static final int PATIENCE_MS = 2_000;
+    static final class Status extends NodeCommand {
+        private static final int TIMEOUT_MS = 2_000;
 
-        @Option(names = "--all", description = "a line for each client proxy, also for those that have the newest")
+        @Option(names = "--all", description = "lists all client proxies, also those that have the newest version")
         private boolean all;
 
-        /** One client proxy by the word of the machine that last heard it. */
-        private record Row(String name, long at, boolean same, boolean watching, long heardMs, String machine) {
-            boolean laterThan(Row other) {
+        /**
+         * The status of one client proxy, reported by the node that it watches, else by the node that heard from it
+         * last.
+         */
+        private record ProxyStatus(
+                String name, long version, boolean checksumMatches, boolean watching, long heardMs, String node) {
+            boolean isNewerThan(ProxyStatus other) {
                 return watching != other.watching ? watching : heardMs < other.heardMs;
             }
         }
@@ -272,67 +285,72 @@
         @Override
         public Integer call() throws BadFileException, IOException {
             ControlFile control = ControlFile.load(config);
-            Map<String, Row> rows = new TreeMap<>();
+            Map<String, ProxyStatus> proxies = new TreeMap<>();
             long newest = 0;
-            int there = 0;
-            boolean well = true;
-            for (ControlFile.Machine machine : control.machines()) {
+            int reachableNodes = 0;
+            boolean healthy = true;
+            for (ControlFile.Machine node : control.machines()) {
                 try {
-                    Map<String, Object> said = ask(machine, "/config/status", null, PATIENCE_MS);
-                    there++;
-                    long its = number(said, "newest");
-                    newest = Math.max(newest, its);
-                    boolean inTouch = "true".equals(said.get("in_touch"));
-                    well &= inTouch;
+                    Map<String, Object> response = call(node, "/config/status", null, TIMEOUT_MS);
+                    reachableNodes++;
+                    long nodeVersion = number(response, "newest");
+                    newest = Math.max(newest, nodeVersion);
+                    boolean hasQuorumContact = "true".equals(response.get("in_touch"));
+                    healthy &= hasQuorumContact;
                     int watching = 0;
-                    for (Map<String, Object> r : list(said, "readers")) {
-                        Row row = new Row(
-                                String.valueOf(r.get("name")),
-                                number(r, "at"),
-                                "true".equals(r.get("same")),
-                                "true".equals(r.get("watching")),
-                                number(r, "heard_ms"),
-                                machine.name());
-                        watching += row.watching() ? 1 : 0;
-                        Row before = rows.get(row.name());
-                        if (before == null || row.laterThan(before)) {
-                            rows.put(row.name(), row);
+                    for (Map<String, Object> subscriber : list(response, "readers")) {
+                        ProxyStatus proxy = new ProxyStatus(
+                                String.valueOf(subscriber.get("name")),
+                                number(subscriber, "at"),
+                                "true".equals(subscriber.get("same")),
+                                "true".equals(subscriber.get("watching")),
+                                number(subscriber, "heard_ms"),
+                                node.name());
+                        watching += proxy.watching() ? 1 : 0;
+                        ProxyStatus previous = proxies.get(proxy.name());
+                        if (previous == null || proxy.isNewerThan(previous)) {
+                            proxies.put(proxy.name(), proxy);
                         }
                     }
                     out().printf(
                                     Locale.ROOT,
                                     "%-16s version %d, %s, %d watching%n",
-                                    machine.name(),
-                                    its,
-                                    inTouch ? "in touch with a majority" : "in touch with no majority",
+                                    node.name(),
+                                    nodeVersion,
+                                    hasQuorumContact ? "has quorum contact" : "has no quorum contact",
                                     watching);
-                } catch (IOException e) {
-                    well = false;
-                    out().printf(Locale.ROOT, "%-16s does not answer: %s%n", machine.name(), e.getMessage());
+                } catch (IOException exception) {
+                    healthy = false;
+                    out().printf(Locale.ROOT, "%-16s does not answer: %s%n", node.name(), exception.getMessage());
                 }
             }
-            if (there == 0) {
-                throw new IOException("no control machine answers");
+            if (reachableNodes == 0) {
+                throw new IOException("no control-plane node answers");
             }
-            int at = 0;
-            for (Row row : rows.values()) {
-                boolean has = row.watching() && row.same() && row.at() == newest;
-                at += has ? 1 : 0;
-                if (all || !has) {
+            int upToDate = 0;
+            for (ProxyStatus proxy : proxies.values()) {
+                boolean isUpToDate = proxy.watching() && proxy.checksumMatches() && proxy.version() == newest;
+                upToDate += isUpToDate ? 1 : 0;
+                if (all || !isUpToDate) {
                     out().printf(
                                     Locale.ROOT,
                                     "  %-20s version %d%s, %s by %s, heard %.1f s ago%n",
-                                    row.name(),
-                                    row.at(),
-                                    row.same() ? "" : " of another history",
-                                    row.watching() ? "watched" : "last watched",
-                                    row.machine(),
-                                    row.heardMs() / 1e3);
+                                    proxy.name(),
+                                    proxy.version(),
+                                    proxy.checksumMatches() ? "" : " of another history",
+                                    proxy.watching() ? "watched" : "last watched",
+                                    proxy.node(),
+                                    proxy.heardMs() / 1e3);
                 }
             }
-            out().printf(Locale.ROOT, "version %d is in force at %d of %d client proxies%n", newest, at, rows.size());
+            out().printf(
+                            Locale.ROOT,
+                            "version %d is in force at %d of %d client proxies%n",
+                            newest,
+                            upToDate,
+                            proxies.size());
             out().flush();
-            return well && at == rows.size() ? CommandLine.KEPT : BEHIND;
+            return healthy && upToDate == proxies.size() ? CommandLine.SUCCESS : NOT_CURRENT;
         }
     }
 
@@ -340,46 +358,46 @@
     @Command(
             name = "history",
             mixinStandardHelpOptions = true,
-            description = "The versions that are still held.",
-            footer = {"", "Exit codes: 0; 1 no control machine answers; 2 bad input."})
-    static final class History extends Asking {
-        private static final int PATIENCE_MS = 2_000;
+            description = "Lists the versions that the control plane still stores.",
+            footer = {"", "Exit codes: 0; 1 no control-plane node answers; 2 bad input."})
+    static final class History extends NodeCommand {
+        private static final int TIMEOUT_MS = 2_000;
 
         @Override
         public Integer call() throws BadFileException, IOException {
             ControlFile control = ControlFile.load(config);
-            IOException last = null;
+            IOException lastError = null;
             List<Map<String, Object>> longest = null;
-            for (ControlFile.Machine machine : control.machines()) {
+            for (ControlFile.Machine node : control.machines()) {
                 try {
                     List<Map<String, Object>> versions =
-                            list(ask(machine, "/config/history", null, PATIENCE_MS), "versions");
-                    if (longest == null || newest(versions) > newest(longest)) {
+                            list(call(node, "/config/history", null, TIMEOUT_MS), "versions");
+                    if (longest == null || newestVersion(versions) > newestVersion(longest)) {
                         longest = versions;
                     }
                 } catch (IOException e) {
-                    last = new IOException(machine.name() + ": " + e.getMessage(), e);
+                    lastError = new IOException(node.name() + ": " + e.getMessage(), e);
                 }
             }
             if (longest == null) {
-                throw last;
+                throw lastError;
             }
-            for (Map<String, Object> v : longest) {
+            for (Map<String, Object> version : longest) {
                 out().printf(
                                 Locale.ROOT,
                                 "%6s  %s  %5s keys, %s changed, %s removed  %s%n",
-                                v.get("version"),
-                                Instant.ofEpochMilli(number(v, "proposed_ms")),
-                                v.get("keys"),
-                                v.getOrDefault("changed", "?"),
-                                v.getOrDefault("removed", "?"),
-                                v.get("why"));
+                                version.get("version"),
+                                Instant.ofEpochMilli(number(version, "proposed_ms")),
+                                version.get("keys"),
+                                version.getOrDefault("changed", "?"),
+                                version.getOrDefault("removed", "?"),
+                                version.get("why"));
             }
             out().flush();
-            return CommandLine.KEPT;
+            return CommandLine.SUCCESS;
         }
 
-        private static long newest(List<Map<String, Object>> versions) {
+        private static long newestVersion(List<Map<String, Object>> versions) {
             return versions.isEmpty() ? 0 : number(versions.get(0), "version");
         }
     }
--- a/src/main/java/mulleinfront/cli/DrawCommand.java
+++ b/src/main/java/mulleinfront/cli/DrawCommand.java
@@ -11,11 +11,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code emulate draw}: a scenario file drawn from ranges. */
+/** {@code emulate draw}: generates a scenario file with random values from ranges. */
 @Command(
         name = "draw",
         mixinStandardHelpOptions = true,
-        description = "Writes a scenario file of a family, drawn by seed, to standard output.")
+        description = "Generates a scenario file of a family from a seed and writes it to standard output.")
 final class DrawCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -37,23 +37,23 @@
             names = "--start-ms",
             paramLabel = "MS",
             defaultValue = "-1",
-            description = "from a client proxy's start until it is ready (default: drawn)")
+            description = "time from a client proxy's start until it is ready (default: random)")
     private long startMs;
 
-    static GeneratedScenario.Family family(CommandSpec spec, String word) {
-        GeneratedScenario.Family f = GeneratedScenario.Family.of(word);
-        if (f == null) {
+    static GeneratedScenario.Family parseFamily(CommandSpec spec, String name) {
+        GeneratedScenario.Family parsed = GeneratedScenario.Family.of(name);
+        if (parsed == null) {
             throw new ParameterException(
                     spec.commandLine(),
-                    "there is no family '" + word + "'; there are "
+                    "there is no family '" + name + "'; there are "
                             + Arrays.stream(GeneratedScenario.Family.values())
                                     .map(GeneratedScenario.Family::word)
                                     .collect(Collectors.joining(", ")));
         }
-        return f;
+        return parsed;
     }
 
-    static int atLeastOne(CommandSpec spec, int instances) {
+    static int requirePositive(CommandSpec spec, int instances) {
         if (instances < 1) {
             throw new ParameterException(spec.commandLine(), "--instances: at least 1");
         }
@@ -65,8 +65,11 @@
         spec.commandLine()
                 .getOut()
                 .print(GeneratedScenario.of(
-                        family(spec, family), seed, atLeastOne(spec, instances), startMs < 0 ? -1 : startMs * 1000));
+                        parseFamily(spec, family),
+                        seed,
+                        requirePositive(spec, instances),
+                        startMs < 0 ? -1 : startMs * 1000));
         spec.commandLine().getOut().flush();
-        return CommandLine.KEPT;
+        return CommandLine.SUCCESS;
     }
 }
--- a/src/main/java/mulleinfront/cli/Emulate.java
+++ b/src/main/java/mulleinfront/cli/Emulate.java
@@ -26,18 +26,18 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code emulate}: plays a scenario on virtual time, under one seed or many. */
+/** {@code emulate}: runs a scenario on virtual time, with one seed or many. */
 @Command(
         name = "emulate",
         mixinStandardHelpOptions = true,
         subcommands = {ExplainCommand.class, DrawCommand.class, GraphCommand.class},
-        description = "Plays a scenario on virtual time and prints what clients had of it.",
+        description = "Runs a scenario on virtual time and prints a report.",
         footer = {
             "",
-            "Exit codes: 0 the rules were kept, 2 bad input (one line on standard error)," + " 3 a rule was broken."
+            "Exit codes: 0 all rules kept, 2 bad input (one line on standard error)," + " 3 a rule was broken."
         })
 final class Emulate implements Callable<Integer> {
-    private static final int WORST = 5;
+    private static final int WORST_SEEDS_PRINTED = 5;
 
     @Spec
     private CommandSpec spec;
@@ -48,64 +48,67 @@
     @Option(
             names = "--seed",
             paramLabel = "N",
-            description = "the one source of chance (default ${DEFAULT-VALUE})",
+            description = "random seed (default ${DEFAULT-VALUE})",
             defaultValue = "1")
     private long seed;
 
-    @Option(names = "--trace", paramLabel = "FILE", description = "writes down each event and decision, a line each")
+    @Option(
+            names = "--trace",
+            paramLabel = "FILE",
+            description = "writes a trace of all events and decisions, one per line")
     private Path trace;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "writes the report as JSON too")
+    @Option(names = "--json", paramLabel = "FILE", description = "also writes the report as JSON")
     private Path json;
 
     @Option(
             names = "--seeds",
             paramLabel = "A..B",
-            description = "plays all these seeds and prints the mean, the"
-                    + " worst, and how to replay the first broken rule")
+            description =
+                    "runs all these seeds and prints the mean, the" + " worst, and how to replay the first broken rule")
     private String seeds;
 
     @Option(
             names = "--balancer",
             paramLabel = "NAME",
-            description = "plays a reference balancer in place of the"
+            description = "runs a reference balancer in place of the"
                     + " product: random, round-robin, two-choices, ring, late, oracle")
     private String balancer;
 
     @Option(
             names = "--balancers",
             paramLabel = "all",
-            description = "plays the product and every reference balancer," + " and prints one table")
+            description = "runs the product and every reference balancer," + " and prints one table")
     private String balancers;
 
     @Option(
             names = "--drawn",
             paramLabel = "FAMILY",
-            description = "in place of a file: each seed draws its own" + " deployment (see emulate draw)")
-    private String drawn;
+            description = "in place of a file: each seed generates its own" + " scenario (see emulate draw)")
+    private String family;
 
     @Option(
             names = "--instances",
             paramLabel = "N",
-            description = "with --drawn: client proxies (default" + " ${DEFAULT-VALUE})")
+            description = "with --drawn: number of client proxies (default" + " ${DEFAULT-VALUE})")
     private int instances = 100;
 
     @Option(
             names = "--start-ms",
             paramLabel = "MS",
-            description = "with --drawn: from a client proxy's start until" + " it is ready (default: drawn)")
+            description = "with --drawn: time from a client proxy's start until" + " it is ready (default: random)")
     private long startMs = -1;
 
-    @Option(names = "--jobs", paramLabel = "N", description = "worlds at once with --seeds (default: one a core)")
+    @Option(names = "--jobs", paramLabel = "N", description = "concurrent runs with --seeds (default: one per core)")
     private int jobs = Runtime.getRuntime().availableProcessors();
 
     @Override
     public Integer call() throws BadFileException, IOException, InterruptedException {
-        if (file != null && drawn != null) {
-            throw new ParameterException(spec.commandLine(), "either a scenario file or --drawn, not both");
+        if (file != null && family != null) {
+            throw new ParameterException(spec.commandLine(), "give either a scenario file or --drawn, not both");
         }
-        if (file == null && drawn == null) {
-            // Its subcommands have a parameter of their own, so this one can't be required.
+        if (file == null && family == null) {
+            // The parameter can't be declared as required, because the subcommands run without it.
             throw new ParameterException(spec.commandLine(), "Missing required parameter: 'SCENARIO'");
         }
         Sweep.Source source = source();
@@ -117,22 +120,24 @@
             return compare(scenario);
         }
         if (seeds == null) {
-            return one(scenario);
+            return runOne(scenario);
         }
-        throw new ParameterException(spec.commandLine(), "--trace and --json are for one seed, not for --seeds");
+        throw new ParameterException(
+                spec.commandLine(), "--trace and --json are for one seed and not possible with --seeds");
     }
 
     private Sweep.Source source() throws BadFileException {
-        if (drawn == null) {
-            Scenario read = ScenarioReader.read(file);
-            return any -> read;
+        if (family == null) {
+            Scenario scenario = ScenarioReader.read(file);
+            return ignoredSeed -> scenario;
         }
         if (balancers != null) {
-            throw new ParameterException(spec.commandLine(), "--balancers compares on a file, not with --drawn");
+            throw new ParameterException(
+                    spec.commandLine(), "--balancers needs a scenario file and is not possible with --drawn");
         }
         return Sweep.Source.drawn(
-                DrawCommand.family(spec, drawn),
-                DrawCommand.atLeastOne(spec, instances),
+                DrawCommand.parseFamily(spec, family),
+                DrawCommand.requirePositive(spec, instances),
                 startMs < 0 ? -1 : startMs * 1000);
     }
 
@@ -141,7 +146,7 @@
         if (balancer != null && reference == null) {
             throw new ParameterException(
                     spec.commandLine(),
-                    "--balancer: there is no '" + balancer
+                    "--balancer: unknown balancer '" + balancer
                             + "'; there are "
                             + Arrays.stream(Reference.values())
                                     .map(Reference::word)
@@ -150,38 +155,39 @@
         return reference;
     }
 
-    /** The product and all references on the same seeds, one line each. */
+    /** Runs the product and all reference balancers on the same seeds and prints one line for each. */
     private int compare(Scenario scenario) throws InterruptedException {
         if (!balancers.equals("all") || balancer != null || trace != null || json != null) {
             throw new ParameterException(
-                    spec.commandLine(), "--balancers takes the word all, and no --balancer, --trace or --json");
+                    spec.commandLine(), "--balancers takes the value all, and excludes --balancer, --trace and --json");
         }
-        long[] range = seeds == null ? new long[] {seed, seed} : range();
-        List<Compared> all = Compared.play(scenario, range[0], range[1], jobs);
+        long[] range = seeds == null ? new long[] {seed, seed} : seedRange();
+        List<Compared> results = Compared.play(scenario, range[0], range[1], jobs);
         PrintWriter out = spec.commandLine().getOut();
-        out.print(Compared.table(scenario, range[0], range[1], all));
+        out.print(Compared.table(scenario, range[0], range[1], results));
         out.flush();
-        return all.get(0).broken() == 0 ? CommandLine.KEPT : CommandLine.RULE_BROKEN;
+        return results.get(0).broken() == 0 ? CommandLine.SUCCESS : CommandLine.VIOLATION;
     }
 
-    private int one(Scenario scenario) throws IOException, BadFileException {
+    private int runOne(Scenario scenario) throws IOException, BadFileException {
         World.Result result;
         Reference reference = reference();
         if (reference != null && trace != null) {
-            throw new ParameterException(spec.commandLine(), "--trace is for the product's decisions alone");
+            throw new ParameterException(spec.commandLine(), "--trace is not possible with a reference balancer");
         }
-        try (OutputStream to = trace == null ? null : open(trace)) {
-            result = (reference == null ? World.of(scenario, seed, to) : World.under(reference, scenario, seed)).play();
+        try (OutputStream output = trace == null ? null : open(trace)) {
+            result = (reference == null ? World.of(scenario, seed, output) : World.under(reference, scenario, seed))
+                    .play();
         }
         if (json != null) {
-            try (OutputStream to = open(json)) {
-                ReportWriter.json(result, to);
+            try (OutputStream output = open(json)) {
+                ReportWriter.json(result, output);
             }
         }
         PrintWriter out = spec.commandLine().getOut();
         out.print(ReportWriter.text(result));
         out.flush();
-        return result.broken() == 0 ? CommandLine.KEPT : CommandLine.RULE_BROKEN;
+        return result.broken() == 0 ? CommandLine.SUCCESS : CommandLine.VIOLATION;
     }
 
     private static OutputStream open(Path path) throws BadFileException {
@@ -193,20 +199,26 @@
     }
 
     private int sweep(Sweep.Source source) throws InterruptedException {
-        long[] range = range();
+        long[] range = seedRange();
         if (jobs < 1) {
             throw new ParameterException(spec.commandLine(), "--jobs must be 1 or more");
         }
-        String name = drawn != null ? drawn : source.of(range[0]).name();
+        String name = family != null ? family : source.of(range[0]).name();
         long count = range[1] - range[0] + 1;
         boolean terminal = System.console() != null;
         PrintWriter err = spec.commandLine().getErr();
-        long[] done = {0, 0};
-        List<Sweep.SeedResult> all = Sweep.play(source, range[0], range[1], jobs, reference(), played -> {
-            done[0]++;
-            done[1] += played.breaches() > 0 ? 1 : 0;
+        long[] progress = {0, 0};
+        List<Sweep.SeedResult> results = Sweep.play(source, range[0], range[1], jobs, reference(), result -> {
+            progress[0]++;
+            progress[1] += result.breaches() > 0 ? 1 : 0;
             if (terminal) {
-                err.printf(Locale.ROOT, "\r%s: %d of %d seeds, %d with a broken rule ", name, done[0], count, done[1]);
+                err.printf(
+                        Locale.ROOT,
+                        "\r%s: %d of %d seeds, %d with a broken rule ",
+                        name,
+                        progress[0],
+                        count,
+                        progress[1]);
                 err.flush();
             }
         });
@@ -214,21 +226,24 @@
             err.println();
         }
         PrintWriter out = spec.commandLine().getOut();
-        out.printf(Locale.ROOT, "%s, seeds %d..%d: mean service %.4f%n", name, range[0], range[1], Sweep.mean(all));
+        out.printf(Locale.ROOT, "%s, seeds %d..%d: mean service %.4f%n", name, range[0], range[1], Sweep.mean(results));
         StringBuilder worst = new StringBuilder();
-        for (Sweep.SeedResult p : Sweep.worst(all, WORST)) {
-            worst.append(String.format(Locale.ROOT, " %d (%.4f)", p.seed(), p.service()));
+        for (Sweep.SeedResult result : Sweep.worst(results, WORST_SEEDS_PRINTED)) {
+            worst.append(String.format(Locale.ROOT, " %d (%.4f)", result.seed(), result.service()));
         }
         out.printf(Locale.ROOT, "worst seeds:%s%n", worst);
         out.printf(
                 Locale.ROOT,
                 "goodput: mean %.3f, least %.3f; servers that fell over: %d%n",
-                all.stream().mapToDouble(Sweep.SeedResult::goodput).average().orElse(0),
-                all.stream().mapToDouble(Sweep.SeedResult::goodput).min().orElse(0),
-                all.stream().mapToInt(Sweep.SeedResult::fell).sum());
-        Sweep.starts(all).forEach(out::println);
+                results.stream()
+                        .mapToDouble(Sweep.SeedResult::goodput)
+                        .average()
+                        .orElse(0),
+                results.stream().mapToDouble(Sweep.SeedResult::goodput).min().orElse(0),
+                results.stream().mapToInt(Sweep.SeedResult::fell).sum());
+        Sweep.starts(results).forEach(out::println);
         List<Sweep.SeedResult> broken =
-                all.stream().filter(p -> p.breaches() > 0).toList();
+                results.stream().filter(result -> result.breaches() > 0).toList();
         if (broken.isEmpty()) {
             out.println("rules: all four kept under every seed");
         } else {
@@ -238,26 +253,26 @@
                     broken.size(),
                     count,
                     broken.get(0).breach(),
-                    file != null ? file : "--drawn " + drawn + " --instances " + instances,
+                    file != null ? file : "--drawn " + family + " --instances " + instances,
                     broken.get(0).seed());
         }
         out.flush();
-        return broken.isEmpty() ? CommandLine.KEPT : CommandLine.RULE_BROKEN;
+        return broken.isEmpty() ? CommandLine.SUCCESS : CommandLine.VIOLATION;
     }
 
-    private long[] range() {
-        int dots = seeds.indexOf("..");
+    private long[] seedRange() {
+        int separator = seeds.indexOf("..");
         try {
-            long from = Long.parseLong(seeds.substring(0, Math.max(0, dots)));
-            long to = Long.parseLong(seeds.substring(dots + 2));
-            if (dots > 0 && from <= to && to - from < 10_000_000) {
+            long from = Long.parseLong(seeds.substring(0, Math.max(0, separator)));
+            long to = Long.parseLong(seeds.substring(separator + 2));
+            if (separator > 0 && from <= to && to - from < 10_000_000) {
                 return new long[] {from, to};
             }
         } catch (NumberFormatException | StringIndexOutOfBoundsException e) {
-            // said below
+            // reported below
         }
         throw new ParameterException(
                 spec.commandLine(),
-                "--seeds: '" + seeds + "' is no range of seeds: A..B with A no more than B, as 1..500");
+                "--seeds: '" + seeds + "' is no range of seeds: A..B with A at most B, such as 1..500");
     }
 }
--- a/src/main/java/mulleinfront/cli/ExplainCommand.java
+++ b/src/main/java/mulleinfront/cli/ExplainCommand.java
@@ -18,11 +18,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code emulate explain}: what happened to single requests. */
+/** {@code emulate explain}: prints the history of single requests. */
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
-        description = "Tells what happened to one request, or to the first that a cause has lost.")
+        description = "Prints the history of one request, or of the first requests lost to a cause.")
 final class ExplainCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -33,55 +33,56 @@
     @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "default ${DEFAULT-VALUE}")
     private long seed;
 
-    @Option(names = "--request", paramLabel = "ID", description = "a request by the id of one of its tries, as q17")
+    @Option(names = "--request", paramLabel = "ID", description = "id of one of the request's tries, such as q17")
     private String request;
 
-    @Option(names = "--cause", paramLabel = "WORD", description = "requests lost by this, as in the report's JSON")
+    @Option(names = "--cause", paramLabel = "WORD", description = "cause of the loss, as named in the JSON report")
     private String cause;
 
     @Option(
             names = "--from",
             paramLabel = "SECONDS",
             defaultValue = "0",
-            description = "with --cause: asked for at this second or later")
-    private double from;
+            description = "with --cause: only requests sent at this second or later")
+    private double fromSecond;
 
     @Option(
             names = "--most",
             paramLabel = "N",
             defaultValue = "5",
-            description = "with --cause: so many at most (default ${DEFAULT-VALUE})")
-    private int most;
+            description = "with --cause: maximum number of requests (default ${DEFAULT-VALUE})")
+    private int maxRequests;
 
     @Override
     public Integer call() throws BadFileException {
         if (request == null == (cause == null)) {
-            throw new ParameterException(spec.commandLine(), "explain takes either --request or --cause");
+            throw new ParameterException(spec.commandLine(), "give either --request or --cause");
         }
         Scenario scenario = ScenarioReader.read(file);
         List<String> lines = request != null
                 ? Explain.request(scenario, seed, request)
-                : Explain.cause(scenario, seed, cause(), (long) (from * 1e6), most);
+                : Explain.cause(scenario, seed, parseCause(), (long) (fromSecond * 1e6), maxRequests);
         PrintWriter out = spec.commandLine().getOut();
         lines.forEach(out::println);
         out.flush();
         if (lines.isEmpty()) {
-            String under = " under seed " + seed;
+            String withSeed = " under seed " + seed;
             throw new BadFileException(
                     request != null
-                            ? "there was no request " + request + under
-                            : "nothing was lost by " + cause + under + (from > 0 ? " from then on" : ""));
+                            ? "no such request: " + request + withSeed
+                            : "no request was lost to " + cause + withSeed
+                                    + (fromSecond > 0 ? " from that second on" : ""));
         }
-        return CommandLine.KEPT;
+        return CommandLine.SUCCESS;
     }
 
-    private Cause cause() {
+    private Cause parseCause() {
         return Arrays.stream(Cause.values())
-                .filter(c -> c.word().equals(cause))
+                .filter(candidate -> candidate.word().equals(cause))
                 .findFirst()
                 .orElseThrow(() -> new ParameterException(
                         spec.commandLine(),
-                        "--cause: there is no '" + cause
+                        "--cause: unknown cause '" + cause
                                 + "'; there are "
                                 + Arrays.stream(Cause.values()).map(Cause::word).collect(Collectors.joining(", "))));
     }
--- a/src/main/java/mulleinfront/cli/FleetCommand.java
+++ b/src/main/java/mulleinfront/cli/FleetCommand.java
@@ -25,7 +25,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code fleet}: asks a client proxy, at its operators' door, what it knows of the others. */
+/** {@code fleet}: queries a client proxy's management endpoint for its view of the fleet, and checks fleet files. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
@@ -35,12 +35,12 @@
             FleetCommand.Leave.class,
             FleetCommand.Check.class
         },
-        description = "Who is there, by the word of one client proxy; and the file that makes it a member.")
+        description = "Shows the fleet as one client proxy sees it, and checks fleet files.")
 final class FleetCommand implements Runnable {
-    /** The view is not settled, or only a minority of the fleet is in reach. */
-    static final int UNSETTLED = 6;
+    /** The view has not converged, or at most a minority of the fleet is reachable. */
+    static final int NOT_CONVERGED = 6;
 
-    private static final int PATIENCE_MS = 5_000;
+    private static final int TIMEOUT_MS = 5_000;
 
     @Spec
     private CommandSpec spec;
@@ -50,8 +50,8 @@
         spec.commandLine().usage(spec.commandLine().getOut());
     }
 
-    /** What is asked at a door. */
-    abstract static class Asking implements Callable<Integer> {
+    /** A command that is sent to a management endpoint. */
+    abstract static class ManagementCommand implements Callable<Integer> {
         @Spec
         CommandSpec spec;
 
@@ -60,40 +60,44 @@
                 required = true,
                 paramLabel = "ADDRESS:PORT",
                 description = "the client proxy's management address")
-        private String door;
+        private String address;
 
         PrintWriter out() {
             return spec.commandLine().getOut();
         }
 
-        /** Opens the door and says a line; what comes back is read from the socket. */
-        Socket ask(String line) throws IOException, BadFileException {
-            InetSocketAddress address;
+        /** Connects to the management endpoint and sends a command; the reply is read from the returned socket. */
+        Socket send(String command) throws IOException, BadFileException {
+            InetSocketAddress socketAddress;
             try {
-                address = Listing.address(door);
+                socketAddress = Listing.address(address);
             } catch (IOException e) {
                 throw new BadFileException("--door: " + e.getMessage());
             }
             Socket socket = new Socket();
             try {
-                socket.connect(address, PATIENCE_MS);
-                socket.setSoTimeout(PATIENCE_MS);
-                socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
+                socket.connect(socketAddress, TIMEOUT_MS);
+                socket.setSoTimeout(TIMEOUT_MS);
+                socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.US_ASCII));
                 return socket;
             } catch (IOException e) {
                 socket.close();
-                throw new IOException("nobody at " + door + ": " + e.getMessage(), e);
+                throw new IOException("no connection to " + address + ": " + e.getMessage(), e);
             }
         }
 
-        /** The answer in words, if it was yes. */
-        static String yes(BufferedReader in) throws IOException {
-            String answer = in.readLine();
-            if (answer == null || !answer.startsWith("+OK ")) {
+        /**
+         * Reads a reply and returns its text.
+         *
+         * @throws IOException if the connection is closed or the reply is an error
+         */
+        static String readReply(BufferedReader in) throws IOException {
+            String reply = in.readLine();
+            if (reply == null || !reply.startsWith("+OK ")) {
                 throw new IOException(
-                        answer == null ? "the door closed without an answer" : answer.replaceFirst("^-ERR ", ""));
+                        reply == null ? "the connection was closed without a reply" : reply.replaceFirst("^-ERR ", ""));
             }
-            return answer.substring("+OK ".length());
+            return reply.substring("+OK ".length());
         }
 
         static BufferedReader reader(Socket socket) throws IOException {
@@ -105,38 +109,38 @@
     @Command(
             name = "members",
             mixinStandardHelpOptions = true,
-            description = "Who is there, since when and by whose word.",
+            description = "Lists the members with their states.",
             footer = {
                 "",
-                "Exit codes: 0 settled, with all or most in reach; 6 not settled, or a minority in reach;",
-                "1 nobody answers; 2 bad input."
+                "Exit codes: 0 converged, with all or most reachable; 6 not converged, or a minority reachable;",
+                "1 no answer; 2 bad input."
             })
-    static final class Members extends Asking {
-        @Option(names = "--json", description = "as one JSON object")
+    static final class Members extends ManagementCommand {
+        @Option(names = "--json", description = "prints one JSON object")
         private boolean json;
 
         @Override
         public Integer call() throws IOException, BadFileException {
-            try (Socket socket = ask("fleet members")) {
-                String answer = yes(reader(socket));
-                Map<String, String> head = new LinkedHashMap<>();
+            try (Socket socket = send("fleet members")) {
+                String reply = readReply(reader(socket));
+                Map<String, String> summary = new LinkedHashMap<>();
                 StringBuilder table = new StringBuilder();
-                read(answer, head, table);
+                parse(reply, summary, table);
                 if (json) {
-                    out().println(answer);
+                    out().println(reply);
                 } else {
-                    head.forEach((k, v) -> out().printf("%-12s %s%n", k, v));
+                    summary.forEach((k, v) -> out().printf("%-12s %s%n", k, v));
                     out().print(table);
                 }
                 out().flush();
-                boolean well = "true".equals(head.get("settled"))
-                        && !"minority".equals(head.get("reach"))
-                        && !"alone".equals(head.get("reach"));
-                return well ? CommandLine.KEPT : UNSETTLED;
+                boolean healthy = "true".equals(summary.get("settled"))
+                        && !"minority".equals(summary.get("reach"))
+                        && !"alone".equals(summary.get("reach"));
+                return healthy ? CommandLine.SUCCESS : NOT_CONVERGED;
             }
         }
 
-        private static void read(String answer, Map<String, String> head, StringBuilder table) throws IOException {
+        private static void parse(String reply, Map<String, String> summary, StringBuilder table) throws IOException {
             table.append(String.format(
                     Locale.ROOT,
                     "%n%-8s %-20s %-10s %10s  %s%n",
@@ -145,34 +149,34 @@
                     "state",
                     "since",
                     "by the word of"));
-            try (JsonParser in = new JsonFactory().createParser(answer)) {
+            try (JsonParser in = new JsonFactory().createParser(reply)) {
                 in.nextToken();
                 while (in.nextToken() == JsonToken.FIELD_NAME) {
                     String field = in.currentName();
                     in.nextToken();
                     if (field.equals("members")) {
                         while (in.nextToken() == JsonToken.START_OBJECT) {
-                            Map<String, String> m = flat(in);
+                            Map<String, String> member = readFlatObject(in);
                             table.append(String.format(
                                     Locale.ROOT,
                                     "%-8s %-20s %-10s %8.1f s  %s%n",
-                                    m.get("member"),
-                                    m.get("name"),
-                                    m.get("state"),
-                                    Long.parseLong(m.get("since_ms")) / 1e3,
-                                    m.get("word")));
+                                    member.get("member"),
+                                    member.get("name"),
+                                    member.get("state"),
+                                    Long.parseLong(member.get("since_ms")) / 1e3,
+                                    member.get("word")));
                         }
                     } else if (in.currentToken() == JsonToken.START_OBJECT) {
-                        Map<String, String> counts = flat(in);
-                        head.put(field, counts.isEmpty() ? "none" : counts.toString());
+                        Map<String, String> counts = readFlatObject(in);
+                        summary.put(field, counts.isEmpty() ? "none" : counts.toString());
                     } else {
-                        head.put(field, in.getText());
+                        summary.put(field, in.getText());
                     }
                 }
             }
         }
 
-        private static Map<String, String> flat(JsonParser in) throws IOException {
+        private static Map<String, String> readFlatObject(JsonParser in) throws IOException {
             Map<String, String> fields = new LinkedHashMap<>();
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String name = in.currentName();
@@ -187,20 +191,20 @@
     @Command(
             name = "watch",
             mixinStandardHelpOptions = true,
-            description = "Prints each change as a line of JSON, until it is ended or the client proxy is gone.")
-    static final class Watch extends Asking {
+            description = "Prints each change as a line of JSON, until interrupted or disconnected.")
+    static final class Watch extends ManagementCommand {
         @Override
         public Integer call() throws IOException, BadFileException {
-            try (Socket socket = ask("fleet watch")) {
+            try (Socket socket = send("fleet watch")) {
                 BufferedReader in = reader(socket);
-                spec.commandLine().getErr().println(yes(in));
+                spec.commandLine().getErr().println(readReply(in));
                 socket.setSoTimeout(0);
                 for (String line; (line = in.readLine()) != null; ) {
                     out().println(line);
                     out().flush();
                 }
             }
-            return CommandLine.KEPT;
+            return CommandLine.SUCCESS;
         }
     }
 
@@ -208,15 +212,15 @@
     @Command(
             name = "leave",
             mixinStandardHelpOptions = true,
-            description = "Has a quiesced client proxy say to the others that it leaves; resume brings it back.")
-    static final class Leave extends Asking {
+            description = "Makes a quiesced client proxy leave the fleet; resume makes it rejoin.")
+    static final class Leave extends ManagementCommand {
         @Override
         public Integer call() throws IOException, BadFileException {
-            try (Socket socket = ask("fleet leave")) {
-                out().println(yes(reader(socket)));
+            try (Socket socket = send("fleet leave")) {
+                out().println(readReply(reader(socket)));
                 out().flush();
             }
-            return CommandLine.KEPT;
+            return CommandLine.SUCCESS;
         }
     }
 
@@ -224,8 +228,8 @@
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
-            description = "Reads a fleet file, and a configuration beside it, as a start would.",
-            footer = {"", "Exit codes: 0 it can be taken, 2 it can't (one line with file, line and reason)."})
+            description = "Validates a fleet file, and optionally a client proxy's configuration.",
+            footer = {"", "Exit codes: 0 valid, 2 invalid (one line with file, line and reason)."})
     static final class Check implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -238,29 +242,29 @@
 
         @Override
         public Integer call() throws BadFileException {
-            FleetFile read;
+            FleetFile fleet;
             if (config == null) {
-                read = FleetFile.check(file);
+                fleet = FleetFile.check(file);
             } else {
                 try {
-                    read = FleetFile.load(file, Files.readAllBytes(config));
+                    fleet = FleetFile.load(file, Files.readAllBytes(config));
                 } catch (IOException e) {
                     throw new BadFileException(config + ": " + e.getMessage());
                 }
             }
-            int members = config == null ? 100 : read.peers().size();
+            int members = config == null ? 100 : fleet.peers().size();
             spec.commandLine()
                     .getOut()
                     .printf(
                             Locale.ROOT,
-                            "fleet %s: one that dies is suspected after %.1f s on the"
-                                    + " average, and known to have failed by all within %.0f s at the most among %d members%n",
-                            read.figures().fleet(),
-                            1.5 * read.figures().periodUs() / 1e6,
-                            read.figures().convergenceBoundUs(members) / 1e6,
+                            "fleet %s: a failed member is suspected after %.1f s on"
+                                    + " average, and recorded as failed by all within %.0f s among %d members%n",
+                            fleet.figures().fleet(),
+                            1.5 * fleet.figures().periodUs() / 1e6,
+                            fleet.figures().convergenceBoundUs(members) / 1e6,
                             members);
             spec.commandLine().getOut().flush();
-            return CommandLine.KEPT;
+            return CommandLine.SUCCESS;
         }
     }
 }
--- a/src/main/java/mulleinfront/cli/GraphCommand.java
+++ b/src/main/java/mulleinfront/cli/GraphCommand.java
@@ -21,62 +21,65 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code emulate graph}: many services that call each other, on virtual time. */
+/** {@code emulate graph}: runs many services that call each other on virtual time. */
 @Command(
         name = "graph",
         mixinStandardHelpOptions = true,
-        description = "Plays many services that call each other, each machine with a client proxy that knows"
-                + " the services it calls, and prints what requests and calls had of it.",
+        description = "Runs many services that call each other, each machine with a client proxy for the services"
+                + " it calls, and prints a report of requests and calls.",
         footer = {
             "",
-            "Exit codes: 0 the rules were kept, 2 bad input (one line on standard error)," + " 3 a rule was broken."
+            "Exit codes: 0 all rules kept, 2 bad input (one line on standard error)," + " 3 a rule was broken."
         })
 final class GraphCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Parameters(paramLabel = "FILE", description = "a file with a [graph], such as scenarios/size/world.toml")
+    @Parameters(paramLabel = "FILE", description = "a file with a [graph] table, such as scenarios/size/world.toml")
     private Path file;
 
     @Option(
             names = "--seed",
             paramLabel = "N",
             defaultValue = "1",
-            description = "the one source of chance (default ${DEFAULT-VALUE})")
+            description = "random seed (default ${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "writes the figures as JSON too")
+    @Option(names = "--json", paramLabel = "FILE", description = "also writes the report as JSON")
     private Path json;
 
-    @Option(names = "--trace", paramLabel = "FILE", description = "writes down each event and decision, a line each")
+    @Option(
+            names = "--trace",
+            paramLabel = "FILE",
+            description = "writes a trace of all events and decisions, one per line")
     private Path trace;
 
     @Option(
             names = "--hosts",
             paramLabel = "N",
             defaultValue = "0",
-            description = "so many machines in place of the file's")
+            description = "number of machines, in place of the file's")
     private int hosts;
 
     @Option(
             names = "--services",
             paramLabel = "N",
             defaultValue = "0",
-            description = "so many services in place of the file's")
+            description = "number of services, in place of the file's")
     private int services;
 
     @Option(
             names = "--rate",
             paramLabel = "N",
             defaultValue = "0",
-            description = "so many a second in place of the file's")
+            description = "requests per second, in place of the file's")
     private double rate;
 
     @Option(
             names = "--length-ms",
             paramLabel = "MS",
             defaultValue = "0",
-            description = "so long in place of the file's; its failures are drawn together with it")
+            description = "duration, in place of the file's; the random failures depend on it")
     private long lengthMs;
 
     @Override
@@ -85,20 +88,20 @@
         if (hosts != 0 || services != 0 || rate != 0 || lengthMs != 0) {
             if (hosts < 0 || services < 0 || rate < 0 || lengthMs < 0) {
                 throw new ParameterException(
-                        spec.commandLine(), "--hosts, --services, --rate and --length-ms are more than 0");
+                        spec.commandLine(), "--hosts, --services, --rate and --length-ms must be above 0");
             }
             graph = graph.sized(hosts, services, rate, lengthMs * 1000);
         }
-        long wall = System.nanoTime();
-        long cpu = cpu();
+        long startNs = System.nanoTime();
+        long startCpuNs = cpuTimeNs();
         GraphReport report;
-        try (OutputStream to = trace == null ? null : open(trace)) {
-            report = world(graph, to).play();
+        try (OutputStream output = trace == null ? null : open(trace)) {
+            report = createWorld(graph, output).play();
         }
-        double cpuS = (cpu() - cpu) / 1e9;
+        double cpuSeconds = (cpuTimeNs() - startCpuNs) / 1e9;
         if (json != null) {
-            try (OutputStream to = open(json)) {
-                report.json(to);
+            try (OutputStream output = open(json)) {
+                report.json(output);
             }
         }
         PrintWriter out = spec.commandLine().getOut();
@@ -106,22 +109,22 @@
         out.printf(
                 Locale.ROOT,
                 "played in %.1f s, %.1f s of processor: %.2f virtual seconds of load a CPU second%n",
-                (System.nanoTime() - wall) / 1e9,
-                cpuS,
-                report.askedUs() / 1e6 / Math.max(1e-3, cpuS));
+                (System.nanoTime() - startNs) / 1e9,
+                cpuSeconds,
+                report.askedUs() / 1e6 / Math.max(1e-3, cpuSeconds));
         out.flush();
-        return report.brokenCount() == 0 ? CommandLine.KEPT : CommandLine.RULE_BROKEN;
+        return report.brokenCount() == 0 ? CommandLine.SUCCESS : CommandLine.VIOLATION;
     }
 
-    private GraphWorld world(GraphSpec graph, OutputStream to) {
+    private GraphWorld createWorld(GraphSpec graph, OutputStream output) {
         try {
-            return GraphWorld.of(graph, seed, to);
+            return GraphWorld.of(graph, seed, output);
         } catch (IllegalArgumentException e) {
             throw new ParameterException(spec.commandLine(), file + ": " + e.getMessage());
         }
     }
 
-    private static long cpu() {
+    private static long cpuTimeNs() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
--- a/src/main/java/mulleinfront/cli/KeepCommand.java
+++ b/src/main/java/mulleinfront/cli/KeepCommand.java
@@ -24,17 +24,17 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code keep}: one of three control machines, until it is ended. */
+/** {@code keep}: runs one of the three control-plane nodes until the process is terminated. */
 @Command(
         name = "keep",
         mixinStandardHelpOptions = true,
-        description = "One of three control machines: decides versions of the fleet's configuration with the"
-                + " others,"
-                + " keeps them and hands them out.",
-        footer = {"", "Exit codes: 0 ended by SIGTERM; 1 it can't go on; 2 bad input."})
+        description = "Runs one of three control-plane nodes, which commit versions of the fleet-wide configuration"
+                + " together,"
+                + " store them and distribute them.",
+        footer = {"", "Exit codes: 0 terminated by SIGTERM; 1 fatal error; 2 bad input."})
 final class KeepCommand implements Callable<Integer> {
-    /** How often it is looked whether it still takes part. */
-    private static final long LOOK_MS = 200;
+    /** Interval between checks whether the replica has failed. */
+    private static final long HEALTH_CHECK_INTERVAL_MS = 200;
 
     @Spec
     private CommandSpec spec;
@@ -42,30 +42,34 @@
     @Option(names = "--config", required = true, paramLabel = "FILE", description = "such as deploy/control.toml")
     private Path config;
 
-    @Option(names = "--me", required = true, paramLabel = "N", description = "which [[machine]] it is, from 1")
-    private int me;
+    @Option(
+            names = "--me",
+            required = true,
+            paramLabel = "N",
+            description = "number of this node's [[machine]] entry, from 1")
+    private int nodeNumber;
 
     @Option(
             names = "--dir",
             required = true,
             paramLabel = "DIR",
-            description = "its own folder: the log of what was decided")
-    private Path folder;
+            description = "data directory of this node, with its log")
+    private Path directory;
 
     @Override
     public Integer call() throws BadFileException, IOException, InterruptedException {
         ControlFile file = ControlFile.load(config);
-        if (me < 1 || me > file.machines().size()) {
+        if (nodeNumber < 1 || nodeNumber > file.machines().size()) {
             throw new BadFileException(
                     "--me: must be from 1 to " + file.machines().size());
         }
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        ControlFile.Machine own = file.machines().get(me - 1);
-        TreeMap<String, InetSocketAddress> keepers = new TreeMap<>();
-        file.machines().forEach(m -> keepers.put(m.name(), m.consensus()));
+        ControlFile.Machine self = file.machines().get(nodeNumber - 1);
+        TreeMap<String, InetSocketAddress> replicas = new TreeMap<>();
+        file.machines().forEach(node -> replicas.put(node.name(), node.consensus()));
         ReplicaSettings settings;
         try {
-            settings = new ReplicaSettings(own.name(), keepers, folder);
+            settings = new ReplicaSettings(self.name(), replicas, directory);
         } catch (IllegalArgumentException e) {
             throw new BadFileException(config + ": " + e.getMessage());
         }
@@ -75,12 +79,14 @@
         HandoutServer server;
         try {
             server = HandoutServer.start(
-                    own.name(),
+                    self.name(),
                     loop,
-                    own.clientAddress(),
+                    self.clientAddress(),
                     node,
-                    file.handout(),
-                    file.events() == null ? null : Path.of(file.events().replace("%n", own.name())));
+                    file.publisher(),
+                    file.eventLogFile() == null
+                            ? null
+                            : Path.of(file.eventLogFile().replace("%n", self.name())));
         } catch (IOException e) {
             loop.submit(node::close).await();
             group.shutdownGracefully();
@@ -94,12 +100,12 @@
                         ended.countDown();
                     }
                 },
-                LOOK_MS,
-                LOOK_MS,
+                HEALTH_CHECK_INTERVAL_MS,
+                HEALTH_CHECK_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
-        AtomicBoolean told = new AtomicBoolean();
+        AtomicBoolean terminated = new AtomicBoolean();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            told.set(true);
+            terminated.set(true);
             try {
                 server.close();
                 loop.submit(node::close).await();
@@ -110,14 +116,15 @@
         }));
         spec.commandLine()
                 .getErr()
-                .println("mulleinfront: control machine " + own.name() + " hands out on "
+                .println("mulleinfront: control machine " + self.name() + " hands out on "
                         + NetUtil.toSocketAddressString(server.address()));
         ended.await();
-        if (told.get()) {
-            return CommandLine.KEPT;
+        if (terminated.get()) {
+            return CommandLine.SUCCESS;
         }
-        // Whoever watches it finds another; it takes no part until somebody has looked at its folder.
+        // Subscribers fail over to another node. The failed replica stays out until an operator checks its data
+        // directory.
         throw new IOException(
-                "control machine " + own.name() + " ends: " + node.status().fault());
+                "control machine " + self.name() + " ends: " + node.status().fault());
     }
 }
--- a/src/main/java/mulleinfront/cli/Kit.java
+++ b/src/main/java/mulleinfront/cli/Kit.java
@@ -31,19 +31,19 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code kit}: rehearsals on real sockets. */
+/** {@code kit}: fault-injection tests on real sockets. */
 @Command(
         name = "kit",
         mixinStandardHelpOptions = true,
-        subcommands = {Kit.Run.class, Kit.Suite.class, Kit.Show.class, ScaleCommand.class, SoakCommand.class},
-        description = "Rehearses on real sockets, on loopback, against client proxies that run as processes.")
+        subcommands = {Kit.Run.class, Kit.Suite.class, Kit.ListScenarios.class, ScaleCommand.class, SoakCommand.class},
+        description = "Fault-injection tests on real loopback sockets, against client proxies that run as processes.")
 final class Kit implements Runnable {
-    /** Kit and daemon are of different versions. */
+    /** The versions of test kit and client proxy differ. */
     static final int WRONG_VERSION = 4;
-    /** The machine was too busy to say anything. */
+    /** The machine was too busy for a verdict. */
     static final int TOO_BUSY = 5;
-    /** After Ctrl-C the client proxies end and what was seen is reported; longer than this nobody waits. */
-    private static final int MOST_WAIT_S = 30;
+    /** After Ctrl-C, longest wait for the client proxies to end and the report to be written. */
+    private static final int MAX_SHUTDOWN_WAIT_S = 30;
 
     @Spec
     private CommandSpec spec;
@@ -53,8 +53,8 @@
         spec.commandLine().usage(spec.commandLine().getOut());
     }
 
-    /** What {@code run} and {@code suite} have in common. */
-    abstract static class Playing implements Callable<Integer> {
+    /** Options and execution that {@code run} and {@code suite} share. */
+    abstract static class ScenarioCommand implements Callable<Integer> {
         @Spec
         CommandSpec spec;
 
@@ -70,31 +70,31 @@
                 names = "--seed",
                 paramLabel = "N",
                 defaultValue = "1",
-                description = "the one source of chance (default ${DEFAULT-VALUE})")
+                description = "random seed (default ${DEFAULT-VALUE})")
         private long seed;
 
         @Option(
                 names = "--report",
                 paramLabel = "DIR",
-                description = "for the reports, and the client proxies'"
-                        + " configurations and logs (default: a new folder for temporary files)")
+                description = "directory for the reports, and the client proxies'"
+                        + " configurations and logs (default: a new temporary directory)")
         private Path report;
 
-        @Option(names = "--any-version", description = "judges also a daemon of another version")
+        @Option(names = "--any-version", description = "also accepts a client proxy of another version")
         private boolean anyVersion;
 
-        int play(Scenario scenario) throws BadFileException, IOException, InterruptedException {
+        int runScenario(Scenario scenario) throws BadFileException, IOException, InterruptedException {
             PrintWriter out = spec.commandLine().getOut();
             PrintWriter err = spec.commandLine().getErr();
-            Path folder = report != null
+            Path directory = report != null
                     ? report.resolve(scenario.name())
                     : Files.createTempDirectory("rehearsal-" + scenario.name());
             RealRun run = new RealRun(
                     scenario,
                     seed,
-                    command(daemon),
+                    daemonCommand(daemon),
                     Path.of("").toAbsolutePath(),
-                    folder,
+                    directory,
                     line -> err.println(scenario.name() + ": " + line));
             if (anyVersion) {
                 run.anyVersion();
@@ -103,26 +103,26 @@
             Thread hook = new Thread(() -> {
                 run.interrupt();
                 try {
-                    reported.await(MOST_WAIT_S, TimeUnit.SECONDS);
+                    reported.await(MAX_SHUTDOWN_WAIT_S, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             });
             Runtime.getRuntime().addShutdownHook(hook);
-            KitResult on = run.play();
-            KitResult both = on.sockets() == null
-                    ? on
-                    : on.beside(World.of(scenario, seed, null).play());
-            String text = Report.text(both, anyVersion);
+            KitResult socketsResult = run.play();
+            KitResult result = socketsResult.sockets() == null
+                    ? socketsResult
+                    : socketsResult.beside(World.of(scenario, seed, null).play());
+            String text = Report.text(result, anyVersion);
             synchronized (out) {
                 out.print(text);
                 out.flush();
             }
-            try (OutputStream json = Files.newOutputStream(folder.resolve("report.json"));
-                    OutputStream junit = Files.newOutputStream(folder.resolve("junit.xml"))) {
-                Files.writeString(folder.resolve("report.txt"), text);
-                Report.json(both, anyVersion, json);
-                Report.junit(scenario.name(), both, anyVersion, junit);
+            try (OutputStream json = Files.newOutputStream(directory.resolve("report.json"));
+                    OutputStream junit = Files.newOutputStream(directory.resolve("junit.xml"))) {
+                Files.writeString(directory.resolve("report.txt"), text);
+                Report.json(result, anyVersion, json);
+                Report.junit(scenario.name(), result, anyVersion, junit);
             } catch (IOException e) {
                 err.println("mulleinfront: the report can't be written (" + e.getMessage() + "); it is above");
             }
@@ -130,19 +130,22 @@
             try {
                 Runtime.getRuntime().removeShutdownHook(hook);
             } catch (IllegalStateException e) {
-                // The program ends: it is running.
+                // The JVM is shutting down and the hook runs already.
             }
-            return switch (both.verdict(anyVersion)) {
-                case KEPT -> CommandLine.KEPT;
-                case FAILED, RULE_BROKEN -> CommandLine.RULE_BROKEN;
+            return switch (result.verdict(anyVersion)) {
+                case KEPT -> CommandLine.SUCCESS;
+                case FAILED, RULE_BROKEN -> CommandLine.VIOLATION;
                 case WRONG_VERSION -> WRONG_VERSION;
                 case TOO_BUSY -> TOO_BUSY;
             };
         }
     }
 
-    /** The shell command that starts one client proxy: the one given, that of the deploy file here, or this program's. */
-    static String command(String daemon) throws BadFileException, IOException {
+    /**
+     * Returns the shell command that starts one client proxy: the given one, else the run line of deploy/balancer.toml,
+     * else this program's {@code serve}.
+     */
+    static String daemonCommand(String daemon) throws BadFileException, IOException {
         if (daemon != null) {
             return daemon;
         }
@@ -150,93 +153,97 @@
         if (Files.isReadable(deploy)) {
             TomlParseResult file = Toml.parse(Files.readString(deploy));
             if (file.hasErrors() || !file.isString("run")) {
-                throw new BadFileException(deploy + ": no run line; --daemon CMD says what to start");
+                throw new BadFileException(deploy + ": no run line; give the command with --daemon CMD");
             }
             return file.getString("run");
         }
-        return java("-Xmx96m") + " serve";
+        return javaCommand("-Xmx96m") + " serve";
     }
 
-    /** The shell command of this very program, with a bound on its heap. */
-    static String java(String heap) {
+    /** Returns the shell command that starts this program with a heap limit. */
+    static String javaCommand(String heapFlag) {
         return "exec '" + Path.of(System.getProperty("java.home"), "bin", "java") + "' -XX:+UseSerialGC"
-                + " -XX:TieredStopAtLevel=1 " + heap + " -cp '" + System.getProperty("java.class.path")
+                + " -XX:TieredStopAtLevel=1 " + heapFlag + " -cp '" + System.getProperty("java.class.path")
                 + "' mulleinfront.Main";
     }
 
-    /** One scenario. */
+    /** {@code kit run}: runs one scenario. */
     @Command(
             name = "run",
             mixinStandardHelpOptions = true,
-            description = "Plays a scenario on sockets, and on virtual time beside it, and judges the four rules.",
+            description = "Runs a scenario on sockets, and on virtual time for comparison, and checks the four rules.",
             footer = {
                 "",
-                "Exit codes: 0 kept, 2 bad input, 3 a rule broken or a client proxy failed, 4 daemon and kit"
-                        + " of different versions, 5 the machine was too busy."
+                "Exit codes: 0 all rules kept, 2 bad input, 3 a rule broken or a client proxy failed, 4 daemon"
+                        + " and kit of different versions, 5 the machine was too busy."
             })
-    static final class Run extends Playing {
+    static final class Run extends ScenarioCommand {
         @Parameters(paramLabel = "SCENARIO", description = "a scenario file, such as scenarios/calm.toml")
         private Path file;
 
-        @Option(names = "--instances", paramLabel = "N", description = "client proxies, in place of the scenario's")
+        @Option(
+                names = "--instances",
+                paramLabel = "N",
+                description = "number of client proxies, in place of the scenario's")
         private int instances;
 
         @Override
         public Integer call() throws BadFileException, IOException, InterruptedException {
             Scenario scenario = ScenarioReader.read(file);
-            return play(instances > 0 ? scenario.withProxies(instances) : scenario);
+            return runScenario(instances > 0 ? scenario.withProxies(instances) : scenario);
         }
     }
 
-    /** All shipped scenarios. */
+    /** {@code kit suite}: runs all scenarios of a directory. */
     @Command(
             name = "suite",
             mixinStandardHelpOptions = true,
-            description = "Plays every scenario of a folder, some at once; the worst exit code is its own.")
-    static final class Suite extends Playing {
+            description = "Runs every scenario of a directory, some concurrently; exits with the worst exit code.")
+    static final class Suite extends ScenarioCommand {
         @Parameters(paramLabel = "DIR", defaultValue = "scenarios", description = "default ${DEFAULT-VALUE}")
-        private Path folder;
+        private Path directory;
 
         @Option(
                 names = "--jobs",
                 paramLabel = "N",
-                description = "rehearsals at once, each of which wants four cores"
+                description = "concurrent runs, each of which needs four cores"
                         + " (default: what this machine has, here ${DEFAULT-VALUE})")
         private int jobs = Math.max(1, Runtime.getRuntime().availableProcessors() / 4);
 
         @Override
         public Integer call() throws BadFileException, IOException, InterruptedException {
-            List<Scenario> all = new ArrayList<>();
-            for (Path file : scenarios(folder)) {
-                all.add(ScenarioReader.read(file));
+            List<Scenario> scenarios = new ArrayList<>();
+            for (Path file : scenarios(directory)) {
+                scenarios.add(ScenarioReader.read(file));
             }
             ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, jobs));
             try {
                 List<Future<Integer>> codes = new ArrayList<>();
-                all.forEach(s -> codes.add(pool.submit(() -> play(s))));
-                return summary(all, codes);
+                scenarios.forEach(s -> codes.add(pool.submit(() -> runScenario(s))));
+                return printSummary(scenarios, codes);
             } finally {
                 pool.shutdownNow();
             }
         }
 
-        private int summary(List<Scenario> all, List<Future<Integer>> codes) throws InterruptedException {
+        private int printSummary(List<Scenario> scenarios, List<Future<Integer>> codes) throws InterruptedException {
             PrintWriter out = spec.commandLine().getOut();
             int worst = 0;
             StringBuilder lines = new StringBuilder("\n");
             for (int i = 0; i < codes.size(); i++) {
                 int code;
-                String word;
+                String outcome;
                 try {
                     code = codes.get(i).get();
-                    word = code == 0 ? "kept" : "exit code " + code;
+                    outcome = code == 0 ? "kept" : "exit code " + code;
                 } catch (ExecutionException e) {
-                    // One that can't be played is said and counts; the others go on.
+                    // A scenario that can't be run is reported and counts as failed; the others continue.
                     code = e.getCause() instanceof BadFileException ? CommandLine.BAD_INPUT : CommandLine.FAILED;
-                    word = e.getCause().getMessage();
+                    outcome = e.getCause().getMessage();
                 }
                 worst = Math.max(worst, code);
-                lines.append(String.format(Locale.ROOT, "%-20s %s%n", all.get(i).name(), word));
+                lines.append(String.format(
+                        Locale.ROOT, "%-20s %s%n", scenarios.get(i).name(), outcome));
             }
             out.print(lines);
             out.flush();
@@ -244,31 +251,31 @@
         }
     }
 
-    /** What there is to play. */
-    @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists the scenarios of a folder.")
-    static final class Show implements Callable<Integer> {
+    /** {@code kit list}: lists the scenarios of a directory. */
+    @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists the scenarios of a directory.")
+    static final class ListScenarios implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
         @Parameters(paramLabel = "DIR", defaultValue = "scenarios", description = "default ${DEFAULT-VALUE}")
-        private Path folder;
+        private Path directory;
 
         @Override
         public Integer call() throws BadFileException, IOException {
-            for (Path file : scenarios(folder)) {
+            for (Path file : scenarios(directory)) {
                 Scenario s = ScenarioReader.read(file);
                 spec.commandLine().getOut().printf("%-32s %s%n", file, s.title());
             }
             spec.commandLine().getOut().flush();
-            return CommandLine.KEPT;
+            return CommandLine.SUCCESS;
         }
     }
 
-    private static List<Path> scenarios(Path folder) throws IOException, BadFileException {
-        if (!Files.isDirectory(folder)) {
-            throw new BadFileException(folder + ": no such folder");
+    private static List<Path> scenarios(Path directory) throws IOException, BadFileException {
+        if (!Files.isDirectory(directory)) {
+            throw new BadFileException(directory + ": no such directory");
         }
-        try (Stream<Path> files = Files.list(folder)) {
+        try (Stream<Path> files = Files.list(directory)) {
             return files.filter(f -> f.toString().endsWith(".toml")).sorted().toList();
         }
     }
--- a/src/main/java/mulleinfront/cli/ScaleCommand.java
+++ b/src/main/java/mulleinfront/cli/ScaleCommand.java
@@ -15,17 +15,20 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code kit scale}: a fleet at its size on one machine. */
+/** {@code kit scale}: runs a full-size fleet on one machine. */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
         description =
-                "Starts a fleet at its size on this machine: some real client proxies, the rest hollow ones, many to"
-                        + " a process, which run the real control code on real sockets and carry no requests. Measures what control"
-                        + " costs each, and how long it takes until all know of a fault.",
-        footer = {"", "Exit codes: 0 within the budgets, 1 something never came to be, 2 bad input, 3 over a budget."})
+                "Starts a full-size fleet on this machine: some real client proxies, the rest simulated members, many to"
+                        + " a process, which run the real control code on real sockets and carry no requests. Measures the control"
+                        + " cost of each, and how long it takes until all know of a fault.",
+        footer = {
+            "",
+            "Exit codes: 0 within the budgets, 1 an expected state was never reached, 2 bad input, 3 over a budget."
+        })
 final class ScaleCommand implements Callable<Integer> {
-    private static final int OVER = 3;
+    private static final int OVER_BUDGET = 3;
 
     @Spec
     private CommandSpec spec;
@@ -34,66 +37,66 @@
             names = "--real",
             paramLabel = "R",
             defaultValue = "10",
-            description = "client proxies that are processes of" + " their own (default ${DEFAULT-VALUE})")
-    private int real;
+            description = "client proxies that run as separate" + " processes (default ${DEFAULT-VALUE})")
+    private int realProxies;
 
     @Option(
             names = "--hollow",
             paramLabel = "H",
             defaultValue = "660",
-            description = "further ones, many to a process" + " (default ${DEFAULT-VALUE})")
-    private int hollow;
+            description = "simulated members, many to a process" + " (default ${DEFAULT-VALUE})")
+    private int simulatedMembers;
 
     @Option(
             names = "--per-process",
             paramLabel = "N",
             defaultValue = "66",
-            description = "hollow ones in a process" + " (default ${DEFAULT-VALUE})")
+            description = "simulated members per process" + " (default ${DEFAULT-VALUE})")
     private int perProcess;
 
     @Option(
             names = "--machines",
             paramLabel = "M",
             defaultValue = "3",
-            description = "control machines, 3 or 0 (default" + " ${DEFAULT-VALUE})")
-    private int machines;
+            description = "control-plane nodes, 3 or 0 (default" + " ${DEFAULT-VALUE})")
+    private int controlNodes;
 
     @Option(
             names = "--rest",
             paramLabel = "S",
             defaultValue = "20",
-            description = "seconds at rest (default" + " ${DEFAULT-VALUE})")
+            description = "seconds without faults (default" + " ${DEFAULT-VALUE})")
     private int restS;
 
     @Option(
             names = "--cut",
             paramLabel = "S",
             defaultValue = "60",
-            description = "seconds that a cut lasts (default" + " ${DEFAULT-VALUE})")
-    private int cutS;
+            description = "seconds that a network partition lasts (default" + " ${DEFAULT-VALUE})")
+    private int partitionS;
 
     @Option(
             names = "--period",
             paramLabel = "MS",
             defaultValue = "1000",
-            description = "the members' period of pings," + " milliseconds (default ${DEFAULT-VALUE})")
+            description = "ping period of the members," + " milliseconds (default ${DEFAULT-VALUE})")
     private int periodMs;
 
     @Option(
             names = "--faults",
             paramLabel = "F",
             split = ",",
-            description = "of ${COMPLETION-CANDIDATES} (default: all)")
+            description = "faults to inject, of ${COMPLETION-CANDIDATES} (default: all)")
     private Set<ScaleRun.Fault> faults = EnumSet.allOf(ScaleRun.Fault.class);
 
-    @Option(names = "--calm", description = "no fault at all")
-    private boolean calm;
+    @Option(names = "--calm", description = "injects no faults")
+    private boolean noFaults;
 
     @Option(
             names = "--seed",
             paramLabel = "N",
             defaultValue = "1",
-            description = "the source of chance (default" + " ${DEFAULT-VALUE})")
+            description = "random seed (default" + " ${DEFAULT-VALUE})")
     private long seed;
 
     @Option(
@@ -107,50 +110,51 @@
             names = "--world",
             paramLabel = "FILE",
             defaultValue = "scenarios/kit/size.toml",
-            description = "what they are" + " told (default ${DEFAULT-VALUE})")
-    private Path world;
+            description = "scenario file with" + " the proxies' settings (default ${DEFAULT-VALUE})")
+    private Path scenario;
 
     @Option(
             names = "--report",
             paramLabel = "DIR",
-            description = "for configurations, logs and report.json (default: a" + " new folder for temporary files)")
-    private Path folder;
+            description =
+                    "directory for configurations, logs and report.json (default: a" + " new temporary directory)")
+    private Path reportDirectory;
 
     @Override
     public Integer call() throws IOException, InterruptedException, BadFileException {
         ScaleRun.Plan plan;
         try {
-            if (machines != 0 && machines != 3) {
-                throw new IllegalArgumentException("--machines: 3 or 0");
+            if (controlNodes != 0 && controlNodes != 3) {
+                throw new IllegalArgumentException("--machines must be 3 or 0");
             }
             plan = new ScaleRun.Plan(
-                    real,
-                    hollow,
+                    realProxies,
+                    simulatedMembers,
                     perProcess,
                     seed,
                     restS,
-                    cutS,
+                    partitionS,
                     periodMs,
-                    machines > 0,
-                    calm ? EnumSet.noneOf(ScaleRun.Fault.class) : faults);
+                    controlNodes > 0,
+                    noFaults ? EnumSet.noneOf(ScaleRun.Fault.class) : faults);
         } catch (IllegalArgumentException e) {
             throw new BadFileException("kit scale: " + e.getMessage());
         }
-        Path to = folder != null ? folder : Files.createTempDirectory("scale");
+        Path directory = reportDirectory != null ? reportDirectory : Files.createTempDirectory("scale");
         ScaleReport report = new ScaleRun(
                         plan,
-                        world,
-                        Kit.command(daemon),
-                        Kit.java("-Xmx256m"),
+                        scenario,
+                        Kit.daemonCommand(daemon),
+                        Kit.javaCommand("-Xmx256m"),
                         Path.of("").toAbsolutePath(),
-                        to,
+                        directory,
                         line -> spec.commandLine().getErr().println("kit scale: " + line))
                 .play();
         spec.commandLine().getOut().print(report.text());
         spec.commandLine().getOut().flush();
-        try (OutputStream json = Files.newOutputStream(to.resolve("report.json"))) {
+        try (OutputStream json = Files.newOutputStream(directory.resolve("report.json"))) {
             report.json(json);
         }
-        return !report.failures().isEmpty() ? CommandLine.FAILED : report.over() ? OVER : CommandLine.KEPT;
+        return !report.failures().isEmpty() ? CommandLine.FAILED : report.over() ? OVER_BUDGET : CommandLine.SUCCESS;
     }
 }
--- a/src/main/java/mulleinfront/cli/SoakCommand.java
+++ b/src/main/java/mulleinfront/cli/SoakCommand.java
@@ -17,19 +17,19 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code kit soak}: random, overlapping faults over a few dozen processes, seed after seed. */
+/** {@code kit soak}: runs random, overlapping faults against a few dozen client proxies, seed after seed. */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
         description =
-                "Plays random, overlapping faults on sockets against client proxies as processes, seed after seed.",
+                "Runs random, overlapping faults on sockets against client proxies as processes, seed after seed.",
         footer = {
             "",
-            "Exit codes: 0 kept, 2 bad input, 3 a rule broken or a client proxy failed, 5 the machine was too busy."
+            "Exit codes: 0 all rules kept, 2 bad input, 3 a rule broken or a client proxy failed, 5 the machine was too busy."
         })
 final class SoakCommand implements Callable<Integer> {
-    /** Broken rules of one seed that are printed. */
-    private static final int MOST_PRINTED = 5;
+    /** Limit on the failures printed for one seed. */
+    private static final int MAX_FAILURES_PRINTED = 5;
 
     @Spec
     private CommandSpec spec;
@@ -38,29 +38,29 @@
             names = "--seeds",
             paramLabel = "N[..M]",
             defaultValue = "1..3",
-            description = "which seeds (default" + " ${DEFAULT-VALUE}); one that failed plays again")
+            description = "seeds to run (default" + " ${DEFAULT-VALUE}); a failed seed can be repeated")
     private String seeds;
 
     @Option(
             names = "--instances",
             paramLabel = "N",
             defaultValue = "24",
-            description = "client proxies, a process each" + " (default ${DEFAULT-VALUE})")
+            description = "client proxies, one process each" + " (default ${DEFAULT-VALUE})")
     private int instances;
 
     @Option(
             names = "--length",
             paramLabel = "S",
             defaultValue = "" + GeneratedScenario.SOAK_S,
-            description = "how long clients ask for" + " each seed, seconds (default ${DEFAULT-VALUE})")
+            description = "duration of the load for" + " each seed, seconds (default ${DEFAULT-VALUE})")
     private int lengthS;
 
     @Option(
             names = "--also-listed",
             paramLabel = "N",
             defaultValue = "0",
-            description = "draining servers that lists name"
-                    + " besides: thousands make them long (default ${DEFAULT-VALUE})")
+            description = "additional draining servers in the"
+                    + " lists; thousands make the lists long (default ${DEFAULT-VALUE})")
     private int alsoListed;
 
     @Option(
@@ -73,7 +73,7 @@
     @Option(
             names = "--report",
             paramLabel = "DIR",
-            description = "for scenarios, configurations and logs (default: a new" + " folder for temporary files)")
+            description = "directory for scenarios, configurations and logs (default: a new" + " temporary directory)")
     private Path report;
 
     @Override
@@ -82,23 +82,23 @@
         try {
             soak = new Soak(
                     new Soak.Plan(instances, lengthS, alsoListed),
-                    Kit.command(daemon),
+                    Kit.daemonCommand(daemon),
                     Path.of("").toAbsolutePath(),
                     line -> {});
         } catch (IllegalArgumentException e) {
             throw new BadFileException("kit soak: " + e.getMessage());
         }
-        Path folder = report != null ? report : Files.createTempDirectory("soak");
+        Path directory = report != null ? report : Files.createTempDirectory("soak");
         List<Long> failed = new ArrayList<>();
         boolean busy = false;
-        for (long seed : range(seeds)) {
-            Soak.Played played = soak.play(seed, folder.resolve("seed-" + seed));
-            if (played.tooBusy()) {
+        for (long seed : parseSeeds(seeds)) {
+            Soak.Played result = soak.play(seed, directory.resolve("seed-" + seed));
+            if (result.tooBusy()) {
                 busy = true;
-            } else if (!played.failures().isEmpty()) {
+            } else if (!result.failures().isEmpty()) {
                 failed.add(seed);
             }
-            say(played);
+            print(result);
         }
         if (!failed.isEmpty()) {
             PrintWriter out = spec.commandLine().getOut();
@@ -108,42 +108,42 @@
                     instances,
                     lengthS,
                     alsoListed,
-                    folder);
+                    directory);
             out.flush();
         }
-        return !failed.isEmpty() ? CommandLine.RULE_BROKEN : busy ? Kit.TOO_BUSY : CommandLine.KEPT;
+        return !failed.isEmpty() ? CommandLine.VIOLATION : busy ? Kit.TOO_BUSY : CommandLine.SUCCESS;
     }
 
-    private void say(Soak.Played played) {
+    private void print(Soak.Played result) {
         PrintWriter out = spec.commandLine().getOut();
-        List<String> failures = played.failures();
-        String verdict = played.tooBusy()
+        List<String> failures = result.failures();
+        String verdict = result.tooBusy()
                 ? "not judged, the machine was too busy"
                 : failures.isEmpty() ? "kept" : failures.size() + " failures";
-        long served = played.rehearsal().sockets() == null
+        long served = result.rehearsal().sockets() == null
                 ? 0
-                : played.rehearsal().sockets().service().tries().getOrDefault("served", 0L);
-        out.printf(Locale.ROOT, "seed %d: %s; %d tries served%n", played.seed(), verdict, served);
-        failures.stream().limit(MOST_PRINTED).forEach(f -> out.println("  " + f));
+                : result.rehearsal().sockets().service().tries().getOrDefault("served", 0L);
+        out.printf(Locale.ROOT, "seed %d: %s; %d tries served%n", result.seed(), verdict, served);
+        failures.stream().limit(MAX_FAILURES_PRINTED).forEach(failure -> out.println("  " + failure));
         out.flush();
     }
 
-    /** One seed, or all from the first to the last. */
-    private static List<Long> range(String text) throws BadFileException {
+    /** Parses a single seed or a range of seeds. */
+    private static List<Long> parseSeeds(String text) throws BadFileException {
         String[] ends = text.split("\\.\\.", 2);
         try {
             long first = Long.parseLong(ends[0].strip());
             long last = Long.parseLong(ends[ends.length - 1].strip());
             if (first > last) {
-                throw new BadFileException("kit soak: --seeds: " + text + " is turned round");
+                throw new BadFileException("kit soak: --seeds: " + text + ": the lower bound exceeds the upper bound");
             }
-            List<Long> all = new ArrayList<>();
+            List<Long> seeds = new ArrayList<>();
             for (long seed = first; seed <= last; seed++) {
-                all.add(seed);
+                seeds.add(seed);
             }
-            return all;
+            return seeds;
         } catch (NumberFormatException e) {
-            throw new BadFileException("kit soak: --seeds: '" + text + "' is no number or range, as 1..20");
+            throw new BadFileException("kit soak: --seeds: '" + text + "' is not a number or range, such as 1..20");
         }
     }
 }
--- a/src/main/java/mulleinfront/cli/package-info.java
+++ b/src/main/java/mulleinfront/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line, on picocli: all words but {@code serve} and {@code benchlink}, which start without it since
- * their starts are measured. On top of everything; nothing imports it but the program's entry.
+ * The command line, based on picocli. {@code serve} and {@code benchlink} start without it, because their start-up time
+ * matters. Only the program's entry point depends on this package.
  */
 package mulleinfront.cli;
--- a/src/main/java/mulleinfront/settings/BadFileException.java
+++ b/src/main/java/mulleinfront/settings/BadFileException.java
@@ -1,6 +1,6 @@
 package mulleinfront.settings;
 
-/** A file that can't be taken as it is written: one line with file, line and reason. */
+/** An input file is missing, malformed or invalid; the message is one line with file, line and reason. */
 public final class BadFileException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/mulleinfront/settings/Config.java
+++ b/src/main/java/mulleinfront/settings/Config.java
@@ -11,24 +11,24 @@
 import mulleinfront.Balancer.Settings;
 
 /**
- * What a client proxy is told at its start.
+ * The start-up configuration of a client proxy.
  *
- * @param listen where clients connect
- * @param management where operators call; null if nowhere
- * @param discovery where lists of hosts come from
- * @param seed seed of the module's random numbers
- * @param settings what the module is told
- * @param zones names of the zones, by number
- * @param kinds names of the kinds of machine, by number
- * @param tenants names of the tenants, by number
- * @param cores part of the machine's cores that the platform allows the process
- * @param requestsPerS requests a second that all tenants together may send to this instance, by their shares; 0 if the
- *        settings do not say
- * @param limit descriptors that the platform allows the process
- * @param sockets descriptors that this client proxy may hold
- * @param dialTimeoutUs time within which a connection must have come up
- * @param known the list of hosts as last held, perhaps old; null if there is none
- * @param fleet the file that makes it a member of a fleet; null: it is none
+ * @param listen address that clients connect to
+ * @param management address of the management endpoint; null to disable it
+ * @param discovery address of the discovery service
+ * @param seed seed of the balancer's random numbers
+ * @param settings settings of the balancer
+ * @param zones zone names, indexed by zone number
+ * @param kinds server type names, indexed by type number
+ * @param tenants tenant names, indexed by tenant number
+ * @param cores number of cores, possibly fractional, that the platform grants the process
+ * @param requestsPerS requests per second that all tenants together may send to this instance; 0 if the settings give
+ *        no allowances
+ * @param descriptorLimit file descriptors that the platform grants the process
+ * @param maxSockets file descriptors that this client proxy may use
+ * @param dialTimeoutUs timeout for establishing a connection, microseconds
+ * @param lastKnownList the last endpoint list the platform has, possibly outdated; null if there is none
+ * @param fleetFile path of the fleet file; null if this proxy is not a member of a fleet
  */
 public record Config(
         InetSocketAddress listen,
@@ -41,21 +41,25 @@
         List<String> tenants,
         double cores,
         double requestsPerS,
-        int limit,
+        int descriptorLimit,
         int sockets,
         long dialTimeoutUs,
         Listing known,
         String fleet) {
 
-    /** What the program is sized for as deployed; a lower limit is kept, a higher one used only by {@link ProcessSettings}. */
-    private static final int MOST_SOCKETS = 1024;
-    /** Seeds of loops differ by this, as those of {@link java.util.SplittableRandom} do. */
-    private static final long SEED_STEP = 0x9e3779b97f4a7c15L;
+    /**
+     * Descriptors of the default deployment. A lower platform limit is respected; a higher one is used only through
+     * {@link ProcessSettings}.
+     */
+    private static final int DEPLOYED_SOCKETS = 1024;
+    /** Distance between the seeds of two event loops: the golden gamma of {@link java.util.SplittableRandom}. */
+    private static final long LOOP_SEED_STEP = 0x9e3779b97f4a7c15L;
 
     /**
-     * Reads the file that {@code NODE_CONFIG} names.
+     * Reads a configuration file.
      *
-     * @throws IOException saying which file, which key and what is wrong with it
+     * @param path the value of {@code NODE_CONFIG}; null if the variable is not set
+     * @throws IOException whose message names the file, the key and the reason
      */
     public static Config load(String path) throws IOException {
         if (path == null) {
@@ -81,8 +85,8 @@
         InetSocketAddress management = null;
         InetSocketAddress discovery = null;
         String seed = null;
-        Listing known = null;
-        String fleet = null;
+        Listing lastKnownList = null;
+        String fleetFile = null;
         Limits limits = Limits.NONE;
         SettingsReader settings = null;
         try (JsonParser in = Listing.JSON.createParser(json)) {
@@ -99,37 +103,37 @@
                     case "management" -> management = Listing.address(in.getText());
                     case "discovery" -> discovery = Listing.address(in.getText());
                     case "seed" -> seed = in.getText();
-                    case "limits" -> limits = limits(in);
-                    case "known" -> known = Listing.read(in);
-                    case "fleet" -> fleet = in.getText();
+                    case "limits" -> limits = readLimits(in);
+                    case "known" -> lastKnownList = Listing.read(in);
+                    case "fleet" -> fleetFile = in.getText();
                     case "settings" -> settings = SettingsReader.read(in);
                     default -> in.skipChildren();
                 }
             }
         }
-        need(listen, "listen");
-        need(discovery, "discovery");
-        need(settings, "settings");
-        need(seed, "seed");
+        requirePresent(listen, "listen");
+        requirePresent(discovery, "discovery");
+        requirePresent(settings, "settings");
+        requirePresent(seed, "seed");
         return new Config(
                 listen,
                 management,
                 discovery,
-                seed(seed),
+                parseSeed(seed),
                 settings.toSettings(),
                 settings.names("azs"),
                 settings.names("kinds"),
-                settings.tenants(),
+                settings.tenantNames(),
                 limits.cores(),
                 settings.requestsPerS(),
                 limits.sockets(),
-                Math.min(MOST_SOCKETS, limits.sockets()),
+                Math.min(DEPLOYED_SOCKETS, limits.sockets()),
                 settings.dialTimeoutUs(),
-                known,
-                fleet);
+                lastKnownList,
+                fleetFile);
     }
 
-    /** The same on another port. */
+    /** Returns a copy of this configuration that listens on another port. */
     public Config on(int port) {
         return new Config(
                 new InetSocketAddress(listen.getAddress(), port),
@@ -142,41 +146,44 @@
                 tenants,
                 cores,
                 requestsPerS,
-                limit,
+                descriptorLimit,
                 sockets,
                 dialTimeoutUs,
                 known,
                 fleet);
     }
 
-    /** One of several client proxies in a process, each an instance to the module. */
-    Config part(int number, int of, int itsSockets) {
-        int me = settings.instanceNumber() < 0 ? -1 : settings.instanceNumber() * of + number;
-        Settings shared = settings.forInstance(me, settings.instances() * of);
+    /**
+     * Returns the configuration of one event loop. Each loop runs a client proxy of its own and counts as a separate
+     * balancer instance, with its own seed and its share of the request allowance.
+     */
+    Config forLoop(int loop, int loops, int loopSockets) {
+        int instanceNumber = settings.instanceNumber() < 0 ? -1 : settings.instanceNumber() * loops + loop;
+        Settings loopSettings = settings.forInstance(instanceNumber, settings.instances() * loops);
         return new Config(
                 listen,
                 management,
                 discovery,
-                seed + number * SEED_STEP,
-                shared,
+                seed + loop * LOOP_SEED_STEP,
+                loopSettings,
                 zones,
                 kinds,
                 tenants,
                 cores,
-                requestsPerS / of,
-                limit,
-                itsSockets,
+                requestsPerS / loops,
+                descriptorLimit,
+                loopSockets,
                 dialTimeoutUs,
                 known,
                 fleet);
     }
 
-    /** What the platform allows the process. */
+    /** Resource limits that the platform sets for the process. */
     private record Limits(double cores, int sockets) {
-        private static final Limits NONE = new Limits(1, MOST_SOCKETS);
+        private static final Limits NONE = new Limits(1, DEPLOYED_SOCKETS);
     }
 
-    private static Limits limits(JsonParser in) throws IOException {
+    private static Limits readLimits(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
             throw new IOException("configuration: limits must be an object");
         }
@@ -199,7 +206,7 @@
         return limits;
     }
 
-    private static long seed(String hex) throws IOException {
+    private static long parseSeed(String hex) throws IOException {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
@@ -207,15 +214,15 @@
         }
     }
 
-    /** One plain line that says what went wrong. */
-    public static String rootCauseMessage(Exception e) {
-        String text = e instanceof JsonProcessingException j
-                ? "malformed input: " + j.getOriginalMessage()
-                : String.valueOf(e.getMessage());
-        return text.replace('\n', ' ');
+    /** Returns the message of an exception on a single line; JSON errors are marked as malformed input. */
+    public static String rootCauseMessage(Exception exception) {
+        String message = exception instanceof JsonProcessingException jsonException
+                ? "malformed input: " + jsonException.getOriginalMessage()
+                : String.valueOf(exception.getMessage());
+        return message.replace('\n', ' ');
     }
 
-    private static void need(Object value, String name) throws IOException {
+    private static void requirePresent(Object value, String name) throws IOException {
         if (value == null) {
             throw new IOException("configuration: " + name + " is missing");
         }
