--- a/src/main/java/mulleinfront/settings/ControlFile.java
+++ b/src/main/java/mulleinfront/settings/ControlFile.java
@@ -13,112 +13,125 @@
 import mulleinfront.config.SubscriberSettings;
 
 /**
- * Where the control machines are, how they hand the configuration out and how client proxies follow them.
- * Read only where that is switched on.
+ * The control-plane file: addresses of the control-plane nodes, settings of the configuration server and settings of
+ * the subscribers. It is read only where the control plane is enabled.
  *
- * @param machines all of them, in one order for everybody
- * @param handout how they hand out
- * @param follow how a client proxy follows
- * @param state folder in which a client proxy keeps the last good version, {@code %n} its name; null: it
- *        keeps none
- * @param events file of a control machine's event log, {@code %n} its name; null: none is kept
+ * @param nodes all control-plane nodes, in the same order in every process
+ * @param publisher settings of the configuration server
+ * @param subscriber settings of a configuration subscriber
+ * @param cacheDirectory directory of a client proxy's cached copy of the last good version, with {@code %n} for the
+ *        proxy's name; null to cache nothing
+ * @param eventLogFile file of a control-plane node's event log, with {@code %n} for the node's name; null to write none
  */
 public record ControlFile(
-        List<Machine> machines, PublisherSettings handout, SubscriberSettings follow, String state, String events) {
+        List<Machine> machines,
+        PublisherSettings publisher,
+        SubscriberSettings follow,
+        String state,
+        String eventLogFile) {
 
     /**
-     * One control machine.
+     * One control-plane node.
      *
-     * @param name its own, never given to another
-     * @param consensus where the other control machines reach it
-     * @param door where client proxies and operators do
+     * @param name unique name, never reused for another node
+     * @param consensus address for the other replicas
+     * @param clientAddress address for client proxies and operators
      */
     public record Machine(String name, InetSocketAddress consensus, InetSocketAddress clientAddress) {}
 
-    /** Reads such a file; whatever can't be gone by is said with file, line and reason. */
+    /**
+     * Reads and validates a control-plane file.
+     *
+     * @throws BadFileException naming file, line and reason
+     */
     public static ControlFile load(Path file) throws BadFileException {
-        Section root = Section.root(file.toString(), text(file), null);
-        List<Machine> machines = new ArrayList<>();
+        Section root = Section.root(file.toString(), readFile(file), null);
+        List<Machine> nodes = new ArrayList<>();
         Set<Object> seen = new HashSet<>();
-        for (Section s : root.tables("machine")) {
-            String name = s.text("name", null);
+        for (Section section : root.tables("machine")) {
+            String name = section.text("name", null);
             if (!name.matches("[A-Za-z0-9._-]{1,64}")) {
-                throw s.wrong("name", "must have 1 to 64 letters, digits, '.', '_' or '-'");
+                throw section.wrong("name", "must have 1 to 64 letters, digits, '.', '_' or '-'");
             }
-            Machine m = new Machine(name, address(s, "consensus"), address(s, "door"));
+            Machine node = new Machine(name, readAddress(section, "consensus"), readAddress(section, "door"));
             if (!seen.add(name)) {
-                throw s.wrong("name", "there is another machine " + name);
+                throw section.wrong("name", "there is another machine " + name);
             }
-            if (!seen.add(m.consensus())) {
-                throw s.wrong("consensus", "something else has this address");
+            if (!seen.add(node.consensus())) {
+                throw section.wrong("consensus", "something else has this address");
             }
-            if (!seen.add(m.clientAddress())) {
-                throw s.wrong("door", "something else has this address");
+            if (!seen.add(node.clientAddress())) {
+                throw section.wrong("door", "something else has this address");
             }
-            s.done();
-            machines.add(m);
+            section.done();
+            nodes.add(node);
         }
-        if (machines.size() != 3) {
-            throw root.wrong("machine", "there must be three [[machine]], not " + machines.size());
+        if (nodes.size() != 3) {
+            throw root.wrong("machine", "there must be three [[machine]], not " + nodes.size());
         }
-        PublisherSettings handout = handout(root.table("handout"));
-        SubscriberSettings follow = follow(root.table("follow"), machines.size(), handout.heartbeatUs());
-        String state = root.text("state", "");
-        String events = root.text("events", "");
+        PublisherSettings publisher = readPublisherSettings(root.table("handout"));
+        SubscriberSettings subscriber =
+                readSubscriberSettings(root.table("follow"), nodes.size(), publisher.heartbeatUs());
+        String cacheDirectory = root.text("state", "");
+        String eventLogFile = root.text("events", "");
         root.done();
         return new ControlFile(
-                List.copyOf(machines),
-                handout,
-                follow,
-                state.isEmpty() ? null : state,
-                events.isEmpty() ? null : events);
+                List.copyOf(nodes),
+                publisher,
+                subscriber,
+                cacheDirectory.isEmpty() ? null : cacheDirectory,
+                eventLogFile.isEmpty() ? null : eventLogFile);
     }
 
-    private static PublisherSettings handout(Section s) throws BadFileException {
-        PublisherSettings usual = PublisherSettings.DEFAULTS;
-        long heartbeat = within(s, "heartbeat", usual.heartbeatUs(), 50_000, 60_000_000);
-        double rate = s.rate("bytes", (double) usual.bytesPerS());
-        if (rate < 1_000 || rate > 10_000_000) {
-            throw s.wrong("bytes", "must be from 1000/s to 10000000/s");
+    private static PublisherSettings readPublisherSettings(Section section) throws BadFileException {
+        PublisherSettings defaults = PublisherSettings.DEFAULTS;
+        long heartbeat = timeWithin(section, "heartbeat", defaults.heartbeatUs(), 50_000, 60_000_000);
+        double bytesPerS = section.rate("bytes", (double) defaults.bytesPerS());
+        if (bytesPerS < 1_000 || bytesPerS > 10_000_000) {
+            throw section.wrong("bytes", "must be from 1000/s to 10000000/s");
         }
-        int burst = s.count("burst", usual.burst(), 1_200);
-        long silent = within(s, "reader-silence", usual.subscriberTimeoutUs(), heartbeat, 3_600_000_000L);
-        long patience = within(s, "reader-patience", usual.sendTimeoutUs(), 1_000_000, 3_600_000_000L);
-        int readers = s.count("readers", usual.maxSubscribers(), 1);
-        s.done();
-        return new PublisherSettings(heartbeat, (int) rate, burst, silent, patience, readers);
+        int burst = section.count("burst", defaults.burst(), 1_200);
+        long subscriberTimeout =
+                timeWithin(section, "reader-silence", defaults.subscriberTimeoutUs(), heartbeat, 3_600_000_000L);
+        long sendTimeout = timeWithin(section, "reader-patience", defaults.sendTimeoutUs(), 1_000_000, 3_600_000_000L);
+        int maxSubscribers = section.count("readers", defaults.maxSubscribers(), 1);
+        section.done();
+        return new PublisherSettings(heartbeat, (int) bytesPerS, burst, subscriberTimeout, sendTimeout, maxSubscribers);
     }
 
-    private static SubscriberSettings follow(Section s, int machines, long heartbeatUs) throws BadFileException {
-        SubscriberSettings usual = SubscriberSettings.defaults(machines);
-        long silence = within(s, "silence", usual.silenceUs(), 2 * heartbeatUs, 3_600_000_000L);
-        long connect = within(s, "connect", usual.connectUs(), 10_000, silence);
-        long spread = within(s, "spread", usual.spreadUs(), 1_000, 60_000_000);
-        long retry = within(s, "retry", usual.retryUs(), 1_000, 60_000_000);
-        long mostRetry = within(s, "retry-most", Math.max(retry, usual.mostRetryUs()), retry, 3_600_000_000L);
-        long behind = within(s, "behind", usual.behindUs(), 1_000, 60_000_000);
-        long report = within(s, "report", usual.reportUs(), 50_000, 60_000_000);
-        s.done();
-        return new SubscriberSettings(machines, silence, connect, spread, retry, mostRetry, behind, report);
+    private static SubscriberSettings readSubscriberSettings(Section section, int nodes, long heartbeatUs)
+            throws BadFileException {
+        SubscriberSettings defaults = SubscriberSettings.defaults(nodes);
+        long idleTimeout = timeWithin(section, "silence", defaults.silenceUs(), 2 * heartbeatUs, 3_600_000_000L);
+        long connectTimeout = timeWithin(section, "connect", defaults.connectUs(), 10_000, idleTimeout);
+        long spread = timeWithin(section, "spread", defaults.spreadUs(), 1_000, 60_000_000);
+        long retry = timeWithin(section, "retry", defaults.retryUs(), 1_000, 60_000_000);
+        long maxRetry =
+                timeWithin(section, "retry-most", Math.max(retry, defaults.mostRetryUs()), retry, 3_600_000_000L);
+        long behind = timeWithin(section, "behind", defaults.behindUs(), 1_000, 60_000_000);
+        long report = timeWithin(section, "report", defaults.reportUs(), 50_000, 60_000_000);
+        section.done();
+        return new SubscriberSettings(nodes, idleTimeout, connectTimeout, spread, retry, maxRetry, behind, report);
     }
 
-    private static long within(Section s, String key, long absent, long least, long most) throws BadFileException {
-        long us = s.time(key, absent);
-        if (us < least || us > most) {
-            throw s.wrong(key, "must be from " + least / 1_000 + "ms to " + most / 1_000 + "ms");
+    private static long timeWithin(Section section, String key, long defaultUs, long minUs, long maxUs)
+            throws BadFileException {
+        long us = section.time(key, defaultUs);
+        if (us < minUs || us > maxUs) {
+            throw section.wrong(key, "must be from " + minUs / 1_000 + "ms to " + maxUs / 1_000 + "ms");
         }
         return us;
     }
 
-    private static InetSocketAddress address(Section s, String key) throws BadFileException {
+    private static InetSocketAddress readAddress(Section section, String key) throws BadFileException {
         try {
-            return Listing.address(s.text(key, null));
+            return Listing.address(section.text(key, null));
         } catch (IOException e) {
-            throw s.wrong(key, e.getMessage());
+            throw section.wrong(key, e.getMessage());
         }
     }
 
-    static String text(Path file) throws BadFileException {
+    static String readFile(Path file) throws BadFileException {
         try {
             return Files.readString(file);
         } catch (NoSuchFileException e) {
--- a/src/main/java/mulleinfront/settings/DifferenceLine.java
+++ b/src/main/java/mulleinfront/settings/DifferenceLine.java
@@ -16,32 +16,35 @@
 import mulleinfront.config.Version;
 import mulleinfront.config.VersionMismatchException;
 
-/** Differences as a line of JSON: on a watch, and over nothing as the copy that a client proxy keeps. */
+/**
+ * Reads and writes a configuration delta as one line of JSON. Watches carry deltas in this form, and a client proxy's
+ * cached copy is a delta from the empty version.
+ */
 public final class DifferenceLine {
     private DifferenceLine() {}
 
-    /** A line with its end. */
-    public static byte[] write(Difference d) {
+    /** Returns the delta as JSON, ending with a line feed. */
+    public static byte[] write(Difference delta) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (JsonGenerator out = Listing.JSON.createGenerator(bytes)) {
             out.writeStartObject();
-            out.writeNumberField("from", d.from());
-            out.writeNumberField("to", d.to());
+            out.writeNumberField("from", delta.from());
+            out.writeNumberField("to", delta.to());
             out.writeObjectFieldStart("changed");
-            for (Map.Entry<String, String> e : d.changed().entrySet()) {
-                out.writeStringField(e.getKey(), e.getValue());
+            for (Map.Entry<String, String> entry : delta.changed().entrySet()) {
+                out.writeStringField(entry.getKey(), entry.getValue());
             }
             out.writeEndObject();
-            if (!d.removed().isEmpty()) {
+            if (!delta.removed().isEmpty()) {
                 out.writeArrayFieldStart("removed");
-                for (String key : d.removed()) {
+                for (String key : delta.removed()) {
                     out.writeString(key);
                 }
                 out.writeEndArray();
             }
-            out.writeStringField("why", d.why());
-            out.writeNumberField("at_ms", d.decidedAtMillis());
-            out.writeStringField("checksum", Long.toHexString(d.checksum()));
+            out.writeStringField("why", delta.why());
+            out.writeNumberField("at_ms", delta.decidedAtMillis());
+            out.writeStringField("checksum", Long.toHexString(delta.checksum()));
             out.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -50,7 +53,7 @@
         return bytes.toByteArray();
     }
 
-    /** Reads an object whose first field the parser stands on. */
+    /** Reads the rest of an object; the parser is at the name of its first field. */
     static Difference read(JsonParser in) throws IOException {
         long from = -1;
         long to = -1;
@@ -65,7 +68,7 @@
             switch (name) {
                 case "from" -> from = in.getLongValue();
                 case "to" -> to = in.getLongValue();
-                case "changed" -> entries(in, changed);
+                case "changed" -> readEntries(in, changed);
                 case "removed" -> {
                     while (in.nextToken() == JsonToken.VALUE_STRING) {
                         removed.add(in.getText());
@@ -78,12 +81,12 @@
             }
         }
         if (from < 0 || to <= from || checksum == null) {
-            throw new IOException("a difference without from, to or checksum");
+            throw new IOException("delta lacks from, to or checksum, or to does not exceed from");
         }
         return new Difference(from, to, changed, removed, why, atMillis, checksum(checksum));
     }
 
-    static void entries(JsonParser in, SortedMap<String, String> into) throws IOException {
+    static void readEntries(JsonParser in, SortedMap<String, String> into) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
             throw new IOException("entries must be an object");
         }
@@ -96,46 +99,46 @@
         }
     }
 
-    /** A checksum as it is written. */
+    /** Parses a checksum, which is written as a hexadecimal number. */
     public static long checksum(String hex) throws IOException {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
-            throw new IOException("a checksum of other than hex digits: " + hex, e);
+            throw new IOException("checksum must be hexadecimal: " + hex, e);
         }
     }
 
-    /** Reads one line. */
+    /** Reads a delta from one line, which must contain nothing else. */
     public static Difference read(byte[] line) throws IOException {
         try (JsonParser in = Listing.JSON.createParser(line)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("not an object");
             }
             in.nextToken();
-            Difference d = read(in);
+            Difference delta = read(in);
             if (in.nextToken() != null) {
-                throw new IOException("text after the difference");
+                throw new IOException("unexpected text after the delta");
             }
-            return d;
+            return delta;
         }
     }
 
     /**
-     * Reads a version that was kept as a difference over nothing.
+     * Reads a cached version, which is stored as a delta from the empty version.
      *
-     * @throws IOException if it is not whole
+     * @throws IOException if the file is truncated, malformed or fails its checksum
      */
     public static Version kept(byte[] file) throws IOException {
         try {
-            // The end of the line is written last.
+            // The line feed is written last, so a file without it is truncated.
             if (file.length == 0 || file[file.length - 1] != '\n') {
-                throw new IOException("it is cut off");
+                throw new IOException("the cached copy is truncated");
             }
-            Difference d = read(file);
-            if (!d.isWhole()) {
-                throw new IOException("it is not a whole version");
+            Difference delta = read(file);
+            if (!delta.isWhole()) {
+                throw new IOException("the cached copy is not a complete version");
             }
-            return d.on(Version.NONE);
+            return delta.on(Version.NONE);
         } catch (JsonProcessingException | VersionMismatchException e) {
             throw new IOException(Config.rootCauseMessage(e), e);
         }
--- a/src/main/java/mulleinfront/settings/FleetConfiguration.java
+++ b/src/main/java/mulleinfront/settings/FleetConfiguration.java
@@ -14,91 +14,101 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/** The configuration of the whole fleet: the operators' file, and what may be in it. */
+/**
+ * The fleet-wide configuration: reads the operators' TOML file into a flat map with dotted keys, and validates it.
+ */
 public final class FleetConfiguration {
-    /** Where all client proxies ask for hosts, in place of what each was told at its start. */
-    public static final String DISCOVERY = "discovery";
-    /** Characters of all keys and values together: what one that starts with nothing can be sent in 6 s. */
-    public static final int MOST_CHARACTERS = 36_000;
+    /** Key of the discovery address; it overrides the address in each client proxy's start-up configuration. */
+    public static final String DISCOVERY_KEY = "discovery";
+    /** Limit on the characters of all keys and values together: a new subscriber receives this much within 6 s. */
+    public static final int MAX_TOTAL_CHARACTERS = 36_000;
 
-    private static final int MOST_KEYS = 5_000;
-    private static final int LONGEST_VALUE = 4_096;
-    private static final Pattern KEY = Pattern.compile("[A-Za-z0-9_-]+(\\.[A-Za-z0-9_-]+)*");
-    private static final int LONGEST_KEY = 200;
+    private static final int MAX_KEYS = 5_000;
+    private static final int MAX_VALUE_CHARACTERS = 4_096;
+    private static final Pattern KEY_PATTERN = Pattern.compile("[A-Za-z0-9_-]+(\\.[A-Za-z0-9_-]+)*");
+    private static final int MAX_KEY_CHARACTERS = 200;
 
     private FleetConfiguration() {}
 
-    /** Reads an operators' file; whatever can't be gone by is said with file, line and reason. */
+    /**
+     * Reads and validates an operators' file.
+     *
+     * @throws BadFileException naming file, line and reason
+     */
     public static SortedMap<String, String> load(Path file) throws BadFileException {
-        return read(file.toString(), ControlFile.text(file));
+        return parse(file.toString(), ControlFile.readFile(file));
     }
 
-    static SortedMap<String, String> read(String file, String text) throws BadFileException {
+    static SortedMap<String, String> parse(String file, String text) throws BadFileException {
         TomlParseResult parsed = Toml.parse(text);
         if (parsed.hasErrors()) {
             TomlParseError first = parsed.errors().get(0);
             throw new BadFileException(file + ":" + first.position().line() + ": "
                     + first.getMessage().replace('\n', ' '));
         }
-        Flattened all = new Flattened(file);
-        all.table("", parsed);
-        String wrong = wrong(all.entries);
-        if (wrong != null) {
-            throw new BadFileException(file + ": " + wrong);
+        EntryCollector collector = new EntryCollector(file);
+        collector.addTable("", parsed);
+        String error = validationError(collector.entries);
+        if (error != null) {
+            throw new BadFileException(file + ": " + error);
         }
-        return all.entries;
+        return collector.entries;
     }
 
-    /** Dotted keys of nested tables and lists. */
-    private static final class Flattened {
+    /** Collects nested tables and arrays as entries with dotted keys; array elements are keyed by index. */
+    private static final class EntryCollector {
         final String file;
         final SortedMap<String, String> entries = new TreeMap<>();
 
-        Flattened(String file) {
+        EntryCollector(String file) {
             this.file = file;
         }
 
-        void table(String prefix, TomlTable table) throws BadFileException {
+        void addTable(String prefix, TomlTable table) throws BadFileException {
             for (String name : table.keySet()) {
-                TomlPosition at = table.inputPositionOf(List.of(name));
-                int line = at == null ? 1 : at.line();
+                TomlPosition position = table.inputPositionOf(List.of(name));
+                int line = position == null ? 1 : position.line();
                 if (name.indexOf('.') >= 0) {
                     throw new BadFileException(file + ":" + line + ": " + prefix + name
                             + ": a name with a dot in it can't be told from two");
                 }
-                value(prefix + name, table.get(List.of(name)), line);
+                addValue(prefix + name, table.get(List.of(name)), line);
             }
         }
 
-        private void value(String key, Object value, int line) throws BadFileException {
-            if (value instanceof TomlTable t) {
-                table(key + ".", t);
-            } else if (value instanceof TomlArray a) {
-                for (int i = 0; i < a.size(); i++) {
-                    value(key + "." + i, a.get(i), a.inputPositionOf(i).line());
+        private void addValue(String key, Object value, int line) throws BadFileException {
+            if (value instanceof TomlTable table) {
+                addTable(key + ".", table);
+            } else if (value instanceof TomlArray array) {
+                for (int i = 0; i < array.size(); i++) {
+                    addValue(
+                            key + "." + i,
+                            array.get(i),
+                            array.inputPositionOf(i).line());
                 }
             } else {
-                String wrong = wrong(key, String.valueOf(value));
-                if (wrong != null) {
-                    throw new BadFileException(file + ":" + line + ": " + key + ": " + wrong);
+                String error = validationError(key, String.valueOf(value));
+                if (error != null) {
+                    throw new BadFileException(file + ":" + line + ": " + key + ": " + error);
                 }
                 entries.put(key, String.valueOf(value));
             }
         }
     }
 
-    /** What is wrong with one entry; null: nothing. */
-    private static String wrong(String key, String value) {
-        if (key.length() > LONGEST_KEY || !KEY.matcher(key).matches()) {
-            return "a key has letters, digits, '_' and '-', with dots between its parts, " + LONGEST_KEY + " at most";
+    /** Returns the reason why one entry is invalid, or null if it is valid. */
+    private static String validationError(String key, String value) {
+        if (key.length() > MAX_KEY_CHARACTERS || !KEY_PATTERN.matcher(key).matches()) {
+            return "a key has letters, digits, '_' and '-', with dots between its parts, " + MAX_KEY_CHARACTERS
+                    + " at most";
         }
-        if (value.length() > LONGEST_VALUE) {
-            return "a value has " + LONGEST_VALUE + " characters at most, not " + value.length();
+        if (value.length() > MAX_VALUE_CHARACTERS) {
+            return "a value has " + MAX_VALUE_CHARACTERS + " characters at most, not " + value.length();
         }
         if (value.chars().anyMatch(c -> Character.isSurrogate((char) c))) {
             return "a character beyond U+FFFF";
         }
-        if (key.equals(DISCOVERY)) {
+        if (key.equals(DISCOVERY_KEY)) {
             try {
                 Listing.address(value);
             } catch (IOException e) {
@@ -108,21 +118,21 @@
         return null;
     }
 
-    /** What is wrong with a whole configuration, as it came from somewhere; null: nothing. */
-    public static String wrong(SortedMap<String, String> entries) {
-        if (entries.size() > MOST_KEYS) {
-            return MOST_KEYS + " keys at most, not " + entries.size();
+    /** Returns the reason why a configuration is invalid, or null if it is valid. */
+    public static String validationError(SortedMap<String, String> entries) {
+        if (entries.size() > MAX_KEYS) {
+            return MAX_KEYS + " keys at most, not " + entries.size();
         }
         int characters = 0;
-        for (Map.Entry<String, String> e : entries.entrySet()) {
-            String wrong = wrong(e.getKey(), e.getValue());
-            if (wrong != null) {
-                return e.getKey() + ": " + wrong;
+        for (Map.Entry<String, String> entry : entries.entrySet()) {
+            String error = validationError(entry.getKey(), entry.getValue());
+            if (error != null) {
+                return entry.getKey() + ": " + error;
             }
-            characters += e.getKey().length() + e.getValue().length();
+            characters += entry.getKey().length() + entry.getValue().length();
         }
-        return characters <= MOST_CHARACTERS
+        return characters <= MAX_TOTAL_CHARACTERS
                 ? null
-                : "keys and values have " + MOST_CHARACTERS + " characters at most, not " + characters;
+                : "keys and values have " + MAX_TOTAL_CHARACTERS + " characters at most, not " + characters;
     }
 }
--- a/src/main/java/mulleinfront/settings/FleetFile.java
+++ b/src/main/java/mulleinfront/settings/FleetFile.java
@@ -15,43 +15,45 @@
 import mulleinfront.fleet.FleetSettings;
 
 /**
- * How a client proxy is a member of a fleet: what the operators' file says for all, and what the configuration says of
- * this one. Read only where a fleet is switched on.
+ * The fleet membership settings of one client proxy: the operators' fleet file, which all members share, combined with
+ * the member's own start-up configuration. It is read only where fleet membership is enabled.
  *
- * @param figures what to go by
- * @param listen where datagrams come
- * @param peers addresses of all members, by number, as this one sees them
- * @param events file of the event log; null: none is kept
+ * @param settings settings of the membership protocol
+ * @param listen address for datagrams
+ * @param peers addresses of all members as this member reaches them, indexed by member number
+ * @param eventLog file of the event log; null to write none
  */
 public record FleetFile(FleetSettings figures, InetSocketAddress listen, List<InetSocketAddress> peers, Path events) {
-    private static final long LEAST_PERIOD_US = 20_000;
-    private static final long MOST_PERIOD_US = 60_000_000;
-    private static final Pattern NAME = Pattern.compile("[!-~]{1,32}");
+    private static final long MIN_PERIOD_US = 20_000;
+    private static final long MAX_PERIOD_US = 60_000_000;
+    private static final Pattern NAME_PATTERN = Pattern.compile("[!-~]{1,32}");
 
-    /** What the configuration says of one member. */
-    private record Place(String name, int number, InetSocketAddress listen, List<InetSocketAddress> peers) {}
+    /** The fields of a member's start-up configuration that fleet membership uses. */
+    private record LocalMember(String name, int number, InetSocketAddress listen, List<InetSocketAddress> peers) {}
 
     /**
-     * Reads both.
+     * Reads the fleet file and the start-up configuration of one member.
      *
-     * @param file the operators', as {@code deploy/fleet.toml}
-     * @param config the configuration, JSON
-     * @throws BadFileException saying file, line and reason
-     * @throws IOException saying what is wrong with the configuration
+     * @param file the operators' fleet file, such as {@code deploy/fleet.toml}
+     * @param config the member's start-up configuration, JSON
+     * @throws BadFileException naming file, line and reason
+     * @throws IOException if the start-up configuration is invalid
      */
     public static FleetFile load(Path file, byte[] config) throws BadFileException, IOException {
-        Section root = Section.root(file.toString(), text(file), null);
-        Place place = place(config);
-        return read(root, place);
+        Section root = Section.root(file.toString(), readFile(file), null);
+        LocalMember member = readLocalMember(config);
+        return read(root, member);
     }
 
-    /** Reads the operators' file alone, as for a fleet of some members; what it says is checked all the same. */
+    /** Reads and validates a fleet file without a start-up configuration, with placeholder members. */
     public static FleetFile check(Path file) throws BadFileException {
-        InetSocketAddress any = InetSocketAddress.createUnresolved("checked", 1);
-        return read(Section.root(file.toString(), text(file), null), new Place("checked", 0, any, List.of(any, any)));
+        InetSocketAddress placeholder = InetSocketAddress.createUnresolved("checked", 1);
+        return read(
+                Section.root(file.toString(), readFile(file), null),
+                new LocalMember("checked", 0, placeholder, List.of(placeholder, placeholder)));
     }
 
-    private static String text(Path file) throws BadFileException {
+    private static String readFile(Path file) throws BadFileException {
         try {
             return Files.readString(file);
         } catch (NoSuchFileException e) {
@@ -61,42 +63,42 @@
         }
     }
 
-    private static FleetFile read(Section root, Place place) throws BadFileException {
+    private static FleetFile read(Section root, LocalMember member) throws BadFileException {
         String fleet = root.text("fleet", null);
-        if (!NAME.matcher(fleet).matches()) {
+        if (!NAME_PATTERN.matcher(fleet).matches()) {
             throw root.wrong("fleet", "must be a name of 1 to 32 printable characters without blanks");
         }
-        long period = within(root, "period", 1_000_000, LEAST_PERIOD_US, MOST_PERIOD_US);
-        long gone = within(root, "gone-after", 600_000_000, 10 * period, Long.MAX_VALUE);
-        FleetSettings usual = FleetSettings.defaults(
-                fleet, place.name(), place.number(), place.peers().size(), period, gone);
-        long conclude = within(root, "conclude", usual.concludeUs(), 2, period);
-        long answer = within(root, "answer", Math.min(usual.answerUs(), conclude / 2), 1, conclude - 1);
-        double suspicion = most(root, "suspicion", usual.suspicionFactor(), 1, 100);
-        double alone = most(root, "suspicion-alone", usual.suspicionMost(), 1, 100);
-        int helpers = (int) most(root, "helpers", usual.helpers(), 0, 10);
-        int accusers = (int) most(root, "accusers", usual.accusers(), 0, 10);
-        long news = within(root, "news-every", usual.newsUs(), 1_000, period);
-        int newsTo = (int) most(root, "news-to", usual.newsTo(), 1, 20);
-        int newsFactor = (int) most(root, "news-times", usual.newsFactor(), 1, 20);
-        long compare = within(root, "compare-every", usual.compareUs(), 1_000, 60 * period);
-        long retry = within(root, "retry-every", usual.retryUs(), period, 3_600_000_000L);
-        long settled = within(root, "settled-after", usual.settledUs(), period, 1_000 * period);
-        int datagrams = rate(root, "datagrams", usual.datagramsPerS(), 4);
-        int bytes = rate(root, "bytes", usual.bytesPerS(), 1_024);
-        String events = root.text("events", "");
+        long period = timeWithin(root, "period", 1_000_000, MIN_PERIOD_US, MAX_PERIOD_US);
+        long goneAfter = timeWithin(root, "gone-after", 600_000_000, 10 * period, Long.MAX_VALUE);
+        FleetSettings defaults = FleetSettings.defaults(
+                fleet, member.name(), member.number(), member.peers().size(), period, goneAfter);
+        long conclude = timeWithin(root, "conclude", defaults.concludeUs(), 2, period);
+        long answer = timeWithin(root, "answer", Math.min(defaults.answerUs(), conclude / 2), 1, conclude - 1);
+        double suspicion = numberWithin(root, "suspicion", defaults.suspicionFactor(), 1, 100);
+        double suspicionAlone = numberWithin(root, "suspicion-alone", defaults.suspicionMost(), 1, 100);
+        int helpers = (int) numberWithin(root, "helpers", defaults.helpers(), 0, 10);
+        int accusers = (int) numberWithin(root, "accusers", defaults.accusers(), 0, 10);
+        long news = timeWithin(root, "news-every", defaults.newsUs(), 1_000, period);
+        int newsTo = (int) numberWithin(root, "news-to", defaults.newsTo(), 1, 20);
+        int newsFactor = (int) numberWithin(root, "news-times", defaults.newsFactor(), 1, 20);
+        long compare = timeWithin(root, "compare-every", defaults.compareUs(), 1_000, 60 * period);
+        long retry = timeWithin(root, "retry-every", defaults.retryUs(), period, 3_600_000_000L);
+        long settled = timeWithin(root, "settled-after", defaults.settledUs(), period, 1_000 * period);
+        int datagrams = rateWithin(root, "datagrams", defaults.datagramsPerS(), 4);
+        int bytes = rateWithin(root, "bytes", defaults.bytesPerS(), 1_024);
+        String eventLog = root.text("events", "");
         root.done();
-        FleetSettings figures = new FleetSettings(
+        FleetSettings settings = new FleetSettings(
                 fleet,
-                place.name(),
-                place.number(),
-                place.peers().size(),
+                member.name(),
+                member.number(),
+                member.peers().size(),
                 period,
                 answer,
                 conclude,
                 helpers,
                 suspicion,
-                alone,
+                suspicionAlone,
                 accusers,
                 news,
                 newsTo,
@@ -104,52 +106,56 @@
                 compare,
                 retry,
                 settled,
-                gone,
+                goneAfter,
                 datagrams,
                 bytes,
                 true,
                 true);
-        return new FleetFile(figures, place.listen(), place.peers(), events.isEmpty() ? null : Path.of(events));
+        return new FleetFile(settings, member.listen(), member.peers(), eventLog.isEmpty() ? null : Path.of(eventLog));
     }
 
-    private static long within(Section s, String key, long absent, long least, long most) throws BadFileException {
-        long us = s.time(key, absent);
-        if (us < least || us > most) {
-            throw s.wrong(key, "must be from " + time(least) + (most == Long.MAX_VALUE ? " up" : " to " + time(most)));
+    private static long timeWithin(Section section, String key, long defaultUs, long minUs, long maxUs)
+            throws BadFileException {
+        long us = section.time(key, defaultUs);
+        if (us < minUs || us > maxUs) {
+            throw section.wrong(
+                    key,
+                    "must be from " + formatTime(minUs)
+                            + (maxUs == Long.MAX_VALUE ? " up" : " to " + formatTime(maxUs)));
         }
         return us;
     }
 
-    private static String time(long us) {
+    private static String formatTime(long us) {
         return us % 1_000_000 == 0 ? us / 1_000_000 + "s" : us % 1_000 == 0 ? us / 1_000 + "ms" : us + "us";
     }
 
-    private static double most(Section s, String key, double absent, double least, double most)
+    private static double numberWithin(Section section, String key, double defaultValue, double min, double max)
             throws BadFileException {
-        double value = s.number(key, absent, least);
-        if (value > most) {
-            throw s.wrong(key, "must be " + (long) most + " at most");
+        double value = section.number(key, defaultValue, min);
+        if (value > max) {
+            throw section.wrong(key, "must be " + (long) max + " at most");
         }
         return value;
     }
 
-    private static int rate(Section s, String key, int absent, int least) throws BadFileException {
-        double value = s.rate(key, (double) absent);
-        if (value < least || value > 10_000_000) {
-            throw s.wrong(key, "must be from " + least + "/s to 10000000/s");
+    private static int rateWithin(Section section, String key, int defaultValue, int min) throws BadFileException {
+        double value = section.rate(key, (double) defaultValue);
+        if (value < min || value > 10_000_000) {
+            throw section.wrong(key, "must be from " + min + "/s to 10000000/s");
         }
         return (int) value;
     }
 
-    // ---- the configuration ---------------------------------------------------------------------------
+    // ---- start-up configuration ----------------------------------------------------------------------
 
-    private static Place place(byte[] json) throws IOException {
+    private static LocalMember readLocalMember(byte[] json) throws IOException {
         String name = null;
         InetSocketAddress listen = null;
         List<InetSocketAddress> peers = List.of();
-        int me = -1;
+        int memberNumber = -1;
         try (JsonParser in = Listing.JSON.createParser(json)) {
-            need(in.nextToken() == JsonToken.START_OBJECT, "must be an object");
+            require(in.nextToken() == JsonToken.START_OBJECT, "must be an object");
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String field = in.currentName();
                 if (in.nextToken() == JsonToken.VALUE_NULL) {
@@ -158,74 +164,74 @@
                 switch (field) {
                     case "name" -> name = in.getText();
                     case "peer_listen" -> listen = Listing.address(in.getText());
-                    case "peers" -> peers = addresses(in);
-                    case "settings" -> me = me(in);
+                    case "peers" -> peers = readPeers(in);
+                    case "settings" -> memberNumber = readMemberNumber(in);
                     default -> in.skipChildren();
                 }
             }
         }
-        need(
-                name != null && NAME.matcher(name).matches(),
-                "name must have 1 to 32 printable characters without blanks, or there is no fleet to be in");
-        need(listen != null, "peer_listen is missing, which a fleet needs");
-        need(!peers.isEmpty(), "peers is missing, which a fleet needs");
-        need(
-                me >= 0 && me < peers.size(),
-                "settings.me is " + me + ", and peers has the numbers 0 to " + (peers.size() - 1));
-        return new Place(name, me, listen, List.copyOf(peers));
+        require(
+                name != null && NAME_PATTERN.matcher(name).matches(),
+                "name must have 1 to 32 printable characters without blanks; fleet membership requires it");
+        require(listen != null, "peer_listen is missing, which a fleet needs");
+        require(!peers.isEmpty(), "peers is missing; fleet membership requires it");
+        require(
+                memberNumber >= 0 && memberNumber < peers.size(),
+                "settings.me is " + memberNumber + ", and peers has the numbers 0 to " + (peers.size() - 1));
+        return new LocalMember(name, memberNumber, listen, List.copyOf(peers));
     }
 
-    /** What a configuration calls its client proxy. */
+    /** Returns the client proxy's name from a start-up configuration. */
     public static String name(byte[] json) throws IOException {
         String name = null;
         try (JsonParser in = Listing.JSON.createParser(json)) {
-            need(in.nextToken() == JsonToken.START_OBJECT, "must be an object");
+            require(in.nextToken() == JsonToken.START_OBJECT, "must be an object");
             while (in.nextToken() == JsonToken.FIELD_NAME) {
-                boolean its = in.currentName().equals("name");
-                if (in.nextToken() == JsonToken.VALUE_STRING && its) {
+                boolean isName = in.currentName().equals("name");
+                if (in.nextToken() == JsonToken.VALUE_STRING && isName) {
                     name = in.getText();
                 } else {
                     in.skipChildren();
                 }
             }
         }
-        need(
-                name != null && NAME.matcher(name).matches(),
+        require(
+                name != null && NAME_PATTERN.matcher(name).matches(),
                 "name must have 1 to 32 printable characters without blanks");
         return name;
     }
 
-    private static List<InetSocketAddress> addresses(JsonParser in) throws IOException {
-        need(in.currentToken() == JsonToken.START_ARRAY, "peers must be an array");
-        List<InetSocketAddress> all = new ArrayList<>();
+    private static List<InetSocketAddress> readPeers(JsonParser in) throws IOException {
+        require(in.currentToken() == JsonToken.START_ARRAY, "peers must be an array");
+        List<InetSocketAddress> addresses = new ArrayList<>();
         Set<InetSocketAddress> seen = new HashSet<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
-            need(in.currentToken() == JsonToken.VALUE_STRING, "peers must hold addresses");
+            require(in.currentToken() == JsonToken.VALUE_STRING, "peers must hold addresses");
             InetSocketAddress address = Listing.address(in.getText());
-            need(seen.add(address), "peers names " + in.getText() + " twice: each member has an address of its own");
-            all.add(address);
+            require(seen.add(address), "peers names " + in.getText() + " twice: each member has an address of its own");
+            addresses.add(address);
         }
-        return all;
+        return addresses;
     }
 
-    private static int me(JsonParser in) throws IOException {
-        need(in.currentToken() == JsonToken.START_OBJECT, "settings must be an object");
-        int me = -1;
+    private static int readMemberNumber(JsonParser in) throws IOException {
+        require(in.currentToken() == JsonToken.START_OBJECT, "settings must be an object");
+        int memberNumber = -1;
         while (in.nextToken() == JsonToken.FIELD_NAME) {
-            boolean its = in.currentName().equals("me");
+            boolean isMemberNumber = in.currentName().equals("me");
             in.nextToken();
-            if (its && in.currentToken() == JsonToken.VALUE_NUMBER_INT) {
-                me = in.getIntValue();
+            if (isMemberNumber && in.currentToken() == JsonToken.VALUE_NUMBER_INT) {
+                memberNumber = in.getIntValue();
             } else {
                 in.skipChildren();
             }
         }
-        return me;
+        return memberNumber;
     }
 
-    private static void need(boolean ok, String otherwise) throws IOException {
-        if (!ok) {
-            throw new IOException("configuration: " + otherwise);
+    private static void require(boolean condition, String error) throws IOException {
+        if (!condition) {
+            throw new IOException("configuration: " + error);
         }
     }
 }
--- a/src/main/java/mulleinfront/settings/Listing.java
+++ b/src/main/java/mulleinfront/settings/Listing.java
@@ -11,11 +11,17 @@
 import java.util.List;
 import mulleinfront.Balancer.Availability;
 
-/** A list of hosts in discovery's form: the whole one or, with {@code full} false, what has changed. */
+/**
+ * An endpoint list as discovery sends it.
+ *
+ * @param version version of the list
+ * @param full whether the list is complete; if not, it is a delta with the changed endpoints only
+ * @param entries the endpoints
+ */
 public record Listing(long version, boolean full, List<Entry> entries) {
     public static final JsonFactory JSON = new JsonFactory();
 
-    /** One host, its zone and kind by name. */
+    /** One endpoint; zone and server type are given by name. */
     public record Entry(
             String id,
             InetSocketAddress address,
@@ -26,19 +32,23 @@
             double weight,
             long startedMs) {}
 
-    /** Reads a line of a watch; anything but one well-formed list is an {@link IOException}. */
+    /**
+     * Reads a list from one line of a watch.
+     *
+     * @throws IOException if the line is not exactly one well-formed list
+     */
     public static Listing parse(byte[] line) throws IOException {
         try (JsonParser in = JSON.createParser(line)) {
             in.nextToken();
             Listing listing = read(in);
-            need(in.nextToken() == null, "text after the list");
+            require(in.nextToken() == null, "unexpected text after the list");
             return listing;
         }
     }
 
-    /** Reads the object at the parser's place. */
+    /** Reads a list; the parser is at the start of its object. */
     public static Listing read(JsonParser in) throws IOException {
-        need(in.currentToken() == JsonToken.START_OBJECT, "a list must be an object");
+        require(in.currentToken() == JsonToken.START_OBJECT, "a list must be an object");
         long version = -1;
         boolean full = false;
         List<Entry> entries = null;
@@ -48,27 +58,27 @@
             switch (name) {
                 case "version" -> version = in.getLongValue();
                 case "full" -> full = in.getBooleanValue();
-                case "servers" -> entries = entries(in);
+                case "servers" -> entries = readEntries(in);
                 default -> in.skipChildren();
             }
         }
-        need(in.currentToken() == JsonToken.END_OBJECT, "the list ends early");
-        need(version >= 0, "version is missing");
-        need(entries != null, "servers is missing");
+        require(in.currentToken() == JsonToken.END_OBJECT, "the list ends early");
+        require(version >= 0, "version is missing");
+        require(entries != null, "servers is missing");
         return new Listing(version, full, entries);
     }
 
-    private static List<Entry> entries(JsonParser in) throws IOException {
-        need(in.currentToken() == JsonToken.START_ARRAY, "servers must be an array");
+    private static List<Entry> readEntries(JsonParser in) throws IOException {
+        require(in.currentToken() == JsonToken.START_ARRAY, "servers must be an array");
         List<Entry> entries = new ArrayList<>();
         while (in.nextToken() == JsonToken.START_OBJECT) {
-            entries.add(entry(in));
+            entries.add(readEntry(in));
         }
-        need(in.currentToken() == JsonToken.END_ARRAY, "servers must hold objects");
+        require(in.currentToken() == JsonToken.END_ARRAY, "servers must hold objects");
         return entries;
     }
 
-    private static Entry entry(JsonParser in) throws IOException {
+    private static Entry readEntry(JsonParser in) throws IOException {
         String id = null;
         InetSocketAddress address = null;
         String zone = "";
@@ -86,30 +96,33 @@
                 case "zone" -> zone = in.getText();
                 case "kind" -> kind = in.getText();
                 case "cell" -> cell = in.getIntValue();
-                case "state" -> availability = availability(in.getText());
+                case "state" -> availability = parseAvailability(in.getText());
                 case "weight" -> weight = in.getDoubleValue();
                 case "started_ms" -> startedMs = in.getLongValue();
                 default -> in.skipChildren();
             }
         }
-        need(id != null && address != null && availability != null, "a host without id, addr or state");
+        require(id != null && address != null && availability != null, "a host without id, addr or state");
         return new Entry(id, address, zone, kind, cell, availability, weight, startedMs);
     }
 
-    private static Availability availability(String word) throws IOException {
-        return switch (word) {
+    private static Availability parseAvailability(String state) throws IOException {
+        return switch (state) {
             case "in_service" -> Availability.READY;
             case "terminating" -> Availability.DRAINING;
             case "terminated" -> Availability.GONE;
-            default -> throw new IOException("unknown state " + word);
+            default -> throw new IOException("unknown state " + state);
         };
     }
 
-    /** Takes a literal address and port only: there is no DNS, and a look-up would block the loop. */
+    /**
+     * Parses a literal IP address with a port. Host names are rejected: there is no DNS, and a lookup would block the
+     * event loop.
+     */
     public static InetSocketAddress address(String text) throws IOException {
         int colon = String.valueOf(text).lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
-        need(ip != null, "not an address and port: " + text);
+        require(ip != null, "not an address and port: " + text);
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             return new InetSocketAddress(InetAddress.getByAddress(ip), port);
@@ -118,9 +131,9 @@
         }
     }
 
-    private static void need(boolean ok, String otherwise) throws IOException {
-        if (!ok) {
-            throw new IOException(otherwise);
+    private static void require(boolean condition, String error) throws IOException {
+        if (!condition) {
+            throw new IOException(error);
         }
     }
 }
--- a/src/main/java/mulleinfront/settings/LoadReport.java
+++ b/src/main/java/mulleinfront/settings/LoadReport.java
@@ -5,57 +5,59 @@
 import java.io.IOException;
 
 /**
- * A host's word on its load: a JSON object of names and numbers, on sockets as the value of a header. Anybody
- * may write anything there, so what can't be read says nothing and harms nobody.
+ * An endpoint's load report: a JSON object of names and numbers, sent as the value of a response header. The content is
+ * untrusted, so a malformed report is ignored.
  */
 public final class LoadReport {
-    /** The header that carries it. */
+    /** Name of the response header. */
     public static final String HEADER = "X-Load";
-    /** Requests that the host holds: the name in the settings, and the one on the protocol's page. */
-    private static final String HELD = "outstanding";
+    /** Key of the number of requests in flight, as the settings name it. */
+    private static final String SETTINGS_KEY = "outstanding";
 
-    private static final String HELD_TOO = "inflight";
-    /** A report has four values at most: a longer text is none. */
-    private static final int LONGEST = 512;
+    /** Key of the number of requests in flight, as the protocol names it. */
+    private static final String PROTOCOL_KEY = "inflight";
+    /** Limit on the characters of a report: a valid report has at most four values, and a longer text is ignored. */
+    private static final int MAX_CHARACTERS = 512;
 
     private LoadReport() {}
 
     /**
-     * Requests that the host says it holds.
+     * Returns the number of requests in flight that the endpoint reports.
      *
      * @param text the header's value, or null
-     * @return at least 0; NaN if it does not say
+     * @return the number, at least 0; NaN if the report is absent, malformed or lacks it
      */
     public static double held(String text) {
-        if (text == null || text.length() > LONGEST) {
+        if (text == null || text.length() > MAX_CHARACTERS) {
             return Double.NaN;
         }
         try (JsonParser in = Listing.JSON.createParser(text)) {
             in.nextToken();
-            double held = held(in);
-            // What goes on behind its end was not written by a host that is well.
-            return in.nextToken() == null ? held : Double.NaN;
-        } catch (IOException unreadable) {
+            double inFlight = held(in);
+            // Text after the object means that the endpoint is faulty.
+            return in.nextToken() == null ? inFlight : Double.NaN;
+        } catch (IOException ignored) {
             return Double.NaN;
         }
     }
 
     /**
-     * The same of an object at the parser's place, read to its end.
+     * Reads a report to its end and returns the number of requests in flight; the parser is at the start of its object.
      *
-     * @throws IOException if it breaks off or is no JSON
+     * @return the number, at least 0; NaN if the value is not an object or lacks it
+     * @throws IOException if the object is truncated or malformed
      */
     public static double held(JsonParser in) throws IOException {
-        double held = Double.NaN;
+        double inFlight = Double.NaN;
         if (in.currentToken() != JsonToken.START_OBJECT) {
             in.skipChildren();
-            return held;
+            return inFlight;
         }
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String name = in.currentName();
             JsonToken value = in.nextToken();
             if (value == JsonToken.VALUE_NUMBER_INT || value == JsonToken.VALUE_NUMBER_FLOAT) {
-                held = name.equals(HELD) || name.equals(HELD_TOO) ? in.getDoubleValue() : held;
+                inFlight = name.equals(SETTINGS_KEY) || name.equals(PROTOCOL_KEY) ? in.getDoubleValue() : inFlight;
             } else {
                 in.skipChildren();
             }
@@ -63,6 +65,6 @@
         if (in.currentToken() != JsonToken.END_OBJECT) {
             throw new IOException("malformed input: a load report breaks off");
         }
-        return held >= 0 && held < Double.POSITIVE_INFINITY ? held : Double.NaN;
+        return inFlight >= 0 && inFlight < Double.POSITIVE_INFINITY ? inFlight : Double.NaN;
     }
 }
--- a/src/main/java/mulleinfront/settings/ProcessSettings.java
+++ b/src/main/java/mulleinfront/settings/ProcessSettings.java
@@ -8,25 +8,26 @@
 import java.util.stream.IntStream;
 
 /**
- * What one process may use of a machine beyond the deployed one core, 192 MB and 1,024 descriptors.
+ * Resources that one process may use beyond the default deployment of one core, 192 MB and 1,024 file descriptors.
  *
- * @param loops event loops, each a client proxy of its own on the same port, with its own module, connections and
- *        watch of discovery
- * @param sockets descriptors at most, whatever the configuration's limits allow; 0: as many as those allow
+ * @param loops number of event loops; each runs a client proxy of its own on the same port, with its own balancer,
+ *        connections and discovery watch
+ * @param sockets upper limit on file descriptors, applied in addition to the configuration's limit; 0 for no further
+ *        limit
  */
 public record ProcessSettings(int loops, int sockets) {
-    /** The most event loops that are of use: each is a thread that wants a core. */
-    public static final int MOST_LOOPS = 64;
+    /** Limit on the number of event loops; each is a thread that needs a core. */
+    public static final int MAX_LOOPS = 64;
     /**
-     * Heap that a descriptor may come to need: the deployed 96 MB bear 1,024. Of that a busy client may hold 64 KB
-     * ahead of its answers, a host's answer 64 KB, and a connection at rest some 6 KB.
+     * Heap budget of one descriptor, so that the default heap of 96 MB serves 1,024 descriptors. A busy client may
+     * buffer 64 KB ahead of its responses, an endpoint's response takes up to 64 KB, and an idle connection about 6 KB.
      */
-    public static final long HEAP_PER_SOCKET = 96L * 1024;
+    public static final long HEAP_BYTES_PER_SOCKET = 96L * 1024;
 
     /**
-     * Reads a file.
+     * Reads and validates a process settings file.
      *
-     * @throws BadFileException saying file, line and reason
+     * @throws BadFileException naming file, line and reason
      */
     public static ProcessSettings load(Path file) throws BadFileException {
         String text;
@@ -39,43 +40,44 @@
         }
         Section root = Section.root(file.toString(), text, null);
         int loops = root.count("loops", 1, 1);
-        if (loops > MOST_LOOPS) {
-            throw root.wrong("loops", "must be " + MOST_LOOPS + " at most");
+        if (loops > MAX_LOOPS) {
+            throw root.wrong("loops", "must be " + MAX_LOOPS + " at most");
         }
-        ProcessSettings machine = new ProcessSettings(loops, root.count("sockets", 0, 0));
+        ProcessSettings settings = new ProcessSettings(loops, root.count("sockets", 0, 0));
         root.done();
-        return machine;
+        return settings;
     }
 
     /**
-     * Descriptors that a process may hold.
+     * Returns the number of file descriptors that the process may use.
      *
-     * @param limit what the platform allows
-     * @param heapBytes the most that the heap may grow to
+     * @param descriptorLimit file descriptors that the platform grants
+     * @param heapBytes maximum heap size
      */
-    int mostSockets(int limit, long heapBytes) {
-        long borne = Math.max(1, heapBytes / HEAP_PER_SOCKET);
-        return (int) Math.min(sockets == 0 ? limit : Math.min(limit, sockets), borne);
+    int maxSockets(int descriptorLimit, long heapBytes) {
+        long heapLimit = Math.max(1, heapBytes / HEAP_BYTES_PER_SOCKET);
+        return (int) Math.min(sockets == 0 ? descriptorLimit : Math.min(descriptorLimit, sockets), heapLimit);
     }
 
     /**
-     * The configurations of the loops: each counts as an instance of its own, with its own part of the descriptors and
-     * its own chance.
+     * Returns the configuration of each event loop. Each loop counts as a separate balancer instance, with its own seed
+     * and an equal share of the descriptors.
      *
-     * @param config what the platform told, with {@link Config#limit} as it stands there
-     * @param heapBytes the most that the heap may grow to
-     * @param ownSockets descriptors that a process needs for itself, and each loop beyond the first
-     * @param loopSockets descriptors that each further loop needs for itself
+     * @param config configuration of the process, with the platform's descriptor limit
+     * @param heapBytes maximum heap size
+     * @param ownSockets descriptors reserved for the process itself; included in each loop's share
+     * @param loopSockets further descriptors reserved for each loop after the first
+     * @throws BadFileException if a loop would get fewer than 2 descriptors
      */
     public List<Config> split(Config config, long heapBytes, int ownSockets, int loopSockets) throws BadFileException {
-        int all = mostSockets(config.limit(), heapBytes);
-        int each = (all - ownSockets - loopSockets * (loops - 1)) / loops;
-        if (each < 2) {
-            throw new BadFileException("loops: " + loops + " event loops need more than the " + all
-                    + " descriptors that limits and memory (" + HEAP_PER_SOCKET / 1024 + " KB each) allow");
+        int totalSockets = maxSockets(config.descriptorLimit(), heapBytes);
+        int socketsPerLoop = (totalSockets - ownSockets - loopSockets * (loops - 1)) / loops;
+        if (socketsPerLoop < 2) {
+            throw new BadFileException("loops: " + loops + " event loops need more than the " + totalSockets
+                    + " descriptors that limits and memory (" + HEAP_BYTES_PER_SOCKET / 1024 + " KB each) allow");
         }
         return IntStream.range(0, loops)
-                .mapToObj(i -> config.part(i, loops, each + ownSockets))
+                .mapToObj(i -> config.forLoop(i, loops, socketsPerLoop + ownSockets))
                 .toList();
     }
 }
--- a/src/main/java/mulleinfront/settings/Range.java
+++ b/src/main/java/mulleinfront/settings/Range.java
@@ -2,14 +2,14 @@
 
 import java.util.function.DoubleBinaryOperator;
 
-/** A figure of a file: one value, or a range to draw from; {@code low <= high}. */
+/** A number read from a file: a single value, or a range to draw random values from; {@code low <= high}. */
 public record Range(double low, double high) {
     public static Range of(double value) {
         return new Range(value, value);
     }
 
-    /** The value, or one drawn by {@code between}, which is given both ends and asked only for a range. */
-    public double draw(DoubleBinaryOperator between) {
-        return low == high ? low : between.applyAsDouble(low, high);
+    /** Returns the single value, or calls {@code generator} with both bounds to draw a value from a real range. */
+    public double draw(DoubleBinaryOperator generator) {
+        return low == high ? low : generator.applyAsDouble(low, high);
     }
 }
--- a/src/main/java/mulleinfront/settings/Section.java
+++ b/src/main/java/mulleinfront/settings/Section.java
@@ -14,21 +14,21 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of a TOML file, read strictly: every value has its form and unit, ranges run upwards, and a key
- * that nobody asked for is an error. Whatever is wrong is said with file, line and reason.
+ * One table of a TOML file, read strictly: values need the right type and unit, the lower bound of a range must not
+ * exceed the upper one, and unknown keys are errors. Every error names file, line and reason.
  */
 public final class Section {
-    private static final Map<String, Long> UNITS =
+    private static final Map<String, Long> MICROS_PER_UNIT =
             Map.of("us", 1L, "ms", 1_000L, "s", 1_000_000L, "m", 60_000_000L, "h", 3_600_000_000L);
 
     private final String file;
     private final TomlTable table;
     private final String name;
     private final int line;
-    /** The same table of the file that this one stands on; null if it stands on none. */
+    /** The corresponding table of the base file, which supplies omitted values; null if there is none. */
     private final Section base;
 
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> readKeys = new HashSet<>();
 
     /** Creates a section over a parsed table; {@code base} supplies the values that the table omits, or is null. */
     public Section(String file, TomlTable table, String name, int line, Section base) {
@@ -40,10 +40,10 @@
     }
 
     /**
-     * The whole of a file.
+     * Parses a file and returns its root table.
      *
-     * @param file how to call it in messages
-     * @param base the file that it stands on, or null
+     * @param file file name for error messages
+     * @param base root table of the base file, which supplies omitted values; may be null
      */
     public static Section root(String file, String text, Section base) throws BadFileException {
         TomlParseResult parsed = Toml.parse(text);
@@ -55,14 +55,14 @@
         return new Section(file, parsed, "", 1, base);
     }
 
-    /** Whether the file itself says it, rather than the one that it stands on. */
+    /** Returns whether the file itself has this key, regardless of the base file. */
     public boolean statesOwn(String key) {
         return table.contains(List.of(key));
     }
 
-    /** It may be there and does not count: the file says in another way what the one under it says by this. */
+    /** Marks a key as known without using its value, for a base file's key that this file replaces with another key. */
     public void markRead(String key) {
-        asked.add(key);
+        readKeys.add(key);
     }
 
     public boolean has(String key) {
@@ -71,25 +71,25 @@
 
     /** Returns the subtable of this key, which is empty if the file has none. */
     public Section table(String key) throws BadFileException {
-        asked.add(key);
+        readKeys.add(key);
         Object value = table.get(List.of(key));
-        Section under = base == null ? null : base.table(key);
+        Section baseTable = base == null ? null : base.table(key);
         if (value == null) {
-            return new Section(file, Toml.parse(""), key, line, under);
+            return new Section(file, Toml.parse(""), key, line, baseTable);
         }
-        if (value instanceof TomlTable t) {
-            return new Section(file, t, key, at(key), under);
+        if (value instanceof TomlTable subtable) {
+            return new Section(file, subtable, key, lineOf(key), baseTable);
         }
         throw wrong(key, "must be a table: [" + key + "]");
     }
 
-    /** An array of tables, {@code [[key]]}. */
+    /** Reads an array of tables, {@code [[key]]}; a missing array is taken from the base file. */
     public List<Section> tables(String key) throws BadFileException {
-        asked.add(key);
+        readKeys.add(key);
         Object value = table.get(List.of(key));
-        List<Section> all = new ArrayList<>();
+        List<Section> sections = new ArrayList<>();
         if (value == null) {
-            return base == null ? all : base.tables(key);
+            return base == null ? sections : base.tables(key);
         }
         if (!(value instanceof TomlArray array)) {
             throw wrong(key, "must be an array of tables: [[" + key + "]]");
@@ -98,15 +98,15 @@
             if (!(array.get(i) instanceof TomlTable)) {
                 throw wrong(key, "must be an array of tables: [[" + key + "]]");
             }
-            all.add(new Section(
+            sections.add(new Section(
                     file, array.getTable(i), key, array.inputPositionOf(i).line(), null));
         }
-        return all;
+        return sections;
     }
 
-    /** The same, but none of the file that this one stands on. */
+    /** Reads an array of tables from this file only, ignoring the base file. */
     public List<Section> ownTables(String key) throws BadFileException {
-        asked.add(key);
+        readKeys.add(key);
         return statesOwn(key) ? tables(key) : List.of();
     }
 
@@ -116,60 +116,60 @@
             return base.wrong(key, reason);
         }
         return new BadFileException(
-                file + ":" + at(key) + ": " + (name.isEmpty() ? "" : name + ".") + key + ": " + reason);
+                file + ":" + lineOf(key) + ": " + (name.isEmpty() ? "" : name + ".") + key + ": " + reason);
     }
 
     public BadFileException wrong(String reason) {
         return new BadFileException(file + ":" + line + ": " + name + ": " + reason);
     }
 
-    private int at(String key) {
+    private int lineOf(String key) {
         TomlPosition position = table.inputPositionOf(List.of(key));
         return position == null ? line : position.line();
     }
 
-    /** To be called when all is read: whatever is left is a slip of the pen. */
+    /** Rejects unknown keys in this table and the base table. Call it after all keys have been read. */
     public void done() throws BadFileException {
         for (String key : table.keySet()) {
-            if (!asked.contains(key)) {
+            if (!readKeys.contains(key)) {
                 throw wrong(key, "unknown key");
             }
         }
         if (base != null) {
-            base.asked.addAll(asked);
+            base.readKeys.addAll(readKeys);
             base.done();
         }
     }
 
-    private Object get(String key, boolean needed) throws BadFileException {
-        asked.add(key);
+    private Object get(String key, boolean required) throws BadFileException {
+        readKeys.add(key);
         Object value = table.get(List.of(key));
         if (value == null && base != null) {
             value = base.get(key, false);
         }
-        if (value == null && needed) {
+        if (value == null && required) {
             throw wrong("missing " + key);
         }
         return value;
     }
 
-    /** Reads a string; a missing key gives {@code absent}, or is an error if that is null. */
-    public String text(String key, String absent) throws BadFileException {
-        Object value = get(key, absent == null);
+    /** Reads a string; a missing key gives {@code defaultValue}, or is an error if that is null. */
+    public String text(String key, String defaultValue) throws BadFileException {
+        Object value = get(key, defaultValue == null);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
-        if (value instanceof String s) {
-            return s;
+        if (value instanceof String string) {
+            return string;
         }
-        throw wrong(key, "must be a text");
+        throw wrong(key, "must be a string");
     }
 
-    /** Reads a boolean; a missing key gives {@code absent}. */
-    public boolean flag(String key, boolean absent) throws BadFileException {
+    /** Reads a boolean; a missing key gives {@code defaultValue}. */
+    public boolean flag(String key, boolean defaultValue) throws BadFileException {
         Object value = get(key, false);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (value instanceof Boolean b) {
             return b;
@@ -177,165 +177,169 @@
         throw wrong(key, "must be true or false");
     }
 
-    /** One of some words. */
-    public <E extends Enum<E>> E word(String key, E absent, Class<E> words) throws BadFileException {
-        String text = text(key, absent == null ? null : form(absent));
-        for (E e : words.getEnumConstants()) {
-            if (form(e).equals(text)) {
-                return e;
+    /**
+     * Reads an enum constant by its output name; a missing key gives {@code defaultValue}, or is an error if that is
+     * null.
+     */
+    public <E extends Enum<E>> E word(String key, E defaultValue, Class<E> type) throws BadFileException {
+        String text = text(key, defaultValue == null ? null : form(defaultValue));
+        for (E constant : type.getEnumConstants()) {
+            if (form(constant).equals(text)) {
+                return constant;
             }
         }
-        List<String> known = new ArrayList<>();
-        for (E e : words.getEnumConstants()) {
-            known.add(form(e));
+        List<String> names = new ArrayList<>();
+        for (E constant : type.getEnumConstants()) {
+            names.add(form(constant));
         }
-        throw wrong(key, "'" + text + "' is none of " + String.join(", ", known));
+        throw wrong(key, "'" + text + "' is none of " + String.join(", ", names));
     }
 
-    public static String form(Enum<?> word) {
-        return word.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
+    /** Returns the output name of an enum constant: lower case, with hyphens. */
+    public static String form(Enum<?> constant) {
+        return constant.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
     }
 
     /** Reads an array of strings; a missing key gives an empty list. */
     public List<String> texts(String key) throws BadFileException {
         Object value = get(key, false);
-        List<String> all = new ArrayList<>();
+        List<String> strings = new ArrayList<>();
         if (value == null) {
-            return all;
+            return strings;
         }
         if (!(value instanceof TomlArray array)) {
             throw wrong(key, "must be a list of texts");
         }
         for (int i = 0; i < array.size(); i++) {
-            if (!(array.get(i) instanceof String s)) {
+            if (!(array.get(i) instanceof String string)) {
                 throw wrong(key, "must be a list of texts");
             }
-            all.add(s);
+            strings.add(string);
         }
-        return all;
+        return strings;
     }
 
     /**
-     * Reads an integer of at least {@code least}; a missing key gives {@code absent}, or is an error if that is
+     * Reads an integer of at least {@code min}; a missing key gives {@code defaultValue}, or is an error if that is
      * null.
      */
-    public int count(String key, Integer absent, int least) throws BadFileException {
-        Object value = get(key, absent == null);
+    public int count(String key, Integer defaultValue, int min) throws BadFileException {
+        Object value = get(key, defaultValue == null);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
-        if (value instanceof Long l && l >= least && l <= 10_000_000) {
+        if (value instanceof Long l && l >= min && l <= 10_000_000) {
             return (int) (long) l;
         }
-        throw wrong(key, "must be a whole number, " + least + " or more");
+        throw wrong(key, "must be a whole number, " + min + " or more");
     }
 
-    public double number(String key, Double absent, double least) throws BadFileException {
-        Object value = get(key, absent == null);
-        return value == null ? absent : plain(key, value, least);
+    public double number(String key, Double defaultValue, double min) throws BadFileException {
+        Object value = get(key, defaultValue == null);
+        return value == null ? defaultValue : plainNumber(key, value, min);
     }
 
-    public Range numbers(String key, Range absent, double least) throws BadFileException {
-        return range(key, absent, v -> plain(key, v, least));
+    public Range numbers(String key, Range defaultValue, double min) throws BadFileException {
+        return range(key, defaultValue, v -> plainNumber(key, v, min));
     }
 
-    private double plain(String key, Object value, double least) throws BadFileException {
-        double d = value instanceof Long l ? l : value instanceof Double f ? f : Double.NaN;
-        if (!(d >= least) || Double.isInfinite(d)) {
+    private double plainNumber(String key, Object value, double min) throws BadFileException {
+        double number = value instanceof Long l ? l : value instanceof Double f ? f : Double.NaN;
+        if (!(number >= min) || Double.isInfinite(number)) {
             throw wrong(
                     key,
                     "must be a plain number, "
-                            + BigDecimal.valueOf(least).stripTrailingZeros().toPlainString() + " or more");
+                            + BigDecimal.valueOf(min).stripTrailingZeros().toPlainString() + " or more");
         }
-        return d;
+        return number;
     }
 
-    /** A time in microseconds: a number with its unit, as "250ms". */
-    public long time(String key, Long absent) throws BadFileException {
-        Object value = get(key, absent == null);
-        return value == null ? absent : Math.round(time(key, value));
+    /** Reads a duration in microseconds, written with its unit, such as "250ms". */
+    public long time(String key, Long defaultValue) throws BadFileException {
+        Object value = get(key, defaultValue == null);
+        return value == null ? defaultValue : Math.round(time(key, value));
     }
 
-    public Range times(String key, Range absent) throws BadFileException {
-        return range(key, absent, v -> time(key, v));
+    public Range times(String key, Range defaultValue) throws BadFileException {
+        return range(key, defaultValue, v -> time(key, v));
     }
 
     private double time(String key, Object value) throws BadFileException {
         String text = value instanceof String s ? s.strip() : String.valueOf(value);
-        int unit = text.length();
-        while (unit > 0 && Character.isLetter(text.charAt(unit - 1))) {
-            unit--;
+        int unitStart = text.length();
+        while (unitStart > 0 && Character.isLetter(text.charAt(unitStart - 1))) {
+            unitStart--;
         }
-        Long factor = UNITS.get(text.substring(unit));
+        Long factor = MICROS_PER_UNIT.get(text.substring(unitStart));
         if (factor == null) {
             throw wrong(key, "'" + text + "' is no time: a number with us, ms, s, m or h, as \"250ms\"");
         }
-        return digits(key, text, text.substring(0, unit)) * factor;
+        return parseNumber(key, text, text.substring(0, unitStart)) * factor;
     }
 
-    /** A part of 1: a percentage, as "17%". */
-    public double share(String key, Double absent, double most) throws BadFileException {
-        Object value = get(key, absent == null);
-        return value == null ? absent : share(key, value, most);
+    /** Reads a fraction of 1, written as a percentage, such as "17%". */
+    public double share(String key, Double defaultValue, double max) throws BadFileException {
+        Object value = get(key, defaultValue == null);
+        return value == null ? defaultValue : share(key, value, max);
     }
 
-    public Range shares(String key, Range absent, double most) throws BadFileException {
-        return range(key, absent, v -> share(key, v, most));
+    public Range shares(String key, Range defaultValue, double max) throws BadFileException {
+        return range(key, defaultValue, v -> share(key, v, max));
     }
 
-    private double share(String key, Object value, double most) throws BadFileException {
+    private double share(String key, Object value, double max) throws BadFileException {
         String text = value instanceof String s ? s.strip() : String.valueOf(value);
         if (!text.endsWith("%")) {
             throw wrong(key, "'" + text + "' is no share: a percentage, as \"17%\"");
         }
-        double part = digits(key, text, text.substring(0, text.length() - 1)) / 100;
-        if (part > most) {
-            throw wrong(key, "'" + text + "' is more than " + Math.round(most * 100) + "%");
+        double fraction = parseNumber(key, text, text.substring(0, text.length() - 1)) / 100;
+        if (fraction > max) {
+            throw wrong(key, "'" + text + "' is more than " + Math.round(max * 100) + "%");
         }
-        return part;
+        return fraction;
     }
 
-    /** Requests a second, as "240/s". */
-    public double rate(String key, Double absent) throws BadFileException {
-        Object value = get(key, absent == null);
+    /** Reads a rate per second, written as "240/s". */
+    public double rate(String key, Double defaultValue) throws BadFileException {
+        Object value = get(key, defaultValue == null);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (value instanceof String s && s.strip().endsWith("/s")) {
-            return digits(key, s, s.strip().substring(0, s.strip().length() - 2));
+            return parseNumber(key, s, s.strip().substring(0, s.strip().length() - 2));
         }
         throw wrong(key, "'" + value + "' is no rate: a number for each second, as \"240/s\"");
     }
 
-    private double digits(String key, String whole, String number) throws BadFileException {
+    private double parseNumber(String key, String original, String number) throws BadFileException {
         try {
-            double d = new BigDecimal(number.strip()).doubleValue();
-            if (d >= 0 && d <= 1e12) {
-                return d;
+            double parsed = new BigDecimal(number.strip()).doubleValue();
+            if (parsed >= 0 && parsed <= 1e12) {
+                return parsed;
             }
         } catch (NumberFormatException e) {
-            // said below
+            // reported below
         }
-        throw wrong(key, "'" + whole + "' is no number with its unit");
+        throw wrong(key, "'" + original + "' must be a number with its unit");
     }
 
     /** Converts one TOML value to a number, or rejects it. */
-    private interface Reading {
-        double of(Object value) throws BadFileException;
+    private interface ValueParser {
+        double parse(Object value) throws BadFileException;
     }
 
-    private Range range(String key, Range absent, Reading reading) throws BadFileException {
-        Object value = get(key, absent == null);
+    private Range range(String key, Range defaultValue, ValueParser parser) throws BadFileException {
+        Object value = get(key, defaultValue == null);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!(value instanceof TomlArray array)) {
-            return Range.of(reading.of(value));
+            return Range.of(parser.parse(value));
         }
         if (array.size() != 2) {
             throw wrong(key, "a range has two ends, as [\"1ms\", \"2ms\"]");
         }
-        Range range = new Range(reading.of(array.get(0)), reading.of(array.get(1)));
+        Range range = new Range(parser.parse(array.get(0)), parser.parse(array.get(1)));
         if (range.low() > range.high()) {
             throw wrong(key, "the range is turned round: " + array.get(0) + " is more than " + array.get(1));
         }
--- a/src/main/java/mulleinfront/settings/SettingsReader.java
+++ b/src/main/java/mulleinfront/settings/SettingsReader.java
@@ -15,8 +15,9 @@
 import mulleinfront.Balancer.Settings;
 
 /**
- * The settings of a start, kept as read so that what is wrong with them can be said by name, and the
- * defaults of those that are absent. The client proxy on sockets reads the same object by it.
+ * Reads the balancer settings from a JSON object and supplies the defaults of absent ones. The JSON values are kept as
+ * parsed, so that errors can name the setting. Both the simulator's start message and the proxy's configuration file
+ * contain this object.
  */
 public final class SettingsReader {
     private final Map<String, Object> root;
@@ -25,31 +26,31 @@
         this.root = root;
     }
 
-    /** Reads the object at the parser's place. */
+    /** Reads the settings; the parser is at the start of their object. */
     public static SettingsReader read(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
             throw new IOException("malformed input: settings must be an object");
         }
-        return new SettingsReader(object(in));
+        return new SettingsReader(readObject(in));
     }
 
-    private static Map<String, Object> object(JsonParser in) throws IOException {
+    private static Map<String, Object> readObject(JsonParser in) throws IOException {
         Map<String, Object> map = new LinkedHashMap<>();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String name = in.currentName();
             in.nextToken();
-            map.put(name, value(in));
+            map.put(name, readValue(in));
         }
         return map;
     }
 
-    private static Object value(JsonParser in) throws IOException {
+    private static Object readValue(JsonParser in) throws IOException {
         return switch (in.currentToken()) {
-            case START_OBJECT -> object(in);
+            case START_OBJECT -> readObject(in);
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
                 while (in.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(in));
+                    list.add(readValue(in));
                 }
                 yield list;
             }
@@ -61,40 +62,44 @@
         };
     }
 
-    /** The names of zones ({@code azs}) or of {@code kinds}: a place in the list is the number meant. */
+    /** Returns the names of zones ({@code azs}) or server types ({@code kinds}); a name's index is its number. */
     public List<String> names(String list) {
         List<String> names = new ArrayList<>();
         list(root, list).forEach(o -> names.add(String.valueOf(o)));
         return names;
     }
 
-    /** The names of the tenants, in the order of their numbers. */
-    public List<String> tenants() {
+    /** Returns the tenant names, indexed by tenant number. */
+    public List<String> tenantNames() {
         List<String> names = new ArrayList<>();
-        for (Object o : list(root, "customers")) {
-            names.add(text(map(o, "customers"), "name", ""));
+        for (Object tenant : list(root, "customers")) {
+            names.add(text(map(tenant, "customers"), "name", ""));
         }
         return names;
     }
 
     /**
-     * Requests a second that the tenants together may send to one instance, by their allowances; 0 if none
-     * are given.
+     * Returns the requests per second that all tenants together may send to one instance: the sum of their allowances
+     * divided by the number of instances; 0 if no allowances are given.
      */
     public double requestsPerS() {
-        double all = 0;
-        for (Object o : list(root, "customers")) {
-            all += number(map(o, "customers"), "allowancePerS", 0);
+        double total = 0;
+        for (Object tenant : list(root, "customers")) {
+            total += number(map(tenant, "customers"), "allowancePerS", 0);
         }
-        return all / Math.max(1, number(root, "balancers", 1));
+        return total / Math.max(1, number(root, "balancers", 1));
     }
 
-    /** Time within which a connection must have come up, microseconds. */
+    /** Returns the timeout for establishing a connection, microseconds. */
     public long dialTimeoutUs() {
         return (long) number(map(root.get("limits"), "limits"), "dialTimeoutUs", 250_000);
     }
 
-    /** The module's settings; throws {@link IllegalArgumentException} naming what is nonsensical. */
+    /**
+     * Returns the balancer settings.
+     *
+     * @throws IllegalArgumentException naming the invalid setting
+     */
     public Settings toSettings() {
         List<RequestClass> classes = new ArrayList<>();
         for (Object o : list(root, "classes")) {
@@ -129,67 +134,70 @@
                 (int) number(root, "me", -1));
     }
 
-    private static RequestClass requestClass(Map<String, Object> c) {
-        String name = text(c, "name", "unnamed");
-        Effect effect = switch (text(c, "effect", "fragile")) {
+    private static RequestClass requestClass(Map<String, Object> settings) {
+        String name = text(settings, "name", "unnamed");
+        Effect effect = switch (text(settings, "effect", "fragile")) {
             case "retryable" -> Effect.RETRYABLE;
             case "dedup" -> Effect.DEDUP;
             case "fragile" -> Effect.FRAGILE;
-            default -> throw new IllegalArgumentException("settings: " + name + ": unknown effect " + c.get("effect"));
+            default ->
+                throw new IllegalArgumentException("settings: " + name + ": unknown effect " + settings.get("effect"));
         };
-        DedupScope scope = switch (text(c, "dedupScope", "none")) {
+        DedupScope scope = switch (text(settings, "dedupScope", "none")) {
             case "all" -> DedupScope.ALL;
             case "zone" -> DedupScope.ZONE;
             case "cell" -> DedupScope.CELL;
             case "none", "" -> null;
             default ->
-                throw new IllegalArgumentException("settings: " + name + ": unknown dedupScope " + c.get("dedupScope"));
+                throw new IllegalArgumentException(
+                        "settings: " + name + ": unknown dedupScope " + settings.get("dedupScope"));
         };
-        long aim = (long) number(c, "onTimeUs", number(c, "deadlineUs", 1_000_000));
+        long targetLatencyUs = (long) number(settings, "onTimeUs", number(settings, "deadlineUs", 1_000_000));
         return new RequestClass(
                 name,
                 effect,
                 scope,
-                (long) number(c, "dedupWindowUs", 0),
-                number(c, "worth", 1),
-                number(c, "lateWorth", 0),
-                aim,
-                number(c, "aimStretch", 0),
-                (long) number(c, "deadlineUs", aim));
+                (long) number(settings, "dedupWindowUs", 0),
+                number(settings, "worth", 1),
+                number(settings, "lateWorth", 0),
+                targetLatencyUs,
+                number(settings, "aimStretch", 0),
+                (long) number(settings, "deadlineUs", targetLatencyUs));
     }
 
-    private static double number(Map<String, Object> map, String name, double absent) {
-        return value(map, name, Double.class, absent, "a number");
+    private static double number(Map<String, Object> map, String name, double defaultValue) {
+        return typedValue(map, name, Double.class, defaultValue, "a number");
     }
 
-    private static boolean flag(Map<String, Object> map, String name, boolean absent) {
-        return value(map, name, Boolean.class, absent, "true or false");
+    private static boolean flag(Map<String, Object> map, String name, boolean defaultValue) {
+        return typedValue(map, name, Boolean.class, defaultValue, "true or false");
     }
 
-    private static String text(Map<String, Object> map, String name, String absent) {
-        return value(map, name, String.class, absent, "a text");
+    private static String text(Map<String, Object> map, String name, String defaultValue) {
+        return typedValue(map, name, String.class, defaultValue, "a text");
     }
 
     private static List<?> list(Map<String, Object> map, String name) {
-        return value(map, name, List.class, List.of(), "a list");
+        return typedValue(map, name, List.class, List.of(), "a list");
     }
 
-    private static <T> T value(Map<String, Object> map, String name, Class<T> type, T absent, String kind) {
-        Object o = map.get(name);
-        if (o == null) {
-            return absent;
+    private static <T> T typedValue(
+            Map<String, Object> map, String name, Class<T> type, T defaultValue, String expected) {
+        Object value = map.get(name);
+        if (value == null) {
+            return defaultValue;
         }
-        if (type.isInstance(o)) {
-            return type.cast(o);
+        if (type.isInstance(value)) {
+            return type.cast(value);
         }
-        throw new IllegalArgumentException("settings: " + name + " must be " + kind);
+        throw new IllegalArgumentException("settings: " + name + " must be " + expected);
     }
 
-    private static Map<String, Object> map(Object o, String name) {
+    private static Map<String, Object> map(Object value, String name) {
         Map<String, Object> result = new LinkedHashMap<>();
-        if (o instanceof Map<?, ?> m) {
-            m.forEach((k, v) -> result.put(String.valueOf(k), v));
-        } else if (o != null) {
+        if (value instanceof Map<?, ?> source) {
+            source.forEach((k, v) -> result.put(String.valueOf(k), v));
+        } else if (value != null) {
             throw new IllegalArgumentException("settings: " + name + " must be an object");
         }
         return result;
--- a/src/main/java/mulleinfront/settings/Version.java
+++ b/src/main/java/mulleinfront/settings/Version.java
@@ -4,11 +4,11 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 
-/** The program's version, as the build wrote it down; daemon and kit say it to each other. */
+/** The program's version, as recorded by the build. The test kit compares its version with the proxy's. */
 public final class Version {
-    /** The header of {@code /-/ready} that says it. */
+    /** Response header of {@code /-/ready} that carries the version. */
     public static final String HEADER = "x-mulleinfront-version";
-    /** The version of this program. */
+    /** Version of this program, or {@code unknown}. */
     public static final String OWN = read();
 
     private Version() {}
--- a/src/main/java/mulleinfront/settings/WatchLine.java
+++ b/src/main/java/mulleinfront/settings/WatchLine.java
@@ -13,23 +13,22 @@
 import mulleinfront.config.Proposal;
 
 /**
- * What a control machine and its readers say to each other, an object a line: a difference, or what the
- * machine has ({@code newest}, {@code in_touch}); of a reader what it has in force ({@code at},
- * {@code checksum}).
+ * A message on a configuration watch, one JSON object per line. The configuration server sends deltas and heartbeats
+ * ({@code newest}, {@code in_touch}); a subscriber reports its active version ({@code at}, {@code checksum}).
  *
- * @param difference null: it is no difference
- * @param number the newest version of the machine, or what the reader has in force
- * @param inTouch whether the machine has heard of a majority lately
- * @param checksum of what the reader has in force
+ * @param difference the delta; null in a heartbeat or report
+ * @param version the server's newest version in a heartbeat, the subscriber's active version in a report
+ * @param hasQuorumContact whether the server's replica has quorum contact
+ * @param checksum checksum of the subscriber's active version
  */
 public record WatchLine(Difference difference, long number, boolean hasQuorumContact, long checksum) {
 
-    /** Writes fields of an object. */
+    /** Writes the fields of a JSON object. */
     public interface Fields {
         void write(JsonGenerator out) throws IOException;
     }
 
-    /** An object with its end of line. */
+    /** Returns a JSON object with these fields, ending with a line feed. */
     public static byte[] object(Fields fields) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
         try (JsonGenerator out = Listing.JSON.createGenerator(bytes)) {
@@ -43,62 +42,67 @@
         return bytes.toByteArray();
     }
 
-    /** That a machine is there. */
-    public static byte[] heartbeat(long newest, boolean inTouch) {
-        return ("{\"newest\":" + newest + ",\"in_touch\":" + inTouch + "}\n").getBytes(StandardCharsets.US_ASCII);
+    /** Returns a heartbeat of a configuration server. */
+    public static byte[] heartbeat(long newest, boolean hasQuorumContact) {
+        return ("{\"newest\":" + newest + ",\"in_touch\":" + hasQuorumContact + "}\n")
+                .getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Which version a reader has in force. */
-    public static byte[] report(long at, long checksum) {
-        return ("{\"at\":" + at + ",\"checksum\":\"" + Long.toHexString(checksum) + "\"}\n")
+    /** Returns a subscriber's report of its active version. */
+    public static byte[] report(long version, long checksum) {
+        return ("{\"at\":" + version + ",\"checksum\":\"" + Long.toHexString(checksum) + "\"}\n")
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Reads a line of either side. */
+    /** Reads a message of either side. */
     public static WatchLine read(byte[] line) throws IOException {
         try (JsonParser in = Listing.JSON.createParser(line)) {
             if (in.nextToken() != JsonToken.START_OBJECT || in.nextToken() != JsonToken.FIELD_NAME) {
-                throw new IOException("not an object with fields");
+                throw new IOException("the message must be an object with fields");
             }
             if (in.currentName().equals("from")) {
                 return new WatchLine(DifferenceLine.read(in), 0, true, 0);
             }
-            long number = -1;
-            boolean inTouch = true;
+            long version = -1;
+            boolean hasQuorumContact = true;
             long checksum = 0;
             for (; in.currentToken() == JsonToken.FIELD_NAME; in.nextToken()) {
                 String name = in.currentName();
                 in.nextToken();
                 switch (name) {
-                    case "newest", "at" -> number = in.getLongValue();
-                    case "in_touch" -> inTouch = in.getBooleanValue();
+                    case "newest", "at" -> version = in.getLongValue();
+                    case "in_touch" -> hasQuorumContact = in.getBooleanValue();
                     case "checksum" -> checksum = DifferenceLine.checksum(in.getText());
                     default -> in.skipChildren();
                 }
             }
-            if (number < 0) {
-                throw new IOException("a line that says no version");
+            if (version < 0) {
+                throw new IOException("the message has no version");
             }
-            return new WatchLine(null, number, inTouch, checksum);
+            return new WatchLine(null, version, hasQuorumContact, checksum);
         }
     }
 
-    /** A proposal as it goes to a control machine's door. */
-    public static byte[] proposal(Proposal p) {
+    /** Returns a proposal as it is posted to a control-plane node's client endpoint. */
+    public static byte[] proposal(Proposal proposal) {
         return object(out -> {
-            out.writeStringField("id", p.id());
-            out.writeNumberField("based_on", p.basedOn());
-            out.writeStringField("why", p.why());
-            out.writeNumberField("at_ms", p.atMillis());
+            out.writeStringField("id", proposal.id());
+            out.writeNumberField("based_on", proposal.basedOn());
+            out.writeStringField("why", proposal.why());
+            out.writeNumberField("at_ms", proposal.atMillis());
             out.writeObjectFieldStart("entries");
-            for (var e : p.entries().entrySet()) {
-                out.writeStringField(e.getKey(), e.getValue());
+            for (var entry : proposal.entries().entrySet()) {
+                out.writeStringField(entry.getKey(), entry.getValue());
             }
             out.writeEndObject();
         });
     }
 
-    /** Reads one that came to the door; what can't be taken is an {@link IOException} with its reason. */
+    /**
+     * Reads and validates a proposal posted to a control-plane node.
+     *
+     * @throws IOException whose message is the reason for the rejection
+     */
     public static Proposal readProposal(byte[] body) throws IOException {
         String id = null;
         long basedOn = -1;
@@ -106,7 +110,7 @@
         long atMillis = 0;
         SortedMap<String, String> entries = null;
         try (JsonParser in = Listing.JSON.createParser(body)) {
-            need(in.nextToken() == JsonToken.START_OBJECT, "a proposal must be an object");
+            require(in.nextToken() == JsonToken.START_OBJECT, "a proposal must be an object");
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String name = in.currentName();
                 in.nextToken();
@@ -117,26 +121,26 @@
                     case "at_ms" -> atMillis = in.getLongValue();
                     case "entries" -> {
                         entries = new TreeMap<>();
-                        DifferenceLine.entries(in, entries);
+                        DifferenceLine.readEntries(in, entries);
                     }
                     default -> in.skipChildren();
                 }
             }
-            need(in.currentToken() == JsonToken.END_OBJECT, "the proposal ends early");
+            require(in.currentToken() == JsonToken.END_OBJECT, "the proposal ends early");
         }
-        need(id != null && id.matches("[!-~]{1,64}"), "a proposal needs an id of 1 to 64 printable characters");
-        need(
+        require(id != null && id.matches("[!-~]{1,64}"), "a proposal needs an id of 1 to 64 printable characters");
+        require(
                 why.length() <= 200 && why.chars().noneMatch(c -> c < ' '),
                 "why must be one line of 200 characters at most");
-        need(entries != null, "a proposal needs entries");
-        String wrong = FleetConfiguration.wrong(entries);
-        need(wrong == null, wrong);
+        require(entries != null, "a proposal needs entries");
+        String error = FleetConfiguration.validationError(entries);
+        require(error == null, error);
         return new Proposal(id, basedOn, entries, why, atMillis);
     }
 
-    private static void need(boolean ok, String otherwise) throws IOException {
-        if (!ok) {
-            throw new IOException(otherwise);
+    private static void require(boolean condition, String error) throws IOException {
+        if (!condition) {
+            throw new IOException(error);
         }
     }
 }
--- a/src/main/java/mulleinfront/settings/package-info.java
+++ b/src/main/java/mulleinfront/settings/package-info.java
@@ -1,11 +1,14 @@
 /**
- * Whatever reads settings: what the platform tells a client proxy ({@code Config}, {@code Listing}, JSON), what the
- * bench's first message tells an instance ({@code SettingsReader}, the same object), and the operators' own files
- * ({@code Section}, TOML: {@code Machine}, and scenarios in the emulator). What is wrong is said in one line.
+ * Readers of settings: the platform's start-up configuration ({@code Config}, {@code Listing}; JSON), the settings
+ * object in it and in the simulator's first message ({@code SettingsReader}), and the operators' TOML files
+ * ({@code Section}, {@code ProcessSettings}, {@code FleetFile}, {@code ControlFile}; also scenarios in the emulator).
+ * The package also has the JSON messages of the configuration watch ({@code WatchLine}, {@code DifferenceLine}). Each
+ * error message is one line.
  *
- * <p>The way of data: bytes of a file come in, records come out; nothing here keeps or watches a file.
+ * <p>Data flow: bytes in, records out. Nothing here writes or watches a file.
  *
- * <p>May import the module's types, Jackson and, in what reads TOML alone, tomlj; under {@code proxy},
- * {@code benchlink}, {@code emulator} and the command line. The deployed start loads nothing of TOML.
+ * <p>Dependencies: the types of the balancer, {@code config} and {@code fleet}, Jackson, and tomlj in the TOML readers
+ * only. Used by {@code proxy}, {@code benchlink}, {@code emulator}, the control plane and the command line. A default
+ * start of the proxy loads no TOML classes.
  */
 package mulleinfront.settings;
--- a/src/test/java/mulleinfront/capacity/CapacityTest.java
+++ b/src/test/java/mulleinfront/capacity/CapacityTest.java
@@ -14,7 +14,7 @@
 import mulleinfront.capacity.Row.Term;
 import org.junit.jupiter.api.Test;
 
-/** Figures, margins and the order that follows from them. */
+/** Estimates, margins and the order of rows and mechanisms. */
 class CapacityTest {
     private static final Map<String, Double> GIVEN = Map.ofEntries(
             Map.entry("hosts", 670.0),
@@ -52,8 +52,8 @@
     }
 
     @Test
-    void aFigureIsTheSumOfItsSlopesAtTheSize() {
-        Capacity all = new Capacity(
+    void estimateIsTheSumOfItsTerms() {
+        Capacity capacity = new Capacity(
                 new Size(GIVEN),
                 List.of(slope("a", 10, 2), slope("b", 0, 1)),
                 List.of(
@@ -67,28 +67,34 @@
                                         new Term("b", "zone-hosts", List.of("/10")))),
                         row("x", "counted", "m", bytes(null, new Term(Term.COUNT, "calls-per-proxy-deep", List.of())))),
                 List.of());
-        Figure first = all.figures().get(0);
+        Figure first = capacity.figures().get(0);
         assertEquals((10 + 2 * 670) * 2 * 3 + 134 / 10.0, first.value(), 1e-6);
         assertEquals(1 - first.value() / 12_000, first.margin(), 1e-9);
         assertFalse(first.over());
-        assertEquals(40_000 / 670.0 * 10, all.figures().get(1).value(), 1e-9);
-        assertEquals(10 + 2 * 1340, all.at(all.size().withHosts(1340)).fit("a").at(1340), 1e-6);
-        assertTrue(all.at(all.size().withHosts(1340)).figures().get(0).over());
+        assertEquals(40_000 / 670.0 * 10, capacity.figures().get(1).value(), 1e-9);
+        assertEquals(
+                10 + 2 * 1340,
+                capacity.withSize(capacity.size().withHosts(1340)).fit("a").at(1340),
+                1e-6);
+        assertTrue(capacity.withSize(capacity.size().withHosts(1340))
+                .figures()
+                .get(0)
+                .over());
     }
 
     @Test
-    void whatIsNotMeasuredYetIsNoFigureAndNoUnknownSlope() {
+    void slopeWithoutMeasurementsGivesNoEstimate() {
         Slope later = new Slope("later", "something", "bytes/s", "client proxies", List.of(), "a command");
         Row row = row("x", "at rest", "m", bytes("bytes-budget", new Term("later", "hosts", List.of())));
-        Capacity all = new Capacity(new Size(GIVEN), List.of(later), List.of(row), List.of());
-        assertTrue(Double.isNaN(all.figures().get(0).value()));
-        assertEquals(List.of(), all.order());
-        assertTrue(new Page(all).rows("client proxy", "x").contains("not measured"));
+        Capacity capacity = new Capacity(new Size(GIVEN), List.of(later), List.of(row), List.of());
+        assertTrue(Double.isNaN(capacity.figures().get(0).value()));
+        assertEquals(List.of(), capacity.byBudgetShare());
+        assertTrue(new Page(capacity).rows("client proxy", "x").contains("not measured"));
     }
 
     @Test
-    void whatNothingCarriesComesFirstAndThenWhatIsOver() {
-        Capacity all = new Capacity(
+    void rowsWithoutMechanismComeBeforeRowsOverBudget() {
+        Capacity capacity = new Capacity(
                 new Size(GIVEN),
                 List.of(),
                 List.of(
@@ -100,11 +106,11 @@
                 List.of());
         assertEquals(
                 List.of("missing", "far over", "over", "within"),
-                all.order().stream().map(f -> f.row().when()).toList());
+                capacity.byBudgetShare().stream().map(f -> f.row().when()).toList());
     }
 
     @Test
-    void amongWhatNothingCarriesTheOneThatMostFaultsNeedIsFirst() {
+    void missingMechanismsAreOrderedByFaultTypes() {
         Map<String, Double> days = new HashMap<>(GIVEN);
         Need rare = new Need("rare", "r", List.of("failures-per-day"), "");
         Need many = new Need("many", "m", List.of("failures-per-day", "changes-per-day"), "");
@@ -115,15 +121,15 @@
                 row("m", "a", Row.NONE, given(1)),
                 row("k", "a", Row.NONE, given(1)),
                 row("o", "a", "it", given(99_000)));
-        Capacity all = new Capacity(new Size(days), List.of(), rows, List.of(rare, over, kinds, many));
+        Capacity capacity = new Capacity(new Size(days), List.of(), rows, List.of(rare, over, kinds, many));
         assertEquals(
                 List.of("many", "kinds", "rare", "over"),
-                all.neededFirst().stream().map(Need::name).toList());
-        assertEquals(443, all.daily(many));
+                capacity.requirementsByUrgency().stream().map(Need::name).toList());
+        assertEquals(443, capacity.occurrencesPerDay(many));
     }
 
     @Test
-    void whatDoesNotFitTogetherIsRefused() {
+    void rejectsInconsistentRowsAndSizes() {
         Row unknown = row("x", "at rest", "m", bytes(null, new Term("nobody", "hosts", List.of())));
         Row unsized = row("x", "at rest", "m", bytes(null, new Term("a", "nowhere", List.of())));
         for (Row wrong : List.of(unknown, unsized)) {
@@ -139,13 +145,13 @@
     }
 
     @Test
-    void aTableThatDoesNotEndIsRefusedAndWordsStay() {
-        Capacity all = new Capacity(
+    void fillRegeneratesTablesAndKeepsText() {
+        Capacity capacity = new Capacity(
                 new Size(GIVEN),
                 List.of(slope("a", 1, 1)),
                 List.of(row("x", "at rest", "m", bytes("bytes-budget", new Term("a", "hosts", List.of())))),
                 List.of());
-        Page page = new Page(all);
+        Page page = new Page(capacity);
         String text =
                 "before\n<!-- begin rows: client proxy, x -->\nold\n" + "<!-- end rows: client proxy, x -->\nafter\n";
         String filled = page.fill(text);
--- a/src/test/java/mulleinfront/cli/CapacityCommandTest.java
+++ b/src/test/java/mulleinfront/cli/CapacityCommandTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** {@code bench capacity} without measuring: what it says of the slopes that are held, and its exit codes. */
+/** {@code bench capacity} without measuring: output for the stored slopes, and exit codes. */
 class CapacityCommandTest {
-    private static final String HELD = "docs/capacity.json";
+    private static final String STORED = "docs/capacity.json";
 
     @TempDir
     private Path folder;
@@ -21,57 +21,58 @@
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
-    private int run(String... words) {
-        String[] all = new String[words.length + 2];
+    private int run(String... arguments) {
+        String[] all = new String[arguments.length + 2];
         all[0] = "bench";
         all[1] = "capacity";
-        System.arraycopy(words, 0, all, 2, words.length);
+        System.arraycopy(arguments, 0, all, 2, arguments.length);
         return CommandLine.run(new PrintWriter(out, true), new PrintWriter(err, true), all);
     }
 
-    private void refused(String because, String... words) {
+    private void assertRejected(String reason, String... arguments) {
         err.getBuffer().setLength(0);
-        assertEquals(CommandLine.BAD_INPUT, run(words), err.toString());
-        assertTrue(err.toString().contains(because) && err.toString().lines().count() == 1, err.toString());
+        assertEquals(CommandLine.BAD_INPUT, run(arguments), err.toString());
+        assertTrue(err.toString().contains(reason) && err.toString().lines().count() == 1, err.toString());
     }
 
     @Test
-    void oneThatIsOverIsExitCodeThree() {
-        assertEquals(CommandLine.RULE_BROKEN, run("--as-held", "--role", "services"));
+    void exceededBudgetIsExitCodeThree() {
+        assertEquals(CommandLine.VIOLATION, run("--as-held", "--role", "services"));
         assertTrue(out.toString().contains("none  over"), out.toString());
     }
 
     @Test
-    void allWithinIsExitCodeNought() {
-        assertEquals(CommandLine.KEPT, run("--as-held", "--role", "process"));
+    void allWithinBudgetIsExitCodeZero() {
+        assertEquals(CommandLine.SUCCESS, run("--as-held", "--role", "process"));
         assertTrue(out.toString().contains("all within budget"), out.toString());
     }
 
     @Test
-    void aLargerSizeCostsMore() {
-        assertEquals(CommandLine.RULE_BROKEN, run("--as-held", "--role", "lists", "--size", "2000"));
+    void largerSizeCostsMore() {
+        assertEquals(CommandLine.VIOLATION, run("--as-held", "--role", "lists", "--size", "2000"));
         assertTrue(out.toString().contains("291,000"), out.toString());
     }
 
     @Test
     void badInputIsOneLineAndChangesNothing() throws IOException {
         Path bad = Files.writeString(folder.resolve("bad.json"), "{\"size\": {}\n, nonsense");
-        refused("bad.json:2", "--as-held", "--from", bad.toString());
-        refused("there is no role nobody", "--as-held", "--role", "nobody");
-        refused("sizes or more", "--role", "lists", "--at", "50,100");
-        refused("--size", "--as-held", "--size", "0");
-        refused("none.md", "--as-held", "--page", folder.resolve("none.md").toString());
+        assertRejected("bad.json:2", "--as-held", "--from", bad.toString());
+        assertRejected("there is no role nobody", "--as-held", "--role", "nobody");
+        assertRejected("sizes or more", "--role", "lists", "--at", "50,100");
+        assertRejected("--size", "--as-held", "--size", "0");
+        assertRejected(
+                "none.md", "--as-held", "--page", folder.resolve("none.md").toString());
         Path page = Files.writeString(folder.resolve("page.md"), "<!-- begin size -->\nnever ends\n");
-        refused("does not end", "--as-held", "--page", page.toString());
+        assertRejected("does not end", "--as-held", "--page", page.toString());
         assertEquals("<!-- begin size -->\nnever ends\n", Files.readString(page));
     }
 
     @Test
-    void theFileAndThePageAreWrittenAsTheyAreHeld() throws IOException {
+    void unchangedInputIsWrittenUnchanged() throws IOException {
         Path json = folder.resolve("all.json");
         Path page = Files.copy(Path.of("docs/CAPACITY.md"), folder.resolve("page.md"));
-        assertEquals(CommandLine.RULE_BROKEN, run("--as-held", "--json", json.toString(), "--page", page.toString()));
-        assertEquals(Files.readString(Path.of(HELD)), Files.readString(json));
+        assertEquals(CommandLine.VIOLATION, run("--as-held", "--json", json.toString(), "--page", page.toString()));
+        assertEquals(Files.readString(Path.of(STORED)), Files.readString(json));
         assertEquals(Files.readString(Path.of("docs/CAPACITY.md")), Files.readString(page));
     }
 }
--- a/src/test/java/mulleinfront/cli/EmulateTest.java
+++ b/src/test/java/mulleinfront/cli/EmulateTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line: exit codes, what is printed where, and one line for what is wrong. */
+/** {@code emulate}: exit codes, output streams, and one-line error messages. */
 class EmulateTest {
     @TempDir
     Path folder;
@@ -34,28 +34,28 @@
                 folder.resolve("short.toml"), "[scenario]\ntitle = \"short\"\nworld = \"calm.toml\"\n" + lines);
     }
 
-    private int run(Object... words) {
-        StringWriter o = new StringWriter();
-        StringWriter e = new StringWriter();
-        String[] args = new String[words.length];
+    private int run(Object... arguments) {
+        StringWriter outWriter = new StringWriter();
+        StringWriter errWriter = new StringWriter();
+        String[] args = new String[arguments.length];
         for (int i = 0; i < args.length; i++) {
-            args[i] = words[i].toString();
+            args[i] = arguments[i].toString();
         }
-        int code = CommandLine.run(new PrintWriter(o, true), new PrintWriter(e, true), args);
-        out = o.toString();
-        err = e.toString();
+        int code = CommandLine.run(new PrintWriter(outWriter, true), new PrintWriter(errWriter, true), args);
+        out = outWriter.toString();
+        err = errWriter.toString();
         return code;
     }
 
-    private void refused(String expected, Object... words) {
-        assertEquals(2, run(words), out + err);
+    private void assertRejected(String expected, Object... arguments) {
+        assertEquals(2, run(arguments), out + err);
         assertEquals("", out);
         assertEquals(1, err.lines().count(), err);
         assertTrue(err.startsWith("mulleinfront: ") && err.contains(expected), err);
     }
 
     @Test
-    void aScenarioIsPlayedAndTheDigestComesLast() throws Exception {
+    void printsReportWithTraceDigestLast() throws Exception {
         Path trace = folder.resolve("trace");
         Path json = folder.resolve("json");
         assertEquals(0, run("emulate", scenario, "--seed", 5, "--trace", trace, "--json", json), err);
@@ -63,7 +63,7 @@
         String last = out.lines().reduce((a, b) -> b).orElseThrow();
         String sha =
                 HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(Files.readAllBytes(trace)));
-        assertEquals("decisions: sha256 " + sha, last, "the digest is that of the trace's file");
+        assertEquals("decisions: sha256 " + sha, last, "the printed digest is that of the trace file");
         String report = Files.readString(json);
         assertTrue(report.contains("\"decisions_sha256\" : \"" + sha + "\""), report);
         assertTrue(report.contains("\"breach_count\" : 0") && report.contains("\"invoice-lookup\""), report);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void manySeedsGiveTheSameFiguresWhateverTheJobs() {
+    void sweepResultIsIndependentOfJobs() {
         assertEquals(0, run("emulate", scenario, "--seeds", "1..6", "--jobs", 1), err);
         String one = out;
         assertTrue(
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void aBrokenRuleIsExitCode3AndSaysHowToReplayIt() throws Exception {
+    void brokenRuleIsExitCode3WithReplayCommand() throws Exception {
         scenario("length = \"6s\"\n[proxies]\nkill-after = \"0s\"\n[[fault]]\ndo = \"end-proxy\"\nat = \"3s\"\n"
                 + "count = 5\n");
         assertEquals(3, run("emulate", scenario), out);
@@ -104,22 +104,23 @@
 
     @Test
     void badInputIsOneLine() throws Exception {
-        refused("nowhere.toml: there is no such file", "emulate", folder.resolve("nowhere.toml"));
-        refused("can't be read", "emulate", folder);
-        refused("Missing required parameter", "emulate");
-        refused("'--sed'", "emulate", scenario, "--sed", 1);
-        refused("'x' is not a long", "emulate", scenario, "--seed", "x");
-        refused("is no range of seeds", "emulate", scenario, "--seeds", "9..1");
-        refused("is no range of seeds", "emulate", scenario, "--seeds", "9");
-        refused("is no range of seeds", "emulate", scenario, "--seeds", "..");
-        refused("--jobs must be 1 or more", "emulate", scenario, "--seeds", "1..2", "--jobs", 0);
-        refused("are for one seed", "emulate", scenario, "--seeds", "1..2", "--json", folder.resolve("j"));
-        refused("can't be written", "emulate", scenario, "--trace", folder.resolve("no/such/folder"));
-        refused("a word is missing");
-        refused("Unmatched argument", "emulatte", scenario);
+        assertRejected("nowhere.toml: there is no such file", "emulate", folder.resolve("nowhere.toml"));
+        assertRejected("can't be read", "emulate", folder);
+        assertRejected("Missing required parameter", "emulate");
+        assertRejected("'--sed'", "emulate", scenario, "--sed", 1);
+        assertRejected("'x' is not a long", "emulate", scenario, "--seed", "x");
+        assertRejected("is no range of seeds", "emulate", scenario, "--seeds", "9..1");
+        assertRejected("is no range of seeds", "emulate", scenario, "--seeds", "9");
+        assertRejected("is no range of seeds", "emulate", scenario, "--seeds", "..");
+        assertRejected("--jobs must be 1 or more", "emulate", scenario, "--seeds", "1..2", "--jobs", 0);
+        assertRejected("are for one seed", "emulate", scenario, "--seeds", "1..2", "--json", folder.resolve("j"));
+        assertRejected("can't be written", "emulate", scenario, "--trace", folder.resolve("no/such/folder"));
+        assertRejected("a word is missing");
+        assertRejected("Unmatched argument", "emulatte", scenario);
         Path wrong = Files.writeString(folder.resolve("wrong.toml"), "[scenario]\ntitle = \"t\"\nlength = 4\n");
-        refused("wrong.toml:3: scenario.length: '4' is no time", "emulate", wrong);
-        refused("is not UTF-8 text", "emulate", Files.write(folder.resolve("bytes.toml"), new byte[] {-1, -2, 'a'}));
+        assertRejected("wrong.toml:3: scenario.length: '4' is no time", "emulate", wrong);
+        assertRejected(
+                "is not UTF-8 text", "emulate", Files.write(folder.resolve("bytes.toml"), new byte[] {-1, -2, 'a'}));
     }
 
     @Test
--- a/src/test/java/mulleinfront/cli/GraphCommandTest.java
+++ b/src/test/java/mulleinfront/cli/GraphCommandTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** {@code emulate graph}: exit codes, what is printed where, and one line for what is wrong. */
+/** {@code emulate graph}: exit codes, output streams, and one-line error messages. */
 class GraphCommandTest {
     private static final String WORLD = "scenarios/size/world.toml";
 
@@ -21,21 +21,21 @@
     private String out;
     private String err;
 
-    private int run(Object... words) {
-        StringWriter o = new StringWriter();
-        StringWriter e = new StringWriter();
-        String[] args = new String[words.length];
+    private int run(Object... arguments) {
+        StringWriter outWriter = new StringWriter();
+        StringWriter errWriter = new StringWriter();
+        String[] args = new String[arguments.length];
         for (int i = 0; i < args.length; i++) {
-            args[i] = words[i].toString();
+            args[i] = arguments[i].toString();
         }
-        int code = CommandLine.run(new PrintWriter(o, true), new PrintWriter(e, true), args);
-        out = o.toString();
-        err = e.toString();
+        int code = CommandLine.run(new PrintWriter(outWriter, true), new PrintWriter(errWriter, true), args);
+        out = outWriter.toString();
+        err = errWriter.toString();
         return code;
     }
 
     @Test
-    void aGraphIsPlayedAndItsFiguresAreWrittenDown() throws Exception {
+    void runsGraphAndWritesReport() throws Exception {
         Path json = folder.resolve("json");
         assertEquals(
                 0,
@@ -61,19 +61,19 @@
         assertTrue(out.contains("rules: all four kept in each service, and those along the paths"), out);
     }
 
-    private void refused(String expected, Object... words) {
-        assertEquals(2, run(words), out + err);
+    private void assertRejected(String expected, Object... arguments) {
+        assertEquals(2, run(arguments), out + err);
         assertEquals("", out);
         assertEquals(1, err.lines().count(), err);
         assertTrue(err.startsWith("mulleinfront: ") && err.contains(expected), err);
     }
 
     @Test
-    void whatIsWrongIsSaidInOneLine() {
-        refused("there is no such file", "emulate", "graph", "scenarios/size/none.toml");
-        refused("there is no [graph]", "emulate", "graph", "scenarios/calm.toml");
-        refused("too few machines", "emulate", "graph", WORLD, "--hosts", 50);
-        refused("fewer services", "emulate", "graph", WORLD, "--services", 9);
-        refused("--hosts, --services, --rate and", "emulate", "graph", WORLD, "--rate", -1);
+    void badInputIsOneLine() {
+        assertRejected("there is no such file", "emulate", "graph", "scenarios/size/none.toml");
+        assertRejected("there is no [graph]", "emulate", "graph", "scenarios/calm.toml");
+        assertRejected("too few machines", "emulate", "graph", WORLD, "--hosts", 50);
+        assertRejected("fewer services", "emulate", "graph", WORLD, "--services", 9);
+        assertRejected("--hosts, --services, --rate and", "emulate", "graph", WORLD, "--rate", -1);
     }
 }
--- a/src/test/java/mulleinfront/cli/KitTest.java
+++ b/src/test/java/mulleinfront/cli/KitTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The kit's words, exit codes and reports. */
+/** {@code kit}: commands, exit codes and reports. */
 class KitTest {
     private static final String DAEMON = "exec '" + Path.of(System.getProperty("java.home"), "bin", "java")
             + "' -XX:TieredStopAtLevel=1 -Xmx96m -cp '" + System.getProperty("java.class.path") + "' ";
@@ -21,11 +21,11 @@
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
-    private int run(String... words) {
-        return CommandLine.run(new PrintWriter(out, true), new PrintWriter(err, true), words);
+    private int run(String... arguments) {
+        return CommandLine.run(new PrintWriter(out, true), new PrintWriter(err, true), arguments);
     }
 
-    private String day(String proxies) throws Exception {
+    private String scenarioFile(String proxies) throws Exception {
         return Files.writeString(
                         folder.resolve("day.toml"),
                         "[scenario]\ntitle = \"a test\"\nworld = \""
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aFullDiskAtTheReportLosesNothingOfIt() throws Exception {
+    void unwritableReportIsStillPrinted() throws Exception {
         Path full = Path.of("/dev/full");
         Files.createDirectories(folder.resolve("r/day"));
         if (Files.exists(full)) {
@@ -47,23 +47,23 @@
         int code = run(
                 "kit",
                 "run",
-                day("count = 1"),
+                scenarioFile("count = 1"),
                 "--daemon",
                 DAEMON + "mulleinfront.Main serve",
                 "--report",
                 folder.resolve("r").toString());
         assertTrue(err.toString().contains("the report can't be written ("), err.toString());
         assertTrue(out.toString().contains("rules: all four kept"), out.toString());
-        // On a machine that is too busy there is no verdict, and the page all the same.
-        assertTrue(code == CommandLine.KEPT || code == Kit.TOO_BUSY, "exit code " + code);
+        // On a busy machine there is no verdict, but the report is still printed.
+        assertTrue(code == CommandLine.SUCCESS || code == Kit.TOO_BUSY, "exit code " + code);
     }
 
     @Test
-    void anotherVersionIsExitCodeFourAndTheReportsAreThere() throws Exception {
+    void otherVersionIsExitCodeFourAndReportsAreWritten() throws Exception {
         int code = run(
                 "kit",
                 "run",
-                day("count = 1"),
+                scenarioFile("count = 1"),
                 "--daemon",
                 DAEMON + "mulleinfront.kit.BrokenDaemon other-version",
                 "--report",
@@ -79,14 +79,14 @@
         assertEquals(
                 CommandLine.BAD_INPUT,
                 run("kit", "run", folder.resolve("none.toml").toString()));
-        assertEquals(CommandLine.BAD_INPUT, run("kit", "run", day("count = 65")));
+        assertEquals(CommandLine.BAD_INPUT, run("kit", "run", scenarioFile("count = 65")));
         assertEquals(
                 CommandLine.BAD_INPUT,
                 run("kit", "suite", folder.resolve("none").toString()));
         assertEquals(CommandLine.BAD_INPUT, run("kit", "what"));
         assertEquals(4, err.toString().lines().count(), err.toString());
-        assertEquals(CommandLine.KEPT, run("kit", "list"));
+        assertEquals(CommandLine.SUCCESS, run("kit", "list"));
         assertTrue(out.toString().contains("scenarios/hang.toml"), out.toString());
-        assertEquals(CommandLine.KEPT, run("--version"));
+        assertEquals(CommandLine.SUCCESS, run("--version"));
     }
 }
--- a/src/test/java/mulleinfront/settings/ControlFileTest.java
+++ b/src/test/java/mulleinfront/settings/ControlFileTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The files of the control machines and of the fleet's configuration, and what is said of bad ones. */
+/** Reads control-plane files and fleet-wide configurations, and reports errors in them. */
 class ControlFileTest {
     @TempDir
     Path folder;
 
-    private static final String MACHINES = """
+    private static final String NODES = """
             [[machine]]
             name = "a"
             consensus = "127.0.0.1:1"
@@ -35,12 +35,12 @@
             """;
 
     @Test
-    void theDeployFileSaysWhatTheNoteReckonsWith() throws Exception {
+    void deployFileContainsTheDefaults() throws Exception {
         ControlFile file = ControlFile.load(Path.of("deploy/control.toml"));
-        assertEquals(PublisherSettings.DEFAULTS, file.handout());
+        assertEquals(PublisherSettings.DEFAULTS, file.publisher());
         assertEquals(SubscriberSettings.defaults(3), file.follow());
         assertNull(file.state());
-        assertNull(file.events());
+        assertNull(file.eventLogFile());
     }
 
     @ParameterizedTest
@@ -51,8 +51,8 @@
             door = "127.0.0.1:4"|door = "here"|8: machine.door: not an address and port: here
             door = "127.0.0.1:4"|doors = 3|5: machine: missing door
             """)
-    void whatIsWrongWithAMachineIsSaid(String old, String bad, String said) throws Exception {
-        refused(MACHINES.replace(old, bad), said);
+    void rejectsInvalidNodes(String old, String bad, String expected) throws Exception {
+        assertRejected(NODES.replace(old, bad), expected);
     }
 
     @ParameterizedTest
@@ -63,21 +63,21 @@
             [follow]\\nconnect = "2s"|14: follow.connect: must be from 10ms to 1500ms
             [other]|13: other: unknown key
             """)
-    void whatIsWrongWithFiguresIsSaid(String bad, String said) throws Exception {
-        refused(MACHINES + bad.replace("\\n", "\n"), said);
+    void rejectsInvalidSettings(String bad, String expected) throws Exception {
+        assertRejected(NODES + bad.replace("\\n", "\n"), expected);
     }
 
-    private void refused(String text, String said) throws Exception {
+    private void assertRejected(String text, String expected) throws Exception {
         Path file = Files.writeString(folder.resolve("c.toml"), text);
-        BadFileException e = assertThrows(BadFileException.class, () -> ControlFile.load(file));
-        assertEquals(file + ":" + said, e.getMessage());
+        BadFileException error = assertThrows(BadFileException.class, () -> ControlFile.load(file));
+        assertEquals(file + ":" + expected, error.getMessage());
     }
 
     @Test
-    void nestedTablesAndListsAreDottedKeys() throws Exception {
+    void flattensNestedTablesAndArrays() throws Exception {
         assertEquals(
                 Map.of("a.b.c", "1.5", "a.on", "true", "l.0", "x", "l.1.y", "2"),
-                FleetConfiguration.read("f", "a.b.c = 1.5\na.on = true\nl = [\"x\", {y = 2}]\n"));
+                FleetConfiguration.parse("f", "a.b.c = 1.5\na.on = true\nl = [\"x\", {y = 2}]\n"));
     }
 
     @ParameterizedTest
@@ -89,27 +89,29 @@
             discovery = 'x'|1: discovery: not an address and port: x
             discovery = ['127.0.0.1:1']|ok
             """)
-    void whatCanNotBeTheFleetsIsSaidWithItsLine(String text, String said) throws Exception {
+    void rejectsInvalidFleetConfigurationWithLine(String text, String expected) throws Exception {
         String toml = text.replace("\\n", "\n").replace("\\t", "\t").replace("\\uD83D\\uDE00", "\uD83D\uDE00");
-        if (said.equals("ok")) {
-            assertEquals("127.0.0.1:1", FleetConfiguration.read("f", toml).get("discovery.0"));
+        if (expected.equals("ok")) {
+            assertEquals("127.0.0.1:1", FleetConfiguration.parse("f", toml).get("discovery.0"));
             return;
         }
-        BadFileException e = assertThrows(BadFileException.class, () -> FleetConfiguration.read("f", toml));
+        BadFileException error = assertThrows(BadFileException.class, () -> FleetConfiguration.parse("f", toml));
         assertEquals(
-                "f:" + said, e.getMessage().substring(0, Math.min(e.getMessage().length(), said.length() + 2)));
+                "f:" + expected,
+                error.getMessage().substring(0, Math.min(error.getMessage().length(), expected.length() + 2)));
     }
 
     @Test
-    void moreThanCanBeSentInTimeIsRefused() throws Exception {
+    void rejectsTooManyCharacters() throws Exception {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < 9; i++) {
             text.append("k").append(i).append(" = \"").append("v".repeat(4_096)).append("\"\n");
         }
-        BadFileException e = assertThrows(BadFileException.class, () -> FleetConfiguration.read("f", text.toString()));
-        assertEquals("f: keys and values have 36000 characters at most, not 36882", e.getMessage());
+        BadFileException error =
+                assertThrows(BadFileException.class, () -> FleetConfiguration.parse("f", text.toString()));
+        assertEquals("f: keys and values have 36000 characters at most, not 36882", error.getMessage());
         BadFileException longer = assertThrows(
-                BadFileException.class, () -> FleetConfiguration.read("f", "\nk = \"" + "v".repeat(4_097) + "\"\n"));
+                BadFileException.class, () -> FleetConfiguration.parse("f", "\nk = \"" + "v".repeat(4_097) + "\"\n"));
         assertEquals("f:2: k: a value has 4096 characters at most, not 4097", longer.getMessage());
     }
 }
--- a/src/test/java/mulleinfront/settings/LoadReportTest.java
+++ b/src/test/java/mulleinfront/settings/LoadReportTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Anybody may write anything into the header. */
+/** Load reports are untrusted: a malformed report counts as absent. */
 class LoadReportTest {
     @Test
-    void whatAHostHoldsIsReadUnderBothNames() {
+    void readsRequestsInFlightUnderBothKeys() {
         assertEquals(7, LoadReport.held("{\"outstanding\":7}"));
         assertEquals(4.489, LoadReport.held("{\"util\": 0.61, \"inflight\": 4.489, \"x0\": {\"a\": [1]}}"));
         assertEquals(0, LoadReport.held(" {\"outstanding\":0} "));
@@ -38,12 +38,12 @@
                 "\u0001\u0002",
                 "{\"outstanding\":99999999999999999999999999999999999999999999999999999999999999999e99999999}"
             })
-    void whatCantBeReadSaysNothing(String text) {
+    void ignoresMalformedReports(String text) {
         assertTrue(Double.isNaN(LoadReport.held(text)), text);
     }
 
     @Test
-    void anEndlessTextIsNotEvenLookedAt() {
+    void ignoresOverlongOrMissingReports() {
         assertTrue(Double.isNaN(LoadReport.held("{\"outstanding\":7" + " ".repeat(600) + "}")));
         assertTrue(Double.isNaN(LoadReport.held((String) null)));
     }
