--- a/src/main/java/mulleinfront/capacity/Size.java
+++ b/src/main/java/mulleinfront/capacity/Size.java
@@ -51,14 +51,14 @@
         double hosts = given.get("hosts");
         return switch (name) {
             case "one" -> 1;
-            // The operators' figure can mean all calls, or only calls at the edge, each of which causes up to
-            // depth calls; both are computed.
+            // The given rate can mean all calls, or only calls at the edge, each of which causes up to depth calls.
+            // Both are computed.
             case "calls-per-proxy" -> given.get("calls-per-s") / hosts;
             case "calls-per-proxy-deep" -> given.get("calls-per-s") / hosts * given.get("depth");
             case "proxies-per-machine" -> Math.ceil(hosts / given.get("machines"));
             case "proxies-per-machine-one-gone" -> Math.ceil(hosts / Math.max(1, given.get("machines") - 1));
             case "hosts-per-service" -> hosts / given.get("services");
-            // The operators' figure can mean all zones, or the zones of each region; both are computed.
+            // The given number of zones can mean all zones, or the zones of each region. Both are computed.
             case "zone-hosts" -> hosts / given.get("zones");
             case "zone-hosts-least" -> hosts / (given.get("zones") * given.get("regions"));
             case "region-hosts" -> hosts / given.get("regions");
--- a/src/main/java/mulleinfront/cli/KeepCommand.java
+++ b/src/main/java/mulleinfront/cli/KeepCommand.java
@@ -116,7 +116,7 @@
         }));
         spec.commandLine()
                 .getErr()
-                .println("mulleinfront: control machine " + self.name() + " hands out on "
+                .println("mulleinfront: control-plane node " + self.name() + " hands out on "
                         + NetUtil.toSocketAddressString(server.address()));
         ended.await();
         if (terminated.get()) {
@@ -124,7 +124,7 @@
         }
         // Subscribers fail over to another node. The failed replica stays out until an operator checks its data
         // directory.
-        throw new IOException(
-                "control machine " + self.name() + " ends: " + node.status().fault());
+        throw new IOException("control-plane node " + self.name() + " failed: "
+                + node.status().fault());
     }
 }
--- a/src/main/java/mulleinfront/settings/FleetFile.java
+++ b/src/main/java/mulleinfront/settings/FleetFile.java
@@ -172,9 +172,9 @@
         }
         require(
                 name != null && NAME_PATTERN.matcher(name).matches(),
-                "name must have 1 to 32 printable characters without blanks; fleet membership requires it");
+                "name must have 1 to 32 printable characters without blanks, which a fleet needs");
         require(listen != null, "peer_listen is missing, which a fleet needs");
-        require(!peers.isEmpty(), "peers is missing; fleet membership requires it");
+        require(!peers.isEmpty(), "peers is missing, which a fleet needs");
         require(
                 memberNumber >= 0 && memberNumber < peers.size(),
                 "settings.me is " + memberNumber + ", and peers has the numbers 0 to " + (peers.size() - 1));
