--- a/src/main/java/mulleinfront/benchlink/Adapter.java
+++ b/src/main/java/mulleinfront/benchlink/Adapter.java
@@ -18,15 +18,18 @@
 import mulleinfront.Balancer.Request;
 import mulleinfront.Balancer.Source;
 
-/** Speaks the bench's wire and hosts one {@link Balancer} for each instance; decides nothing. */
+/**
+ * Connects balancers to an external simulator: reads batches of events as JSON, passes them to one {@link Balancer} for
+ * each instance, and writes the balancers' actions as the reply. It makes no decisions itself.
+ */
 public final class Adapter {
-    private static final int TABLES = 16;
+    private static final int TABLE_COUNT = 16;
 
     private final JsonParser in;
     private final JsonGenerator out;
     private final EventReader events;
     private final TreeMap<Integer, Instance> instances = new TreeMap<>();
-    /** Instances addressed by the batch at hand, in order. */
+    /** Instances addressed by the current batch, in order. */
     private final List<Instance> addressed = new ArrayList<>();
 
     private final List<List<Endpoint>> tables = new ArrayList<>();
@@ -38,34 +41,34 @@
         this.out = factory.createGenerator(output);
         this.out.setRootValueSeparator(null);
         this.events = new EventReader(in);
-        for (int i = 0; i < TABLES; i++) {
+        for (int i = 0; i < TABLE_COUNT; i++) {
             tables.add(List.of());
         }
     }
 
     /**
-     * Answers batches until the input ends.
+     * Replies to batches until the input ends.
      *
-     * @throws IOException if a line is malformed or a stream breaks
+     * @throws IOException if a batch is malformed or a stream breaks
      */
     public static void run(InputStream input, OutputStream output) throws IOException {
         Adapter adapter = new Adapter(input, output);
-        while (adapter.batch()) {
-            adapter.reply();
+        while (adapter.readBatch()) {
+            adapter.writeReply();
         }
     }
 
-    private boolean batch() throws IOException {
+    private boolean readBatch() throws IOException {
         JsonToken first = in.nextToken();
         if (first == null) {
             return false;
         }
         addressed.clear();
         if (first != JsonToken.START_OBJECT) {
-            throw new WireException("a batch must be an object");
+            throw new ProtocolException("a batch must be an object");
         }
         long now = 0;
-        boolean clock = false;
+        boolean hasTime = false;
         events.reset();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String name = in.currentName();
@@ -73,50 +76,50 @@
             switch (name) {
                 case "wallUs" -> {
                     now = in.getLongValue();
-                    clock = true;
+                    hasTime = true;
                 }
                 case "proxys" -> events.readGroups();
                 default -> in.skipChildren();
             }
         }
         if (in.currentToken() != JsonToken.END_OBJECT) {
-            throw new WireException("a batch ends early");
+            throw new ProtocolException("a batch ends early");
         }
-        if (!clock) {
-            throw new WireException("a batch without wallUs");
+        if (!hasTime) {
+            throw new ProtocolException("a batch without wallUs");
         }
-        for (int g = 0; g < events.groups(); g++) {
-            dispatch(events.instance(g), events.from(g), events.to(g), now);
+        for (int group = 0; group < events.groups(); group++) {
+            dispatch(events.instance(group), events.firstEvent(group), events.endEvent(group), now);
         }
         return true;
     }
 
-    private void dispatch(int number, int from, int to, long now) throws IOException {
-        Instance instance = instances.computeIfAbsent(number, Instance::new);
+    private void dispatch(int instanceNumber, int firstEvent, int endEvent, long now) throws IOException {
+        Instance instance = instances.computeIfAbsent(instanceNumber, Instance::new);
         if (!addressed.contains(instance)) {
             addressed.add(instance);
         }
-        for (int i = from; i < to; i++) {
-            EventReader.Event e = events.event(i);
-            if (e.type == null) {
-                throw new WireException("an event without m");
+        for (int i = firstEvent; i < endEvent; i++) {
+            EventReader.Event event = events.event(i);
+            if (event.type == null) {
+                throw new ProtocolException("an event without m");
             }
-            if (e.type.equals("CATALOG")) {
-                if (e.table < 0 || e.table >= TABLES) {
-                    throw new WireException("CATALOG: table out of range");
+            if (event.type.equals("CATALOG")) {
+                if (event.tableIndex < 0 || event.tableIndex >= TABLE_COUNT) {
+                    throw new ProtocolException("CATALOG: table out of range");
                 }
-                tables.set(e.table, e.rows);
+                tables.set(event.tableIndex, event.endpoints);
                 continue;
             }
             try {
-                instance.handle(e, now);
+                instance.handle(event, now);
             } catch (RuntimeException failure) {
-                instance.crash(failure);
+                instance.addCrash(failure);
             }
         }
     }
 
-    private void reply() throws IOException {
+    private void writeReply() throws IOException {
         out.writeStartObject();
         out.writeArrayFieldStart("proxys");
         for (Instance instance : addressed) {
@@ -124,8 +127,8 @@
                 out.writeStartObject();
                 out.writeNumberField("i", instance.number);
                 out.writeArrayFieldStart("actions");
-                for (Action a : instance.pending) {
-                    a.write(out);
+                for (Action action : instance.pending) {
+                    action.write(out);
                 }
                 out.writeEndArray();
                 out.writeEndObject();
@@ -139,32 +142,35 @@
     }
 
     /**
-     * An action on its way to the wire; {@code number} is written under {@code numberName} if that is set.
+     * An action to be written to the reply; {@code number} is written under {@code numberField} if that is not null.
      */
-    private record Action(String type, String requestId, String host, String numberName, long number, String text) {
+    private record Action(
+            String type, String requestId, String endpointId, String numberField, long number, String message) {
         void write(JsonGenerator out) throws IOException {
             out.writeStartObject();
             out.writeStringField("m", type);
             if (requestId != null) {
                 out.writeStringField("xid", requestId);
             }
-            if (host != null) {
-                out.writeStringField("host", host);
+            if (endpointId != null) {
+                out.writeStringField("host", endpointId);
             }
-            if (numberName != null) {
-                out.writeNumberField(numberName, number);
+            if (numberField != null) {
+                out.writeNumberField(numberField, number);
             }
             switch (type) {
                 case "TIMER" -> out.writeStringField("name", "wake");
                 case "OBSERVE" -> out.writeBooleanField("enable", true);
-                case "CRASH" -> out.writeStringField("msg", text);
+                case "CRASH" -> out.writeStringField("msg", message);
                 default -> {}
             }
             out.writeEndObject();
         }
     }
 
-    /** One instance: its balancer, and the actions of the batch at hand. */
+    /**
+     * One instance: its balancer, which is null while the instance is not running, and the actions of the current batch.
+     */
     private final class Instance implements Actions {
         final int number;
         final List<Action> pending = new ArrayList<>();
@@ -174,64 +180,70 @@
             this.number = number;
         }
 
-        void handle(EventReader.Event e, long now) throws WireException {
-            if (e.type.equals("BOOT")) {
-                if (e.settings == null) {
+        void handle(EventReader.Event event, long now) throws ProtocolException {
+            if (event.type.equals("BOOT")) {
+                if (event.settings == null) {
                     throw new IllegalArgumentException("settings: bootInfo is missing");
                 }
-                balancer = Balancer.create(e.settings.toSettings(), e.seed, now, this);
+                balancer = Balancer.create(event.settings.toSettings(), event.seed, now, this);
                 return;
             }
             if (balancer == null) {
                 return;
             }
-            if (e.held >= 0) {
-                balancer.onLoadReport(now, e.host, e.held);
+            if (event.inFlight >= 0) {
+                balancer.onLoadReport(now, event.endpointId, event.inFlight);
             }
-            switch (e.type) {
-                case "DISCOVERY" -> discovery(e, now);
+            switch (event.type) {
+                case "DISCOVERY" -> handleDiscovery(event, now);
                 case "ORDER" ->
                     balancer.onRequest(
                             now,
                             new Request(
-                                    e.requestId,
-                                    e.classIndex,
-                                    e.key,
-                                    e.budgetUs,
-                                    (e.bits & 1) != 0 ? e.expectedUs : 0,
-                                    e.tenant,
-                                    (e.bits & 2) != 0));
-                case "ABORTED" -> balancer.onRequestAbandoned(now, e.requestId);
-                case "FIRST_BYTE" -> balancer.onStreamStarted(now, e.requestId, e.attempt);
+                                    event.requestId,
+                                    event.classIndex,
+                                    event.key,
+                                    event.budgetUs,
+                                    (event.flags & 1) != 0 ? event.expectedUs : 0,
+                                    event.tenant,
+                                    (event.flags & 2) != 0));
+                case "ABORTED" -> balancer.onRequestAbandoned(now, event.requestId);
+                case "FIRST_BYTE" -> balancer.onStreamStarted(now, event.requestId, event.attempt);
                 case "ENDED" ->
                     balancer.onAttemptEnded(
-                            now, new AttemptEnd(e.requestId, e.attempt, outcome(e.outcome), e.complete, e.lagUs));
+                            now,
+                            new AttemptEnd(
+                                    event.requestId,
+                                    event.attempt,
+                                    outcome(event.outcome),
+                                    event.requestDone,
+                                    event.latencyUs));
                 case "BELL" -> balancer.onTimer(now);
                 case "STOP" -> balancer = null;
-                case "PONG" -> balancer.onProbeEnded(now, e.host, outcome(e.outcome), e.lagUs);
+                case "PONG" -> balancer.onProbeEnded(now, event.endpointId, outcome(event.outcome), event.latencyUs);
                 case "FROM_PEER" -> {}
-                default -> throw new WireException("unknown event " + e.type);
+                default -> throw new ProtocolException("unknown event " + event.type);
             }
         }
 
-        private void discovery(EventReader.Event e, long now) throws WireException {
-            Source source = switch (String.valueOf(e.how)) {
+        private void handleDiscovery(EventReader.Event event, long now) throws ProtocolException {
+            Source source = switch (String.valueOf(event.updateKind)) {
                 case "cached" -> Source.CACHED;
                 case "full" -> Source.FULL;
                 case "delta" -> Source.DELTA;
                 case "failed" -> null;
-                default -> throw new WireException("DISCOVERY: unknown how " + e.how);
+                default -> throw new ProtocolException("DISCOVERY: unknown how " + event.updateKind);
             };
             if (source == null) {
                 balancer.onDiscoveryFailed(now);
-            } else if (e.table < 0 || e.table >= TABLES) {
-                throw new WireException("DISCOVERY: table out of range");
+            } else if (event.tableIndex < 0 || event.tableIndex >= TABLE_COUNT) {
+                throw new ProtocolException("DISCOVERY: table out of range");
             } else {
-                balancer.onEndpoints(now, source, tables.get(e.table));
+                balancer.onEndpoints(now, source, tables.get(event.tableIndex));
             }
         }
 
-        void crash(RuntimeException failure) {
+        void addCrash(RuntimeException failure) {
             pending.add(new Action("CRASH", null, null, null, 0, String.valueOf(failure)));
         }
 
@@ -272,8 +284,8 @@
         }
     }
 
-    private static Outcome outcome(String word) throws WireException {
-        return switch (String.valueOf(word)) {
+    private static Outcome outcome(String text) throws ProtocolException {
+        return switch (String.valueOf(text)) {
             case "Ok" -> Outcome.OK;
             case "Failed" -> Outcome.FAILED;
             case "QueueFull" -> Outcome.QUEUE_FULL;
@@ -282,7 +294,7 @@
             case "ResetByPeer" -> Outcome.RESET;
             case "Canceled" -> Outcome.CANCELED;
             case "Ignored" -> Outcome.IGNORED;
-            default -> throw new WireException("ENDED: unknown outcome " + word);
+            default -> throw new ProtocolException("ENDED: unknown outcome " + text);
         };
     }
 }
--- a/src/main/java/mulleinfront/benchlink/EventReader.java
+++ b/src/main/java/mulleinfront/benchlink/EventReader.java
@@ -10,12 +10,12 @@
 import mulleinfront.settings.LoadReport;
 import mulleinfront.settings.SettingsReader;
 
-/** Reads the groups of a batch into events that are used again from batch to batch. */
+/** Reads the events of a batch, grouped by instance, into event objects that are reused for the next batch. */
 final class EventReader {
     private final JsonParser in;
     private final List<Event> pool = new ArrayList<>();
-    private int size;
-    /** Three numbers a group: instance, first event, end of events. */
+    private int eventCount;
+    /** Three numbers per group: instance number, index of the first event, index after the last event. */
     private int[] groups = new int[48];
 
     private int groupCount;
@@ -24,44 +24,44 @@
         this.in = in;
     }
 
-    /** The fields of an event; absent ones keep the values of {@link #clear}. */
+    /** The fields of an event; absent fields have the values set by {@link #clear}. */
     static final class Event {
         String type;
         String requestId;
-        String host;
+        String endpointId;
         String key;
         String outcome;
-        String how;
+        String updateKind;
         long budgetUs;
         long expectedUs;
-        long lagUs;
+        long latencyUs;
         long seed;
-        int bits;
+        int flags;
         int classIndex;
         int tenant;
         int attempt;
-        /** Requests that the host says it holds; NaN if it does not say. */
-        double held;
+        /** Requests in flight at the endpoint by its load report; NaN without one. */
+        double inFlight;
 
-        int table;
-        boolean complete;
-        List<Endpoint> rows;
+        int tableIndex;
+        boolean requestDone;
+        List<Endpoint> endpoints;
         SettingsReader settings;
 
         void clear() {
-            type = requestId = host = key = outcome = how = null;
-            budgetUs = expectedUs = lagUs = seed = 0;
-            bits = classIndex = tenant = attempt = 0;
-            table = -1;
-            held = Double.NaN;
-            complete = false;
-            rows = List.of();
+            type = requestId = endpointId = key = outcome = updateKind = null;
+            budgetUs = expectedUs = latencyUs = seed = 0;
+            flags = classIndex = tenant = attempt = 0;
+            tableIndex = -1;
+            inFlight = Double.NaN;
+            requestDone = false;
+            endpoints = List.of();
             settings = null;
         }
     }
 
     void reset() {
-        size = 0;
+        eventCount = 0;
         groupCount = 0;
     }
 
@@ -73,16 +73,16 @@
         return groups[3 * group];
     }
 
-    int from(int group) {
+    int firstEvent(int group) {
         return groups[3 * group + 1];
     }
 
-    int to(int group) {
+    int endEvent(int group) {
         return groups[3 * group + 2];
     }
 
-    Event event(int i) {
-        return pool.get(i);
+    Event event(int index) {
+        return pool.get(index);
     }
 
     void readGroups() throws IOException {
@@ -94,15 +94,15 @@
     }
 
     private void readGroup() throws IOException {
-        boolean named = false;
+        boolean hasNumber = false;
         int number = 0;
-        int from = size;
+        int firstEvent = eventCount;
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String name = in.currentName();
             in.nextToken();
             if (name.equals("i")) {
                 number = in.getIntValue();
-                named = true;
+                hasNumber = true;
             } else if (name.equals("in")) {
                 expect(JsonToken.START_ARRAY, "in must be an array");
                 while (in.nextToken() == JsonToken.START_OBJECT) {
@@ -113,64 +113,64 @@
                 in.skipChildren();
             }
         }
-        if (!named) {
-            throw new WireException("an instance without i");
+        if (!hasNumber) {
+            throw new ProtocolException("an instance without i");
         }
         if (3 * groupCount + 3 > groups.length) {
             groups = java.util.Arrays.copyOf(groups, 2 * groups.length);
         }
         groups[3 * groupCount] = number;
-        groups[3 * groupCount + 1] = from;
-        groups[3 * groupCount + 2] = size;
+        groups[3 * groupCount + 1] = firstEvent;
+        groups[3 * groupCount + 2] = eventCount;
         groupCount++;
     }
 
     private void readEvent() throws IOException {
-        if (size == pool.size()) {
+        if (eventCount == pool.size()) {
             pool.add(new Event());
         }
-        Event e = pool.get(size++);
-        e.clear();
+        Event event = pool.get(eventCount++);
+        event.clear();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String name = in.currentName();
             if (in.nextToken() == JsonToken.VALUE_NULL) {
                 continue;
             }
             switch (name) {
-                case "m" -> e.type = in.getText();
-                case "xid" -> e.requestId = in.getText();
-                case "host" -> e.host = in.getText();
-                case "routeKey" -> e.key = in.getText();
-                case "outcome" -> e.outcome = in.getText();
-                case "how" -> e.how = in.getText();
-                case "budgetUs" -> e.budgetUs = in.getLongValue();
-                case "expectedUs" -> e.expectedUs = in.getLongValue();
-                case "lagUs" -> e.lagUs = in.getLongValue();
-                case "rngSeed" -> e.seed = in.getNumberValue().longValue();
-                case "bits" -> e.bits = in.getIntValue();
-                case "tierClass" -> e.classIndex = in.getIntValue();
-                case "customer" -> e.tenant = in.getIntValue();
-                case "hop" -> e.attempt = in.getIntValue();
-                case "table" -> e.table = in.getIntValue();
-                case "complete" -> e.complete = in.getBooleanValue();
-                case "report" -> e.held = LoadReport.held(in);
-                case "rowsIn" -> e.rows = readRows();
-                case "bootInfo" -> e.settings = SettingsReader.read(in);
+                case "m" -> event.type = in.getText();
+                case "xid" -> event.requestId = in.getText();
+                case "host" -> event.endpointId = in.getText();
+                case "routeKey" -> event.key = in.getText();
+                case "outcome" -> event.outcome = in.getText();
+                case "how" -> event.updateKind = in.getText();
+                case "budgetUs" -> event.budgetUs = in.getLongValue();
+                case "expectedUs" -> event.expectedUs = in.getLongValue();
+                case "lagUs" -> event.latencyUs = in.getLongValue();
+                case "rngSeed" -> event.seed = in.getNumberValue().longValue();
+                case "bits" -> event.flags = in.getIntValue();
+                case "tierClass" -> event.classIndex = in.getIntValue();
+                case "customer" -> event.tenant = in.getIntValue();
+                case "hop" -> event.attempt = in.getIntValue();
+                case "table" -> event.tableIndex = in.getIntValue();
+                case "complete" -> event.requestDone = in.getBooleanValue();
+                case "report" -> event.inFlight = LoadReport.held(in);
+                case "rowsIn" -> event.endpoints = readEndpoints();
+                case "bootInfo" -> event.settings = SettingsReader.read(in);
                 default -> in.skipChildren();
             }
         }
     }
 
-    private List<Endpoint> readRows() throws IOException {
+    private List<Endpoint> readEndpoints() throws IOException {
         expect(JsonToken.START_ARRAY, "rowsIn must be an array");
-        List<Endpoint> rows = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         while (in.nextToken() == JsonToken.START_OBJECT) {
-            String host = null;
+            String id = null;
             int zone = 0;
             int cell = 0;
             double weight = 1;
             int kind = 0;
-            long startedAt = 0;
+            long startedAtUs = 0;
             Availability availability = Availability.READY;
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String name = in.currentName();
@@ -178,37 +178,37 @@
                     continue;
                 }
                 switch (name) {
-                    case "host" -> host = in.getText();
+                    case "host" -> id = in.getText();
                     case "az" -> zone = in.getIntValue();
                     case "machine" -> kind = in.getIntValue();
                     case "cohort" -> cell = in.getIntValue();
                     case "availability" -> availability = availability(in.getText());
                     case "rating" -> weight = in.getDoubleValue();
-                    case "cameUpUs" -> startedAt = in.getLongValue();
+                    case "cameUpUs" -> startedAtUs = in.getLongValue();
                     default -> in.skipChildren();
                 }
             }
-            if (host == null) {
-                throw new WireException("CATALOG: a row without host");
+            if (id == null) {
+                throw new ProtocolException("CATALOG: a row without host");
             }
-            rows.add(new Endpoint(host, zone, cell, kind, availability, weight, startedAt));
+            endpoints.add(new Endpoint(id, zone, cell, kind, availability, weight, startedAtUs));
         }
         expect(JsonToken.END_ARRAY, "rowsIn must hold objects");
-        return List.copyOf(rows);
+        return List.copyOf(endpoints);
     }
 
-    private static Availability availability(String word) throws WireException {
-        return switch (word) {
+    private static Availability availability(String text) throws ProtocolException {
+        return switch (text) {
             case "Ready" -> Availability.READY;
             case "Terminating" -> Availability.DRAINING;
             case "Gone" -> Availability.GONE;
-            default -> throw new WireException("CATALOG: unknown availability " + word);
+            default -> throw new ProtocolException("CATALOG: unknown availability " + text);
         };
     }
 
-    private void expect(JsonToken token, String otherwise) throws IOException {
+    private void expect(JsonToken token, String message) throws IOException {
         if (in.currentToken() != token) {
-            throw new WireException(otherwise);
+            throw new ProtocolException(message);
         }
     }
 }
--- a/src/main/java/mulleinfront/benchlink/WireException.java
+++ b/src/main/java/mulleinfront/benchlink/ProtocolException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** The input is JSON but not the wire. */
-final class WireException extends IOException {
+/** The input is valid JSON but violates the simulator's protocol. */
+final class ProtocolException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    ProtocolException(String message) {
         super("malformed input: " + message);
     }
 }
--- a/src/main/java/mulleinfront/core/AgentBackoff.java
+++ b/src/main/java/mulleinfront/core/AgentBackoff.java
@@ -1,26 +1,26 @@
 package mulleinfront.core;
 
 /**
- * How long to wait before the agent that pushes lists is asked again. What it has counts as told whether or not a watch
- * is open, and it answers at once and at no cost: a watch that broke is asked for at once. One that does not answer is
- * asked less and less often, up to {@link #MOST_US}.
+ * Backoff of calls to a local discovery agent that pushes lists. A change that the agent has reaches its propagation
+ * deadline whether or not a watch is open, and the agent answers at once and at no cost, so a broken watch is reopened
+ * without delay. Calls without a response are repeated with exponential backoff, up to {@link #MAX_DELAY_US}.
  */
 public final class AgentBackoff {
-    private static final long FIRST_US = 25_000;
-    private static final long MOST_US = 500_000;
+    private static final long INITIAL_DELAY_US = 25_000;
+    private static final long MAX_DELAY_US = 500_000;
 
-    private long nextUs;
+    private long nextDelayUs;
 
-    /** After a watch that had been answered was lost, microseconds. */
+    /** Returns the delay after the loss of a watch that had been answered, microseconds. */
     public long delayAfterWatchUs() {
-        nextUs = FIRST_US;
+        nextDelayUs = INITIAL_DELAY_US;
         return 0;
     }
 
-    /** After a call that nothing came of, microseconds. */
+    /** Returns the delay after a call without a response, microseconds. */
     public long delayAfterCallUs() {
-        long delay = Math.max(FIRST_US, nextUs);
-        nextUs = Math.min(MOST_US, 2 * delay);
-        return delay;
+        long delayUs = Math.max(INITIAL_DELAY_US, nextDelayUs);
+        nextDelayUs = Math.min(MAX_DELAY_US, 2 * delayUs);
+        return delayUs;
     }
 }
--- a/src/main/java/mulleinfront/core/Core.java
+++ b/src/main/java/mulleinfront/core/Core.java
@@ -19,216 +19,232 @@
 import mulleinfront.UnservedReason;
 
 /**
- * The life of requests in one client proxy. Events from the wires become the module's events, its decisions
- * become attempts and final answers, and what must hold whatever it decides is held here. All calls come on
- * one thread.
+ * Handles the requests of one client proxy from acceptance to final answer. Events from the wire are passed to the
+ * balancer, the balancer's decisions become attempts and final answers, and the invariants that no decision may
+ * violate are enforced here. All methods must be called on one thread.
  *
- * @param <Q> a request as the wire carries it
- * @param <A> an answer as the wire brings it
+ * @param <Q> type of a request message on the wire
+ * @param <A> type of a response message on the wire
  */
 public final class Core<Q, A> implements Balancer.Actions {
-    /** We are done this long before the client's time is up: the way back and a busy core take time. */
-    private static final long MARGIN_US = 25_000;
-    /** What the module is told ends this much earlier still, so that its own last word comes first. */
-    private static final long LAST_WORD_US = 10_000;
-    /** A final answer so long after its client's time is a lost request. */
-    private static final long LATE_ANSWER_US = 500_000;
-    /** Longest time for which a request is read while an attempt of it goes out. */
-    private static final long MOST_READING_US = 600_000_000;
+    /**
+     * The final answer is given this long before the client's deadline, because sending it and a busy event loop take
+     * time.
+     */
+    private static final long RESPONSE_MARGIN_US = 25_000;
+    /** The balancer's time budget ends this much earlier still, so that its own final answer comes first. */
+    private static final long BALANCER_MARGIN_US = 10_000;
+    /** A final answer later than this after the client's deadline violates an invariant: the request is lost. */
+    private static final long ANSWER_GRACE_US = 500_000;
+    /** Longest time for which a request may be read while its attempt is being sent. */
+    private static final long MAX_READING_US = 600_000_000;
 
     private final Settings settings;
     private final Time time;
     private final Wire<Q, A> wire;
-    private final Consumer<Throwable> defects;
+    private final Consumer<Throwable> exceptionHandler;
     private final Metrics metrics;
-    private final RuleGuard guard;
-    /** Until when attempts may be made by the list that is held. */
+    private final RuleGuard ruleGuard;
+    /** When the current endpoint list expires, microseconds; no attempt is sent by it from then on. */
     private long listValidUntil = Long.MAX_VALUE;
 
-    private final Map<String, RequestHandle<Q, A>> open = new HashMap<>();
-    /** Hosts that the lists told so far say are ready, whether or not the module has taken note of it. */
-    private final Map<String, Endpoint> ready = new HashMap<>();
-    /** Events for the module and its actions, in order; see {@link #run}. */
-    private final ArrayDeque<Runnable> work = new ArrayDeque<>();
+    private final Map<String, RequestHandle<Q, A>> requestsById = new HashMap<>();
+    /** Endpoints that are ready by the lists received so far, whether or not the balancer has processed them. */
+    private final Map<String, Endpoint> readyEndpoints = new HashMap<>();
+    /** Queued events for the balancer and actions of the balancer, in order; see {@link #run}. */
+    private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
 
-    private boolean working;
-    private Footprint footprint;
+    private boolean processing;
+    private InstanceLimits instanceLimits;
     private Balancer balancer;
     private Balancer.Observer observer;
-    private Time.Timer wake;
-    private long lastAt = Long.MAX_VALUE;
-    private long bornAt;
+    private Time.Timer wakeTimer;
+    private long shutdownDeadline = Long.MAX_VALUE;
+    private long startedAt;
 
-    /** Makes the module; a test's own can do what the real one never would. */
+    /** Creates the balancer. Tests pass balancers that break the rules which the real one keeps. */
     public interface BalancerFactory {
-        /** The arguments are those of {@link Balancer#create}. */
+        /** Creates a balancer; the parameters are those of {@link Balancer#create}. */
         Balancer create(Settings settings, long seed, long now, Balancer.Actions actions);
     }
 
-    /** A request taken and not yet forgotten. */
+    /** A request from its acceptance until the balancer has been notified of its end. */
     public static final class RequestHandle<Q, A> {
-        private final ResponseHandler<Q, A> caller;
+        private final ResponseHandler<Q, A> handler;
         private final Request request;
-        private final RequestClass type;
-        private final Q call;
-        private long endAt;
-        private Time.Timer guard;
-        private long guardAt;
-        private Wire.Attempt out;
-        private int outNumber;
-        private int attempts;
+        private final RequestClass requestClass;
+        private final Q message;
+        private long attemptDeadline;
+        private Time.Timer deadlineTimer;
+        private long deadlineAt;
+        private Wire.Attempt activeAttempt;
+        private int activeAttemptNumber;
+        private int attemptCount;
         private boolean mayHaveRun;
-        /** Where that was, for the group that drops repeats. */
-        private Endpoint ranAt;
+        /** Endpoint of the first attempt that may have run; it determines the deduplication group. */
+        private Endpoint mayHaveRunEndpoint;
 
-        private Endpoint outAt;
-        /** A final answer after this is lost, microseconds. */
-        private long overdueAt = Long.MAX_VALUE;
-        /** How the last attempt ended; of use once there was one. */
+        private Endpoint activeEndpoint;
+        /** A final answer after this time violates an invariant, microseconds. */
+        private long answerDueAt = Long.MAX_VALUE;
+        /** How the last attempt ended; meaningless before the first one has ended. */
         private Outcome lastOutcome = Outcome.IGNORED;
-        /** When the first attempt that may have run was sent; the window for repeats counts from then. */
-        private long mayHaveRunAt;
+        /** When the first attempt that may have run was sent; the deduplication window starts then. */
+        private long mayHaveRunSentAt;
 
         private boolean answered;
-        /** The request is still being read; what it may take from its last byte on, microseconds. */
+        /** Whether the request is still being read. */
         private boolean reading;
-
-        private long patience;
-        /** How long its client waits. */
+        /** Time from the last byte of the request to the final answer, at most. */
+        private long timeoutUs;
+        /** How long the client waits, at most the deadline of the request class. */
         private long deadlineUs;
+        /** The time budget that the balancer is given. */
+        private long budgetUs;
 
-        private long budget;
-        private long outTimeout;
-        /** Its answer has begun. */
-        private boolean begun;
+        private long attemptTimeoutUs;
+        /** Whether the response has started. */
+        private boolean responseStarted;
         /**
-         * The attempt that is out is the client's by the module's word, which leaves it alone from then on.
+         * Whether the balancer has been notified that the attempt in progress streams to or from the client. From then
+         * on the balancer does not cancel the attempt.
          */
         private boolean streaming;
 
-        private RequestHandle(ResponseHandler<Q, A> caller, Request request, RequestClass type, Q call, long endAt) {
-            this.caller = caller;
+        private RequestHandle(
+                ResponseHandler<Q, A> handler,
+                Request request,
+                RequestClass requestClass,
+                Q message,
+                long attemptDeadline) {
+            this.handler = handler;
             this.request = request;
-            this.type = type;
-            this.call = call;
-            this.endAt = endAt;
+            this.requestClass = requestClass;
+            this.message = message;
+            this.attemptDeadline = attemptDeadline;
         }
     }
 
     /**
-     * A core that has no module yet.
+     * Creates a core without a balancer; {@link #begin} creates the balancer.
      *
-     * @param settings what the deployment states
+     * @param settings settings of the deployment
      * @param time the clock and timers of the owning thread
-     * @param wire reaches hosts and discovery
-     * @param defects told of what an event or action threw; the request that it was about keeps its guard
+     * @param wire connects to endpoints and discovery
+     * @param exceptionHandler called with the exception of an event or action that failed; the request concerned keeps
+     *        its deadline timer
      */
-    public Core(Settings settings, Time time, Wire<Q, A> wire, Consumer<Throwable> defects) {
-        this(settings, time, wire, defects, new Metrics());
+    public Core(Settings settings, Time time, Wire<Q, A> wire, Consumer<Throwable> exceptionHandler) {
+        this(settings, time, wire, exceptionHandler, new Metrics());
     }
 
     /**
-     * The same with metrics that its owner shows to operators.
+     * Creates a core without a balancer that counts in the given metrics.
      *
-     * @param metrics counted here and by the wire
+     * @param settings settings of the deployment
+     * @param time the clock and timers of the owning thread
+     * @param wire connects to endpoints and discovery
+     * @param exceptionHandler called with the exception of an event or action that failed
+     * @param metrics updated by the core and by the wire
      */
-    public Core(Settings settings, Time time, Wire<Q, A> wire, Consumer<Throwable> defects, Metrics metrics) {
+    public Core(Settings settings, Time time, Wire<Q, A> wire, Consumer<Throwable> exceptionHandler, Metrics metrics) {
         this.metrics = metrics;
-        this.guard = metrics.guard;
+        this.ruleGuard = metrics.guard;
         this.settings = settings;
         this.time = time;
         this.wire = wire;
-        this.defects = defects;
+        this.exceptionHandler = exceptionHandler;
     }
 
-    /** Makes the module; to be called once, before any event, and followed by {@link #perform}. */
-    public void begin(BalancerFactory maker, long seed) {
-        footprint = new Footprint(settings.instances(), seed);
-        bornAt = time.now();
-        balancer = maker.create(settings, seed, bornAt, this);
+    /** Creates the balancer. Must be called once, before any event, and be followed by {@link #processQueue}. */
+    public void begin(BalancerFactory factory, long seed) {
+        instanceLimits = new InstanceLimits(settings.instances(), seed);
+        startedAt = time.now();
+        balancer = factory.create(settings, seed, startedAt, this);
     }
 
-    /** How many instances may be using the hosts now, as far as is known; at first as many as the settings say. */
+    /** Sets how many instances may be using the endpoints now. The initial number is that of the settings. */
     public void setLiveInstances(int instances) {
-        footprint.living(instances);
+        instanceLimits.setLiveInstances(instances);
     }
 
-    /** Whom to tell why requests are not served; to be called after {@link #begin}. */
-    public void observe(Balancer.Observer who) {
-        observer = who;
-        balancer.observe(who);
+    /** Sets the observer of unserved requests. Must be called after {@link #begin}. */
+    public void observe(Balancer.Observer newObserver) {
+        observer = newObserver;
+        balancer.observe(newObserver);
     }
 
     /**
-     * Runs an event or an action now, or after the one that is running. The module makes its decisions
-     * inside an event call, and a wire may have news inside an action: neither may re-enter the module.
-     * A failure ends the one task; the request it was about still has its guard.
+     * Runs an event or an action now, or after those that are queued. The balancer makes its decisions inside an event
+     * call, and the wire may report an event inside an action: neither may re-enter the balancer. An exception ends
+     * only its own task; the request concerned still has its deadline timer.
      */
     public void run(Runnable task) {
-        work.add(task);
+        tasks.add(task);
         processQueue();
     }
 
-    /** Carries out what waits, unless that is being done. */
+    /** Runs the queued tasks, unless a caller further up the stack is doing so already. */
     public void processQueue() {
-        if (working) {
+        if (processing) {
             return;
         }
-        working = true;
+        processing = true;
         try {
-            for (Runnable next; (next = work.poll()) != null; ) {
-                processQueue(next);
+            for (Runnable next; (next = tasks.poll()) != null; ) {
+                runTask(next);
             }
         } finally {
-            working = false;
+            processing = false;
         }
     }
 
-    private void processQueue(Runnable task) {
+    private void runTask(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | LinkageError e) {
-            defects.accept(e);
+            exceptionHandler.accept(e);
         }
     }
 
     // ---- discovery -----------------------------------------------------------------------------------
 
     /**
-     * A list or changes came. What it says of readiness holds from this call on, also for attempts whose
-     * decision was made before; the module hears of it in its turn.
+     * Handles an endpoint list or a delta. Its readiness of endpoints applies from this call on, also to attempts that
+     * were decided before; the balancer is notified after the tasks that are queued.
      */
     public void onEndpointList(Source source, List<Endpoint> endpoints) {
         if (source != Source.DELTA) {
-            ready.clear();
+            readyEndpoints.clear();
         }
-        for (Endpoint e : endpoints) {
-            if (e.availability() == Availability.READY) {
-                ready.put(e.id(), e);
+        for (Endpoint endpoint : endpoints) {
+            if (endpoint.availability() == Availability.READY) {
+                readyEndpoints.put(endpoint.id(), endpoint);
             } else {
-                ready.remove(e.id());
+                readyEndpoints.remove(endpoint.id());
             }
         }
         run(() -> balancer.onEndpoints(time.now(), source, endpoints));
     }
 
     /**
-     * How long to wait before discovery is called where it has moved to, microseconds: see {@link Footprint}. Half of the
-     * settings' time for asking at most, since the list held counts from the call before.
+     * Returns the delay before the first discovery call at a new address, microseconds: see {@link InstanceLimits}. It
+     * is at most half of the poll interval limit, because the current list is dated from the discovery call before.
      */
     public long moveDelayUs() {
-        return Math.min(footprint.moveDelayUs(), settings.contract().askWithinUs() / 2);
+        return Math.min(instanceLimits.moveDelayUs(), settings.contract().askWithinUs() / 2);
     }
 
-    /** Idle connections that the wire is to keep at most: see {@link Footprint}. */
+    /** Returns the largest number of idle connections that the wire may keep: see {@link InstanceLimits}. */
     public int maxIdleConnections() {
-        return footprint.mostIdle(ready.size());
+        return instanceLimits.maxIdleConnections(readyEndpoints.size());
     }
 
     /**
-     * A call to discovery failed before anything came of it; the list held stays in force.
+     * Handles a discovery call that failed before any response; the current list stays in use.
      *
-     * @param unreachable whether nobody was there, or the connection never came up
+     * @param unreachable whether discovery could not be reached: the connection was refused, or it timed out before
+     *        discovery accepted the call
      */
     public void discoveryFailed(boolean unreachable) {
         run(() -> {
@@ -241,419 +257,453 @@
     }
 
     /**
-     * A watch broke or fell silent; the list held stays in force.
+     * Handles a watch that broke or timed out; the current list stays in use.
      *
-     * @param quietUs since when nothing had come of it, heartbeats included, microseconds
+     * @param idleUs time since the last byte of the watch, heartbeats included, microseconds
      */
-    public void watchLost(long quietUs) {
-        run(() -> balancer.onDiscoveryFailed(time.now(), quietUs));
+    public void watchLost(long idleUs) {
+        run(() -> balancer.onDiscoveryFailed(time.now(), idleUs));
     }
 
-    /** The process had started so long ago, microseconds; to be called after {@link #begin}. */
+    /** Sets how long ago the process started, microseconds. Must be called after {@link #begin}. */
     public void processStarted(long agoUs) {
         run(() -> balancer.onProcessStart(time.now(), agoUs));
     }
 
-    /** Discovery ended a watch in order; the list held stays in force. */
+    /** Handles a watch that discovery ended in order; the current list stays in use. */
     public void watchEnded() {
         run(() -> balancer.onWatchEnded(time.now()));
     }
 
     /**
-     * Discovery is called elsewhere, where it has moved to.
+     * Handles a move: discovery is called at its new address from now on.
      *
-     * @param movedAgoUs how long ago that was asked for, microseconds
+     * @param movedAgoUs how long ago the move was requested, microseconds
      */
     public void discoveryMoved(long movedAgoUs) {
         run(() -> balancer.onDiscoveryMoved(time.now(), movedAgoUs));
     }
 
-    // ---- callers -------------------------------------------------------------------------------------
+    // ---- requests ------------------------------------------------------------------------------------
 
     /**
-     * No final answer is later than this, microseconds on the core's clock: of requests that are open, and of those
-     * taken from now on.
+     * Sets the time by which every request has its final answer, microseconds on the core's clock. It applies to open
+     * requests and to those accepted from now on.
      */
-    public void setShutdownDeadline(long at) {
-        lastAt = at;
-        for (RequestHandle<Q, A> x : open.values()) {
-            if (!x.answered && x.guardAt > at) {
-                x.endAt = Math.min(x.endAt, at);
-                x.guard.cancel();
-                guard(x, at - time.now());
+    public void setShutdownDeadline(long deadline) {
+        shutdownDeadline = deadline;
+        for (RequestHandle<Q, A> handle : requestsById.values()) {
+            if (!handle.answered && handle.deadlineAt > deadline) {
+                handle.attemptDeadline = Math.min(handle.attemptDeadline, deadline);
+                handle.deadlineTimer.cancel();
+                startDeadlineTimer(handle, deadline - time.now());
             }
         }
     }
 
-    private void guard(RequestHandle<Q, A> x, long delayUs) {
-        x.guardAt = time.now() + delayUs;
-        x.guard = time.after(delayUs, () -> timeUp(x));
+    private void startDeadlineTimer(RequestHandle<Q, A> handle, long delayUs) {
+        handle.deadlineAt = time.now() + delayUs;
+        handle.deadlineTimer = time.after(delayUs, () -> deadlineExpired(handle));
     }
 
-    /** Whether a request of this id is open: its id may not be used again until that is over. */
+    /** Returns whether a request of this id is open. The id may not be used again before the request has ended. */
     public boolean isOpen(String requestId) {
-        return open.containsKey(requestId);
+        return requestsById.containsKey(requestId);
     }
 
-    /** Whether the lists told so far have a host that is ready. */
+    /** Returns whether the lists received so far contain an endpoint that is ready. */
     public boolean hasReadyEndpoints() {
-        return !ready.isEmpty();
+        return !readyEndpoints.isEmpty();
     }
 
-    /** Requests that are held: open ones, and those whose end the module has not heard of yet. */
+    /** Returns the number of requests that are open, or whose end has not been passed to the balancer yet. */
     public int openRequests() {
-        return open.size();
+        return requestsById.size();
     }
 
     /**
-     * Takes a request; its caller has one final answer in time, whatever the module does.
+     * Accepts a complete request. Its handler is called with one final answer in time, whatever the balancer decides.
      *
-     * @param id not one that is open, see {@link #holds}
+     * @param handler receives the final answer
+     * @param id id of the request; must not be open, see {@link #isOpen}
      * @param classIndex position in the settings' classes
-     * @param key what the request is about, or null
-     * @param deadlineMs how long the client waits, milliseconds from {@code at}, at least 1
-     * @param at when the request had come in whole
-     * @param expectedUs work it is expected to need, microseconds; 0 if unknown
+     * @param key routing key, or null
+     * @param deadlineMs how long the client waits, milliseconds from {@code receivedAt}, at least 1
+     * @param receivedAt when the last byte of the request was read, microseconds
+     * @param expectedUs expected service time, microseconds; 0 if unknown
      * @param tenant position in the settings' tenants; ignored when there are none
      * @param repeat whether the client marks it as a repeat
+     * @param message the request message
      */
     public void accept(
-            ResponseHandler<Q, A> caller,
+            ResponseHandler<Q, A> handler,
             String id,
             int classIndex,
             String key,
             long deadlineMs,
-            long at,
+            long receivedAt,
             long expectedUs,
             int tenant,
             boolean repeat,
-            Q call) {
-        accept(caller, id, classIndex, key, deadlineMs, at, expectedUs, tenant, repeat, call, false);
+            Q message) {
+        accept(handler, id, classIndex, key, deadlineMs, receivedAt, expectedUs, tenant, repeat, message, false);
     }
 
     /**
-     * Takes a request that may still be being read: its attempt goes out while it comes. Its time counts from
-     * its last byte, which {@link #whole} tells; until then no attempt of it can have run.
+     * Accepts a request that may still be being read: its attempt is sent while the request arrives. The client's
+     * deadline counts from the last byte, which {@link #requestComplete} reports; until then no attempt can have run.
      *
-     * @param reading whether it is
+     * @param handler receives the final answer
+     * @param id id of the request; must not be open, see {@link #isOpen}
+     * @param classIndex position in the settings' classes
+     * @param key routing key, or null
+     * @param deadlineMs how long the client waits, milliseconds from the last byte of the request, at least 1
+     * @param receivedAt when the last byte of the request, or of the part read so far, was read, microseconds
+     * @param expectedUs expected service time, microseconds; 0 if unknown
+     * @param tenant position in the settings' tenants; ignored when there are none
+     * @param repeat whether the client marks it as a repeat
+     * @param message the request message
+     * @param reading whether the request is still being read
      */
     public void accept(
-            ResponseHandler<Q, A> caller,
+            ResponseHandler<Q, A> handler,
             String id,
             int classIndex,
             String key,
             long deadlineMs,
-            long at,
+            long receivedAt,
             long expectedUs,
             int tenant,
             boolean repeat,
-            Q call,
+            Q message,
             boolean reading) {
-        RequestClass type = settings.classes().get(classIndex);
-        // Nobody waits longer than the class's own patience, so neither does a drain.
-        long deadlineUs = Math.min(deadlineMs, type.deadlineUs() / 1000 + 1) * 1000;
-        long patience = deadlineUs - Math.min(MARGIN_US, deadlineUs / 4);
-        long budget = patience - Math.min(LAST_WORD_US, deadlineUs / 8) - (time.now() - at);
-        // The module is told what the client said: less would look like what a repeat has left.
-        long most = lastAt - time.now();
-        if (Math.min(budget, most) <= 0) {
+        RequestClass requestClass = settings.classes().get(classIndex);
+        // No client waits longer than the deadline of its request class, so a drain does not either.
+        long deadlineUs = Math.min(deadlineMs, requestClass.deadlineUs() / 1000 + 1) * 1000;
+        long timeoutUs = deadlineUs - Math.min(RESPONSE_MARGIN_US, deadlineUs / 4);
+        long budgetUs = timeoutUs - Math.min(BALANCER_MARGIN_US, deadlineUs / 8) - (time.now() - receivedAt);
+        // The balancer is given the client's own budget, not the shorter one of a shutdown: a small budget would look
+        // like the time that a repeat has left.
+        long untilShutdownUs = shutdownDeadline - time.now();
+        if (Math.min(budgetUs, untilShutdownUs) <= 0) {
             metrics.answers.add(Metrics.Answer.REFUSED_NO_TIME);
-            caller.refused(comeBackUs());
+            handler.refused(retryAfterUs());
             return;
         }
-        Request request = new Request(id, classIndex, key, budget, expectedUs, tenant, repeat);
-        RequestHandle<Q, A> x = new RequestHandle<>(caller, request, type, call, time.now() + Math.min(budget, most));
-        open.put(id, x);
-        x.reading = reading;
-        x.patience = patience;
-        x.budget = budget;
-        x.overdueAt = reading ? Long.MAX_VALUE : at + deadlineUs + LATE_ANSWER_US;
-        x.deadlineUs = deadlineUs;
-        guard(x, Math.min(reading ? MOST_READING_US : at + patience - time.now(), most));
-        caller.opened(x);
-        run(() -> balancer.onRequest(time.now(), x.request));
-    }
-
-    /** When the time of a request's client is up, microseconds on the core's clock, whatever has begun of its answer. */
-    public long timeLimitOf(RequestHandle<Q, A> x) {
-        return x.guardAt;
-    }
-
-    /** The last byte of a request has been read: now its time begins. */
-    public void requestComplete(RequestHandle<Q, A> x) {
-        if (!x.reading || x.answered) {
+        Request request = new Request(id, classIndex, key, budgetUs, expectedUs, tenant, repeat);
+        RequestHandle<Q, A> handle = new RequestHandle<>(
+                handler, request, requestClass, message, time.now() + Math.min(budgetUs, untilShutdownUs));
+        requestsById.put(id, handle);
+        handle.reading = reading;
+        handle.timeoutUs = timeoutUs;
+        handle.budgetUs = budgetUs;
+        handle.answerDueAt = reading ? Long.MAX_VALUE : receivedAt + deadlineUs + ANSWER_GRACE_US;
+        handle.deadlineUs = deadlineUs;
+        startDeadlineTimer(
+                handle, Math.min(reading ? MAX_READING_US : receivedAt + timeoutUs - time.now(), untilShutdownUs));
+        handler.opened(handle);
+        run(() -> balancer.onRequest(time.now(), handle.request));
+    }
+
+    /**
+     * Returns when the request's deadline timer fires, microseconds on the core's clock, even if the response has
+     * started and the timer has been cancelled.
+     */
+    public long timeLimitOf(RequestHandle<Q, A> handle) {
+        return handle.deadlineAt;
+    }
+
+    /** Handles the last byte of a request: the client's deadline counts from now. */
+    public void requestComplete(RequestHandle<Q, A> handle) {
+        if (!handle.reading || handle.answered) {
             return;
         }
-        x.reading = false;
-        x.overdueAt = time.now() + x.deadlineUs + LATE_ANSWER_US;
-        long most = Math.max(1, lastAt - time.now());
-        long left = Math.min(x.budget, most);
-        x.endAt = time.now() + left;
-        x.guard.cancel();
-        guard(x, Math.min(x.patience, most));
-        if (x.out != null) {
-            x.out.endWithin(x.outTimeout == 0 ? left : Math.min(left, x.outTimeout));
+        handle.reading = false;
+        handle.answerDueAt = time.now() + handle.deadlineUs + ANSWER_GRACE_US;
+        long untilShutdownUs = Math.max(1, shutdownDeadline - time.now());
+        long remainingUs = Math.min(handle.budgetUs, untilShutdownUs);
+        handle.attemptDeadline = time.now() + remainingUs;
+        handle.deadlineTimer.cancel();
+        startDeadlineTimer(handle, Math.min(handle.timeoutUs, untilShutdownUs));
+        if (handle.activeAttempt != null) {
+            handle.activeAttempt.endWithin(
+                    handle.attemptTimeoutUs == 0 ? remainingUs : Math.min(remainingUs, handle.attemptTimeoutUs));
         }
     }
 
-    private long comeBackUs() {
+    private long retryAfterUs() {
         return settings.limits().maxRetryAfterUs();
     }
 
-    /** The caller has gone: it is told nothing, and what is out for it is called off. */
-    public void abandoned(RequestHandle<Q, A> x) {
-        if (!x.answered) {
+    /**
+     * Handles a client that disconnected or gave up: its handler is not called any more. The balancer is notified and
+     * may cancel the attempt in progress; an attempt that streams to or from the client is cancelled in any case.
+     */
+    public void abandoned(RequestHandle<Q, A> handle) {
+        if (!handle.answered) {
             metrics.answers.add(Metrics.Answer.CLIENT_GONE);
         }
-        over(x);
-        tellGone(x);
+        markAnswered(handle);
+        notifyAbandoned(handle);
     }
 
-    /** Whatever the module does, the caller has an answer in time, and a refusal only if that is true. */
-    private void timeUp(RequestHandle<Q, A> x) {
-        if (!x.answered) {
+    /**
+     * Gives the final answer when the deadline timer fires, whatever the balancer has done. The request is refused only
+     * if a retry is safe.
+     */
+    private void deadlineExpired(RequestHandle<Q, A> handle) {
+        if (!handle.answered) {
             metrics.answers.add(Metrics.Answer.TIME_UP);
-            over(x);
+            markAnswered(handle);
             if (observer != null) {
                 observer.requestUnserved(
                         time.now(),
                         new UnservedReason(
-                                x.request.id(),
+                                handle.request.id(),
                                 UnservedReason.Cause.TIME,
-                                x.request.classIndex(),
-                                x.type.worth(),
-                                time.now() - bornAt,
+                                handle.request.classIndex(),
+                                handle.requestClass.worth(),
+                                time.now() - startedAt,
                                 Double.NaN,
                                 "the guard"));
             }
-            answering(x);
-            if (mayRefuse(x)) {
-                x.caller.refused(comeBackUs());
+            checkAnswerDue(handle);
+            if (isRetrySafe(handle)) {
+                handle.handler.refused(retryAfterUs());
             } else {
-                x.caller.failed(true);
+                handle.handler.failed(true);
             }
-            tellGone(x);
+            notifyAbandoned(handle);
         }
     }
 
-    /** Whether another try is harmless: nothing has run or may yet, or it may run any number of times. */
-    private static boolean mayRefuse(RequestHandle<?, ?> x) {
-        return x.type.effect() == Effect.RETRYABLE
-                || !x.mayHaveRun && x.out == null
-                || x.type.effect() == Effect.DEDUP && x.type.scope() == DedupScope.ALL;
+    /**
+     * Returns whether another try by the client is safe: no attempt has run or may still run, the request may run any
+     * number of times, or every endpoint drops its repeats.
+     */
+    private static boolean isRetrySafe(RequestHandle<?, ?> handle) {
+        return handle.requestClass.effect() == Effect.RETRYABLE
+                || !handle.mayHaveRun && handle.activeAttempt == null
+                || handle.requestClass.effect() == Effect.DEDUP && handle.requestClass.scope() == DedupScope.ALL;
     }
 
-    /** Its final answer is being given. */
-    private void answering(RequestHandle<Q, A> x) {
-        guard.verify(RuleGuard.Check.ANSWER_OVERDUE, time.now() <= x.overdueAt, x.request.id());
+    /** Checks that the final answer, which is about to be given, is not too late. */
+    private void checkAnswerDue(RequestHandle<Q, A> handle) {
+        ruleGuard.verify(RuleGuard.Check.ANSWER_OVERDUE, time.now() <= handle.answerDueAt, handle.request.id());
     }
 
-    private void over(RequestHandle<Q, A> x) {
-        x.answered = true;
-        x.guard.cancel();
+    private void markAnswered(RequestHandle<Q, A> handle) {
+        handle.answered = true;
+        handle.deadlineTimer.cancel();
     }
 
-    private void tellGone(RequestHandle<Q, A> x) {
+    private void notifyAbandoned(RequestHandle<Q, A> handle) {
         run(() -> {
             try {
-                balancer.onRequestAbandoned(time.now(), x.request.id());
+                balancer.onRequestAbandoned(time.now(), handle.request.id());
             } finally {
-                forget(x);
-                if (x.out != null && x.streaming) {
-                    // What belongs to the client goes with it.
-                    x.out.cancel();
+                scheduleRemoval(handle);
+                if (handle.activeAttempt != null && handle.streaming) {
+                    // The balancer does not cancel an attempt that streams to or from the client.
+                    handle.activeAttempt.cancel();
                 }
             }
         });
     }
 
-    /** After the actions already decided: they may still name the request. */
-    private void forget(RequestHandle<Q, A> x) {
-        work.add(() -> open.remove(x.request.id(), x));
+    /** Removes the request after the actions that are queued, which may still name it. */
+    private void scheduleRemoval(RequestHandle<Q, A> handle) {
+        tasks.add(() -> requestsById.remove(handle.request.id(), handle));
     }
 
-    // ---- the module's decisions ----------------------------------------------------------------------
+    // ---- decisions of the balancer --------------------------------------------------------------------
 
     @Override
     public void send(String requestId, String endpointId, long timeoutUs) {
-        work.add(() -> {
-            RequestHandle<Q, A> x = open.get(requestId);
-            if (x != null) {
-                attempt(x, endpointId, timeoutUs);
+        tasks.add(() -> {
+            RequestHandle<Q, A> handle = requestsById.get(requestId);
+            if (handle != null) {
+                startAttempt(handle, endpointId, timeoutUs);
             }
         });
     }
 
-    private void attempt(RequestHandle<Q, A> x, String hostId, long timeoutUs) {
-        int number = x.attempts++;
+    private void startAttempt(RequestHandle<Q, A> handle, String endpointId, long timeoutUs) {
+        int number = handle.attemptCount++;
         if (number > 0) {
-            metrics.retries.add(x.lastOutcome);
+            metrics.retries.add(handle.lastOutcome);
         }
         long sentAt = time.now();
-        long left = x.endAt - sentAt;
-        Endpoint host = ready.get(hostId);
-        boolean vain = timeoutUs < 0
-                || !guard.allows(RuleGuard.Check.SEND_AFTER_ANSWER, !x.answered)
-                || !guard.allows(RuleGuard.Check.SEND_AFTER_DEADLINE, left > 0 || x.reading)
-                || !guard.allows(
+        long remainingUs = handle.attemptDeadline - sentAt;
+        Endpoint endpoint = readyEndpoints.get(endpointId);
+        boolean prevented = timeoutUs < 0
+                || !ruleGuard.allows(RuleGuard.Check.SEND_AFTER_ANSWER, !handle.answered)
+                || !ruleGuard.allows(RuleGuard.Check.SEND_AFTER_DEADLINE, remainingUs > 0 || handle.reading)
+                || !ruleGuard.allows(
                         RuleGuard.Check.SEND_BESIDE_ANOTHER,
-                        x.out == null && number < settings.limits().maxAttempts());
-        long within = x.reading ? Wire.NO_TIMEOUT : timeoutUs == 0 ? left : Math.min(left, timeoutUs);
-        Wire.Attempt made = vain
+                        handle.activeAttempt == null
+                                && number < settings.limits().maxAttempts());
+        long limitUs =
+                handle.reading ? Wire.NO_TIMEOUT : timeoutUs == 0 ? remainingUs : Math.min(remainingUs, timeoutUs);
+        Wire.Attempt attempt = prevented
                 ? null
                 : wire.attempt(
-                        x.request.id(),
+                        handle.request.id(),
                         number,
-                        hostId,
-                        x.call,
-                        within,
-                        () -> maySend(x, hostId),
+                        endpointId,
+                        handle.message,
+                        limitUs,
+                        () -> maySend(handle, endpointId),
                         new Wire.AttemptListener<>() {
                             @Override
                             public void ended(Outcome outcome, A answer) {
-                                attemptEnded(x, number, sentAt, outcome, answer);
+                                onAttemptEnded(handle, number, sentAt, outcome, answer);
                             }
 
                             @Override
-                            public void loadReported(double held) {
-                                Core.this.reported(hostId, held);
+                            public void loadReported(double inFlight) {
+                                Core.this.reportLoad(endpointId, inFlight);
                             }
 
                             @Override
                             public boolean responseStarted(A answer) {
-                                return attemptBegun(x, number, answer);
+                                return onResponseStarted(handle, number, answer);
                             }
                         });
-        if (made == null) {
-            ended(x, number, sentAt, Outcome.IGNORED);
+        if (attempt == null) {
+            reportAttemptEnd(handle, number, sentAt, Outcome.IGNORED);
             return;
         }
-        x.outNumber = number;
-        x.outAt = host;
-        x.out = made;
-        x.outTimeout = timeoutUs;
-        x.streaming = false;
-        if (x.reading) {
-            // How long it takes is the client's doing: nothing is learnt of the host from it.
-            streams(x, number);
+        handle.activeAttemptNumber = number;
+        handle.activeEndpoint = endpoint;
+        handle.activeAttempt = attempt;
+        handle.attemptTimeoutUs = timeoutUs;
+        handle.streaming = false;
+        if (handle.reading) {
+            // The client determines how long this attempt takes, so its latency says nothing about the endpoint.
+            startStreaming(handle, number);
         }
-        made.start();
+        attempt.start();
     }
 
     /**
-     * Asked when the first byte is about to leave: while a connection came up the request may have ended, its endpoint may
-     * have been told to drain, and the window that was open when the repeat was decided may have closed.
+     * Returns whether an attempt may still be sent; called when its first byte is about to be written. While the
+     * connection was being established the request may have ended, the endpoint may have started to drain, and the
+     * deduplication window that was open when the retry was decided may have closed.
      */
-    private boolean maySend(RequestHandle<Q, A> x, String hostId) {
-        Endpoint host = ready.get(hostId);
-        return guard.allows(RuleGuard.Check.SEND_AFTER_ANSWER, !x.answered)
-                && guard.allows(RuleGuard.Check.START_AT_LEFT_ENDPOINT, host != null)
-                && guard.allows(RuleGuard.Check.SEND_BY_OVERDUE_LIST, time.now() < listValidUntil)
-                && mayRepeat(x, host)
-                && guard.allows(RuleGuard.Check.SEND_AFTER_CLIENT_LEFT, present(x));
-    }
-
-    /** Whether an attempt there is harmless after those before. */
-    private boolean mayRepeat(RequestHandle<Q, A> x, Endpoint host) {
-        if (!x.mayHaveRun || x.type.effect() == Effect.RETRYABLE) {
+    private boolean maySend(RequestHandle<Q, A> handle, String endpointId) {
+        Endpoint endpoint = readyEndpoints.get(endpointId);
+        return ruleGuard.allows(RuleGuard.Check.SEND_AFTER_ANSWER, !handle.answered)
+                && ruleGuard.allows(RuleGuard.Check.START_AT_LEFT_ENDPOINT, endpoint != null)
+                && ruleGuard.allows(RuleGuard.Check.SEND_BY_OVERDUE_LIST, time.now() < listValidUntil)
+                && isRetryAllowed(handle, endpoint)
+                && ruleGuard.allows(RuleGuard.Check.SEND_AFTER_CLIENT_LEFT, clientStillWaiting(handle));
+    }
+
+    /** Returns whether an attempt at this endpoint is safe after the earlier attempts. */
+    private boolean isRetryAllowed(RequestHandle<Q, A> handle, Endpoint endpoint) {
+        if (!handle.mayHaveRun || handle.requestClass.effect() == Effect.RETRYABLE) {
             return true;
         }
-        if (x.type.effect() == Effect.FRAGILE) {
-            return guard.allows(RuleGuard.Check.REPEAT_UNSAFE, false);
+        if (handle.requestClass.effect() == Effect.FRAGILE) {
+            return ruleGuard.allows(RuleGuard.Check.REPEAT_UNSAFE, false);
         }
-        return guard.allows(RuleGuard.Check.REPEAT_OUTSIDE_GROUP, inGroup(x, host))
-                && guard.allows(
-                        RuleGuard.Check.REPEAT_AFTER_WINDOW, time.now() < x.mayHaveRunAt + x.type.dedupWindowUs());
+        return ruleGuard.allows(RuleGuard.Check.REPEAT_OUTSIDE_GROUP, isInDedupGroup(handle, endpoint))
+                && ruleGuard.allows(
+                        RuleGuard.Check.REPEAT_AFTER_WINDOW,
+                        time.now() < handle.mayHaveRunSentAt + handle.requestClass.dedupWindowUs());
     }
 
-    private static boolean inGroup(RequestHandle<?, ?> x, Endpoint host) {
-        return switch (x.type.scope()) {
+    private static boolean isInDedupGroup(RequestHandle<?, ?> handle, Endpoint endpoint) {
+        return switch (handle.requestClass.scope()) {
             case ALL -> true;
-            case ZONE -> x.ranAt != null && x.ranAt.zone() == host.zone();
-            case CELL -> x.ranAt != null && x.ranAt.cell() == host.cell();
+            case ZONE -> handle.mayHaveRunEndpoint != null && handle.mayHaveRunEndpoint.zone() == endpoint.zone();
+            case CELL -> handle.mayHaveRunEndpoint != null && handle.mayHaveRunEndpoint.cell() == endpoint.cell();
         };
     }
 
-    private boolean present(RequestHandle<Q, A> x) {
-        boolean is = x.caller.stillWaiting();
-        if (!is) {
-            abandoned(x);
+    private boolean clientStillWaiting(RequestHandle<Q, A> handle) {
+        boolean waiting = handle.handler.stillWaiting();
+        if (!waiting) {
+            abandoned(handle);
         }
-        return is;
+        return waiting;
     }
 
-    private void reported(String hostId, double held) {
-        run(() -> balancer.onLoadReport(time.now(), hostId, held));
+    private void reportLoad(String endpointId, double inFlight) {
+        run(() -> balancer.onLoadReport(time.now(), endpointId, inFlight));
     }
 
-    private boolean attemptBegun(RequestHandle<Q, A> x, int number, A answer) {
-        if (x.answered) {
+    private boolean onResponseStarted(RequestHandle<Q, A> handle, int number, A answer) {
+        if (handle.answered) {
             return false;
         }
         metrics.answers.add(Metrics.Answer.SERVED);
-        over(x);
-        x.begun = true;
-        x.mayHaveRun = true;
-        x.ranAt = x.outAt;
-        x.caller.responseStarted(answer);
-        streams(x, number);
+        markAnswered(handle);
+        handle.responseStarted = true;
+        handle.mayHaveRun = true;
+        handle.mayHaveRunEndpoint = handle.activeEndpoint;
+        handle.handler.responseStarted(answer);
+        startStreaming(handle, number);
         return true;
     }
 
-    private void streams(RequestHandle<Q, A> x, int number) {
-        x.streaming = true;
-        run(() -> balancer.onStreamStarted(time.now(), x.request.id(), number));
+    private void startStreaming(RequestHandle<Q, A> handle, int number) {
+        handle.streaming = true;
+        run(() -> balancer.onStreamStarted(time.now(), handle.request.id(), number));
     }
 
-    private void attemptEnded(RequestHandle<Q, A> x, int number, long sentAt, Outcome outcome, A answer) {
-        x.out = null;
-        if (!outcome.neverRan() && !x.mayHaveRun) {
-            x.mayHaveRun = true;
-            x.mayHaveRunAt = sentAt;
-            x.ranAt = x.outAt;
+    private void onAttemptEnded(RequestHandle<Q, A> handle, int number, long sentAt, Outcome outcome, A answer) {
+        handle.activeAttempt = null;
+        if (!outcome.neverRan() && !handle.mayHaveRun) {
+            handle.mayHaveRun = true;
+            handle.mayHaveRunSentAt = sentAt;
+            handle.mayHaveRunEndpoint = handle.activeEndpoint;
         }
-        if (x.begun) {
-            run(() -> forget(x));
-        } else if (outcome == Outcome.OK && !x.answered) {
-            answering(x);
+        if (handle.responseStarted) {
+            run(() -> scheduleRemoval(handle));
+        } else if (outcome == Outcome.OK && !handle.answered) {
+            checkAnswerDue(handle);
             metrics.answers.add(Metrics.Answer.SERVED);
-            over(x);
-            x.caller.served(answer);
-            run(() -> forget(x));
+            markAnswered(handle);
+            handle.handler.served(answer);
+            run(() -> scheduleRemoval(handle));
         }
-        ended(x, number, sentAt, outcome);
+        reportAttemptEnd(handle, number, sentAt, outcome);
     }
 
-    private void ended(RequestHandle<Q, A> x, int number, long sentAt, Outcome outcome) {
-        boolean done = x.answered;
-        x.lastOutcome = outcome;
+    private void reportAttemptEnd(RequestHandle<Q, A> handle, int number, long sentAt, Outcome outcome) {
+        boolean requestDone = handle.answered;
+        handle.lastOutcome = outcome;
         metrics.attempts.add(outcome);
         run(() -> balancer.onAttemptEnded(
-                time.now(), new AttemptEnd(x.request.id(), number, outcome, done, time.now() - sentAt)));
+                time.now(), new AttemptEnd(handle.request.id(), number, outcome, requestDone, time.now() - sentAt)));
     }
 
     @Override
     public void cancel(String requestId, int number) {
-        work.add(() -> {
-            RequestHandle<Q, A> x = open.get(requestId);
-            if (x != null && x.out != null && number == x.outNumber) {
-                x.out.cancel();
+        tasks.add(() -> {
+            RequestHandle<Q, A> handle = requestsById.get(requestId);
+            if (handle != null && handle.activeAttempt != null && number == handle.activeAttemptNumber) {
+                handle.activeAttempt.cancel();
             }
         });
     }
 
     @Override
     public void refuse(String requestId, long retryAfterUs) {
-        work.add(() -> {
-            RequestHandle<Q, A> x = conclude(requestId);
-            if (x != null) {
-                boolean harmless = mayRefuse(x);
+        tasks.add(() -> {
+            RequestHandle<Q, A> handle = claimFinalAnswer(requestId);
+            if (handle != null) {
+                boolean retrySafe = isRetrySafe(handle);
                 metrics.answers.add(
-                        x.attempts == 0 ? Metrics.Answer.REFUSED_UNSENT : Metrics.Answer.REFUSED_AFTER_ATTEMPT);
-                if (guard.allows(RuleGuard.Check.REFUSE_AFTER_EFFECT, harmless)) {
-                    x.caller.refused(retryAfterUs);
+                        handle.attemptCount == 0
+                                ? Metrics.Answer.REFUSED_UNSENT
+                                : Metrics.Answer.REFUSED_AFTER_ATTEMPT);
+                if (ruleGuard.allows(RuleGuard.Check.REFUSE_AFTER_EFFECT, retrySafe)) {
+                    handle.handler.refused(retryAfterUs);
                 } else {
-                    x.caller.failed(false);
+                    handle.handler.failed(false);
                 }
             }
         });
@@ -661,32 +711,32 @@
 
     @Override
     public void fail(String requestId) {
-        work.add(() -> {
-            RequestHandle<Q, A> x = conclude(requestId);
-            if (x != null) {
+        tasks.add(() -> {
+            RequestHandle<Q, A> handle = claimFinalAnswer(requestId);
+            if (handle != null) {
                 metrics.answers.add(Metrics.Answer.FAILED);
-                x.caller.failed(false);
+                handle.handler.failed(false);
             }
         });
     }
 
-    /** The request that a last word is for; null if it has had one. */
-    private RequestHandle<Q, A> conclude(String requestId) {
-        RequestHandle<Q, A> x = open.get(requestId);
-        if (x == null || x.answered) {
+    /** Marks a request as answered and returns it; null if it already has its final answer or is unknown. */
+    private RequestHandle<Q, A> claimFinalAnswer(String requestId) {
+        RequestHandle<Q, A> handle = requestsById.get(requestId);
+        if (handle == null || handle.answered) {
             return null;
         }
-        answering(x);
-        over(x);
-        forget(x);
-        return x;
+        checkAnswerDue(handle);
+        markAnswered(handle);
+        scheduleRemoval(handle);
+        return handle;
     }
 
     @Override
     public void probe(String endpointId) {
-        work.add(() -> {
+        tasks.add(() -> {
             long sentAt = time.now();
-            if (!footprint.mayProbe(sentAt, ready.size())) {
+            if (!instanceLimits.mayProbe(sentAt, readyEndpoints.size())) {
                 run(() -> balancer.onProbeEnded(time.now(), endpointId, Outcome.IGNORED, 0));
                 return;
             }
@@ -697,8 +747,8 @@
                 }
 
                 @Override
-                public void loadReported(double held) {
-                    Core.this.reported(endpointId, held);
+                public void loadReported(double inFlight) {
+                    Core.this.reportLoad(endpointId, inFlight);
                 }
             });
         });
@@ -710,8 +760,8 @@
     }
 
     @Override
-    public void subscribe(long patienceUs) {
-        work.add(() -> wire.subscribe(patienceUs));
+    public void subscribe(long timeoutUs) {
+        tasks.add(() -> wire.subscribe(timeoutUs));
     }
 
     @Override
@@ -720,16 +770,16 @@
     }
 
     @Override
-    public void onListExpired(Balancer.ListExpiryReason bound) {
+    public void onListExpired(Balancer.ListExpiryReason reason) {
         metrics.discovery.add(Metrics.Discovery.LIST_OVERDUE);
-        work.add(() -> wire.onListExpired(bound));
+        tasks.add(() -> wire.onListExpired(reason));
     }
 
     @Override
     public void wakeAt(long atUs) {
-        if (wake != null) {
-            wake.cancel();
+        if (wakeTimer != null) {
+            wakeTimer.cancel();
         }
-        wake = time.after(atUs - time.now(), () -> run(() -> balancer.onTimer(time.now())));
+        wakeTimer = time.after(atUs - time.now(), () -> run(() -> balancer.onTimer(time.now())));
     }
 }
--- a/src/main/java/mulleinfront/core/EnumCounts.java
+++ b/src/main/java/mulleinfront/core/EnumCounts.java
@@ -3,10 +3,10 @@
 import java.util.Locale;
 
 /**
- * Counts by the constants of an enum. Counting allocates nothing. One thread counts; others may read figures that are a
- * moment old.
+ * One counter for each constant of an enum. Counting allocates nothing. One thread counts; other threads may read
+ * slightly outdated values.
  *
- * @param <E> what is counted
+ * @param <E> the enum whose constants are counted
  */
 public final class EnumCounts<E extends Enum<E>> {
     private final E[] constants;
@@ -17,12 +17,12 @@
         this.counts = new long[constants.length];
     }
 
-    public void add(E what) {
-        counts[what.ordinal()]++;
+    public void add(E constant) {
+        counts[constant.ordinal()]++;
     }
 
-    public long of(E what) {
-        return counts[what.ordinal()];
+    public long of(E constant) {
+        return counts[constant.ordinal()];
     }
 
     /** Returns the sum of the counts of all constants. */
@@ -34,7 +34,7 @@
         return sum;
     }
 
-    /** Appends those that are not 0 as {@code prefix.constant=count}, each after a space. */
+    /** Appends each counter above 0 as {@code prefix.constant=count}, preceded by a space. */
     void appendTo(StringBuilder out, String prefix) {
         for (int i = 0; i < counts.length; i++) {
             if (counts[i] > 0) {
--- a/src/main/java/mulleinfront/core/LifecycleState.java
+++ b/src/main/java/mulleinfront/core/LifecycleState.java
@@ -1,18 +1,21 @@
 package mulleinfront.core;
 
 /**
- * How a client proxy stands towards its clients, and what operators may make of it. It has no clock, thread or
- * I/O; whoever owns it tells it what happened and asks.
+ * Lifecycle state of a client proxy: whether it accepts clients, drains their connections or shuts down. It has no
+ * clock, thread or I/O; its owner reports events and queries the state.
  */
 public final class LifecycleState {
-    /** Told when the word for operators changes. */
+    /** Called when the state name changes. */
     public interface Listener {
-        void changed(String from, String to);
+        void stateChanged(String from, String to);
     }
 
     private final Listener listener;
     private String stateName = "starting";
-    /** Written by the owner alone; where a process has several, the one that operators ask reads the others'. */
+    /**
+     * The flags are written on the owner's thread only. They are volatile because management commands read the states
+     * of all proxies in the process on one thread.
+     */
     private volatile boolean listening;
 
     private volatile boolean endpointsListed;
@@ -23,66 +26,70 @@
         this((from, to) -> {});
     }
 
-    /** @param listener told of changes on the thread that makes them */
+    /**
+     * Creates a state that reports its changes.
+     *
+     * @param listener called on the thread that changes the state
+     */
     public LifecycleState(Listener listener) {
         this.listener = listener;
     }
 
-    private void tell() {
-        String now = stateName();
-        String before = stateName;
-        if (!now.equals(before)) {
-            stateName = now;
-            listener.changed(before, now);
+    private void notifyIfChanged() {
+        String currentName = stateName();
+        String previousName = stateName;
+        if (!currentName.equals(previousName)) {
+            stateName = currentName;
+            listener.stateChanged(previousName, currentName);
         }
     }
 
-    /** Clients' connections are taken from now on. */
+    /** The proxy accepts client connections from now on. */
     public void listening() {
         listening = true;
-        tell();
+        notifyIfChanged();
     }
 
-    /** Whether there is a list that names hosts: without one no request can be served. */
+    /** Sets whether the current list contains endpoints; without any, no request can be served. */
     public void endpointsListed(boolean any) {
         endpointsListed = any;
-        tell();
+        notifyIfChanged();
     }
 
-    /** The process was told to end; nothing leads back. */
+    /** The process shuts down; this can't be undone. */
     public void ending() {
         ending = true;
-        tell();
+        notifyIfChanged();
     }
 
-    /** Drains clients away until {@link #resume}; has no effect on what has been taken. */
+    /** Drains client connections until {@link #resume}; requests that were accepted are not affected. */
     public void quiesce() {
         quiesced = true;
-        tell();
+        notifyIfChanged();
     }
 
-    /** Takes clients again. */
+    /** Accepts clients again after {@link #quiesce}. */
     public void resume() {
         quiesced = false;
-        tell();
+        notifyIfChanged();
     }
 
-    /** Whether clients should come: the answer of {@code /-/ready}. */
+    /** Returns whether clients should connect: the result of {@code /-/ready}. */
     public boolean ready() {
         return endpointsListed && !quiesced && !ending;
     }
 
-    /** Whether a client should go: an answer is the last of its connection. */
+    /** Returns whether client connections are being drained: each is closed after its next response. */
     public boolean closesConnections() {
         return quiesced || ending;
     }
 
-    /** Whether this process takes clients now: what {@code health} asks. */
+    /** Returns whether the proxy accepts clients now: the result of the command {@code health}. */
     public boolean acceptsClients() {
         return listening && ready();
     }
 
-    /** One word for operators. */
+    /** Returns the state name that is shown to operators. */
     public String stateName() {
         return ending ? "ending" : quiesced ? "quiesced" : acceptsClients() ? "serving" : "starting";
     }
--- a/src/main/java/mulleinfront/core/ListVersionFilter.java
+++ b/src/main/java/mulleinfront/core/ListVersionFilter.java
@@ -7,51 +7,54 @@
 import java.util.function.Function;
 
 /**
- * Which entries of a list of hosts are news. Changes hold only what changed at their version, so one that comes
- * late may tell something new of one host and something long overtaken of another: each host goes by the newest
- * version that named it. A whole list is the latest word of whoever sends it, whatever came before.
+ * Filters outdated entries from endpoint lists. A delta contains only the endpoints that changed at its version, so a
+ * delta that arrives late may be current for one endpoint and outdated for another. For each endpoint the newest
+ * version that named it applies. A full list replaces everything before it, whatever its version.
  */
 public final class ListVersionFilter {
-    /** Hosts whose last version is kept beyond the last whole list; those named longest ago are let go. */
-    private static final int MOST = 4096;
+    /**
+     * Versions are kept for this many endpoints more than the last full list contains; the endpoints named longest ago
+     * are evicted.
+     */
+    private static final int MAX_EXTRA_VERSIONS = 4096;
 
     private final Map<String, Long> versions = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-            return size() > Math.max(MOST, wholeSize + MOST);
+            return size() > Math.max(MAX_EXTRA_VERSIONS, fullListSize + MAX_EXTRA_VERSIONS);
         }
     };
-    private int wholeSize;
+    private int fullListSize;
 
-    /** Nothing is known any more: another sender may count its versions in its own way. */
+    /** Forgets all versions: another discovery server may number its versions differently. */
     public void reset() {
         versions.clear();
     }
 
     /**
-     * Takes note of a list.
+     * Records a list and returns its entries that are not outdated.
      *
-     * @param version its version
-     * @param full whether it is whole
-     * @param entries what it holds
-     * @param id the host that an entry names
-     * @return the entries that are news, in their order
+     * @param version version of the list
+     * @param full whether it is a full list rather than a delta
+     * @param entries entries of the list
+     * @param idOf returns the endpoint id of an entry
+     * @return the entries that are not outdated, in the order of the list
      */
-    public <E> List<E> newEntries(long version, boolean full, List<E> entries, Function<E, String> id) {
+    public <E> List<E> newEntries(long version, boolean full, List<E> entries, Function<E, String> idOf) {
         if (full) {
             versions.clear();
-            wholeSize = entries.size();
+            fullListSize = entries.size();
         }
-        List<E> news = new ArrayList<>(entries.size());
-        for (E e : entries) {
-            Long held = versions.get(id.apply(e));
-            if (held == null || held <= version) {
-                versions.put(id.apply(e), version);
-                news.add(e);
+        List<E> newEntries = new ArrayList<>(entries.size());
+        for (E entry : entries) {
+            Long knownVersion = versions.get(idOf.apply(entry));
+            if (knownVersion == null || knownVersion <= version) {
+                versions.put(idOf.apply(entry), version);
+                newEntries.add(entry);
             }
         }
-        return news;
+        return newEntries;
     }
 }
--- a/src/main/java/mulleinfront/core/Metrics.java
+++ b/src/main/java/mulleinfront/core/Metrics.java
@@ -2,66 +2,66 @@
 
 import mulleinfront.Balancer.Outcome;
 
-/** What one client proxy counts of its own work: requests, attempts, connections and calls to discovery. */
+/** Counters of one client proxy: requests, attempts, connections and discovery calls. */
 public final class Metrics {
-    /** How a request got its final answer, or why it needs none. */
+    /** How a request got its final answer, or why it requires none. */
     public enum Answer {
         SERVED,
-        /** There was too little time left for an attempt when it came. */
+        /** Refused on arrival because too little time was left for an attempt. */
         REFUSED_NO_TIME,
         REFUSED_UNSENT,
         REFUSED_AFTER_ATTEMPT,
         FAILED,
-        /** Its time was up before the decision module had ended it. */
+        /** The deadline timer fired before the balancer had ended the request. */
         TIME_UP,
         CLIENT_GONE
     }
 
     /** Why a connection was closed. */
     public enum Close {
-        /** It was idle for long, or its client was quiet for long. */
+        /** The connection was idle for too long, or its client sent nothing for too long. */
         IDLE,
-        /** The other side had closed or reset it. */
+        /** The peer closed or reset the connection. */
         BY_PEER,
-        /** The endpoint drains, is gone, or is reached elsewhere now. */
+        /** The endpoint drains, was removed, or has a new address. */
         ENDPOINT_LEFT,
-        /** Its last message said so, or could not be read to its end. */
+        /** The last message announced the close, or could not be read to its end. */
         NOT_REUSABLE,
-        /** Others need its place. */
+        /** The limit of connections or idle connections was reached, and another connection needed the slot. */
         NO_ROOM,
-        /** Its attempt was given up. */
+        /** The attempt on the connection was cancelled or timed out. */
         ATTEMPT_ENDED,
-        /** The message on it does not go on. */
+        /** The message on the connection made no progress. */
         STALLED,
-        /** The process ends. */
+        /** The process shuts down. */
         SHUTDOWN,
         ERROR
     }
 
-    /** What became of calls to discovery and of the watches that came of them. */
+    /** Events of discovery calls and of the watches that they open. */
     public enum Discovery {
         CALL,
         LIST,
         CALL_FAILED,
         WATCH_LOST,
-        /** The list held had to be renewed by then, and was not. */
+        /** The current list expired before it was renewed. */
         LIST_OVERDUE
     }
 
-    /** Checks of the rules: what was prevented, and what was broken all the same. */
+    /** Checks of the invariants: actions that were prevented, and violations. */
     public final RuleGuard guard = new RuleGuard();
 
     public final EnumCounts<Answer> answers = new EnumCounts<>(Answer.class);
-    /** Attempts, by how they ended. */
+    /** Attempts by outcome. */
     public final EnumCounts<Outcome> attempts = new EnumCounts<>(Outcome.class);
-    /** Further attempts, by how the one before had ended. */
+    /** Retries by outcome of the attempt before. */
     public final EnumCounts<Outcome> retries = new EnumCounts<>(Outcome.class);
 
     public final EnumCounts<Close> clientCloses = new EnumCounts<>(Close.class);
     public final EnumCounts<Close> endpointCloses = new EnumCounts<>(Close.class);
     public final EnumCounts<Discovery> discovery = new EnumCounts<>(Discovery.class);
 
-    /** All that is not 0 in one line, such as {@code answers.served=12 retries.reset=1}. */
+    /** Returns all counters above 0 on one line, such as {@code answers.served=12 retries.reset=1}. */
     public String summary() {
         StringBuilder out = new StringBuilder();
         answers.appendTo(out, "answers");
--- a/src/main/java/mulleinfront/core/NoOpActions.java
+++ b/src/main/java/mulleinfront/core/NoOpActions.java
@@ -2,7 +2,7 @@
 
 import mulleinfront.Balancer;
 
-/** Decisions that go nowhere, for whoever drives a module by itself and overrides those it wants to see. */
+/** Actions without effect; a subclass that drives a balancer directly overrides those that it needs. */
 public class NoOpActions implements Balancer.Actions {
     @Override
     public void send(String requestId, String endpointId, long timeoutUs) {}
--- a/src/main/java/mulleinfront/core/ResponseHandler.java
+++ b/src/main/java/mulleinfront/core/ResponseHandler.java
@@ -1,46 +1,50 @@
 package mulleinfront.core;
 
 /**
- * Whoever waits for the final answer of one request. It is told exactly one of {@link #served},
- * {@link #responseStarted}, {@link #refused} and {@link #failed}, unless it has said {@link Core#abandoned} before.
+ * Receives the final answer of one request. Exactly one of {@link #served}, {@link #responseStarted}, {@link #refused}
+ * and {@link #failed} is called, unless the client has disconnected before ({@link Core#abandoned}).
  *
- * @param <Q> a request as the wire carries it
- * @param <A> an answer as the wire brings it
+ * @param <Q> type of a request message on the wire
+ * @param <A> type of a response message on the wire
  */
 public interface ResponseHandler<Q, A> {
-    /** The request is open: told before any answer, and not at all if it is refused before it opens. */
-    void opened(Core.RequestHandle<Q, A> exchange);
+    /** Called before any answer when the request is open; not called if the request is refused on arrival. */
+    void opened(Core.RequestHandle<Q, A> handle);
 
     /**
-     * Asked right before an attempt's first byte leaves, whether the caller still waits: its leaving may have come and
-     * not been read yet. One that says no has gone by that, and does not say {@link Core#abandoned} besides.
+     * Returns whether the client still waits; called right before the first byte of an attempt is written, because the
+     * client's disconnect may have arrived without having been read. False counts as {@link Core#abandoned}, which must
+     * not be called in addition.
      */
     default boolean stillWaiting() {
         return true;
     }
 
-    /** A host's own answer. */
+    /** The request was served with this response of an endpoint. */
     void served(A answer);
 
     /**
-     * A host's own answer has begun and the rest comes on it: this is the final answer, and what becomes of the rest
-     * is between the two wires. Only wires that say so themselves are told ({@link Wire.AttemptListener#responseStarted}).
+     * An endpoint's response has started and its rest will be streamed. This is the final answer; the rest does not
+     * pass through the core. It is called only for wires that call {@link Wire.AttemptListener#responseStarted}.
+     *
+     * @param answer the part of the response received so far
      */
     default void responseStarted(A answer) {
-        throw new UnsupportedOperationException("no streams on this wire");
+        throw new UnsupportedOperationException("this wire does not support streamed responses");
     }
 
     /**
-     * Another try is harmless: no attempt has run, or the request may run any number of times.
+     * The request was refused, and another try is safe: no attempt has run, the request may run any number of times, or
+     * every endpoint drops its repeats.
      *
-     * @param retryAfterUs when to come back, microseconds; 0: no advice
+     * @param retryAfterUs time after which the client should try again, microseconds; 0 for no advice
      */
     void refused(long retryAfterUs);
 
     /**
-     * Nothing is promised of the effect.
+     * The request failed, and it may or may not have taken effect.
      *
-     * @param timeUp whether the time was up, rather than all attempts spent
+     * @param timeUp whether the deadline timer fired; false if the balancer decided to fail the request
      */
     void failed(boolean timeUp);
 }
--- a/src/main/java/mulleinfront/core/RuleGuard.java
+++ b/src/main/java/mulleinfront/core/RuleGuard.java
@@ -1,43 +1,47 @@
 package mulleinfront.core;
 
 /**
- * The invariants of the four rules at run time. Whatever sends, repeats, refuses, closes or starts something asks here
- * first; what is against a rule is not done and counted as prevented. What a rule was broken by all the same, seen
- * afterwards, is counted as a violation and told to a {@link Listener}: a defect, whatever its cause. Checking allocates
- * nothing.
+ * Checks the correctness invariants of request handling at run time. Code that sends, retries, refuses, closes or
+ * connects calls {@link #allows} first; an action that would violate an invariant is not taken and counted as
+ * prevented. A violation that is detected afterwards is counted and reported to a {@link Listener}; it is always a bug.
+ * Checking allocates nothing.
  */
 public final class RuleGuard {
-    /** What is checked. */
+    /** The invariants, each named after its violation. */
     public enum Check {
-        /** An attempt or a connection to an endpoint that drains, is gone or is not listed. */
+        /** An attempt at, or a connection to, an endpoint that drains, was removed or is not listed. */
         START_AT_LEFT_ENDPOINT,
-        /** An attempt by a list that may be out of date. */
+        /** An attempt by an expired list. */
         SEND_BY_OVERDUE_LIST,
         /** An attempt for a request that has had its final answer. */
         SEND_AFTER_ANSWER,
         /** An attempt for a request whose client has closed its connection. */
         SEND_AFTER_CLIENT_LEFT,
-        /** An attempt after the request's time. */
+        /** An attempt after the request's time budget. */
         SEND_AFTER_DEADLINE,
-        /** An attempt while another of the same request is out, or beyond the most that are allowed. */
+        /** An attempt while another of the same request is in progress, or beyond the allowed number of attempts. */
         SEND_BESIDE_ANOTHER,
-        /** A further attempt of a request that may not run twice, after one that may have run. */
+        /** A retry of a request that must not run twice, after an attempt that may have run. */
         REPEAT_UNSAFE,
-        /** The same of a keyed one at an endpoint outside the group that drops repeats. */
+        /** A retry of a deduplicated request, after an attempt that may have run, outside its deduplication group. */
         REPEAT_OUTSIDE_GROUP,
-        /** The same after the window for repeats. */
+        /** A retry of a deduplicated request, after an attempt that may have run, after its deduplication window. */
         REPEAT_AFTER_WINDOW,
-        /** A refusal, which promises that nothing has run, where something may have. */
+        /** A refusal, which promises that a retry is safe, after an attempt that may have run. */
         REFUSE_AFTER_EFFECT,
-        /** A final answer later than a client is owed one. */
+        /** A final answer after the client's deadline and a grace period. */
         ANSWER_OVERDUE,
-        /** A connection closed on a request that was read and has had no answer. */
+        /** A client connection closed although a request that was read on it has had no response. */
         CLOSE_UNANSWERED
     }
 
-    /** Told of each violation. */
+    /** Called with each violation. */
     public interface Listener {
-        /** @param requestId the request, or null where there is none */
+        /**
+         * Called after the violation has been counted.
+         *
+         * @param requestId id of the request, or null if none is concerned
+         */
         void violated(Check check, String requestId);
     }
 
@@ -45,32 +49,34 @@
     private final EnumCounts<Check> violations = new EnumCounts<>(Check.class);
     private Listener listener = (check, requestId) -> {};
 
-    /** Whom to tell of violations from now on. */
-    public void listen(Listener who) {
-        listener = who;
+    /** Sets the listener that is called with violations from now on. */
+    public void listen(Listener newListener) {
+        listener = newListener;
     }
 
     /**
-     * Whether something may be done; if not, that counts as prevented.
+     * Returns whether an action may be taken; if not, counts it as prevented.
      *
-     * @param check what it would be against
-     * @param holds whether it is in order
-     * @return {@code holds}
+     * @param check the invariant that the action might violate
+     * @param satisfied whether the invariant would be satisfied
+     * @return whether the invariant would be satisfied
      */
-    public boolean allows(Check check, boolean holds) {
-        if (!holds) {
+    public boolean allows(Check check, boolean satisfied) {
+        if (!satisfied) {
             prevented.add(check);
         }
-        return holds;
+        return satisfied;
     }
 
     /**
-     * Notes whether what has been done was in order; if not, that is a violation.
+     * Counts and reports a violation unless the invariant was satisfied.
      *
-     * @param requestId the request, or null where there is none
+     * @param check the invariant
+     * @param satisfied whether it was satisfied
+     * @param requestId id of the request, or null if none is concerned
      */
-    public void verify(Check check, boolean held, String requestId) {
-        if (!held) {
+    public void verify(Check check, boolean satisfied, String requestId) {
+        if (!satisfied) {
             violations.add(check);
             listener.violated(check, requestId);
         }
@@ -84,7 +90,7 @@
         return violations.of(check);
     }
 
-    /** Violations of all checks. */
+    /** Returns the number of violations of all invariants. */
     public long violations() {
         return violations.total();
     }
--- a/src/main/java/mulleinfront/core/Time.java
+++ b/src/main/java/mulleinfront/core/Time.java
@@ -1,20 +1,22 @@
 package mulleinfront.core;
 
-/** Time and timers, as the owner of a core has them: an event loop's, or an emulator's. */
+/** Clock and timers of the thread that owns a core: an event loop's, or the emulator's virtual time. */
 public interface Time {
-    /** The present time, microseconds; it never runs back. */
+    /** Returns the current time, microseconds; it never runs backwards. */
     long now();
 
     /**
-     * Runs a task once, on the core's own thread, never before this call has returned.
+     * Schedules a task to run once on the core's thread, never before this method has returned.
      *
-     * @param delayUs from now, microseconds; 0 or less: as soon as may be
+     * @param delayUs delay from now, microseconds; 0 or less for as soon as possible
+     * @param task the task
+     * @return the timer, which can be cancelled
      */
     Timer after(long delayUs, Runnable task);
 
-    /** A task that has not run yet, or has. */
+    /** A scheduled task. */
     interface Timer {
-        /** The task will not run, unless it has; may be called more than once. */
+        /** Cancels the task if it has not run yet; may be called more than once. */
         void cancel();
     }
 }
--- a/src/main/java/mulleinfront/core/UnservedCounts.java
+++ b/src/main/java/mulleinfront/core/UnservedCounts.java
@@ -6,68 +6,78 @@
 import mulleinfront.UnservedReason;
 import mulleinfront.UnservedReason.Cause;
 
-/** Counts why requests were not served, by cause and class. It is made only where somebody asks. */
+/** Counts unserved requests by cause and class. The proxy creates it only if it has a management endpoint. */
 public final class UnservedCounts implements Balancer.Observer {
-    /** An instance this young has seen little of its hosts: its refusals are counted apart too, microseconds. */
+    /**
+     * An instance younger than this knows little of its endpoints, so its unserved requests are also counted
+     * separately.
+     */
     public static final long RECENT_START_US = 10_000_000;
 
     private final List<RequestClass> classes;
     private final long[][] counts;
     private final long[] recentlyStarted = new long[Cause.values().length];
 
-    /** @param classes the settings' */
+    /**
+     * Creates counters that are all 0.
+     *
+     * @param classes the request classes of the settings
+     */
     public UnservedCounts(List<RequestClass> classes) {
         this.classes = classes;
         this.counts = new long[Cause.values().length][classes.size()];
     }
 
     @Override
-    public void requestUnserved(long now, UnservedReason why) {
-        counts[why.cause().ordinal()][why.classIndex()]++;
-        recentlyStarted[why.cause().ordinal()] += why.instanceAgeUs() < RECENT_START_US ? 1 : 0;
+    public void requestUnserved(long now, UnservedReason reason) {
+        counts[reason.cause().ordinal()][reason.classIndex()]++;
+        recentlyStarted[reason.cause().ordinal()] += reason.instanceAgeUs() < RECENT_START_US ? 1 : 0;
     }
 
-    /** Those of a cause, over all classes. */
+    /** Returns the unserved requests of a cause over all classes. */
     public long of(Cause cause) {
         long sum = 0;
-        for (long n : counts[cause.ordinal()]) {
-            sum += n;
+        for (long count : counts[cause.ordinal()]) {
+            sum += count;
         }
         return sum;
     }
 
-    /** Those of a cause by an instance in its first seconds. */
+    /** Returns the unserved requests of a cause in the first {@link #RECENT_START_US} of an instance. */
     public long recentlyStarted(Cause cause) {
         return recentlyStarted[cause.ordinal()];
     }
 
-    /** Adds what another has counted, of the same settings. */
+    /** Adds the counts of another instance with the same request classes. */
     public void add(UnservedCounts other) {
-        for (int c = 0; c < counts.length; c++) {
-            recentlyStarted[c] += other.recentlyStarted[c];
-            for (int k = 0; k < counts[c].length; k++) {
-                counts[c][k] += other.counts[c][k];
+        for (int cause = 0; cause < counts.length; cause++) {
+            recentlyStarted[cause] += other.recentlyStarted[cause];
+            for (int classIndex = 0; classIndex < counts[cause].length; classIndex++) {
+                counts[cause][classIndex] += other.counts[cause][classIndex];
             }
         }
     }
 
-    /** In one line: {@code admission 12 (young 3; lookup 10, submit 2), time 1 (...)}; {@code none}. */
+    /**
+     * Returns all counts above 0 on one line, such as
+     * {@code admission 12 (young 3; lookup 10; submit 2), time 1 (...)}, or {@code none}.
+     */
     public String summary() {
         StringBuilder out = new StringBuilder();
-        for (Cause c : Cause.values()) {
-            if (of(c) > 0) {
+        for (Cause cause : Cause.values()) {
+            if (of(cause) > 0) {
                 out.append(out.length() == 0 ? "" : ", ")
-                        .append(c.outputName())
+                        .append(cause.outputName())
                         .append(' ')
-                        .append(of(c))
+                        .append(of(cause))
                         .append(" (young ")
-                        .append(recentlyStarted(c));
-                for (int k = 0; k < classes.size(); k++) {
-                    if (counts[c.ordinal()][k] > 0) {
+                        .append(recentlyStarted(cause));
+                for (int classIndex = 0; classIndex < classes.size(); classIndex++) {
+                    if (counts[cause.ordinal()][classIndex] > 0) {
                         out.append("; ")
-                                .append(classes.get(k).name())
+                                .append(classes.get(classIndex).name())
                                 .append(' ')
-                                .append(counts[c.ordinal()][k]);
+                                .append(counts[cause.ordinal()][classIndex]);
                     }
                 }
                 out.append(')');
--- a/src/main/java/mulleinfront/core/Wire.java
+++ b/src/main/java/mulleinfront/core/Wire.java
@@ -5,119 +5,137 @@
 import mulleinfront.Balancer.Outcome;
 
 /**
- * How a core reaches hosts and discovery. One core may stand on any wire: sockets, or an emulated network.
+ * Connects a {@link Core} to endpoints and discovery, over sockets or an emulated network.
  *
- * @param <Q> a request as the wire carries it
- * @param <A> an answer as the wire brings it
+ * @param <Q> type of a request message on the wire
+ * @param <A> type of a response message on the wire
  */
 public interface Wire<Q, A> {
-    /** Part of the settings' idle time after which a wire closes first: a host closes at the whole of it. */
+    /**
+     * Fraction of the configured idle time after which the proxy closes an idle connection. An endpoint closes it after
+     * the whole idle time, so the proxy closes first.
+     */
     double IDLE_CLOSE_FRACTION = 0.75;
-    /** How long a connection rests after an answer: what follows that unasked must not meet a new request. */
+    /**
+     * Time after a response during which a connection is not reused, so that unsolicited bytes after that response are
+     * not taken for the response to a new request.
+     */
     long CONNECTION_COOL_DOWN_US = 3_000;
-    /** Fresh connections to one attempt, as long as they are reset before a request is written whole. */
+    /** New connections that one attempt may open when each is reset before the request is completely written. */
     int MAX_NEW_CONNECTIONS = 3;
-    /** Discovery's heartbeat comes this often while nothing changes. */
+    /** Interval of discovery's heartbeats on a watch while nothing changes. */
     long HEARTBEAT_US = 2_000_000;
     /**
-     * Discovery's heartbeat comes every 2 s: one that is 0.6 s late is silence. What a silent watch misses
-     * counts as told 6 s after it fell silent even if it never came, so by then the next call must have been
-     * answered, with those of all others whose watches fell silent in the same moment.
+     * Idle timeout of a watch: discovery's heartbeat comes every 2 s and may be 0.6 s late. Changes that an idle watch
+     * misses reach their propagation deadline 6 s after its last byte. By then the next discovery call must have been
+     * answered, together with the calls of all other proxies whose watches became idle at the same moment.
      */
     long WATCH_TIMEOUT_US = 2_600_000;
     /**
-     * The same of a call that nothing has come of yet: it may wait for its turn, and discovery gives up after
-     * 2 or 3 s.
+     * Timeout of a discovery call until the first byte of its response. Calls may queue at discovery, which itself
+     * gives up after 2 or 3 s.
      */
     long CALL_TIMEOUT_US = 3_500_000;
-    /** How long a list may take from the first byte of its answer, whatever heartbeats come before it. */
+    /** Timeout of a list from the first byte of its response; heartbeats before the list do not extend it. */
     long LIST_TIMEOUT_US = 3_200_000;
-    /** Discovery lets no call wait for longer, milliseconds: one that has brought nothing by then was taken by nobody. */
+    /** Longest time for which discovery queues a call. A call without any response by then was never accepted. */
     long MAX_DISCOVERY_WAIT_MS = 3_000;
-    /** The most that the first call after a move may go unanswered. */
+    /** Upper limit of {@link #movedCallTimeoutUs}. */
     long MOVED_CALL_TIMEOUT_US = 3_200_000;
 
-    /** How long nothing may come of the first call where discovery, which is asked, has moved to. */
+    /**
+     * Returns the timeout of the first call at discovery's new address until the first byte of its response,
+     * microseconds.
+     *
+     * @param askWithinUs the poll interval limit, microseconds
+     */
     static long movedCallTimeoutUs(long askWithinUs) {
         return Math.min(MOVED_CALL_TIMEOUT_US, askWithinUs * 9 / 10);
     }
 
-    /** No time of its own yet. */
+    /** Timeout of an attempt whose timeout is not known yet. */
     long NO_TIMEOUT = Long.MAX_VALUE;
 
-    /** Told once how an attempt or a probe ended. */
+    /** Called with the events of one attempt or probe. */
     interface AttemptListener<A> {
         /**
-         * @param outcome what can be vouched for: {@link Outcome#neverRan} only if that is known
-         * @param answer the host's answer if the outcome is {@link Outcome#OK}, else null; null too if it has
-         *        begun
+         * Called exactly once, when the attempt or probe ends.
+         *
+         * @param outcome how it ended; {@link Outcome#neverRan} is true only if the request surely did not run
+         * @param answer the endpoint's response if the outcome is {@link Outcome#OK}, else null; also null if
+         *        {@link #responseStarted} has been called
          */
         void ended(Outcome outcome, A answer);
 
         /**
-         * The host said with its answer how many requests it holds; told before {@link #ended}.
+         * Called before {@link #ended} if the response contains a load report.
          *
-         * @param held that many, all clients' together
+         * @param inFlight requests in flight at the endpoint, of all clients
          */
-        default void loadReported(double held) {}
+        default void loadReported(double inFlight) {}
 
         /**
-         * The host's answer has begun, and is passed on from here as it comes; the attempt goes on until
-         * {@link #ended} without a time of its own.
+         * Called when the response has started and its rest will be streamed. The attempt has no timeout from then on
+         * and continues until {@link #ended}.
          *
-         * @param answer what there is of it
-         * @return whether anybody takes it; if not, the attempt is to be given up
+         * @param answer the part received so far
+         * @return whether the response is accepted; if not, the wire must cancel the attempt
          */
         default boolean responseStarted(A answer) {
             return false;
         }
     }
 
-    /** An attempt that was made ready; it sends nothing before {@link #start}. */
+    /** A prepared attempt; it sends nothing before {@link #start}. */
     interface Attempt {
-        /** Begins; the end may be told before this returns. */
+        /** Starts the attempt. {@link AttemptListener#ended} may be called before this method returns. */
         void start();
 
-        /** Stops waiting, which ends the attempt at once; no effect if it has ended. */
+        /** Ends the attempt at once; no effect if it has already ended. */
         void cancel();
 
-        /** The request has come in whole: from now on the attempt has this long, microseconds. */
+        /** Sets the timeout, counted from now, once the request has been read completely. */
         default void endWithin(long timeoutUs) {}
     }
 
     /**
-     * Makes an attempt ready.
+     * Prepares an attempt.
      *
-     * @param requestId the request it is for
-     * @param number the attempt's number, from 0
-     * @param hostId a host of the list last told
-     * @param request what to send
-     * @param timeoutUs time from now until the attempt ends by itself, microseconds, above 0; {@link #OPEN}
-     *        while the request is still being read, until {@link Attempt#endWithin}
-     * @param wanted asked right before the first byte leaves: if false nothing is sent, and the attempt has
-     *        ended as {@link Outcome#IGNORED}
-     * @param end told once
-     * @return the attempt, or null if the wire knows no such host
+     * @param requestId id of the request
+     * @param number number of the attempt, from 0
+     * @param endpointId id of an endpoint of the last list
+     * @param message the message to send
+     * @param timeoutUs time from now until the attempt times out, microseconds, above 0; {@link #NO_TIMEOUT} while
+     *        the request is still being read, until {@link Attempt#endWithin} is called
+     * @param maySend called right before the first byte is written: if it returns false, nothing is sent and the
+     *        attempt ends as {@link Outcome#IGNORED}
+     * @param listener called with the events of the attempt
+     * @return the attempt, or null if the endpoint is unknown or the request can't be sent from its beginning
      */
     Attempt attempt(
             String requestId,
             int number,
-            String hostId,
-            Q request,
+            String endpointId,
+            Q message,
             long timeoutUs,
-            BooleanSupplier wanted,
-            AttemptListener<A> end);
+            BooleanSupplier maySend,
+            AttemptListener<A> listener);
 
-    /** Asks a host how it is; the end is told once, as {@link Outcome#IGNORED} if there is no such host. */
-    void probe(String hostId, AttemptListener<A> end);
+    /**
+     * Sends a health probe to an endpoint.
+     *
+     * @param endpointId id of the endpoint; the probe ends as {@link Outcome#IGNORED} if it is unknown
+     * @param listener called with the events of the probe
+     */
+    void probe(String endpointId, AttemptListener<A> listener);
 
     /**
-     * Asks discovery for the list and for every change from here on.
+     * Calls discovery for the endpoint list and for every later change.
      *
-     * @param patienceUs how long nothing may come of the call, microseconds: then it has failed
+     * @param timeoutUs time until the first byte of the response after which the call has failed, microseconds
      */
-    void subscribe(long patienceUs);
+    void subscribe(long timeoutUs);
 
-    /** The list that is held was not renewed in time: for the log alone. */
-    default void onListExpired(ListExpiryReason bound) {}
+    /** Called when the current list expires; used for logging only. */
+    default void onListExpired(ListExpiryReason reason) {}
 }
--- a/src/main/java/mulleinfront/core/package-info.java
+++ b/src/main/java/mulleinfront/core/package-info.java
@@ -1,19 +1,19 @@
 /**
- * The life of a request, without I/O: from the moment a front has taken it until its one final answer is
+ * Request handling without I/O: from the moment a front end has accepted a request until its one final answer has been
  * given and its last attempt has ended.
  *
- * <p>{@link mulleinfront.core.Core} holds the open requests, their attempts and guards, and the queue through
- * which every event reaches the decision module and every decision leaves it. It keeps the rules that no
- * decision may break: one final answer, one attempt out at a time, a refusal only where it is a true word,
- * nothing written to a host that is not listed as ready.
+ * <p>{@link mulleinfront.core.Core} holds the open requests with their attempts and deadline timers, and the queue
+ * through which every event reaches the balancer and every decision leaves it. It enforces the invariants that no
+ * decision may violate: one final answer per request, one attempt in progress at a time, a refusal only if a retry is
+ * safe, and nothing written to an endpoint that is not listed as ready.
  *
- * <p>The way of data: a front (HTTP/1.1 today) reads a request and calls {@code take}; the module decides
- * through {@link mulleinfront.Balancer.Actions}; the core starts an attempt on its
- * {@link mulleinfront.core.Wire}; its end comes back once; the module decides again; the
- * {@link mulleinfront.core.ResponseHandler} is told how the request ended.
+ * <p>Data flow: a front end (HTTP/1.1) reads a request and calls {@code accept}; the balancer decides through
+ * {@link mulleinfront.Balancer.Actions}; the core starts an attempt on its {@link mulleinfront.core.Wire}, which
+ * reports the attempt's end once; the balancer decides again; the {@link mulleinfront.core.ResponseHandler} is called
+ * with the final answer.
  *
- * <p>May import the module ({@code mulleinfront}) and {@code java.util}, and nothing else: no socket, file,
- * thread or system clock. Time and timers are given by {@link mulleinfront.core.Time}, so the same core runs
- * on a Netty event loop and on the emulator's virtual time. It is owned by one thread and holds no lock.
+ * <p>May import the balancer ({@code mulleinfront}) and {@code java.util}, and nothing else: no socket, file, thread or
+ * system clock. {@link mulleinfront.core.Time} provides time and timers, so the same core runs on a Netty event loop
+ * and on the emulator's virtual time. One thread owns a core, and there are no locks.
  */
 package mulleinfront.core;
--- a/src/main/java/mulleinfront/manage/CommandHandler.java
+++ b/src/main/java/mulleinfront/manage/CommandHandler.java
@@ -3,47 +3,52 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 
-/** What operators may call, and the words of the answers: {@code +OK ...} or {@code -ERR ...}, one line each. */
+/** Executes the management commands. A reply is one line that starts with {@code +OK} or {@code -ERR}. */
 public final class CommandHandler {
-    /** The longest line that is a call, its end not counted; more is no call whatever follows. */
-    public static final int LONGEST = 256;
+    /** Maximum length of a command without its line end, bytes; a longer line is rejected. */
+    public static final int MAX_COMMAND_BYTES = 256;
 
-    /** A process to be operated; all of it is called on the thread that owns its state. */
+    /** The process that the commands act on. All methods are called on the thread that owns its state. */
     public interface Process {
-        /** Whether it takes clients. */
+        /** Returns whether the process accepts clients. */
         boolean takesClients();
 
-        /** One word for how it stands. */
+        /** Returns the name of the lifecycle state. */
         String standing();
 
-        /** Why requests were given up since the start, in one line. */
+        /** Returns the unserved requests by cause since the start, on one line. */
         String refusals();
 
-        /** What was counted since the start, in one line. */
+        /** Returns the counters since the start, on one line. */
         String metrics();
 
-        /** Drains clients away; a second call changes nothing. */
+        /** Drains client connections; a second call has no effect. */
         void quiesce();
 
-        /** Takes clients again; a second call changes nothing. */
+        /** Accepts clients again; a second call has no effect. */
         void resume();
 
-        /** What it knows of the fleet that it is a member of, one JSON object; null if it is in none. */
+        /** Returns this member's view of the fleet as a JSON object, or null if the process is in no fleet. */
         default String members() {
             return null;
         }
 
-        /** Tells the fleet that it goes; false: it still takes clients, and so uses hosts. */
+        /** Leaves the fleet; returns false, without leaving, if the process still accepts clients. */
         default boolean leave() {
             return false;
         }
 
-        /** Tells somebody of each change in the fleet, one JSON object each; false if there is no room for one more. */
+        /**
+         * Subscribes to changes of the fleet.
+         *
+         * @param lines called with one JSON object for each change
+         * @return false if the maximum number of subscribers is reached
+         */
         default boolean watch(Consumer<String> lines) {
             return false;
         }
 
-        /** Tells them no more. */
+        /** Ends a subscription. */
         default void unwatch(Consumer<String> lines) {}
     }
 
@@ -56,24 +61,26 @@
     }
 
     /**
-     * Begins an answer that goes on, if the line asks for one.
+     * Starts a streamed reply if the command requests one.
      *
-     * @param lines told each line of it, without its end
-     * @return to be called when nobody reads it any more; null if the line asks for none, or it can't be had
+     * @param command the command without its line end
+     * @param lines called with each line of the reply, without its line end
+     * @return a task that must be run when the reply is not read any more; null if the command requests no streamed
+     *         reply, or if it can't be started
      */
-    public Runnable begin(String line, Consumer<String> lines) {
-        boolean watches = line.strip().toLowerCase(Locale.ROOT).equals("fleet watch");
-        return watches && process.members() != null && process.watch(lines) ? () -> process.unwatch(lines) : null;
+    public Runnable begin(String command, Consumer<String> lines) {
+        boolean isWatch = command.strip().toLowerCase(Locale.ROOT).equals("fleet watch");
+        return isWatch && process.members() != null && process.watch(lines) ? () -> process.unwatch(lines) : null;
     }
 
     /**
-     * Does what a line names.
+     * Executes a command.
      *
-     * @param line without its end
-     * @return the answer, without its end
+     * @param command the command without its line end
+     * @return the reply without its line end
      */
-    public String answer(String line) {
-        switch (line.strip().toLowerCase(Locale.ROOT)) {
+    public String answer(String command) {
+        switch (command.strip().toLowerCase(Locale.ROOT)) {
             case "health" -> {
                 return (process.takesClients() ? "+OK " : "-ERR ") + process.standing();
             }
--- a/src/main/java/mulleinfront/manage/ManagementServer.java
+++ b/src/main/java/mulleinfront/manage/ManagementServer.java
@@ -22,35 +22,39 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Where operators call. Callers are few and may say nothing, so there is room for {@link #MOST} of them: one more ends
- * the oldest, which has had the most time, and none stays longer than {@link #PATIENCE_MS}.
+ * Server of the management endpoint. Management clients are few and may never send a command, so there are at most
+ * {@link #MOST} connections: one more closes the oldest, which has had the most time. A connection without a streamed
+ * reply is closed after {@link #CONNECTION_TIMEOUT_MS}.
  */
 public final class ManagementServer {
-    /** Connections at most; each is a descriptor that clients can't have. */
+    /** Maximum number of connections; each uses a file descriptor that is then not available to clients. */
     public static final int MOST = 8;
-    /** Longest stay of a caller, milliseconds. */
-    static final long PATIENCE_MS = 5_000;
-    /** A caller whose answer goes on. */
-    private static final AttributeKey<Boolean> READS_ON = AttributeKey.valueOf(ManagementServer.class, "reads on");
+    /** Time after which a connection without a streamed reply is closed. */
+    static final long CONNECTION_TIMEOUT_MS = 5_000;
+    /** Set on a connection with a streamed reply. */
+    private static final AttributeKey<Boolean> STREAMING = AttributeKey.valueOf(ManagementServer.class, "reads on");
 
-    private final ArrayDeque<Channel> callers = new ArrayDeque<>();
+    private final ArrayDeque<Channel> connections = new ArrayDeque<>();
     private final EventLoop loop;
-    private final CommandHandler calls;
+    private final CommandHandler handler;
 
-    private ManagementServer(EventLoop loop, CommandHandler calls) {
+    private ManagementServer(EventLoop loop, CommandHandler handler) {
         this.loop = loop;
-        this.calls = calls;
+        this.handler = handler;
     }
 
     /**
-     * Listens.
+     * Opens the management endpoint.
      *
-     * @param loop the thread that owns what the calls change
-     * @return done when it listens, or failed if the address can't be had
+     * @param loop event loop that owns the state which the commands change
+     * @param address address to listen on
+     * @param buffers allocator of the connections
+     * @param handler executes the commands
+     * @return completes when the server listens, or fails if it can't bind the address
      */
     public static ChannelFuture listen(
-            EventLoop loop, InetSocketAddress address, ByteBufAllocator buffers, CommandHandler calls) {
-        ManagementServer server = new ManagementServer(loop, calls);
+            EventLoop loop, InetSocketAddress address, ByteBufAllocator buffers, CommandHandler handler) {
+        ManagementServer server = new ManagementServer(loop, handler);
         return new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -58,79 +62,80 @@
                 .childOption(ChannelOption.ALLOCATOR, buffers)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        server.admit(ch);
+                    protected void initChannel(SocketChannel channel) {
+                        server.acceptConnection(channel);
                     }
                 })
                 .bind(address);
     }
 
-    private void admit(SocketChannel ch) {
-        if (callers.size() >= MOST) {
-            callers.poll().close();
+    private void acceptConnection(SocketChannel channel) {
+        if (connections.size() >= MOST) {
+            connections.poll().close();
         }
-        callers.add(ch);
-        ch.closeFuture().addListener(f -> callers.remove(ch));
+        connections.add(channel);
+        channel.closeFuture().addListener(f -> connections.remove(channel));
         loop.schedule(
                 () -> {
-                    if (!ch.hasAttr(READS_ON)) {
-                        ch.close();
+                    if (!channel.hasAttr(STREAMING)) {
+                        channel.close();
                     }
                 },
-                PATIENCE_MS,
+                CONNECTION_TIMEOUT_MS,
                 TimeUnit.MILLISECONDS);
-        answerOn(ch, calls);
+        answerOn(channel, handler);
     }
 
-    /** Makes a connection one that carries a call. */
-    public static void answerOn(Channel channel, CommandHandler calls) {
-        channel.pipeline().addLast(new LineBasedFrameDecoder(CommandHandler.LONGEST), new Caller(calls));
+    /** Adds the handlers that read a command from a connection and reply to it. */
+    public static void answerOn(Channel channel, CommandHandler handler) {
+        channel.pipeline()
+                .addLast(new LineBasedFrameDecoder(CommandHandler.MAX_COMMAND_BYTES), new ConnectionHandler(handler));
     }
 
-    /** One connection: the first line is answered, what follows it is not read. */
-    private static final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
-        private final CommandHandler calls;
-        private boolean told;
+    /** Handler of one connection: replies to the first line and ignores all further lines. */
+    private static final class ConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private final CommandHandler handler;
+        private boolean replied;
 
-        Caller(CommandHandler calls) {
-            this.calls = calls;
+        ConnectionHandler(CommandHandler handler) {
+            this.handler = handler;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-            if (told) {
+            if (replied) {
                 return;
             }
-            String call = line.toString(StandardCharsets.US_ASCII);
-            Runnable end = calls.begin(call, more -> {
+            String command = line.toString(StandardCharsets.US_ASCII);
+            Runnable onClose = handler.begin(command, text -> {
                 if (ctx.channel().isWritable()) {
-                    ctx.writeAndFlush(Unpooled.copiedBuffer(more + "\n", StandardCharsets.US_ASCII));
+                    ctx.writeAndFlush(Unpooled.copiedBuffer(text + "\n", StandardCharsets.US_ASCII));
                 } else {
-                    // Whoever does not read what it asked for is not waited for.
+                    // The subscriber does not read its reply; lines are not queued for it.
                     ctx.close();
                 }
             });
-            if (end == null) {
-                tell(ctx, calls.answer(call));
+            if (onClose == null) {
+                replyAndClose(ctx, handler.answer(command));
                 return;
             }
-            told = true;
-            ctx.channel().attr(READS_ON).set(true);
-            ctx.channel().closeFuture().addListener(f -> end.run());
+            replied = true;
+            ctx.channel().attr(STREAMING).set(true);
+            ctx.channel().closeFuture().addListener(f -> onClose.run());
             ctx.writeAndFlush(Unpooled.copiedBuffer("+OK watching\n", StandardCharsets.US_ASCII));
         }
 
-        /** A line that is too long, or a connection that broke. */
+        /** Handles a line that is too long, or a connection that broke. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (!told) {
-                tell(ctx, "-ERR a call has " + CommandHandler.LONGEST + " characters at most");
+            if (!replied) {
+                replyAndClose(ctx, "-ERR a call has " + CommandHandler.MAX_COMMAND_BYTES + " characters at most");
             }
         }
 
-        private void tell(ChannelHandlerContext ctx, String answer) {
-            told = true;
-            ctx.writeAndFlush(Unpooled.copiedBuffer(answer + "\n", StandardCharsets.US_ASCII))
+        private void replyAndClose(ChannelHandlerContext ctx, String reply) {
+            replied = true;
+            ctx.writeAndFlush(Unpooled.copiedBuffer(reply + "\n", StandardCharsets.US_ASCII))
                     .addListener(ChannelFutureListener.CLOSE);
         }
     }
--- a/src/main/java/mulleinfront/manage/package-info.java
+++ b/src/main/java/mulleinfront/manage/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The operators' door: an address of its own where a connection carries one line and has one line back. A line goes
- * from {@link mulleinfront.manage.ManagementServer} to {@link mulleinfront.manage.CommandHandler}, which does what it names to
- * the client proxies of this process and words the answer.
+ * The management endpoint: an address of its own where a connection carries one command and gets one reply, which is
+ * one line or a stream of lines. {@link mulleinfront.manage.ManagementServer} reads the command, and
+ * {@link mulleinfront.manage.CommandHandler} executes it on the client proxies of this process and returns the reply.
  *
- * <p>May import {@code core} and Netty; nothing of the clients' and hosts' wire. Nothing of it is loaded where the
- * configuration names no such address.
+ * <p>May import {@code core} and Netty, but nothing of the connections to clients and endpoints. No class of this
+ * package is loaded if the configuration names no management address.
  */
 package mulleinfront.manage;
--- a/src/test/java/mulleinfront/benchlink/AdapterTest.java
+++ b/src/test/java/mulleinfront/benchlink/AdapterTest.java
@@ -12,7 +12,7 @@
 import mulleinfront.settings.Config;
 import org.junit.jupiter.api.Test;
 
-/** Wire transcripts: what goes in, what must come out. */
+/** Protocol transcripts: input batches and the replies that the adapter must write. */
 class AdapterTest {
     private static final String BOOT = "{\"m\":\"BOOT\",\"rngSeed\":7930985574052168,\"bootInfo\":{\"balancers\":2,"
             + "\"unheardOf\":[1,{\"a\":null}],\"classes\":[{\"name\":\"c\",\"effect\":\"retryable\",\"dedupScope\":\"all\","
@@ -21,7 +21,7 @@
             + "\"machine\":0,\"cohort\":0,\"availability\":\"Ready\",\"rating\":1,\"cameUpUs\":null}]},"
             + "{\"m\":\"DISCOVERY\",\"how\":\"cached\",\"seqNo\":41,\"table\":0}";
 
-    private static String play(String input) throws IOException {
+    private static String runAdapter(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Adapter.run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out);
         return out.toString(StandardCharsets.UTF_8);
@@ -31,7 +31,7 @@
         return "{\"wallUs\":" + now + ",\"proxys\":[{\"i\":3,\"in\":[" + events + "]}]}\n";
     }
 
-    private static String order(String id) {
+    private static String requestEvent(String id) {
         return "{\"m\":\"ORDER\",\"xid\":\"" + id + "\",\"budgetUs\":240000,\"bits\":1,\"tierClass\":0,"
                 + "\"expectedUs\":12000,\"routeKey\":\"91f03b7c55d20a64\",\"customer\":null}";
     }
@@ -39,14 +39,14 @@
     @Test
     void emptyBatchesGetEmptyReplies() throws IOException {
         String empty = "{\"wallUs\":8412250,\"proxys\":[]}\n";
-        assertEquals("{\"proxys\":[]}\n{\"proxys\":[]}\n", play(empty + "\n" + empty));
-        assertEquals("", play(""));
+        assertEquals("{\"proxys\":[]}\n{\"proxys\":[]}\n", runAdapter(empty + "\n" + empty));
+        assertEquals("", runAdapter(""));
     }
 
     @Test
-    void aRequestIsForwardedAndServed() throws IOException {
-        String out = play(batch(10, BOOT + "," + LIST)
-                + batch(5010, order("c50b12855d3a91c4"))
+    void requestIsForwardedAndServed() throws IOException {
+        String out = runAdapter(batch(10, BOOT + "," + LIST)
+                + batch(5010, requestEvent("c50b12855d3a91c4"))
                 + batch(
                         9010,
                         "{\"m\":\"ENDED\",\"xid\":\"c50b12855d3a91c4\",\"host\":\"10.0.0.1:80\",\"outcome\":\"Ok\","
@@ -61,54 +61,56 @@
     }
 
     @Test
-    void reportsOfAllFormsAreReadOrPassedOver() throws IOException {
+    void validLoadReportsAreReadAndOthersIgnored() throws IOException {
         for (String report : new String[] {"{\"outstanding\":7}", "{\"x0\":1}", "{}", "[[\"outstanding\",7]]", "7"}) {
-            String out = play(batch(10, BOOT + "," + LIST)
-                    + batch(5010, order("01"))
+            String out = runAdapter(batch(10, BOOT + "," + LIST)
+                    + batch(5010, requestEvent("01"))
                     + batch(
                             9010,
                             "{\"m\":\"ENDED\","
                                     + "\"xid\":\"01\",\"host\":\"10.0.0.1:80\",\"report\":" + report
                                     + ",\"outcome\":\"Ok\","
                                     + "\"complete\":true,\"hop\":0,\"lagUs\":4000}")
-                    + batch(9020, order("02")));
+                    + batch(9020, requestEvent("02")));
             assertTrue(out.contains("\"xid\":\"02\"") && !out.contains("CRASH"), report + ": " + out);
         }
     }
 
     @Test
-    void oddButLegalBatchesAreUnderstood() throws IOException {
-        // Fields in another order, a group twice, a table replaced in one batch, events of an unknown
-        // instance.
-        String odd = "{\"proxys\":[{\"in\":[" + BOOT + "," + LIST + "],\"i\":1},{\"i\":9,\"in\":[" + order("00") + "]},"
+    void unusualButValidBatchesAreAccepted() throws IOException {
+        // Fields in another order, two groups of one instance, a table that is replaced within a batch, and events for
+        // an
+        // instance that has not been started.
+        String batch = "{\"proxys\":[{\"in\":[" + BOOT + "," + LIST + "],\"i\":1},{\"i\":9,\"in\":["
+                + requestEvent("00") + "]},"
                 + "{\"i\":1,\"in\":[" + LIST.replace("10.0.0.1", "10.0.0.2").replace("cached", "full") + ","
-                + order("01") + "]}],\"more\":{\"x\":[]},\"wallUs\":77}\n";
-        String out = play(odd);
+                + requestEvent("01") + "]}],\"more\":{\"x\":[]},\"wallUs\":77}\n";
+        String out = runAdapter(batch);
         assertTrue(out.contains("\"host\":\"10.0.0.2:80\""), out);
         assertEquals(out.indexOf("\"i\":1"), out.lastIndexOf("\"i\":1"));
         assertFalse(out.contains("\"i\":9"), out);
     }
 
     @Test
-    void aStoppedInstanceForgetsAndMayStartInTheSameBatch() throws IOException {
-        String out = play(batch(10, BOOT + "," + LIST + "," + order("01"))
+    void stoppedInstanceLosesStateAndCanRestartInSameBatch() throws IOException {
+        String out = runAdapter(batch(10, BOOT + "," + LIST + "," + requestEvent("01"))
                 + batch(20, "{\"m\":\"STOP\"},{\"m\":\"BELL\",\"name\":\"wake\"}")
-                + batch(30, "{\"m\":\"STOP\"}," + BOOT + "," + LIST + "," + order("02")));
+                + batch(30, "{\"m\":\"STOP\"}," + BOOT + "," + LIST + "," + requestEvent("02")));
         String[] lines = out.split("\n");
         assertEquals("{\"proxys\":[]}", lines[1]);
         assertTrue(lines[2].contains("\"xid\":\"02\"") && !lines[2].contains("\"01\""), lines[2]);
     }
 
     @Test
-    void nonsensicalSettingsCrashByName() throws IOException {
-        String out = play(batch(10, BOOT.replace("500000", "-1")));
+    void invalidSettingsCrashNamesTheSetting() throws IOException {
+        String out = runAdapter(batch(10, BOOT.replace("500000", "-1")));
         assertTrue(out.contains("\"m\":\"CRASH\"") && out.contains("onTimeUs"), out);
-        out = play(batch(10, BOOT.replace("retryable", "sometimes")));
+        out = runAdapter(batch(10, BOOT.replace("retryable", "sometimes")));
         assertTrue(out.contains("unknown effect sometimes"), out);
     }
 
     @Test
-    void malformedLinesEndWithOnePlainMessage() {
+    void malformedInputFailsWithSingleLineMessage() {
         for (String bad : new String[] {
             "nonsense\n",
             "[]\n",
@@ -120,7 +122,7 @@
             batch(1, "{\"m\":\"CATALOG\",\"table\":99,\"rowsIn\":[]}"),
             batch(1, BOOT + ",{\"m\":\"ENDED\",\"outcome\":\"?\"}")
         }) {
-            Exception e = assertThrows(IOException.class, () -> play(bad), bad);
+            Exception e = assertThrows(IOException.class, () -> runAdapter(bad), bad);
             assertFalse(Config.rootCauseMessage(e).contains("\n"));
             assertTrue(Config.rootCauseMessage(e).startsWith("malformed input: "), Config.rootCauseMessage(e));
         }
--- a/src/test/java/mulleinfront/core/CoreTest.java
+++ b/src/test/java/mulleinfront/core/CoreTest.java
@@ -24,35 +24,36 @@
 import mulleinfront.emulator.EventQueue;
 import org.junit.jupiter.api.Test;
 
-/** The life of a request on virtual time, where two things can happen at one instant, in either order. */
+/** Request handling on virtual time, where two events can happen at the same instant in either order. */
 class CoreTest {
-    private static final int SAFE = 0;
-    private static final int UNSAFE = 1;
-    private static final int KEYED = 2;
-    private static final int SOON = 3;
-    private static final long MS = 1_000;
+    private static final int RETRYABLE = 0;
+    private static final int FRAGILE = 1;
+    private static final int DEDUP = 2;
+    private static final int DEDUP_SHORT_WINDOW = 3;
+    private static final long US_PER_MS = 1_000;
 
     private final EventQueue time = new EventQueue();
     private final List<String> log = new ArrayList<>();
-    private final List<Attempt> attempts = new ArrayList<>();
-    private final List<Throwable> defects = new ArrayList<>();
+    private final List<ScriptedAttempt> attempts = new ArrayList<>();
+    private final List<Throwable> exceptions = new ArrayList<>();
     private Consumer<Request> onRequest = r -> {};
-    private Consumer<AttemptEnd> onEnd = e -> {};
-    private Actions module;
-    private boolean cancels = true;
-    private boolean present = true;
-    private Core.RequestHandle<String, String> exchange;
+    private Consumer<AttemptEnd> onAttemptEnd = e -> {};
+    private Actions balancerActions;
+    private boolean cancelsOnAbandon = true;
+    private boolean clientWaiting = true;
+    private Core.RequestHandle<String, String> handle;
     private final Metrics metrics = new Metrics();
-    private final Core<String, String> core = new Core<>(settings(), time, new ScriptedWire(), defects::add, metrics);
+    private final Core<String, String> core =
+            new Core<>(settings(), time, new ScriptedWire(), exceptions::add, metrics);
 
     CoreTest() {
         core.begin(
                 (settings, seed, now, actions) -> {
-                    module = actions;
-                    return new Script();
+                    balancerActions = actions;
+                    return new ScriptedBalancer();
                 },
                 1);
-        list(Availability.READY);
+        sendList(Availability.READY);
         log.clear();
     }
 
@@ -74,13 +75,13 @@
                 new Contract(10_000_000, 0.2, 20_000_000));
     }
 
-    private void list(Availability state) {
+    private void sendList(Availability state) {
         core.onEndpointList(
                 Source.FULL,
                 List.of(new Endpoint("h", 0, 0, 0, state, 1, 0), new Endpoint("i", 0, 0, 0, Availability.READY, 1, 0)));
     }
 
-    /** Attempts that do nothing by themselves. */
+    /** A wire whose attempts do nothing by themselves. */
     private final class ScriptedWire implements Wire<String, String> {
         @Override
         public Attempt attempt(
@@ -94,9 +95,10 @@
             if (!hostId.equals("h") && !hostId.equals("i")) {
                 return null;
             }
-            CoreTest.Attempt made = new CoreTest.Attempt(requestId + "/" + number + "@" + hostId, wanted, end);
-            attempts.add(made);
-            return made;
+            CoreTest.ScriptedAttempt attempt =
+                    new CoreTest.ScriptedAttempt(requestId + "/" + number + "@" + hostId, wanted, end);
+            attempts.add(attempt);
+            return attempt;
         }
 
         @Override
@@ -110,14 +112,14 @@
         }
     }
 
-    /** An attempt that logs what the core does with it and ends only when the test says so. */
-    private final class Attempt implements Wire.Attempt {
+    /** An attempt that logs the core's calls and ends only when the test or the core ends it. */
+    private final class ScriptedAttempt implements Wire.Attempt {
         private final String name;
         private final BooleanSupplier wanted;
         private final Wire.AttemptListener<String> end;
-        private boolean over;
+        private boolean ended;
 
-        Attempt(String name, BooleanSupplier wanted, Wire.AttemptListener<String> end) {
+        ScriptedAttempt(String name, BooleanSupplier wanted, Wire.AttemptListener<String> end) {
             this.name = name;
             this.wanted = wanted;
             this.end = end;
@@ -130,36 +132,36 @@
 
         @Override
         public void endWithin(long timeoutUs) {
-            log.add("within " + timeoutUs / MS);
+            log.add("within " + timeoutUs / US_PER_MS);
         }
 
         @Override
         public void cancel() {
-            if (!over) {
+            if (!ended) {
                 log.add("cancelled " + name);
-                end(Outcome.CANCELED);
+                finish(Outcome.CANCELED);
             }
         }
 
-        /** As on any wire: the connection is up, and what is not wanted is not written. */
+        /** Acts as a wire whose connection is established: writes the request only if the core still allows it. */
         void write() {
             if (wanted.getAsBoolean()) {
                 log.add("write " + name);
             } else {
-                end(Outcome.IGNORED);
+                finish(Outcome.IGNORED);
             }
         }
 
-        void end(Outcome outcome) {
-            if (!over) {
-                over = true;
+        void finish(Outcome outcome) {
+            if (!ended) {
+                ended = true;
                 end.ended(outcome, outcome == Outcome.OK ? "answer to " + name : null);
             }
         }
     }
 
-    /** A balancer that logs its events and decides as the test has set. */
-    private final class Script implements Balancer {
+    /** A balancer that logs its events and makes the decisions that the test sets. */
+    private final class ScriptedBalancer implements Balancer {
         @Override
         public void onEndpoints(long now, Source source, List<Endpoint> endpoints) {}
 
@@ -176,8 +178,8 @@
         @Override
         public void onRequestAbandoned(long now, String requestId) {
             log.add("gone " + requestId);
-            if (cancels) {
-                module.cancel(requestId, 0);
+            if (cancelsOnAbandon) {
+                balancerActions.cancel(requestId, 0);
             }
         }
 
@@ -189,7 +191,7 @@
         @Override
         public void onAttemptEnded(long now, AttemptEnd e) {
             log.add("ended " + e.attempt() + " " + e.outcome() + (e.requestDone() ? " done" : ""));
-            onEnd.accept(e);
+            onAttemptEnd.accept(e);
         }
 
         @Override
@@ -203,16 +205,16 @@
         }
     }
 
-    private ResponseHandler<String, String> caller() {
+    private ResponseHandler<String, String> responseHandler() {
         return new ResponseHandler<>() {
             @Override
-            public void opened(Core.RequestHandle<String, String> x) {
-                exchange = x;
+            public void opened(Core.RequestHandle<String, String> newHandle) {
+                handle = newHandle;
             }
 
             @Override
             public boolean stillWaiting() {
-                return present;
+                return clientWaiting;
             }
 
             @Override
@@ -237,361 +239,364 @@
         };
     }
 
-    private void take(int type, long deadlineMs) {
-        core.accept(caller(), "r", type, "k", deadlineMs, time.now(), 0, 0, false, "call");
+    private void acceptRequest(int classIndex, long deadlineMs) {
+        core.accept(responseHandler(), "r", classIndex, "k", deadlineMs, time.now(), 0, 0, false, "call");
     }
 
-    private void sent(int type) {
-        onRequest = r -> module.send(r.id(), "h", 0);
-        take(type, 1_000);
+    private void acceptAndSend(int classIndex) {
+        onRequest = r -> balancerActions.send(r.id(), "h", 0);
+        acceptRequest(classIndex, 1_000);
         log.clear();
     }
 
-    private void said(String... lines) {
+    private void assertLog(String... lines) {
         assertEquals(List.of(lines), log);
-        assertEquals(List.of(), defects);
+        assertEquals(List.of(), exceptions);
     }
 
-    /** After all is over nothing is held, and nothing more is said however much time passes. */
-    private void nothingFollows() {
+    /** Asserts that no request is open and that nothing more happens within 10 s. */
+    private void assertNothingFollows() {
         log.clear();
         time.runUntil(time.now() + 10_000_000);
-        said();
+        assertLog();
         assertEquals(0, core.openRequests());
     }
 
-    // ---- what a module may not do --------------------------------------------------------------------
+    // ---- invariants that hold whatever the balancer decides -------------------------------------------
 
-    private void again(int type, String endpointId) {
-        onEnd = e -> {
+    private void failFirstAttemptAndRetry(int classIndex, String endpointId) {
+        onAttemptEnd = e -> {
             if (e.attempt() == 0) {
-                module.send(e.requestId(), endpointId, 0);
+                balancerActions.send(e.requestId(), endpointId, 0);
             }
         };
-        sent(type);
-        attempts.get(0).end(Outcome.FAILED);
+        acceptAndSend(classIndex);
+        attempts.get(0).finish(Outcome.FAILED);
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunIsNotSentAgain() {
-        again(UNSAFE, "i");
+    void fragileRequestIsNotRetriedIfItMayHaveRun() {
+        failFirstAttemptAndRetry(FRAGILE, "i");
         attempts.get(1).write();
-        said("ended 0 FAILED", "start r/1@i", "ended 1 IGNORED");
+        assertLog("ended 0 FAILED", "start r/1@i", "ended 1 IGNORED");
         assertEquals(1, metrics.guard.prevented(RuleGuard.Check.REPEAT_UNSAFE));
         assertEquals(0, metrics.guard.violations());
     }
 
     @Test
-    void aKeyedRequestThatMayHaveRunStaysInItsGroup() {
+    void dedupRequestIsNotRetriedOutsideItsGroup() {
         core.onEndpointList(
                 Source.FULL,
                 List.of(
                         new Endpoint("h", 0, 0, 0, Availability.READY, 1, 0),
                         new Endpoint("i", 1, 0, 0, Availability.READY, 1, 0)));
         log.clear();
-        again(KEYED, "i");
+        failFirstAttemptAndRetry(DEDUP, "i");
         attempts.get(1).write();
-        said("ended 0 FAILED", "start r/1@i", "ended 1 IGNORED");
+        assertLog("ended 0 FAILED", "start r/1@i", "ended 1 IGNORED");
         assertEquals(1, metrics.guard.prevented(RuleGuard.Check.REPEAT_OUTSIDE_GROUP));
     }
 
     @Test
-    void whatMayHaveRunIsFailedWhereTheModuleRefusesIt() {
-        onEnd = e -> module.refuse(e.requestId(), 0);
-        sent(UNSAFE);
-        attempts.get(0).end(Outcome.RESET);
-        said("ended 0 RESET", "FAILED");
+    void refusalBecomesFailureIfRequestMayHaveRun() {
+        onAttemptEnd = e -> balancerActions.refuse(e.requestId(), 0);
+        acceptAndSend(FRAGILE);
+        attempts.get(0).finish(Outcome.RESET);
+        assertLog("ended 0 RESET", "FAILED");
         assertEquals(1, metrics.guard.prevented(RuleGuard.Check.REFUSE_AFTER_EFFECT));
-        nothingFollows();
+        assertNothingFollows();
     }
 
     @Test
-    void whatHasNotRunIsRefusedAsTheModuleSays() {
-        onEnd = e -> module.refuse(e.requestId(), 0);
-        sent(UNSAFE);
-        attempts.get(0).end(Outcome.QUEUE_FULL);
-        said("ended 0 QUEUE_FULL", "REFUSED 0");
+    void refusalIsPassedOnIfRequestHasNotRun() {
+        onAttemptEnd = e -> balancerActions.refuse(e.requestId(), 0);
+        acceptAndSend(FRAGILE);
+        attempts.get(0).finish(Outcome.QUEUE_FULL);
+        assertLog("ended 0 QUEUE_FULL", "REFUSED 0");
         assertEquals(0, metrics.guard.prevented(RuleGuard.Check.REFUSE_AFTER_EFFECT));
-        nothingFollows();
+        assertNothingFollows();
     }
 
-    // ---- what goes on while it comes -----------------------------------------------------------------
+    // ---- streamed requests and responses, and the shutdown deadline -----------------------------------
 
-    private void takeReading(int type) {
-        onRequest = r -> module.send(r.id(), "h", 0);
-        core.accept(caller(), "r", type, "k", 1_000, time.now(), 0, 0, false, "call", true);
-        said("start r/0@h", "streams 0");
+    private void acceptWhileReading(int classIndex) {
+        onRequest = r -> balancerActions.send(r.id(), "h", 0);
+        core.accept(responseHandler(), "r", classIndex, "k", 1_000, time.now(), 0, 0, false, "call", true);
+        assertLog("start r/0@h", "streams 0");
         log.clear();
     }
 
     @Test
-    void theTimeOfARequestThatIsBeingReadBeginsWithItsLastByte() {
-        takeReading(UNSAFE);
-        time.runUntil(5_000 * MS);
-        said();
-        core.requestComplete(exchange);
-        said("within 965");
+    void deadlineCountsFromTheLastByte() {
+        acceptWhileReading(FRAGILE);
+        time.runUntil(5_000 * US_PER_MS);
+        assertLog();
+        core.requestComplete(handle);
+        assertLog("within 965");
         log.clear();
-        core.requestComplete(exchange);
-        said();
-        time.runUntil(5_975 * MS);
-        said("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
-        nothingFollows();
+        core.requestComplete(handle);
+        assertLog();
+        time.runUntil(5_975 * US_PER_MS);
+        assertLog("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
+        assertNothingFollows();
     }
 
     @Test
-    void nothingIsAnsweredAfterTheEndThatWasSet() {
+    void newRequestIsAnsweredByShutdownDeadline() {
         List<Long> budgets = new ArrayList<>();
         onRequest = r -> {
             budgets.add(r.budgetUs());
-            module.send(r.id(), "h", 0);
+            balancerActions.send(r.id(), "h", 0);
         };
-        core.setShutdownDeadline(time.now() + 300 * MS);
-        take(UNSAFE, 1_000);
+        core.setShutdownDeadline(time.now() + 300 * US_PER_MS);
+        acceptRequest(FRAGILE, 1_000);
         log.clear();
-        time.runUntil(300 * MS);
-        said("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
-        assertEquals(List.of(965 * MS), budgets, "the module hears what the client said");
+        time.runUntil(300 * US_PER_MS);
+        assertLog("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
+        assertEquals(List.of(965 * US_PER_MS), budgets, "the balancer is given the client's own budget");
         log.clear();
-        take(UNSAFE, 1_000);
-        said("REFUSED 2000000");
-        nothingFollows();
+        acceptRequest(FRAGILE, 1_000);
+        assertLog("REFUSED 2000000");
+        assertNothingFollows();
     }
 
     @Test
-    void anEndThatIsSetHoldsForWhatIsOpenToo() {
-        sent(UNSAFE);
-        time.runUntil(100 * MS);
-        core.setShutdownDeadline(time.now() + 300 * MS);
-        time.runUntil(400 * MS - 1);
-        said();
-        time.runUntil(400 * MS);
-        said("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
-        nothingFollows();
+    void openRequestIsAnsweredByShutdownDeadline() {
+        acceptAndSend(FRAGILE);
+        time.runUntil(100 * US_PER_MS);
+        core.setShutdownDeadline(time.now() + 300 * US_PER_MS);
+        time.runUntil(400 * US_PER_MS - 1);
+        assertLog();
+        time.runUntil(400 * US_PER_MS);
+        assertLog("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
+        assertNothingFollows();
     }
 
     @Test
-    void anEndThatIsSetHoldsForWhatIsStillBeingReadToo() {
-        takeReading(UNSAFE);
-        core.setShutdownDeadline(time.now() + 300 * MS);
-        time.runUntil(300 * MS);
-        said("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
-        nothingFollows();
+    void requestBeingReadIsAnsweredByShutdownDeadline() {
+        acceptWhileReading(FRAGILE);
+        core.setShutdownDeadline(time.now() + 300 * US_PER_MS);
+        time.runUntil(300 * US_PER_MS);
+        assertLog("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
+        assertNothingFollows();
     }
 
     @Test
-    void anEndThatIsLaterThanTheClientsOwnChangesNothing() {
-        sent(UNSAFE);
-        core.setShutdownDeadline(time.now() + 3_000 * MS);
-        time.runUntil(975 * MS);
-        said("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
-        nothingFollows();
+    void laterShutdownDeadlineHasNoEffect() {
+        acceptAndSend(FRAGILE);
+        core.setShutdownDeadline(time.now() + 3_000 * US_PER_MS);
+        time.runUntil(975 * US_PER_MS);
+        assertLog("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
+        assertNothingFollows();
     }
 
     @Test
-    void aRequestThatIsBeingReadGoesWithItsClient() {
-        takeReading(UNSAFE);
-        core.abandoned(exchange);
-        said("gone r", "cancelled r/0@h", "ended 0 CANCELED done");
-        nothingFollows();
+    void requestBeingReadIsCancelledWhenClientDisconnects() {
+        acceptWhileReading(FRAGILE);
+        core.abandoned(handle);
+        assertLog("gone r", "cancelled r/0@h", "ended 0 CANCELED done");
+        assertNothingFollows();
     }
 
     @Test
-    void soItDoesOnceItHasComeInWholeThoughTheModuleLeavesItAlone() {
-        cancels = false;
-        takeReading(UNSAFE);
-        core.requestComplete(exchange);
+    void completeStreamedRequestIsCancelledEvenIfBalancerDoesNot() {
+        cancelsOnAbandon = false;
+        acceptWhileReading(FRAGILE);
+        core.requestComplete(handle);
         log.clear();
-        core.abandoned(exchange);
-        said("gone r", "cancelled r/0@h", "ended 0 CANCELED done");
-        nothingFollows();
+        core.abandoned(handle);
+        assertLog("gone r", "cancelled r/0@h", "ended 0 CANCELED done");
+        assertNothingFollows();
     }
 
     @Test
-    void anAnswerThatHasBegunIsTheFinalOneHoweverItEnds() {
+    void startedResponseIsFinalWhateverItsOutcome() {
         for (Outcome outcome : List.of(Outcome.OK, Outcome.RESET, Outcome.FAILED)) {
-            sent(SAFE);
+            acceptAndSend(RETRYABLE);
             assertTrue(attempts.get(attempts.size() - 1).end.responseStarted("half"));
-            said("BEGINS half", "streams 0");
+            assertLog("BEGINS half", "streams 0");
             log.clear();
-            time.runUntil(time.now() + 20_000 * MS);
-            said();
-            assertEquals(1, core.openRequests(), "its id may not be used again meanwhile");
-            attempts.get(attempts.size() - 1).end(outcome);
-            said("ended 0 " + outcome + " done");
-            nothingFollows();
+            time.runUntil(time.now() + 20_000 * US_PER_MS);
+            assertLog();
+            assertEquals(1, core.openRequests(), "the id may not be reused while the response is streamed");
+            attempts.get(attempts.size() - 1).finish(outcome);
+            assertLog("ended 0 " + outcome + " done");
+            assertNothingFollows();
         }
     }
 
     @Test
-    void anAnswerThatBeginsTooLateIsTakenByNobody() {
-        sent(UNSAFE);
-        core.abandoned(exchange);
+    void responseThatStartsAfterDisconnectIsRejected() {
+        acceptAndSend(FRAGILE);
+        core.abandoned(handle);
         log.clear();
         assertEquals(false, attempts.get(0).end.responseStarted("half"));
-        said();
+        assertLog();
     }
 
     @Test
-    void aClientThatLeavesItsAnswerEndsTheAttempt() {
-        sent(UNSAFE);
+    void disconnectDuringResponseCancelsAttempt() {
+        acceptAndSend(FRAGILE);
         attempts.get(0).end.responseStarted("half");
         log.clear();
-        core.abandoned(exchange);
-        said("gone r", "cancelled r/0@h", "ended 0 CANCELED done");
-        nothingFollows();
+        core.abandoned(handle);
+        assertLog("gone r", "cancelled r/0@h", "ended 0 CANCELED done");
+        assertNothingFollows();
     }
 
-    // ---- at one instant ------------------------------------------------------------------------------
+    // ---- events at the same instant -------------------------------------------------------------------
 
     @Test
-    void anAnswerAtTheInstantOfTheDeadlineCountsIfItCameFirst() {
-        long guard = 975 * MS;
-        onRequest = r -> module.send(r.id(), "h", 0);
-        time.after(guard, () -> attempts.get(0).end(Outcome.OK));
-        take(UNSAFE, 1_000);
+    void responseAtDeadlineIsServedIfProcessedFirst() {
+        long guard = 975 * US_PER_MS;
+        onRequest = r -> balancerActions.send(r.id(), "h", 0);
+        time.after(guard, () -> attempts.get(0).finish(Outcome.OK));
+        acceptRequest(FRAGILE, 1_000);
         log.clear();
         time.runUntil(guard);
-        said("SERVED answer to r/0@h", "ended 0 OK done");
-        nothingFollows();
+        assertLog("SERVED answer to r/0@h", "ended 0 OK done");
+        assertNothingFollows();
     }
 
     @Test
-    void anAnswerAtTheInstantOfTheDeadlineIsTooLateIfThatCameFirst() {
-        sent(UNSAFE);
-        time.after(975 * MS, () -> attempts.get(0).end(Outcome.OK));
-        time.runUntil(975 * MS);
-        // The module stops waiting at once, so the answer finds the attempt ended.
-        said("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
-        nothingFollows();
+    void responseAtDeadlineIsTooLateIfTimerFiredFirst() {
+        acceptAndSend(FRAGILE);
+        time.after(975 * US_PER_MS, () -> attempts.get(0).finish(Outcome.OK));
+        time.runUntil(975 * US_PER_MS);
+        // The balancer cancels the attempt at once, so the response arrives after the attempt has ended.
+        assertLog("FAILED time up", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
+        assertNothingFollows();
     }
 
     @Test
-    void aCancelAndTheAnswerAtOneInstantHaveOneEnd() {
-        sent(UNSAFE);
-        time.after(MS, () -> core.run(() -> module.cancel("r", 0)));
-        time.after(MS, () -> attempts.get(0).end(Outcome.OK));
-        onEnd = e -> module.fail(e.requestId());
-        time.runUntil(MS);
-        said("cancelled r/0@h", "ended 0 CANCELED", "FAILED");
-        nothingFollows();
+    void cancelBeforeResponseEndsAttemptOnce() {
+        acceptAndSend(FRAGILE);
+        time.after(US_PER_MS, () -> core.run(() -> balancerActions.cancel("r", 0)));
+        time.after(US_PER_MS, () -> attempts.get(0).finish(Outcome.OK));
+        onAttemptEnd = e -> balancerActions.fail(e.requestId());
+        time.runUntil(US_PER_MS);
+        assertLog("cancelled r/0@h", "ended 0 CANCELED", "FAILED");
+        assertNothingFollows();
     }
 
     @Test
-    void aCancelThatCrossesTheAnswerChangesNothing() {
-        sent(UNSAFE);
-        time.after(MS, () -> attempts.get(0).end(Outcome.OK));
-        time.after(MS, () -> core.run(() -> module.cancel("r", 0)));
-        time.runUntil(MS);
-        said("SERVED answer to r/0@h", "ended 0 OK done");
-        nothingFollows();
+    void cancelAfterResponseHasNoEffect() {
+        acceptAndSend(FRAGILE);
+        time.after(US_PER_MS, () -> attempts.get(0).finish(Outcome.OK));
+        time.after(US_PER_MS, () -> core.run(() -> balancerActions.cancel("r", 0)));
+        time.runUntil(US_PER_MS);
+        assertLog("SERVED answer to r/0@h", "ended 0 OK done");
+        assertNothingFollows();
     }
 
     @Test
-    void anAnswerAtTheInstantOfTheDrainNoticeIsServed() {
-        sent(UNSAFE);
-        time.after(MS, () -> list(Availability.DRAINING));
-        time.after(MS, () -> attempts.get(0).end(Outcome.OK));
-        time.runUntil(MS);
-        said("SERVED answer to r/0@h", "ended 0 OK done");
-        nothingFollows();
+    void responseFromDrainingEndpointIsServed() {
+        acceptAndSend(FRAGILE);
+        time.after(US_PER_MS, () -> sendList(Availability.DRAINING));
+        time.after(US_PER_MS, () -> attempts.get(0).finish(Outcome.OK));
+        time.runUntil(US_PER_MS);
+        assertLog("SERVED answer to r/0@h", "ended 0 OK done");
+        assertNothingFollows();
     }
 
     @Test
-    void nothingIsWrittenOnceADrainIsToldWhileTheConnectionComesUp() {
-        sent(UNSAFE);
-        onEnd = e -> module.refuse(e.requestId(), 0);
-        time.after(MS, () -> list(Availability.DRAINING));
-        time.after(MS, () -> attempts.get(0).write());
-        time.runUntil(MS);
-        said("ended 0 IGNORED", "REFUSED 0");
-        nothingFollows();
+    void nothingIsWrittenIfEndpointDrainsWhileConnecting() {
+        acceptAndSend(FRAGILE);
+        onAttemptEnd = e -> balancerActions.refuse(e.requestId(), 0);
+        time.after(US_PER_MS, () -> sendList(Availability.DRAINING));
+        time.after(US_PER_MS, () -> attempts.get(0).write());
+        time.runUntil(US_PER_MS);
+        assertLog("ended 0 IGNORED", "REFUSED 0");
+        assertNothingFollows();
     }
 
-    /** A second attempt that is decided while it may be, and whose connection comes up at this time. */
-    private void again(int type, Outcome first, long upAt) {
-        onEnd = e -> {
+    /**
+     * Ends the first attempt after 100 ms, when a retry is still allowed, and lets the connection of the second attempt
+     * be established at the given time.
+     */
+    private void retryAfterFirstAttempt(int classIndex, Outcome first, long upAt) {
+        onAttemptEnd = e -> {
             if (e.attempt() == 0) {
-                module.send("r", "i", 0);
+                balancerActions.send("r", "i", 0);
             } else {
-                module.fail("r");
+                balancerActions.fail("r");
             }
         };
-        sent(type);
-        time.runUntil(100 * MS);
-        attempts.get(0).end(first);
-        said("ended 0 " + first, "start r/1@i");
+        acceptAndSend(classIndex);
+        time.runUntil(100 * US_PER_MS);
+        attempts.get(0).finish(first);
+        assertLog("ended 0 " + first, "start r/1@i");
         log.clear();
         time.runUntil(upAt);
         attempts.get(1).write();
     }
 
     @Test
-    void theWindowForRepeatsHoldsWhenTheRequestGoesOutAndNotWhenThatIsDecided() {
-        // The first went out at 0, and 300 ms later nobody remembers it.
-        again(SOON, Outcome.RESET, 300 * MS);
-        said("ended 1 IGNORED", "FAILED");
-        nothingFollows();
+    void dedupWindowIsCheckedWhenRetryIsWritten() {
+        // The first attempt was sent at 0, and endpoints drop its repeats for 300 ms only.
+        retryAfterFirstAttempt(DEDUP_SHORT_WINDOW, Outcome.RESET, 300 * US_PER_MS);
+        assertLog("ended 1 IGNORED", "FAILED");
+        assertNothingFollows();
     }
 
     @Test
-    void untilThenItGoesOut() {
-        again(SOON, Outcome.RESET, 300 * MS - 1);
-        said("write r/1@i");
+    void retryIsWrittenWithinDedupWindow() {
+        retryAfterFirstAttempt(DEDUP_SHORT_WINDOW, Outcome.RESET, 300 * US_PER_MS - 1);
+        assertLog("write r/1@i");
     }
 
     @Test
-    void noWindowBindsWhatHasSurelyNotRun() {
-        again(SOON, Outcome.QUEUE_FULL, 700 * MS);
-        said("write r/1@i");
+    void dedupWindowDoesNotApplyIfRequestHasNotRun() {
+        retryAfterFirstAttempt(DEDUP_SHORT_WINDOW, Outcome.QUEUE_FULL, 700 * US_PER_MS);
+        assertLog("write r/1@i");
     }
 
     @Test
-    void aHostThatCameBackMeanwhileIsWrittenTo() {
-        sent(UNSAFE);
-        list(Availability.DRAINING);
-        list(Availability.READY);
+    void requestIsWrittenIfEndpointIsReadyAgain() {
+        acceptAndSend(FRAGILE);
+        sendList(Availability.DRAINING);
+        sendList(Availability.READY);
         attempts.get(0).write();
-        said("write r/0@h");
+        assertLog("write r/0@h");
     }
 
     @Test
-    void nothingIsWrittenOnceTheClientLeftWhileTheConnectionComesUp() {
-        sent(UNSAFE);
-        core.abandoned(exchange);
+    void nothingIsWrittenIfClientDisconnectsWhileConnecting() {
+        acceptAndSend(FRAGILE);
+        core.abandoned(handle);
         attempts.get(0).write();
-        said("gone r", "cancelled r/0@h", "ended 0 CANCELED done");
-        nothingFollows();
+        assertLog("gone r", "cancelled r/0@h", "ended 0 CANCELED done");
+        assertNothingFollows();
     }
 
     @Test
-    void aCallerThatIsFoundToHaveLeftAsItsAttemptIsWrittenIsGone() {
-        sent(UNSAFE);
-        present = false;
+    void unreadDisconnectIsDetectedBeforeWriting() {
+        acceptAndSend(FRAGILE);
+        clientWaiting = false;
         attempts.get(0).write();
-        said("gone r", "cancelled r/0@h", "ended 0 CANCELED done");
-        nothingFollows();
+        assertLog("gone r", "cancelled r/0@h", "ended 0 CANCELED done");
+        assertNothingFollows();
     }
 
-    // ---- what holds whatever the module does ---------------------------------------------------------
+    // ---- guarantees that do not depend on the balancer ------------------------------------------------
 
     @Test
-    void aRequestThatTheModuleForgetsHasItsAnswerInTimeAndATrueOne() {
-        take(UNSAFE, 1_000);
-        time.runUntil(975 * MS);
-        said("REFUSED 2000000", "gone r");
-        nothingFollows();
-        onRequest = r -> module.send(r.id(), "h", 0);
-        take(SAFE, 1_000);
+    void requestIgnoredByBalancerIsAnsweredCorrectlyAtDeadline() {
+        acceptRequest(FRAGILE, 1_000);
+        time.runUntil(975 * US_PER_MS);
+        assertLog("REFUSED 2000000", "gone r");
+        assertNothingFollows();
+        onRequest = r -> balancerActions.send(r.id(), "h", 0);
+        acceptRequest(RETRYABLE, 1_000);
         log.clear();
-        time.runUntil(time.now() + 975 * MS);
-        said("REFUSED 2000000", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
-        nothingFollows();
+        time.runUntil(time.now() + 975 * US_PER_MS);
+        assertLog("REFUSED 2000000", "gone r", "cancelled r/0@h", "ended 0 CANCELED done");
+        assertNothingFollows();
     }
 
     @Test
-    void theWordAtTheEndOfItsTimeIsTrueAfterEveryOutcome() {
-        for (int type : List.of(SAFE, UNSAFE, KEYED)) {
+    void answerAtDeadlineIsCorrectAfterEveryOutcome() {
+        for (int type : List.of(RETRYABLE, FRAGILE, DEDUP)) {
             for (Outcome outcome : List.of(
                     Outcome.FAILED,
                     Outcome.QUEUE_FULL,
@@ -604,96 +609,96 @@
                         || outcome == Outcome.TIMED_OUT
                         || outcome == Outcome.RESET
                         || outcome == Outcome.CANCELED;
-                sent(type);
-                attempts.get(attempts.size() - 1).end(outcome);
-                said("ended 0 " + outcome);
+                acceptAndSend(type);
+                attempts.get(attempts.size() - 1).finish(outcome);
+                assertLog("ended 0 " + outcome);
                 log.clear();
-                time.runUntil(time.now() + 975 * MS);
-                said(mayHaveRun && type != SAFE ? "FAILED time up" : "REFUSED 2000000", "gone r");
-                nothingFollows();
+                time.runUntil(time.now() + 975 * US_PER_MS);
+                assertLog(mayHaveRun && type != RETRYABLE ? "FAILED time up" : "REFUSED 2000000", "gone r");
+                assertNothingFollows();
             }
         }
     }
 
     @Test
-    void oneAttemptIsOutAtATimeAndNoMoreThanTheLimit() {
+    void attemptsAreSequentialAndLimited() {
         onRequest = r -> {
-            module.send(r.id(), "h", 0);
-            module.send(r.id(), "i", 0);
+            balancerActions.send(r.id(), "h", 0);
+            balancerActions.send(r.id(), "i", 0);
         };
-        take(SAFE, 1_000);
-        said("start r/0@h", "ended 1 IGNORED");
+        acceptRequest(RETRYABLE, 1_000);
+        assertLog("start r/0@h", "ended 1 IGNORED");
         log.clear();
-        onEnd = e -> {
+        onAttemptEnd = e -> {
             if (e.outcome() == Outcome.FAILED) {
-                module.send(e.requestId(), "i", 0);
+                balancerActions.send(e.requestId(), "i", 0);
             }
         };
-        attempts.get(0).end(Outcome.FAILED);
-        said("ended 0 FAILED", "start r/2@i");
+        attempts.get(0).finish(Outcome.FAILED);
+        assertLog("ended 0 FAILED", "start r/2@i");
         log.clear();
-        attempts.get(1).end(Outcome.FAILED);
-        said("ended 2 FAILED", "ended 3 IGNORED");
+        attempts.get(1).finish(Outcome.FAILED);
+        assertLog("ended 2 FAILED", "ended 3 IGNORED");
     }
 
     @Test
-    void theFirstLastWordCounts() {
+    void onlyFirstFinalAnswerCounts() {
         onRequest = r -> {
-            module.refuse(r.id(), 7);
-            module.fail(r.id());
-            module.send(r.id(), "h", 0);
+            balancerActions.refuse(r.id(), 7);
+            balancerActions.fail(r.id());
+            balancerActions.send(r.id(), "h", 0);
         };
-        take(UNSAFE, 1_000);
-        said("REFUSED 7", "ended 0 IGNORED done");
-        nothingFollows();
+        acceptRequest(FRAGILE, 1_000);
+        assertLog("REFUSED 7", "ended 0 IGNORED done");
+        assertNothingFollows();
     }
 
     @Test
-    void anUnknownHostIsAnAttemptThatNeverWas() {
-        onRequest = r -> module.send(r.id(), "nobody", 0);
-        onEnd = e -> module.refuse(e.requestId(), 0);
-        take(UNSAFE, 1_000);
-        said("ended 0 IGNORED", "REFUSED 0");
-        nothingFollows();
+    void attemptAtUnknownEndpointIsIgnored() {
+        onRequest = r -> balancerActions.send(r.id(), "nobody", 0);
+        onAttemptEnd = e -> balancerActions.refuse(e.requestId(), 0);
+        acceptRequest(FRAGILE, 1_000);
+        assertLog("ended 0 IGNORED", "REFUSED 0");
+        assertNothingFollows();
     }
 
     @Test
-    void aModuleThatThrowsLosesNoRequest() {
+    void balancerExceptionLosesNoRequest() {
         onRequest = r -> {
             throw new IllegalStateException("a defect");
         };
-        take(UNSAFE, 1_000);
-        assertEquals(1, defects.size());
-        defects.clear();
-        time.runUntil(975 * MS);
-        said("REFUSED 2000000", "gone r");
-        nothingFollows();
+        acceptRequest(FRAGILE, 1_000);
+        assertEquals(1, exceptions.size());
+        exceptions.clear();
+        time.runUntil(975 * US_PER_MS);
+        assertLog("REFUSED 2000000", "gone r");
+        assertNothingFollows();
     }
 
     @Test
-    void aDeadlineThatHasPassedOnArrivalIsRefusedUnseen() {
-        time.runUntil(5_000 * MS);
-        core.accept(caller(), "r", UNSAFE, "k", 1_000, time.now() - 999 * MS, 0, 0, false, "call");
-        said("REFUSED 2000000");
+    void requestWithoutTimeLeftIsRefusedOnArrival() {
+        time.runUntil(5_000 * US_PER_MS);
+        core.accept(responseHandler(), "r", FRAGILE, "k", 1_000, time.now() - 999 * US_PER_MS, 0, 0, false, "call");
+        assertLog("REFUSED 2000000");
         assertEquals(0, core.openRequests());
     }
 
     @Test
-    void aFailureToldInsideAnActionDoesNotReenterTheModule() {
+    void probeEndInsideActionDoesNotReenterBalancer() {
         List<String> nested = new ArrayList<>();
         onRequest = r -> {
-            module.probe("h");
+            balancerActions.probe("h");
             nested.add("request over");
         };
-        take(SAFE, 1_000);
+        acceptRequest(RETRYABLE, 1_000);
         assertTrue(nested.size() == 1 && log.equals(List.of("probed h IGNORED")), log + " " + nested);
     }
 
     @Test
-    void timersAreTheModulesLatest() {
-        module.wakeAt(5 * MS);
-        module.wakeAt(9 * MS);
-        time.runUntil(20 * MS);
-        said("timer");
+    void onlyLatestWakeTimeIsUsed() {
+        balancerActions.wakeAt(5 * US_PER_MS);
+        balancerActions.wakeAt(9 * US_PER_MS);
+        time.runUntil(20 * US_PER_MS);
+        assertLog("timer");
     }
 }
--- a/src/test/java/mulleinfront/core/RuleGuardTest.java
+++ b/src/test/java/mulleinfront/core/RuleGuardTest.java
@@ -11,12 +11,12 @@
 import mulleinfront.core.RuleGuard.Check;
 import org.junit.jupiter.api.Test;
 
-/** What is prevented and what was broken are counted apart, and checking costs no memory. */
+/** Prevented actions and violations are counted separately, and checks allocate no memory. */
 class RuleGuardTest {
     private final RuleGuard guard = new RuleGuard();
 
     @Test
-    void whatIsPreventedIsNoViolation() {
+    void preventedActionIsNoViolation() {
         assertTrue(guard.allows(Check.REPEAT_UNSAFE, true));
         assertFalse(guard.allows(Check.REPEAT_UNSAFE, false));
         assertEquals(1, guard.prevented(Check.REPEAT_UNSAFE));
@@ -24,22 +24,22 @@
     }
 
     @Test
-    void aViolationIsCountedAndTold() {
-        List<String> told = new ArrayList<>();
-        guard.listen((check, requestId) -> told.add(check + " " + requestId));
+    void violationIsCountedAndReported() {
+        List<String> reported = new ArrayList<>();
+        guard.listen((check, requestId) -> reported.add(check + " " + requestId));
         guard.verify(Check.ANSWER_OVERDUE, true, "a");
         guard.verify(Check.ANSWER_OVERDUE, false, "b");
         guard.verify(Check.CLOSE_UNANSWERED, false, null);
-        assertEquals(List.of("ANSWER_OVERDUE b", "CLOSE_UNANSWERED null"), told);
+        assertEquals(List.of("ANSWER_OVERDUE b", "CLOSE_UNANSWERED null"), reported);
         assertEquals(1, guard.violations(Check.ANSWER_OVERDUE));
         assertEquals(2, guard.violations());
-        StringBuilder words = new StringBuilder();
-        guard.appendTo(words);
-        assertEquals(" violations.answer_overdue=1 violations.close_unanswered=1", words.toString());
+        StringBuilder summary = new StringBuilder();
+        guard.appendTo(summary);
+        assertEquals(" violations.answer_overdue=1 violations.close_unanswered=1", summary.toString());
     }
 
     @Test
-    void checkingAllocatesNothing() {
+    void checksAllocateNoMemory() {
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         for (int round = 0; round < 2; round++) {
             long before = threads.getCurrentThreadAllocatedBytes();
@@ -48,7 +48,7 @@
                 guard.verify(Check.ANSWER_OVERDUE, true, "a");
             }
             long allocated = threads.getCurrentThreadAllocatedBytes() - before;
-            // The first round loads what is loaded once.
+            // Class loading allocates memory in the first round.
             assertTrue(round == 0 || allocated < 1_000, allocated + " bytes");
         }
     }
