--- a/src/main/java/mulleinfront/Balancer.java
+++ b/src/main/java/mulleinfront/Balancer.java
@@ -3,163 +3,167 @@
 import java.util.List;
 
 /**
- * The whole interface of the decision module: one instance per client process, single-threaded, told of
- * events with the time at which they happen, answering through {@link Actions} during the call.
+ * The interface of the load balancer's decision logic. Each event method is called with the time of the event, and the
+ * instance responds by calling {@link Actions} before the method returns. An instance is not thread-safe.
  *
- * <p>All times and durations are microseconds. The clock may start anywhere and never runs backwards. The
- * module has no clock, thread or I/O of its own, and equal events give equal actions.
+ * <p>All times and durations are in microseconds. The clock may start at any value and never runs backwards. The logic
+ * has no clock, thread or I/O of its own; the same settings, seed and events result in the same actions.
  */
 public interface Balancer {
 
     /**
-     * Makes an instance that knows no endpoints yet.
+     * Creates an instance without endpoints.
      *
-     * @param settings what the deployment states
+     * @param settings parameters of the deployment
      * @param seed seed of the instance's random numbers
-     * @param now the present time
+     * @param now the current time
      * @param actions receives the decisions
-     * @return the instance
+     * @return the new instance
      */
     static Balancer create(Settings settings, long seed, long now, Actions actions) {
         return new Logic(settings, seed, now, actions);
     }
 
-    /** A complete list (endpoints it lacks are gone) or, with {@code full} false, changed entries only. */
+    /**
+     * Called with an endpoint list: a complete one, which removes the endpoints that it lacks, or changed entries only.
+     */
     void onEndpoints(long now, Source source, List<Endpoint> endpoints);
 
-    /** A subscription or reload failed, or the subscription broke; the list held stays in force. */
+    /** A discovery call failed or the watch broke. The current list remains in use until it expires. */
     void onDiscoveryFailed(long now);
 
     /**
-     * The same of a subscription that broke, or of one whose first list was not finished: discovery is there.
+     * The watch broke, or ended within its first list: discovery is reachable.
      *
-     * @param quietUs since when nothing had come of it, heartbeats included, microseconds
+     * @param quietUs time since the last data from discovery, heartbeats included, microseconds
      */
     default void onDiscoveryFailed(long now, long quietUs) {
         onDiscoveryFailed(now);
     }
 
-    /** A call failed because discovery could not be reached: nobody was there, or nobody took it. */
+    /** A discovery call failed without reaching discovery: connection refused, or timed out before being accepted. */
     default void onDiscoveryUnreachable(long now) {
         onDiscoveryFailed(now);
     }
 
     /**
-     * The process that this instance is in had started before it: what counts from a start counts from then.
+     * The process of this instance started earlier than the instance; deadlines that count from the start count from
+     * then.
      *
-     * @param agoUs how long ago, microseconds
+     * @param startedAgoUs time since the start of the process, microseconds
      */
-    default void onProcessStart(long now, long agoUs) {}
+    default void onProcessStart(long now, long startedAgoUs) {}
 
-    /** Discovery has ended the subscription in order: it has to be asked for anew. */
+    /** Discovery has closed the watch in the normal way; another discovery call is needed. */
     default void onWatchEnded(long now) {
         onDiscoveryFailed(now, 0);
     }
 
     /**
-     * Discovery is elsewhere and is being called there: what is told next is its answer.
+     * The address of discovery has changed and a call to the new address is in progress; the next discovery event is
+     * its result.
      *
-     * @param movedAgoUs how long ago that was asked for, microseconds
+     * @param movedAgoUs time since the change was requested, microseconds
      */
     default void onDiscoveryMoved(long now, long movedAgoUs) {}
 
-    /** A request arrived; it must get one final answer within its budget. */
+    /** A request arrived; it requires one final answer within its budget. */
     void onRequest(long now, Request request);
 
-    /** The client left or its time is up: nothing more is owed. Unknown ids are ignored. */
+    /** The client disconnected or its budget is used up: no final answer is required. Unknown ids are ignored. */
     void onRequestAbandoned(long now, String requestId);
 
     /**
-     * The attempt now belongs to the client: its answer has begun, or its request is still being read. How
-     * long it takes tells nothing of the endpoint.
+     * The attempt's response has begun, or its request is still being read: its duration now depends on the client and
+     * shows nothing about the endpoint.
      */
     void onStreamStarted(long now, String requestId, int attempt);
 
-    /** An attempt ended. Unknown requests and repeated reports are ignored. */
+    /** An attempt ended. Unknown requests and repeated calls for an attempt are ignored. */
     void onAttemptEnded(long now, AttemptEnd end);
 
     /**
-     * An endpoint said how many requests it holds, all clients' together; a little old and not exact. Comes
-     * ahead of the outcome that brought it. Unknown endpoints are ignored.
+     * An endpoint reported its number of requests in flight, those of all proxies together. The number is slightly old
+     * and approximate. Called before the outcome of the attempt that carried the report. Unknown endpoints are ignored.
      */
-    default void onLoadReport(long now, String endpointId, double held) {}
+    default void onLoadReport(long now, String endpointId, double inFlight) {}
 
-    /** Whom to tell why requests are not served; null, as at the start: nobody, at no cost. */
+    /** Sets the observer of unserved requests; with null, the initial value, the reasons are not computed. */
     default void observe(Observer observer) {}
 
-    /** A probe ended, {@code lagUs} after it was asked for. Unknown endpoints are ignored. */
-    void onProbeEnded(long now, String endpointId, Outcome outcome, long lagUs);
+    /** A probe ended, {@code latencyUs} after it was requested. Unknown endpoints are ignored. */
+    void onProbeEnded(long now, String endpointId, Outcome outcome, long latencyUs);
 
-    /** The time last asked for by {@link Actions#wakeAt} has come; an early or extra call does no harm. */
+    /** The time requested by {@link Actions#wakeAt} has come; early and additional calls are harmless. */
     void onTimer(long now);
 
-    /** Told of what was decided and why. It is called in the midst of a decision and may not call back. */
+    /** Observes decisions. It is called during a decision and must not call the balancer. */
     interface Observer {
-        /** A request has had its last word without being served, by refusal or failure. */
-        void requestUnserved(long now, UnservedReason why);
+        /** A request was refused or failed. */
+        void requestUnserved(long now, UnservedReason reason);
     }
 
-    /** Which time has run out for a list. */
+    /** The deadline by which a list has expired. */
     enum ListExpiryReason {
-        /** Discovery had ended the watch. */
+        /** Discovery has closed the watch, and the list was not renewed in time. */
         WATCH_ENDED,
-        /** Discovery has moved. */
+        /** The address of discovery has changed, and the list was not renewed in time. */
         MOVED,
-        /** The settings' time for asking. */
+        /** The poll interval limit of the settings has passed without a discovery call. */
         ASK_WITHIN,
-        /** What discovery has counts as told, whatever calls failed. */
+        /** The propagation deadline of a change that discovery could have sent, whatever calls failed. */
         REACHABLE
     }
 
-    /** Where decisions go. Calls come only from within an event method. */
+    /** Receives the decisions. Its methods are called only from within an event method. */
     interface Actions {
         /** Starts an attempt; attempts of a request are numbered from 0 in the order of these calls. */
         void send(String requestId, String endpointId, long timeoutUs);
 
-        /** Final answer: refused, and another try is harmless; 0 gives no advice when to come back. */
+        /** Final answer: refused, so another try is harmless. {@code retryAfterUs} 0 gives no advice when to retry. */
         void refuse(String requestId, long retryAfterUs);
 
-        /** Final answer: failed, with no word on whether the request took effect. */
+        /** Final answer: failed; the request may have taken effect. */
         void fail(String requestId);
 
-        /** Stops waiting for one attempt. */
+        /** Cancels an attempt. */
         void cancel(String requestId, int attempt);
 
         /** Probes an endpoint; called only where {@link Limits#mayProbe}. */
         default void probe(String endpointId) {
-            throw new UnsupportedOperationException("settings permit probes, but none can be made");
+            throw new UnsupportedOperationException("the settings permit probes, but these actions implement none");
         }
 
-        /** Asks discovery for the list and for every change from here on. */
+        /** Calls discovery for the list and all further changes. */
         void subscribe();
 
         /**
-         * The same with a bound.
+         * Calls discovery with a timeout.
          *
-         * @param patienceUs how long the call may go unanswered, microseconds: then it has failed
+         * @param timeoutUs time without a response after which the call has failed, microseconds
          */
-        default void subscribe(long patienceUs) {
+        default void subscribe(long timeoutUs) {
             subscribe();
         }
 
         /**
-         * Nothing may be sent by the list that is held from this time on, unless it is renewed: changes may count
-         * as told that are not known. {@link Long#MAX_VALUE}: there is no such time.
+         * Reports the expiry of the current list: the propagation deadline of changes that the list may lack. Nothing
+         * may be sent from then on unless the list is renewed. {@link Long#MAX_VALUE}: the list does not expire.
          */
-        default void listValidUntil(long atUs) {}
+        default void listValidUntil(long expiresAtUs) {}
 
-        /** That time has come. */
-        default void onListExpired(ListExpiryReason bound) {}
+        /** The current list has expired. */
+        default void onListExpired(ListExpiryReason reason) {}
 
-        /** Asks for {@link Balancer#onTimer} at this time or soon after. */
+        /** Requests a call of {@link Balancer#onTimer} at this time or soon after. */
         void wakeAt(long atUs);
     }
 
-    /** What repeating a request does. */
+    /** Effect of repeating a request. */
     enum Effect {
         /** May run any number of times. */
         RETRYABLE,
-        /** Repeats are dropped inside a group of endpoints, for a while. */
+        /** Repeats are dropped within a group of endpoints, for a limited time. */
         DEDUP,
         /** Must not run twice. */
         FRAGILE
@@ -172,9 +176,9 @@
         CELL
     }
 
-    /** How an endpoint list came about. */
+    /** Origin of an endpoint list. */
     enum Source {
-        /** The list as last held by an earlier life of this instance, perhaps stale. */
+        /** The last list of an earlier run of this instance, possibly stale. */
         CACHED,
         /** The complete list. */
         FULL,
@@ -182,14 +186,14 @@
         DELTA
     }
 
-    /** What discovery says of an endpoint's process. */
+    /** State of an endpoint's process according to discovery. */
     enum Availability {
         READY,
         DRAINING,
         GONE
     }
 
-    /** How an attempt ended. */
+    /** Outcome of an attempt. */
     enum Outcome {
         OK(false),
         FAILED(false),
@@ -206,20 +210,20 @@
             this.neverRan = neverRan;
         }
 
-        /** Whether this outcome proves that the attempt never ran. */
+        /** Whether this outcome proves that the endpoint did not execute the request. */
         public boolean neverRan() {
             return neverRan;
         }
     }
 
     /**
-     * An endpoint as discovery lists it.
+     * An endpoint as listed by discovery.
      *
      * @param id stable id; survives restarts and is hashed onto the ring
      * @param zone number of its zone
-     * @param cell number of its cell
-     * @param kind number of its kind of machine; endpoints of one kind are taken to be alike in speed
-     * @param availability what its process does
+     * @param cell number of its cell, a group of endpoints in a zone that deduplicates repeats
+     * @param kind number of its server type; endpoints of one type are assumed to be equally fast
+     * @param availability state of its process
      * @param weight size relative to other endpoints, above 0
      * @param startedAtUs time of its last start; 0 if long ago
      */
@@ -231,9 +235,9 @@
      *
      * @param id unique id
      * @param classIndex position in {@link Settings#classes}
-     * @param key what the request is about, or null; requests of one key share an owner on the ring
-     * @param budgetUs time until the client gives this try up
-     * @param expectedUs work it is expected to need; 0 if unknown
+     * @param key affinity key, or null; requests with the same key have the same owner on the ring
+     * @param budgetUs time until the client gives up this try
+     * @param expectedUs expected service time; 0 if unknown
      * @param tenant position in {@link Settings#tenantShares}; ignored when there are none
      * @param repeat whether the client marks it as a repeat
      */
@@ -246,7 +250,7 @@
      * @param attempt number of the attempt
      * @param outcome how it ended
      * @param requestDone whether the request has its final answer, by this outcome or earlier
-     * @param lagUs time since it was sent
+     * @param latencyUs time since the attempt was sent
      */
     record AttemptEnd(String requestId, int attempt, Outcome outcome, boolean requestDone, long latencyUs) {}
 
@@ -254,14 +258,14 @@
      * A class of requests.
      *
      * @param name for messages only
-     * @param effect what repeating does
-     * @param scope who drops repeats; read for {@link Effect#DEDUP} only
-     * @param dedupWindowUs how long repeats are dropped, from the first send that may have run
-     * @param worth worth of an answer within the aim
-     * @param lateWorth share of the worth left after the aim
-     * @param aimUs time within which an answer earns its full worth
-     * @param aimStretch how many times its own work is added to the aim
-     * @param deadlineUs the client's whole patience
+     * @param effect effect of repeating a request
+     * @param scope the endpoints that drop repeats; used with {@link Effect#DEDUP} only
+     * @param dedupWindowUs time during which repeats are dropped, from the first possibly executed attempt
+     * @param worth value of a response within the target latency
+     * @param lateWorth share of the value that remains after the target latency
+     * @param targetLatencyUs target latency: time within which a response has its full value
+     * @param targetStretch multiple of the expected service time that is added to the target latency
+     * @param deadlineUs the client's total timeout
      */
     record RequestClass(
             String name,
@@ -273,39 +277,39 @@
             long targetLatencyUs,
             double targetStretch,
             long deadlineUs) {
-        /** Rejects nonsense by name. */
+        /** Validates the values; messages name the setting. */
         public RequestClass {
-            Settings.need(effect != null, name + ": effect is missing");
-            Settings.need(effect != Effect.DEDUP || scope != null, name + ": dedupScope is missing");
-            Settings.need(targetLatencyUs > 0, name + ": onTimeUs must be above 0");
-            Settings.need(deadlineUs > 0, name + ": deadlineUs must be above 0");
-            Settings.need(dedupWindowUs >= 0, name + ": dedupWindowUs is negative");
-            Settings.need(worth >= 0, name + ": worth is negative");
-            Settings.need(lateWorth >= 0, name + ": lateWorth is negative");
-            Settings.need(targetStretch >= 0, name + ": aimStretch is negative");
-            Settings.need(
+            Settings.require(effect != null, name + ": effect is missing");
+            Settings.require(effect != Effect.DEDUP || scope != null, name + ": dedupScope is missing");
+            Settings.require(targetLatencyUs > 0, name + ": onTimeUs must be above 0");
+            Settings.require(deadlineUs > 0, name + ": deadlineUs must be above 0");
+            Settings.require(dedupWindowUs >= 0, name + ": dedupWindowUs is negative");
+            Settings.require(worth >= 0, name + ": worth is negative");
+            Settings.require(lateWorth >= 0, name + ": lateWorth is negative");
+            Settings.require(targetStretch >= 0, name + ": aimStretch is negative");
+            Settings.require(
                     worth + lateWorth + targetStretch < Double.POSITIVE_INFINITY,
                     name + ": worth, lateWorth or aimStretch is no number");
-            Settings.need(
-                    Math.max(targetLatencyUs, deadlineUs) <= Settings.LONGEST_US,
+            Settings.require(
+                    Math.max(targetLatencyUs, deadlineUs) <= Settings.MAX_DURATION_US,
                     name + ": onTimeUs or deadlineUs is over a day");
-            Settings.need(dedupWindowUs <= Settings.LONGEST_US, name + ": dedupWindowUs is over a day");
+            Settings.require(dedupWindowUs <= Settings.MAX_DURATION_US, name + ": dedupWindowUs is over a day");
         }
     }
 
     /**
-     * What a deployment states at the start.
+     * Parameters of a deployment, fixed at the start.
      *
      * @param classes the request classes, at least one
      * @param tenantShares each tenant's share of the service; empty without tenants
-     * @param overShareWorth worth of a request beyond its tenant's share, as a fraction
-     * @param instances number of instances that send to the same endpoints, this one included
-     * @param probePrice what a probe costs, as a part of the worth of a request; 0 if it is not priced
-     * @param subscribe whether list changes come only after {@link Actions#subscribe}
+     * @param overShareWorth value of a request beyond its tenant's share, as a fraction
+     * @param instances number of instances that send to the same endpoints, including this one
+     * @param probePrice cost of a probe as a fraction of a request's value; 0 if probes are free
+     * @param subscribe whether list updates require a discovery call, see {@link Actions#subscribe}
      * @param weightsVary whether listed weights follow load rather than size
-     * @param limits what the deployment permits
-     * @param contract the figures of the rules
-     * @param me this one's number among the instances, from 0; -1 if it is not told
+     * @param limits permissions and limits of the deployment
+     * @param contract parameters of the invariants
+     * @param instanceNumber number of this instance among all, from 0; -1 if unknown
      */
     record Settings(
             List<RequestClass> classes,
@@ -318,22 +322,22 @@
             Limits limits,
             Contract contract,
             int instanceNumber) {
-        /** Times beyond this are a slip of the pen, microseconds. */
-        static final long LONGEST_US = 86_400_000_000L;
+        /** One day: longer times are rejected as typing errors. */
+        static final long MAX_DURATION_US = 86_400_000_000L;
 
-        /** Copies the lists and rejects nonsense by name. */
+        /** Copies the lists and validates the values; messages name the setting. */
         public Settings {
             classes = List.copyOf(classes);
             tenantShares = List.copyOf(tenantShares);
-            need(!classes.isEmpty(), "classes is empty");
-            need(overShareWorth >= 0, "overShareWorth is negative");
-            need(instances >= 1, "balancers must be at least 1");
+            require(!classes.isEmpty(), "classes is empty");
+            require(overShareWorth >= 0, "overShareWorth is negative");
+            require(instances >= 1, "balancers must be at least 1");
             for (double share : tenantShares) {
-                need(share >= 0, "customers: share is negative");
+                require(share >= 0, "customers: share is negative");
             }
         }
 
-        /** Of an instance that is not told its number. */
+        /** Settings of an instance without a known number. */
         public Settings(
                 List<RequestClass> classes,
                 List<Double> tenantShares,
@@ -357,13 +361,13 @@
                     -1);
         }
 
-        /** The same for one of so many. */
-        public Settings forInstance(int number, int all) {
+        /** These settings for one of several instances. */
+        public Settings forInstance(int number, int instanceCount) {
             return new Settings(
                     classes,
                     tenantShares,
                     overShareWorth,
-                    all,
+                    instanceCount,
                     probePrice,
                     subscribe,
                     weightsVary,
@@ -372,8 +376,8 @@
                     number);
         }
 
-        /** The same with another time for asking, microseconds. */
-        Settings asking(long askWithinUs) {
+        /** These settings with another poll interval limit. */
+        Settings withAskWithin(long askWithinUs) {
             return new Settings(
                     classes,
                     tenantShares,
@@ -387,54 +391,55 @@
                     instanceNumber);
         }
 
-        static void need(boolean ok, String otherwise) {
-            if (!ok) {
-                throw new IllegalArgumentException("settings: " + otherwise);
+        /** Throws an {@link IllegalArgumentException} with the message unless the condition is true. */
+        static void require(boolean condition, String message) {
+            if (!condition) {
+                throw new IllegalArgumentException("settings: " + message);
             }
         }
     }
 
     /**
-     * What a deployment permits.
+     * Permissions and limits of a deployment.
      *
-     * @param maxAttempts attempts a request may have
+     * @param maxAttempts most attempts per request
      * @param mayCancel whether attempts may be cancelled
      * @param mayProbe whether endpoints may be probed
-     * @param maxRetryAfterUs longest advice a client honours; 0 where none is passed on
+     * @param maxRetryAfterUs longest retry delay that clients honour; 0 if no delay is passed on
      * @param connIdleUs time after which idle connections close
      */
     record Limits(int maxAttempts, boolean mayCancel, boolean mayProbe, long maxRetryAfterUs, long connIdleUs) {
-        /** Rejects nonsense by name. */
+        /** Validates the values; messages name the setting. */
         public Limits {
-            Settings.need(maxAttempts >= 1, "limits.maxAttempts must be at least 1");
-            Settings.need(maxRetryAfterUs >= 0, "limits.maxRetryAfterUs is negative");
-            Settings.need(connIdleUs >= 0, "limits.connIdleUs is negative");
+            Settings.require(maxAttempts >= 1, "limits.maxAttempts must be at least 1");
+            Settings.require(maxRetryAfterUs >= 0, "limits.maxRetryAfterUs is negative");
+            Settings.require(connIdleUs >= 0, "limits.connIdleUs is negative");
         }
     }
 
     /**
-     * The figures of the rules.
+     * Parameters of the invariants.
      *
-     * @param askWithinUs where lists must be asked for: how long one may go without asking
-     * @param coldFrom share of its capacity with which an endpoint starts, at least
-     * @param coldUs time after which it is warm, at most
-     * @param overload how many times its present capacity pushes a cold endpoint over
+     * @param askWithinUs poll interval limit: longest time without a watch between two discovery calls
+     * @param coldFrom least share of its capacity that an endpoint has at its start
+     * @param coldUs longest time after which an endpoint is warm
+     * @param overload multiple of its current capacity that overloads a cold endpoint
      */
     record Contract(long askWithinUs, double coldFrom, long coldUs, double overload) {
-        /** The least multiple that a deployment may state. */
-        private static final double LEAST_OVERLOAD = 2;
+        /** Overload factor where a deployment states none: the lowest that deployments state. */
+        private static final double DEFAULT_OVERLOAD_FACTOR = 2;
 
-        /** Where the multiple is not stated. */
+        /** Parameters with the default overload factor. */
         public Contract(long askWithinUs, double coldFrom, long coldUs) {
-            this(askWithinUs, coldFrom, coldUs, LEAST_OVERLOAD);
+            this(askWithinUs, coldFrom, coldUs, DEFAULT_OVERLOAD_FACTOR);
         }
 
-        /** Rejects nonsense by name. */
+        /** Validates the values; messages name the setting. */
         public Contract {
-            Settings.need(askWithinUs > 0, "contract.askWithinUs must be above 0");
-            Settings.need(coldFrom > 0 && coldFrom <= 1, "contract.coldFrom must be in (0, 1]");
-            Settings.need(coldUs >= 0, "contract.coldUs is negative");
-            Settings.need(overload > 0, "contract.overloadFactor must be above 0");
+            Settings.require(askWithinUs > 0, "contract.askWithinUs must be above 0");
+            Settings.require(coldFrom > 0 && coldFrom <= 1, "contract.coldFrom must be in (0, 1]");
+            Settings.require(coldUs >= 0, "contract.coldUs is negative");
+            Settings.require(overload > 0, "contract.overloadFactor must be above 0");
         }
     }
 }
--- a/src/main/java/mulleinfront/CallSchedule.java
+++ b/src/main/java/mulleinfront/CallSchedule.java
@@ -3,141 +3,150 @@
 import java.util.SplittableRandom;
 
 /**
- * When an instance calls discovery. Two things are kept: the instance's own {@link ListDeadline}, whatever has
- * become of its calls; and what discovery bears from all together, which works through calls in turn, so that a
- * call it gives up has cost it as much as an answer.
+ * Schedules an instance's discovery calls. Two bounds apply: the instance's own {@link ListDeadline}, whatever becomes
+ * of its calls, and the rate of calls that discovery sustains from all instances. Discovery works through calls in
+ * turn, so that a call that it gives up costs it as much as a response.
  *
- * <p>Calls go by time slots (time-division multiple access): in each window every instance has one place of its own, by
- * its number among all, so that calls of all that fail at one moment come evenly. The window is
+ * <p>Calls use time slots (time-division multiple access): each window has one slot per instance, in the order of their
+ * numbers, so that the calls of all instances are spread evenly if they fail at the same moment. The window is
  *
  * <ul>
- * <li>as long as the calls of all take, if each takes what an answer of late did, up to {@link #PERIOD_US}: a call made
- * sooner would wait in discovery's queue for as long;
- * <li>or longer after failed calls in a row;
- * <li>but never over half of what the deadline leaves: another call has to fit in if this one fails;
- * <li>and never longer than the settings' time for asking allows, whatever discovery bears: that time is stated.
+ * <li>as long as the calls of all instances take at the recent response time, up to {@link #MAX_WINDOW_US}: an earlier
+ * call would only wait in discovery's queue;
+ * <li>or longer after consecutive failed calls;
+ * <li>but at most half of the time until the deadline: another call has to fit in if this one fails;
+ * <li>and within the poll interval limit, whatever rate discovery sustains, since the settings state that limit.
  * </ul>
  *
- * <p>Where the deadline and what discovery bears cannot both be kept, calls come up to {@link #MOST_CROWDING} times as
- * densely as it bears, which its queue takes for a moment; beyond that the deadline gives way, since denser calls would
- * only wait longer. A call that fails after a wait says that discovery is down, or bears less than is asked of it: then
- * calls come at random and no denser than it bears, since in turn each would meet the same full queue.
+ * <p>Where the deadline requires more calls than discovery sustains, their rate exceeds that up to
+ * {@link #MAX_RATE_OVERSHOOT} times, which its queue absorbs for a moment. Beyond that the deadline is missed, since
+ * more calls would only wait longer. A call that failed after a wait shows that discovery is unreachable or overloaded:
+ * the next ones come at random times and no faster than discovery sustains, since in slots each would meet the same
+ * full queue.
  *
- * <p>Where an instance is not told its number it draws its place.
+ * <p>An instance without a number draws its slot at random.
  */
 final class CallSchedule {
-    /** Longest window, microseconds: leaves 2 s of the deadline for the call. */
-    static final long PERIOD_US = 4_000_000;
-    /** Longest wait at the start of one that holds no list: it can serve nobody until then, microseconds. */
-    static final long EMPTY_US = 2_000_000;
-    /** Calls a second at the start by all instances together, where they are many. */
-    private static final double STARTS_PER_S = 20;
-    /** Window of the first call after a watch was lost, where discovery is quick. */
-    private static final long LEAST_US = 500_000;
-    /** The longest window where discovery is quick: three calls fit into the deadline. */
-    private static final long MOST_BACKOFF_US = 1_500_000;
-    /** Part of the time for asking that the wait for a call may take: the change may be older than the watch's end. */
-    private static final double ASK_PART = 0.75;
-    /** A call that failed after so long had to wait. */
-    private static final long WAITED_US = 1_000_000;
-    /** Calls that had to wait and failed are this part of a period apart at the least. */
-    private static final double EVEN = 0.6;
-    /** What an answer takes before there was any, microseconds. */
-    private static final long FIRST_ANSWER_US = 250_000;
-    /** By how much that may grow with one answer: it may have waited for those of all others. */
-    private static final int ANSWER_GROWTH = 2;
-    /** How many times as densely as discovery bears calls may come where the deadline asks for it. */
-    private static final int MOST_CROWDING = 4;
-    /** How long a call may go unanswered, microseconds: discovery gives up after 2 or 3 s itself. */
-    static final long PATIENCE_US = 3_200_000;
-
-    private static final int MOST_DOUBLINGS = 4;
-    /** Part of the time for asking after which a call is given up, and the least that is left to one, microseconds. */
-    private static final double GIVE_UP_PART = 0.9;
-
-    private static final long SHORTEST_PATIENCE_US = 500_000;
+    /** Longest window: leaves 2 s of the deadline for the call. */
+    static final long MAX_WINDOW_US = 4_000_000;
+    /** Longest delay of the first call of an instance without a list, which cannot serve requests until then. */
+    static final long MAX_START_DELAY_US = 2_000_000;
+    /** Rate of first calls of all instances together, where they are many. */
+    private static final double FIRST_CALLS_PER_S = 20;
+    /** Shortest window: that of the first call after a watch broke, where discovery responds quickly. */
+    private static final long MIN_WINDOW_US = 500_000;
+    /** Longest window where discovery responds quickly: three calls fit into the deadline. */
+    private static final long MAX_BACKOFF_US = 1_500_000;
+    /** Fraction of the poll interval limit for which a call may wait: a change may precede the end of the watch. */
+    private static final double CALL_DELAY_FRACTION = 0.75;
+    /** A call that failed after at least this time had waited in discovery's queue. */
+    private static final long QUEUED_CALL_US = 1_000_000;
+    /** Least time between the starts of calls that failed after a wait, as a fraction of the longest window. */
+    private static final double MIN_SPACING_FRACTION = 0.6;
+    /** Assumed response time before the first response. */
+    private static final long INITIAL_RESPONSE_US = 250_000;
+    /** Largest growth of the response time by one response, which may have waited behind the calls of all others. */
+    private static final int MAX_RESPONSE_GROWTH = 2;
+    /** Rate overshoot: multiple of the sustainable call rate that is permitted where the deadline requires it. */
+    private static final int MAX_RATE_OVERSHOOT = 4;
+    /** Longest timeout of a call: discovery itself gives up after 2 or 3 s. */
+    static final long MAX_CALL_TIMEOUT_US = 3_200_000;
+    /** Most doublings of the window and of the call timeout. */
+    private static final int MAX_DOUBLINGS = 4;
+    /** Call timeout as a fraction of the poll interval limit, and its minimum. */
+    private static final double CALL_TIMEOUT_FRACTION = 0.9;
+
+    private static final long MIN_CALL_TIMEOUT_US = 500_000;
 
     private final int instances;
-    private final boolean few;
+    private final boolean fewInstances;
     private final SplittableRandom random;
-    private final double start;
-    private final double place;
+    /** Random position of the first call within its longest delay, from 0 to 1. */
+    private final double startFraction;
+    /** Position of this instance's slot within a window, from 0 to 1. */
+    private final double slotFraction;
+
     private final ListDeadline deadline;
+    /** Start of the last call. */
     private long calledAt;
-    /** What an answer takes by those of late. */
-    private long answerUs = FIRST_ANSWER_US;
-    /** Calls in a row that failed, and those among them that this instance gave up. */
-    private int failures;
+    /** Estimated response time of discovery. */
+    private long responseUs = INITIAL_RESPONSE_US;
+    /** Consecutive failed calls, and how many of them timed out. */
+    private int consecutiveFailures;
 
-    private int givenUp;
+    private int timedOutCalls;
 
     /**
-     * @param few instances up to which a start calls at once
-     * @param seed this instance's own, or all would draw alike
-     * @param now when the instance starts
+     * @param maxFewInstances most instances with which the first call is made at once
+     * @param seed seed that differs between instances, so that their draws differ
+     * @param now start of the instance
      */
-    CallSchedule(Balancer.Settings settings, int few, long seed, long now) {
+    CallSchedule(Balancer.Settings settings, int maxFewInstances, long seed, long now) {
         this.instances = settings.instances();
-        this.few = instances <= few;
+        this.fewInstances = instances <= maxFewInstances;
         this.random = new SplittableRandom(seed);
-        this.start = random.nextDouble();
+        this.startFraction = random.nextDouble();
         this.deadline = new ListDeadline(settings.contract().askWithinUs(), now);
-        // In the first half of its place, so that clocks may differ by the other.
-        double number = settings.instanceNumber() < 0
+        // In the first half of the slot, so that clocks may differ by the other half.
+        double slotNumber = settings.instanceNumber() < 0
                 ? instances * random.nextDouble()
                 : settings.instanceNumber() % instances + random.nextDouble() / 2;
-        this.place = number / instances;
+        this.slotFraction = slotNumber / instances;
     }
 
-    /** When to call first, of one that began at a time. */
-    long atStart(long began, boolean holdsList) {
-        double spread = Math.min(instances / STARTS_PER_S * 1e6, holdsList ? PERIOD_US : EMPTY_US);
-        return few ? began : began + (long) (start * Math.min(spread, ASK_PART * (deadline.callBy() - began)));
+    /** Time of the first call of an instance that started at the given time. */
+    long firstCallAt(long startedAt, boolean hasList) {
+        double maxDelayUs = Math.min(instances / FIRST_CALLS_PER_S * 1e6, hasList ? MAX_WINDOW_US : MAX_START_DELAY_US);
+        return fewInstances
+                ? startedAt
+                : startedAt
+                        + (long) (startFraction
+                                * Math.min(maxDelayUs, CALL_DELAY_FRACTION * (deadline.callBy() - startedAt)));
     }
 
-    /** The process started earlier than this instance. */
+    /** The process of this instance started earlier, at the given time. */
     void processStarted(long at) {
         deadline.processStarted(at);
     }
 
-    /** A call is being made. */
+    /** A call starts. */
     void called(long now) {
         calledAt = now;
         deadline.called(now);
     }
 
-    /** The call was answered. */
+    /** The call was answered with a list. */
     void answered(long now) {
-        answerUs = Math.min(now - calledAt, ANSWER_GROWTH * answerUs);
-        failures = 0;
-        givenUp = 0;
+        responseUs = Math.min(now - calledAt, MAX_RESPONSE_GROWTH * responseUs);
+        consecutiveFailures = 0;
+        timedOutCalls = 0;
         deadline.renewed();
     }
 
     /**
-     * When to call after a watch broke or fell silent.
+     * Time of the next call after a watch broke or timed out.
      *
-     * @param quietUs since when nothing had come of it, microseconds
+     * @param quietUs time since the last data from the watch, microseconds
      */
-    long afterWatch(long now, long quietUs) {
-        deadline.lost(now - quietUs, now);
-        return next(now, quietUs);
+    long afterWatchLost(long now, long quietUs) {
+        deadline.watchLost(now - quietUs, now);
+        return callAfterWatch(now, quietUs);
     }
 
-    /** When to call after discovery ended the watch in order. */
-    long afterEnd(long now) {
-        deadline.ended(now);
-        return next(now, 0);
+    /** Time of the next call after discovery closed the watch in the normal way. */
+    long afterWatchEnded(long now) {
+        deadline.watchEnded(now);
+        return callAfterWatch(now, 0);
     }
 
-    private long next(long now, long quietUs) {
-        return instances == 1 ? now : slot(now, Math.max(1, Math.min(PERIOD_US - quietUs, window(now))));
+    private long callAfterWatch(long now, long quietUs) {
+        return instances == 1 ? now : nextSlot(now, Math.max(1, Math.min(MAX_WINDOW_US - quietUs, windowUs(now))));
     }
 
     /**
-     * Discovery is called elsewhere, now.
+     * The address of discovery changed, and a call to the new address starts now.
      *
-     * @param movedAt when that was asked for
+     * @param movedAt time at which the change was requested
      */
     void moved(long movedAt, long now) {
         deadline.moved(movedAt);
@@ -145,81 +154,84 @@
     }
 
     /**
-     * When to call after a call failed.
+     * Time of the next call after a failed one.
      *
-     * @param unreachable whether nobody took it
+     * @param unreachable whether the call did not reach discovery
      */
-    long afterCall(long now, boolean unreachable) {
-        givenUp += now - calledAt >= patienceUs() ? 1 : 0;
+    long afterFailedCall(long now, boolean unreachable) {
+        timedOutCalls += now - calledAt >= callTimeoutUs() ? 1 : 0;
         if (unreachable) {
-            deadline.unreachable();
-        } else if (now - calledAt >= WAITED_US) {
-            deadline.waitedInVain();
+            deadline.callUnreachable();
+        } else if (now - calledAt >= QUEUED_CALL_US) {
+            deadline.callTimedOut();
         } else {
-            deadline.refused();
+            deadline.callRejected();
         }
-        return again(now);
+        return callAgain(now);
     }
 
-    /** When to call after a call was answered and brought no whole list. */
+    /** Time of the next call after a response without a complete list. */
     long afterAnsweredCall(long now) {
-        deadline.refused();
-        return again(now);
+        deadline.callRejected();
+        return callAgain(now);
     }
 
-    private long again(long now) {
-        boolean waited = now - calledAt >= WAITED_US;
-        failures++;
+    private long callAgain(long now) {
+        boolean waited = now - calledAt >= QUEUED_CALL_US;
+        consecutiveFailures++;
         if (!waited) {
-            return slot(now, window(now));
+            return nextSlot(now, windowUs(now));
         }
-        long apart = (long) (PERIOD_US * (EVEN + (1 - EVEN) * random.nextDouble()));
-        return Math.max(now, Math.min(calledAt + apart, now + Math.max(window(now), callsOfAllUs())));
+        long spacingUs =
+                (long) (MAX_WINDOW_US * (MIN_SPACING_FRACTION + (1 - MIN_SPACING_FRACTION) * random.nextDouble()));
+        return Math.max(now, Math.min(calledAt + spacingUs, now + Math.max(windowUs(now), allCallsUs())));
     }
 
     /**
-     * How long the next call may go unanswered, microseconds: longer than discovery itself lets one wait, since one
-     * that is given up has lost its turn and is made again behind all others. Where the settings' time for asking
-     * is shorter, the first is given up within that, and the next ones have twice as long each.
+     * Timeout of the next call, microseconds. It is longer than discovery itself lets a call wait, since a call that is
+     * given up loses its place in discovery's queue. Where the poll interval limit is shorter, the first call times out
+     * within it, and each further one has twice as long.
      */
-    long patienceUs() {
-        long withinAsking = Math.max(SHORTEST_PATIENCE_US, (long) (GIVE_UP_PART * deadline.askWithinUs()));
-        return Math.min(PATIENCE_US, withinAsking << Math.min(givenUp, MOST_DOUBLINGS));
+    long callTimeoutUs() {
+        long firstTimeoutUs = Math.max(MIN_CALL_TIMEOUT_US, (long) (CALL_TIMEOUT_FRACTION * deadline.askWithinUs()));
+        return Math.min(MAX_CALL_TIMEOUT_US, firstTimeoutUs << Math.min(timedOutCalls, MAX_DOUBLINGS));
     }
 
-    /** When changes may count as told that are not known, whatever became of calls. */
-    long toldBy() {
-        return deadline.toldBy();
+    /** Propagation deadline of changes that the list may lack, at which the list expires. */
+    long propagationDeadline() {
+        return deadline.propagationDeadline();
     }
 
-    /** What that time comes from. */
-    Balancer.ListExpiryReason bound() {
-        return deadline.bound();
+    /** The rule that sets the propagation deadline. */
+    Balancer.ListExpiryReason expiryReason() {
+        return deadline.expiryReason();
     }
 
-    /** How long until an answer may have come, as far as can be told, microseconds. */
-    long answerInUs(long now, long nextCallAt) {
-        return Math.max(0, Math.max(calledAt, nextCallAt) + answerUs - now);
+    /** Estimated time until the next response, microseconds. */
+    long responseInUs(long now, long nextCallAt) {
+        return Math.max(0, Math.max(calledAt, nextCallAt) + responseUs - now);
     }
 
-    private long callsOfAllUs() {
-        return Math.min(PERIOD_US, Math.max(LEAST_US, instances * Math.min(PERIOD_US, answerUs)));
+    /** Time that discovery takes for a call of each instance, within the limits of a window. */
+    private long allCallsUs() {
+        return Math.min(MAX_WINDOW_US, Math.max(MIN_WINDOW_US, instances * Math.min(MAX_WINDOW_US, responseUs)));
     }
 
-    /** Time over which calls of all are spread now. */
-    private long window(long now) {
-        long backoff = Math.min(MOST_BACKOFF_US, LEAST_US << Math.min(Math.max(0, failures - 1), MOST_DOUBLINGS));
-        long left = deadline.renewBy() - now;
-        long all = callsOfAllUs();
-        long spread = Math.max(all, backoff);
-        long due = left > 0 ? left / 2 : MOST_BACKOFF_US;
-        spread = Math.min(spread, Math.max(due, all / MOST_CROWDING));
-        long toAsk = (long) (ASK_PART * (deadline.callBy() - now));
-        return Math.max(1, toAsk > 0 ? Math.min(spread, toAsk) : Math.min(spread, LEAST_US));
+    /** Length of the window over which the calls of all instances are spread now. */
+    private long windowUs(long now) {
+        long backoffUs = Math.min(
+                MAX_BACKOFF_US, MIN_WINDOW_US << Math.min(Math.max(0, consecutiveFailures - 1), MAX_DOUBLINGS));
+        long remainingUs = deadline.renewBy() - now;
+        long allUs = allCallsUs();
+        long spreadUs = Math.max(allUs, backoffUs);
+        long dueUs = remainingUs > 0 ? remainingUs / 2 : MAX_BACKOFF_US;
+        spreadUs = Math.min(spreadUs, Math.max(dueUs, allUs / MAX_RATE_OVERSHOOT));
+        long callDelayUs = (long) (CALL_DELAY_FRACTION * (deadline.callBy() - now));
+        return Math.max(1, callDelayUs > 0 ? Math.min(spreadUs, callDelayUs) : Math.min(spreadUs, MIN_WINDOW_US));
     }
 
-    /** The next time from now on that is this instance's place in a window. */
-    private long slot(long now, long windowUs) {
-        return now + Math.floorMod((long) (place * windowUs) - now, windowUs);
+    /** The next slot of this instance, for windows of the given length. */
+    private long nextSlot(long now, long windowUs) {
+        return now + Math.floorMod((long) (slotFraction * windowUs) - now, windowUs);
     }
 }
--- a/src/main/java/mulleinfront/ListDeadline.java
+++ b/src/main/java/mulleinfront/ListDeadline.java
@@ -3,190 +3,196 @@
 import mulleinfront.Balancer.ListExpiryReason;
 
 /**
- * By when an instance has to have called discovery, and until when it may send by the list that it holds. The list is a
- * lease: it is renewed by an answer, and it runs out when a change that is not known may count as told. Both are
- * properties of the instance, count from when its list may first have been out of date, and this is the only place that
- * computes them.
+ * The deadlines of an instance's endpoint list: the time by which it must have called discovery, and the time until
+ * which it may send requests by its current list. The list is a lease: a response from discovery renews it, and it
+ * expires at the propagation deadline of a change that it may lack. The deadlines count from the time since which the
+ * list may be out of date. No other class computes them.
  *
  * <ul>
- * <li>What discovery has counts as told {@link #REACHABLE_US} after it had it and could be reached.
- * <li>One without a watch has to ask within the settings' time, counted from its last call or its start; after a
- * call that failed it has four times as long.
- * <li>A watch that discovery has ended in order is a poll whose wait is over: what it missed counts as told
- * {@link #WATCH_ENDED_US} after that, whatever has become of calls since.
- * <li>After a move of discovery it is {@link #MOVED_US}.
+ * <li>The propagation deadline of a change is {@link #PROPAGATION_US} after discovery had the change and was reachable.
+ * <li>An instance without a watch has to call discovery within the poll interval limit of the settings, counted from
+ * its last call or its start; after a failed call it has four times as long.
+ * <li>A watch that discovery has closed in the normal way is a poll that has ended: the propagation deadline of later
+ * changes is {@link #WATCH_ENDED_US} after that, whatever has become of calls since.
+ * <li>After a change of discovery's address the propagation deadline is {@link #MOVED_US}.
  * </ul>
  *
- * <p>All of them count anew when discovery could not be reached. That is seen of a call that nobody took. One that
- * failed after a wait may have met a crowd as well as a discovery that is down: {@link #WAITS_OF_DOWN} of them in a
- * row count as down ({@link #WAITS_AFTER_END} after a watch that ended in order), unless there was a quick refusal
- * since the last answer.
+ * <p>All deadlines are reset when discovery was unreachable. A call whose connection was refused, or timed out before
+ * being accepted, shows that. A call that timed out later may have met an overloaded or an unreachable discovery:
+ * {@link #TIMEOUTS_UNTIL_UNREACHABLE} of them in a row count as unreachable ({@link #TIMEOUTS_AFTER_WATCH_ENDED} after
+ * a watch that discovery closed), unless discovery has rejected a call since its last response.
  */
 final class ListDeadline {
-    /**
-     * Time after which a change counts as told, counted from when discovery had it and could be reached, microseconds.
-     */
-    static final long REACHABLE_US = 6_000_000;
-    /** The same after discovery ended the watch, where the settings' time for asking is not less, microseconds. */
+    /** Propagation deadline, counted from when discovery had a change and was reachable. */
+    static final long PROPAGATION_US = 6_000_000;
+    /** Propagation deadline after discovery closed the watch; the poll interval limit if that is shorter. */
     static final long WATCH_ENDED_US = 2_000_000;
-    /** The same after discovery moved, microseconds. */
+    /** Propagation deadline after discovery's address changed. */
     static final long MOVED_US = 4_000_000;
-    /** Calls in a row that waited in vain and after which discovery is taken for down. */
-    static final int WAITS_OF_DOWN = 2;
-    /** The same after discovery ended the watch in order: it was there then. */
-    static final int WAITS_AFTER_END = 4;
+    /** Consecutive calls that timed out after which discovery counts as unreachable. */
+    static final int TIMEOUTS_UNTIL_UNREACHABLE = 2;
+    /** The number of such calls after discovery closed the watch: it was reachable then. */
+    static final int TIMEOUTS_AFTER_WATCH_ENDED = 4;
+    /** Multiple of the poll interval limit that applies after a failed call. */
+    private static final int FAILED_CALL_FACTOR = 4;
 
-    private static final int AFTER_FAILURE = 4;
-    private static final long NONE = Long.MAX_VALUE;
+    private static final long NO_DEADLINE = Long.MAX_VALUE;
 
     private final long askWithinUs;
     private final long startedAt;
-    /** A watch is open, so that changes come by themselves. */
-    private boolean current;
-    /** Since when the list may be out of date. */
+    /** Whether a watch is open, so that changes arrive without a call. */
+    private boolean watchOpen;
+    /** Time since which the list may be out of date. */
     private long staleSince;
-    /** The end of the last watch, the last call, or the start, whichever was last. */
-    private long askedAt;
-    /** The time for asking from then, and the time for which the list holds from then. */
-    private long withinUs;
+    /** The end of the last watch, the last call or the start of the instance, whichever was last. */
+    private long intervalStart;
+    /** Time from then until the next call must begin, and until the list expires. */
+    private long callWithinUs;
 
-    private long holdsForUs;
-    /** When the list runs out because the watch has ended in order, or discovery has moved. */
-    private long endedBy = NONE;
+    private long expiresAfterUs;
+    /** Propagation deadlines after discovery closed the watch and after its address changed. */
+    private long watchEndedDeadline = NO_DEADLINE;
 
-    private long movedBy = NONE;
-    private int waitsInARow;
-    /** Discovery has turned a call away since it answered last: it is there, and too many call. */
-    private boolean turnedAway;
+    private long movedDeadline = NO_DEADLINE;
+    private int consecutiveTimeouts;
+    /** Whether discovery has rejected a call since its last response: it is reachable, and there are too many calls. */
+    private boolean rejectedSinceResponse;
 
     ListDeadline(long askWithinUs, long startedAt) {
         this.askWithinUs = askWithinUs;
         this.startedAt = startedAt;
         this.staleSince = startedAt;
-        this.askedAt = startedAt;
-        this.withinUs = askWithinUs;
-        this.holdsForUs = askWithinUs;
+        this.intervalStart = startedAt;
+        this.callWithinUs = askWithinUs;
+        this.expiresAfterUs = askWithinUs;
     }
 
-    /** The process of this instance started earlier than was known; of no effect once a list has been renewed. */
+    /** The process of this instance started earlier, at the given time; without effect after the first list. */
     void processStarted(long at) {
-        if (staleSince == startedAt && !current) {
+        if (staleSince == startedAt && !watchOpen) {
             staleSince = at;
         }
     }
 
-    /** Discovery has answered: a watch is open. */
+    /** Discovery has responded with a list, and a watch is open. */
     void renewed() {
-        current = true;
-        countAnew();
+        watchOpen = true;
+        reset();
     }
 
-    private void countAnew() {
-        endedBy = NONE;
-        movedBy = NONE;
-        waitsInARow = 0;
-        turnedAway = false;
+    private void reset() {
+        watchEndedDeadline = NO_DEADLINE;
+        movedDeadline = NO_DEADLINE;
+        consecutiveTimeouts = 0;
+        rejectedSinceResponse = false;
     }
 
     /**
-     * The watch broke or fell silent.
+     * The watch broke or timed out.
      *
-     * @param heardAt when anything had come of it last
+     * @param lastDataAt time of the last data from the watch
      */
-    void lost(long heardAt, long now) {
-        if (current) {
-            current = false;
-            staleSince = heardAt;
-            askedAt = now;
-            withinUs = Math.min(askWithinUs, WATCH_ENDED_US);
-            holdsForUs = askWithinUs;
+    void watchLost(long lastDataAt, long now) {
+        if (watchOpen) {
+            watchOpen = false;
+            staleSince = lastDataAt;
+            intervalStart = now;
+            callWithinUs = Math.min(askWithinUs, WATCH_ENDED_US);
+            expiresAfterUs = askWithinUs;
         }
     }
 
-    /** Discovery has ended the watch in order. */
-    void ended(long now) {
-        if (current) {
-            lost(now, now);
-            endedBy = now + withinUs;
+    /** Discovery has closed the watch in the normal way. */
+    void watchEnded(long now) {
+        if (watchOpen) {
+            watchLost(now, now);
+            watchEndedDeadline = now + callWithinUs;
         }
     }
 
     /**
-     * Discovery is called elsewhere from now on.
+     * The address of discovery has changed.
      *
-     * @param movedAt when that was asked for
+     * @param movedAt time at which the change was requested
      */
     void moved(long movedAt) {
-        if (current) {
-            current = false;
+        if (watchOpen) {
+            watchOpen = false;
             staleSince = movedAt;
         }
-        movedBy = Math.min(movedBy, movedAt + MOVED_US);
+        movedDeadline = Math.min(movedDeadline, movedAt + MOVED_US);
     }
 
+    /** A call starts. */
     void called(long now) {
-        askedAt = now;
-        withinUs = askWithinUs;
-        holdsForUs = askWithinUs;
+        intervalStart = now;
+        callWithinUs = askWithinUs;
+        expiresAfterUs = askWithinUs;
     }
 
-    /** A call has failed that nobody took: all counts anew, from when it was made. */
-    void unreachable() {
+    /** The last call did not reach discovery: all deadlines are reset and count from the start of that call. */
+    void callUnreachable() {
         callFailed();
-        staleSince = askedAt;
-        countAnew();
+        staleSince = intervalStart;
+        reset();
     }
 
-    /** A call has failed after a wait: discovery is down, or too many wait. */
-    void waitedInVain() {
-        int waits = waitsInARow + 1;
+    /** The last call failed after a wait: discovery is unreachable or overloaded. */
+    void callTimedOut() {
+        int timeouts = consecutiveTimeouts + 1;
         callFailed();
-        if (waits >= (endedBy == NONE ? WAITS_OF_DOWN : WAITS_AFTER_END) && !turnedAway) {
-            unreachable();
+        if (timeouts >= (watchEndedDeadline == NO_DEADLINE ? TIMEOUTS_UNTIL_UNREACHABLE : TIMEOUTS_AFTER_WATCH_ENDED)
+                && !rejectedSinceResponse) {
+            callUnreachable();
         }
-        waitsInARow = waits;
+        consecutiveTimeouts = timeouts;
     }
 
     /**
-     * A call was refused at once or broke off: discovery is there, and no waits say otherwise before it has answered.
+     * The last call was rejected at once, or its response broke off: discovery is reachable, and calls that time out do
+     * not count against that until it has responded.
      */
-    void refused() {
+    void callRejected() {
         callFailed();
-        waitsInARow = 0;
-        turnedAway = true;
+        consecutiveTimeouts = 0;
+        rejectedSinceResponse = true;
     }
 
     private void callFailed() {
-        withinUs = AFTER_FAILURE * askWithinUs;
-        holdsForUs = withinUs;
+        callWithinUs = FAILED_CALL_FACTOR * askWithinUs;
+        expiresAfterUs = callWithinUs;
     }
 
     long askWithinUs() {
         return askWithinUs;
     }
 
-    /** When the next call has to have begun. */
+    /** Time by which the next call must have started. */
     long callBy() {
-        return current ? NONE : askedAt + withinUs;
+        return watchOpen ? NO_DEADLINE : intervalStart + callWithinUs;
     }
 
-    /** When the list has to have been renewed, if calls are made in time. */
+    /** Time by which the list must have been renewed, provided that calls are made in time. */
     long renewBy() {
-        return current ? NONE : Math.min(staleSince + REACHABLE_US, Math.min(endedBy, movedBy));
+        return watchOpen
+                ? NO_DEADLINE
+                : Math.min(staleSince + PROPAGATION_US, Math.min(watchEndedDeadline, movedDeadline));
     }
 
-    /** When changes may count as told that are not known, as things stand: nothing is sent by the list from then on. */
-    long toldBy() {
-        return current ? NONE : Math.min(renewBy(), askedAt + holdsForUs);
+    /** Propagation deadline of changes that the list may lack: nothing may be sent by the list from then on. */
+    long propagationDeadline() {
+        return watchOpen ? NO_DEADLINE : Math.min(renewBy(), intervalStart + expiresAfterUs);
     }
 
-    /** Which of the times is the first to run out. */
-    ListExpiryReason bound() {
-        long by = toldBy();
-        return by == endedBy
+    /** The rule that sets the propagation deadline. */
+    ListExpiryReason expiryReason() {
+        long deadline = propagationDeadline();
+        return deadline == watchEndedDeadline
                 ? ListExpiryReason.WATCH_ENDED
-                : by == movedBy
+                : deadline == movedDeadline
                         ? ListExpiryReason.MOVED
-                        : by == staleSince + REACHABLE_US ? ListExpiryReason.REACHABLE : ListExpiryReason.ASK_WITHIN;
+                        : deadline == staleSince + PROPAGATION_US
+                                ? ListExpiryReason.REACHABLE
+                                : ListExpiryReason.ASK_WITHIN;
     }
 }
--- a/src/main/java/mulleinfront/Main.java
+++ b/src/main/java/mulleinfront/Main.java
@@ -5,21 +5,21 @@
 import mulleinfront.settings.Config;
 
 /**
- * Command line entry: {@code java -jar mulleinfront.jar serve}, or {@code benchlink} for the bench;
- * {@code rehearse} is for the build. All other words are {@link mulleinfront.cli.CommandLine}'s.
+ * Entry point of the program: {@code java -jar mulleinfront.jar serve}, {@code benchlink} for the bench, or
+ * {@code rehearse}, the warm-up that the build runs. {@link mulleinfront.cli.CommandLine} runs all other commands.
  */
 public final class Main {
-    /** What {@code serve} may be given, each with a file, in the order of {@link Serve#serve}. */
-    private static final String[] SERVE_WITH = {"--machine", "--fleet", "--config-watch"};
+    /** Options of {@code serve}, each with a file, in the order of the parameters of {@link Serve#serve}. */
+    private static final String[] SERVE_OPTIONS = {"--machine", "--fleet", "--config-watch"};
 
     private Main() {}
 
     /**
-     * Starts the client proxy that {@code NODE_CONFIG} describes, or the bench adapter on standard input
-     * and output.
+     * Starts the client proxy that {@code NODE_CONFIG} describes, the bench adapter on standard input and output, or a
+     * command.
      *
-     * @param args {@code serve}, also with {@code --machine FILE}, {@code --fleet FILE} or {@code --config-watch
-     *        FILE}, {@code benchlink} or {@code rehearse}, or a command line
+     * @param args {@code serve}, also with {@code --machine FILE}, {@code --fleet FILE} or {@code --config-watch FILE};
+     *     {@code benchlink}; {@code rehearse}; or a command with its arguments
      */
     public static void main(String[] args) {
         String mode = args.length == 1 ? args[0] : "";
@@ -29,11 +29,11 @@
                 case "serve" -> Serve.serve(null, null, null);
                 case "rehearse" -> Serve.warmUp();
                 default -> {
-                    String[] files = files(args);
+                    String[] files = serveFiles(args);
                     if (files != null) {
                         Serve.serve(files[0], files[1], files[2]);
                     } else {
-                        // What is not deployed loads more, so nothing of it is named above.
+                        // Commands load classes that a proxy does not need, so they are referenced only here.
                         System.exit(mulleinfront.cli.CommandLine.run(args));
                     }
                 }
@@ -44,20 +44,20 @@
         }
     }
 
-    /** The files of {@link #SERVE_WITH} that {@code serve} was given; null if it is not so written. */
-    private static String[] files(String[] args) {
-        String[] files = new String[SERVE_WITH.length];
-        boolean well = args.length > 1 && args.length % 2 == 1 && args[0].equals("serve");
-        for (int i = 1; well && i < args.length; i += 2) {
-            int which = 0;
-            while (which < files.length && !SERVE_WITH[which].equals(args[i])) {
-                which++;
+    /** The files given for {@link #SERVE_OPTIONS}; null if the arguments are not {@code serve} with valid options. */
+    private static String[] serveFiles(String[] args) {
+        String[] files = new String[SERVE_OPTIONS.length];
+        boolean valid = args.length > 1 && args.length % 2 == 1 && args[0].equals("serve");
+        for (int i = 1; valid && i < args.length; i += 2) {
+            int option = 0;
+            while (option < files.length && !SERVE_OPTIONS[option].equals(args[i])) {
+                option++;
             }
-            well = which < files.length && files[which] == null;
-            if (well) {
-                files[which] = args[i + 1];
+            valid = option < files.length && files[option] == null;
+            if (valid) {
+                files[option] = args[i + 1];
             }
         }
-        return well ? files : null;
+        return valid ? files : null;
     }
 }
--- a/src/main/java/mulleinfront/Ring.java
+++ b/src/main/java/mulleinfront/Ring.java
@@ -9,166 +9,166 @@
 import java.util.Map;
 
 /**
- * A hash ring as in gRFC A42, cut into arcs of equal length: each has its points in one sorted array, so an
- * owner that comes or goes touches only the arcs where its points lie, and a search is a step to the arc and a
- * bisection in it. A point's low 16 bits name the slot of its owner, so nothing is boxed.
+ * A hash ring as in gRFC A42, divided into arcs of equal length. Each arc has its points in one sorted array, so adding
+ * or removing an owner touches only the arcs that contain its points, and a lookup computes the arc and does a binary
+ * search in it. The low 16 bits of a point are the slot of its owner, which avoids boxed objects.
  *
- * @param <T> the owners, told apart by {@code equals}
+ * @param <T> the owners, compared by {@code equals}
  */
 final class Ring<T> {
-    private static final int SLOT_BITS = 0xffff;
-    /** Points of an arc on the average; beyond four times as many, or a quarter, arcs are cut anew. */
-    private static final int ARC_POINTS = 32;
+    private static final int SLOT_MASK = 0xffff;
+    /** Average number of points per arc; the ring is divided again if it is off by more than a factor of four. */
+    private static final int POINTS_PER_ARC = 32;
 
-    private static final long[] NONE = {};
+    private static final long[] NO_POINTS = {};
 
-    /** Arcs in the order of their points; their number is a power of two, at least 2. */
-    private long[][] arcs = {NONE, NONE};
+    /** Arcs in the order of their points; their number is a power of two and at least 2. */
+    private long[][] arcs = {NO_POINTS, NO_POINTS};
 
-    private int points;
-    /** Owners by slot; null where the owner has left. */
-    private final List<T> slots = new ArrayList<>();
+    private int pointCount;
+    /** Owners by slot; null in unused slots. */
+    private final List<T> owners = new ArrayList<>();
 
     private final Map<T, Integer> slotOf = new HashMap<>();
-    private final BitSet taken = new BitSet();
-    /** Owners that join at the next {@link #merge} and their hashes, in the order in which they were added. */
-    private final Map<T, long[]> joining = new LinkedHashMap<>();
+    private final BitSet usedSlots = new BitSet();
+    /** Owners to be added by the next {@link #merge} and their hashes, in the order of the calls. */
+    private final Map<T, long[]> added = new LinkedHashMap<>();
+    /** Hashes of the owners removed since the last {@link #merge}. */
+    private final List<long[]> removed = new ArrayList<>();
+    /** Position of the walk: the arc and the index in it. */
+    private int walkArc;
 
-    private final List<long[]> leaving = new ArrayList<>();
-    /** Place of the walk: arc and point in it. */
-    private int arc;
+    private int walkIndex;
 
-    private int place;
-
-    /** Adds an owner; its points count after the next {@link #merge}. */
+    /** Adds an owner; its points are on the ring after the next {@link #merge}. */
     void add(T owner, long[] hashes) {
-        joining.put(owner, hashes);
+        added.put(owner, hashes);
     }
 
-    /** Removes an owner, given the hashes it was added with; until {@link #merge} no walk may be made. */
+    /** Removes an owner, given the hashes with which it was added; no walk is permitted until {@link #merge}. */
     void remove(T owner, long[] hashes) {
-        if (joining.remove(owner) != null) {
+        if (added.remove(owner) != null) {
             return;
         }
         int slot = slotOf.remove(owner);
-        slots.set(slot, null);
-        taken.clear(slot);
-        leaving.add(hashes);
+        owners.set(slot, null);
+        usedSlots.clear(slot);
+        removed.add(hashes);
     }
 
-    /** Takes off the points of owners that left and puts in those that joined; at the cost of those alone. */
+    /** Applies additions and removals; the cost depends on the points concerned, not on the size of the ring. */
     void merge() {
-        // Slots that are free now may be taken again below: what still names them has to go first.
-        for (long[] hashes : leaving) {
+        // Free slots may be reused below, so points that refer to them have to be removed first.
+        for (long[] hashes : removed) {
             for (long hash : hashes) {
-                int at = arcOf(hash);
-                int length = arcs[at].length;
-                arcs[at] = kept(arcs[at]);
-                points -= length - arcs[at].length;
+                int arc = arcOf(hash);
+                int length = arcs[arc].length;
+                arcs[arc] = withoutRemoved(arcs[arc]);
+                pointCount -= length - arcs[arc].length;
             }
         }
-        leaving.clear();
-        int count = 0;
-        for (long[] hashes : joining.values()) {
-            count += hashes.length;
+        removed.clear();
+        int newCount = 0;
+        for (long[] hashes : added.values()) {
+            newCount += hashes.length;
         }
-        cut(points + count);
-        long[] fresh = new long[count];
+        divide(pointCount + newCount);
+        long[] newPoints = new long[newCount];
         int filled = 0;
-        for (Map.Entry<T, long[]> e : joining.entrySet()) {
-            int slot = taken.nextClearBit(0);
-            taken.set(slot);
-            if (slot == slots.size()) {
-                slots.add(null);
+        for (Map.Entry<T, long[]> entry : added.entrySet()) {
+            int slot = usedSlots.nextClearBit(0);
+            usedSlots.set(slot);
+            if (slot == owners.size()) {
+                owners.add(null);
             }
-            slots.set(slot, e.getKey());
-            slotOf.put(e.getKey(), slot);
-            for (long hash : e.getValue()) {
-                fresh[filled++] = hash & ~SLOT_BITS | slot;
+            owners.set(slot, entry.getKey());
+            slotOf.put(entry.getKey(), slot);
+            for (long hash : entry.getValue()) {
+                newPoints[filled++] = hash & ~SLOT_MASK | slot;
             }
         }
-        joining.clear();
-        Arrays.sort(fresh);
-        spread(fresh);
-        points += count;
+        added.clear();
+        Arrays.sort(newPoints);
+        insert(newPoints);
+        pointCount += newCount;
     }
 
-    /** Puts sorted points into the arcs that they lie in. */
-    private void spread(long[] sorted) {
+    /** Inserts sorted points into their arcs. */
+    private void insert(long[] sorted) {
         for (int from = 0, to; from < sorted.length; from = to) {
-            int at = arcOf(sorted[from]);
+            int arc = arcOf(sorted[from]);
             to = from + 1;
-            while (to < sorted.length && arcOf(sorted[to]) == at) {
+            while (to < sorted.length && arcOf(sorted[to]) == arc) {
                 to++;
             }
-            arcs[at] = merged(arcs[at], sorted, from, to);
+            arcs[arc] = merged(arcs[arc], sorted, from, to);
         }
     }
 
-    /** An arc's points without those whose owner has left; the same array if all are there. */
-    private long[] kept(long[] old) {
-        int left = 0;
-        for (long p : old) {
-            left += slots.get((int) p & SLOT_BITS) != null ? 1 : 0;
+    /** An arc's points without those of removed owners; the same array if there are none. */
+    private long[] withoutRemoved(long[] arcPoints) {
+        int remaining = 0;
+        for (long point : arcPoints) {
+            remaining += owners.get((int) point & SLOT_MASK) != null ? 1 : 0;
         }
-        if (left == old.length) {
-            return old;
+        if (remaining == arcPoints.length) {
+            return arcPoints;
         }
-        long[] kept = new long[left];
-        int at = 0;
-        for (long p : old) {
-            if (slots.get((int) p & SLOT_BITS) != null) {
-                kept[at++] = p;
+        long[] kept = new long[remaining];
+        int filled = 0;
+        for (long point : arcPoints) {
+            if (owners.get((int) point & SLOT_MASK) != null) {
+                kept[filled++] = point;
             }
         }
         return kept;
     }
 
-    /** One sorted array of an arc's points and a sorted stretch of others. */
-    private static long[] merged(long[] old, long[] fresh, int from, int to) {
-        long[] all = new long[old.length + to - from];
-        for (int i = 0, j = from; i + j - from < all.length; ) {
-            boolean first = j == to || i < old.length && old[i] < fresh[j];
-            all[i + j - from] = first ? old[i++] : fresh[j++];
+    /** Merges an arc's points and a range of other sorted points into one sorted array. */
+    private static long[] merged(long[] arcPoints, long[] newPoints, int from, int to) {
+        long[] merged = new long[arcPoints.length + to - from];
+        for (int i = 0, j = from; i + j - from < merged.length; ) {
+            boolean takeOld = j == to || i < arcPoints.length && arcPoints[i] < newPoints[j];
+            merged[i + j - from] = takeOld ? arcPoints[i++] : newPoints[j++];
         }
-        return all;
+        return merged;
     }
 
-    /** Cuts all points into arcs anew if that many would make arcs too long or too short. */
-    private void cut(int expected) {
-        int wanted = Math.max(2, Integer.highestOneBit(Math.max(1, expected / ARC_POINTS)));
-        if (wanted <= 4 * arcs.length && 4 * wanted >= arcs.length) {
+    /** Divides the ring again if arcs would be too long or too short with the expected number of points. */
+    private void divide(int expectedPoints) {
+        int arcCount = Math.max(2, Integer.highestOneBit(Math.max(1, expectedPoints / POINTS_PER_ARC)));
+        if (arcCount <= 4 * arcs.length && 4 * arcCount >= arcs.length) {
             return;
         }
-        long[] all = Arrays.stream(arcs).flatMapToLong(Arrays::stream).toArray();
-        arcs = new long[wanted][];
-        Arrays.fill(arcs, NONE);
-        spread(all);
+        long[] allPoints = Arrays.stream(arcs).flatMapToLong(Arrays::stream).toArray();
+        arcs = new long[arcCount][];
+        Arrays.fill(arcs, NO_POINTS);
+        insert(allPoints);
     }
 
-    /** Points are ordered as signed numbers, so the first arc begins at the least of these. */
+    /** Index of the arc of a point. Points are ordered as signed numbers, so the first arc begins at the lowest one. */
     private int arcOf(long point) {
         return (int) ((point ^ Long.MIN_VALUE) >>> Long.numberOfLeadingZeros(arcs.length) + 1);
     }
 
-    /** Number of points. */
+    /** Number of points on the ring. */
     int size() {
-        return points;
+        return pointCount;
     }
 
-    /** Begins a walk at the first point at or after a hash. */
+    /** Starts a walk at the first point at or after a hash. */
     void seek(long hash) {
-        arc = arcOf(hash);
-        place = Arrays.binarySearch(arcs[arc], hash & ~SLOT_BITS);
-        place = place < 0 ? ~place : place;
+        walkArc = arcOf(hash);
+        walkIndex = Arrays.binarySearch(arcs[walkArc], hash & ~SLOT_MASK);
+        walkIndex = walkIndex < 0 ? ~walkIndex : walkIndex;
     }
 
-    /** Owner of the walk's next point; it goes round, and there must be a point. */
+    /** Owner of the next point of the walk, which wraps around. The ring must not be empty. */
     T next() {
-        while (place == arcs[arc].length) {
-            place = 0;
-            arc = arc + 1 & arcs.length - 1;
+        while (walkIndex == arcs[walkArc].length) {
+            walkIndex = 0;
+            walkArc = walkArc + 1 & arcs.length - 1;
         }
-        return slots.get((int) arcs[arc][place++] & SLOT_BITS);
+        return owners.get((int) arcs[walkArc][walkIndex++] & SLOT_MASK);
     }
 }
--- a/src/main/java/mulleinfront/State.java
+++ b/src/main/java/mulleinfront/State.java
@@ -6,118 +6,156 @@
 import mulleinfront.Balancer.Request;
 import mulleinfront.Balancer.RequestClass;
 
-/** What {@link Logic} remembers of endpoints, requests and attempts; it holds figures and decides nothing. */
+/** The state that {@link Logic} keeps of endpoints, requests and attempts; all decisions are made there. */
 final class State {
     private State() {}
 
-    /** What is known of one endpoint. Kept after it leaves the list, for attempts still out. */
-    static final class Node {
+    /** State of one endpoint; kept after its removal from the list until its outstanding attempts have ended. */
+    static final class EndpointState {
         final String id;
         final long hash;
         int zone;
         int kind;
         int cell;
         double weight = 1;
-        boolean late;
-        long heardAt = Long.MIN_VALUE / 2;
-        long promptAt = Long.MIN_VALUE / 2;
+        /** Whether the last latency sample was late or lost, and when it was taken. */
+        boolean lastSampleLate;
+
+        long lastSampleAt = Long.MIN_VALUE / 2;
+        /** Time of the last timely response or probe. */
+        long lastTimelyAt = Long.MIN_VALUE / 2;
+        /** Time until which other endpoints are preferred, since a probe took too long. */
         long busyUntil;
-        /** Requests that it reported to hold, for each part of its size, and when. */
-        double reported;
+        /** In-flight requests of its last load report, per unit of size, and the time of that report. */
+        double reportedLoad;
 
         long reportedAt = Long.MIN_VALUE / 2;
-        /** Until when it is left alone for having turned requests away, and how many in a row it has. */
-        long fullUntil;
+        /** End of the back-off after rejected requests, and the number of rejections since the last success. */
+        long backoffUntil;
 
-        int full;
+        int consecutiveRejections;
+        /** Size, adjusted for slow start and for the speed of its server type. */
         double capacity;
-        /** What of it is in the sum over all endpoints. */
-        double counted;
-
-        double offered;
-        /** When its process began, by the list that told of it; and from when it counts as cold. */
+        /** Its contribution to the total capacity: 0 while it is not usable. */
+        double countedCapacity;
+        /** Decaying number of requests for which it was the a usable owner. */
+        double offeredLoad;
+        /** Start of its process according to the list, and start of its slow start. */
         long startedAt;
 
-        long warmFrom;
+        long slowStartFrom;
         boolean cold;
+        /** Whether the list has it as ready; false while it drains. */
         boolean ready;
+
         boolean onRing;
-        /** Its points on the ring, as many as when it joined: listed weights may change since. */
-        int points;
+        /** Number of its ring points, fixed when it was added: its listed weight may have changed since. */
+        int ringPoints;
 
         final List<Attempt> outstanding = new ArrayList<>();
-        double limit;
-        boolean everCut;
-        double failShare;
-        long lastAnswer;
+        /** Concurrency limit; below 1, the share of requests that may be sent while none is outstanding. */
+        double concurrencyLimit;
+
+        boolean limitEverReduced;
+        /** Smoothed share of failed attempts. */
+        double failureRate;
+        /** Time of the last response or successful probe. */
+        long lastResponseAt;
+        /** Time until which a pooled connection to it is expected to be open. */
         long connectedUntil;
-        double credit;
-        long creditAt;
+        /** Tokens for requests while it is cold, and the count of requests at their last refill. */
+        double coldTokens;
+
+        long coldTokensRefillCount;
         boolean ejected;
-        boolean down;
+        /** Whether it was ejected since it could not be reached. */
+        boolean unreachable;
+
         long ejectedUntil;
-        long ejectedFor;
-        Attempt trial;
-        int seen;
+        /** Duration of the last ejection. */
+        long ejectionUs;
+        /** The outstanding attempt that decides whether the ejection ends, or null. */
+        Attempt halfOpenProbe;
+        /** Number of the last walk that visited it. */
+        int lastVisit;
 
-        Node(String id, long hash, double limit) {
+        EndpointState(String id, long hash, double concurrencyLimit) {
             this.id = id;
             this.hash = hash;
-            this.limit = limit;
+            this.concurrencyLimit = concurrencyLimit;
         }
     }
 
-    /** A request not yet finally answered. */
-    static final class Req {
-        final Request in;
-        final RequestClass type;
+    /** A request; kept after its final answer until its outstanding attempts have ended. */
+    static final class RequestState {
+        final Request arrival;
+        final RequestClass requestClass;
         final long hash;
-        final long aimAt;
-        final long endAt;
-        final double worth;
+        /** End of its target latency. */
+        final long targetAt;
+        /** End of the client's budget. */
+        final long deadlineAt;
+        /** Expected value; orders admission and the queue. */
+        final double priority;
+
         final List<Attempt> attempts = new ArrayList<>(2);
         int outstanding;
-        long holdUntil;
-        Node probe;
-        long probeUntil;
-        int probes;
-        boolean cautious;
-        final long order;
-
-        Req(Request in, RequestClass type, long hash, long at, double worth, long order) {
-            this.order = order;
-            this.in = in;
-            this.type = type;
+        /** End of its wait in the queue; 0 if it has never been queued. */
+        long queuedUntil;
+        /** Endpoint that is probed for this request, or that was probed last. */
+        EndpointState probedEndpoint;
+
+        long probeTimeoutAt;
+        int probeCount;
+        /** Whether it may be preceded by a probe and moved by bounded load. */
+        boolean inProbingShare;
+        /** Position in the order of arrival. */
+        final long sequenceNumber;
+
+        RequestState(
+                Request arrival,
+                RequestClass requestClass,
+                long hash,
+                long arrivedAt,
+                double priority,
+                long sequenceNumber) {
+            this.sequenceNumber = sequenceNumber;
+            this.arrival = arrival;
+            this.requestClass = requestClass;
             this.hash = hash;
-            this.worth = worth;
-            this.endAt = at + Math.max(0, in.budgetUs());
-            long aim = type.targetLatencyUs() + (long) (type.targetStretch() * Math.max(0, in.expectedUs()));
-            this.aimAt = Math.min(endAt, at + Math.min(aim, type.deadlineUs()));
+            this.priority = priority;
+            this.deadlineAt = arrivedAt + Math.max(0, arrival.budgetUs());
+            long targetUs = requestClass.targetLatencyUs()
+                    + (long) (requestClass.targetStretch() * Math.max(0, arrival.expectedUs()));
+            this.targetAt = Math.min(deadlineAt, arrivedAt + Math.min(targetUs, requestClass.deadlineUs()));
         }
 
-        /** The time after which an answer earns nothing. */
-        long worthUntil() {
-            return type.lateWorth() > 0 ? endAt : aimAt;
+        /** The time after which a response has no value. */
+        long usefulUntil() {
+            return requestClass.lateWorth() > 0 ? deadlineAt : targetAt;
         }
     }
 
-    /** One attempt; {@code outcome} is null while it is out. */
+    /** One attempt; {@code outcome} is null while it is outstanding. */
     static final class Attempt {
-        final Req req;
-        final Node node;
+        final RequestState request;
+        final EndpointState endpoint;
         final int number;
-        final long at;
+        final long sentAt;
         boolean canceled;
+        /** Whether the response has begun, or the request is still being read. */
         boolean streaming;
+
         Outcome outcome;
 
-        Attempt(Req req, Node node, int number, long at) {
-            this.req = req;
-            this.node = node;
+        Attempt(RequestState request, EndpointState endpoint, int number, long sentAt) {
+            this.request = request;
+            this.endpoint = endpoint;
             this.number = number;
-            this.at = at;
+            this.sentAt = sentAt;
         }
 
+        /** Whether the endpoint may have executed the request, or may still do so. */
         boolean mayHaveRun() {
             return outcome == null || !outcome.neverRan();
         }
--- a/src/main/java/mulleinfront/Subscription.java
+++ b/src/main/java/mulleinfront/Subscription.java
@@ -5,123 +5,125 @@
 import mulleinfront.Balancer.Source;
 
 /**
- * An instance's subscription to discovery: when it calls, whether a watch is open, and until when requests may be
- * sent by the list that is held. Where lists come by themselves it never calls, and every list is valid.
+ * An instance's subscription to discovery: it makes discovery calls, tracks the watch and reports when the current list
+ * expires. Where lists arrive without calls, it makes none and lists do not expire.
  */
 final class Subscription {
-    private final boolean asked;
-    private final CallSchedule calls;
-    private final Actions out;
-    /** A call is out, or a watch is open. */
-    private boolean asking;
-
-    private boolean subscribed;
-    /** When to call next, while neither is so. */
-    private long askAt;
-
-    private long validUntil = Long.MAX_VALUE;
-    /** It was said that this time has come. */
-    private boolean overdue;
-
-    /** @param few instances up to which a start calls at once */
-    Subscription(Settings settings, int few, long seed, long now, Actions out) {
-        this.asked = settings.subscribe();
-        this.calls = new CallSchedule(settings, few, seed, now);
-        this.out = out;
-        this.askAt = calls.atStart(now, false);
+    /** Whether lists require discovery calls. */
+    private final boolean callsRequired;
+
+    private final CallSchedule schedule;
+    private final Actions actions;
+    /** Whether a call is in progress. */
+    private boolean callInProgress;
+    /** Whether a watch is open. */
+    private boolean watchOpen;
+    /** Time of the next call, if no call is in progress and no watch is open. */
+    private long nextCallAt;
+    /** Expiry of the current list, as last reported. */
+    private long expiresAt = Long.MAX_VALUE;
+    /** Whether the expiry has been reported. */
+    private boolean expired;
+
+    /** @param maxFewInstances most instances with which the first call is made at once */
+    Subscription(Settings settings, int maxFewInstances, long seed, long now, Actions actions) {
+        this.callsRequired = settings.subscribe();
+        this.schedule = new CallSchedule(settings, maxFewInstances, seed, now);
+        this.actions = actions;
+        this.nextCallAt = schedule.firstCallAt(now, false);
     }
 
-    /** The process of this instance had started so long ago. */
-    void processStarted(long now, long agoUs) {
-        calls.processStarted(now - agoUs);
+    /** The process of this instance started before the instance. */
+    void processStarted(long now, long startedAgoUs) {
+        schedule.processStarted(now - startedAgoUs);
     }
 
-    /** A list has come. */
-    void listed(long now, Source source, boolean empty) {
-        if (source != Source.CACHED && asking) {
-            asking = false;
-            subscribed = true;
-            calls.answered(now);
-            renewValidity();
-        } else if (source == Source.CACHED && !asking && !subscribed && !empty) {
-            askAt = calls.atStart(now, true);
+    /** A list or delta has arrived. */
+    void listReceived(long now, Source source, boolean empty) {
+        if (source != Source.CACHED && callInProgress) {
+            callInProgress = false;
+            watchOpen = true;
+            schedule.answered(now);
+            updateExpiry();
+        } else if (source == Source.CACHED && !callInProgress && !watchOpen && !empty) {
+            nextCallAt = schedule.firstCallAt(now, true);
         }
     }
 
-    /** A call has failed before anything came of it. */
-    void failed(long now) {
-        callAgainAt(subscribed ? calls.afterWatch(now, 0) : calls.afterCall(now, false));
+    /** A call failed without any response. */
+    void callFailed(long now) {
+        scheduleCall(watchOpen ? schedule.afterWatchLost(now, 0) : schedule.afterFailedCall(now, false));
     }
 
     /**
-     * The watch has broken or fallen silent, or a call that was answered has before its list was whole.
+     * The watch broke or timed out, or a response broke off before its list was complete.
      *
-     * @param quietUs since when nothing had come of it, microseconds
+     * @param quietUs time since the last data, microseconds
      */
-    void lost(long now, long quietUs) {
-        callAgainAt(subscribed ? calls.afterWatch(now, quietUs) : calls.afterAnsweredCall(now));
+    void watchLost(long now, long quietUs) {
+        scheduleCall(watchOpen ? schedule.afterWatchLost(now, quietUs) : schedule.afterAnsweredCall(now));
     }
 
-    /** Nobody took the call. */
+    /** The call did not reach discovery: connection refused, or timed out before being accepted. */
     void unreachable(long now) {
-        callAgainAt(subscribed ? calls.afterWatch(now, 0) : calls.afterCall(now, true));
+        scheduleCall(watchOpen ? schedule.afterWatchLost(now, 0) : schedule.afterFailedCall(now, true));
     }
 
-    /** Discovery has ended the watch in order. */
-    void ended(long now) {
-        callAgainAt(subscribed ? calls.afterEnd(now) : calls.afterAnsweredCall(now));
+    /** Discovery closed the watch in the normal way. */
+    void watchEnded(long now) {
+        scheduleCall(watchOpen ? schedule.afterWatchEnded(now) : schedule.afterAnsweredCall(now));
     }
 
-    /** Discovery is called elsewhere, where it has moved to so long ago. */
+    /** The address of discovery changed, and a call to the new address is in progress. */
     void moved(long now, long movedAgoUs) {
-        asking = true;
-        subscribed = false;
-        calls.moved(now - movedAgoUs, now);
+        callInProgress = true;
+        watchOpen = false;
+        schedule.moved(now - movedAgoUs, now);
     }
 
-    private void callAgainAt(long at) {
-        askAt = at;
-        asking = false;
-        subscribed = false;
+    private void scheduleCall(long at) {
+        nextCallAt = at;
+        callInProgress = false;
+        watchOpen = false;
     }
 
-    /** Whether nothing may be sent by the list that is held: changes may count as told that it lacks. */
-    boolean overdue(long now) {
-        return now >= validUntil;
+    /** Whether the current list has expired: the propagation deadline of changes that it may lack has passed. */
+    boolean expired(long now) {
+        return now >= expiresAt;
     }
 
-    /** How long until another list may have come, as far as can be told, microseconds; 0 while this one is valid. */
-    long renewedInUs(long now) {
-        return overdue(now) ? calls.answerInUs(now, asking ? 0 : askAt) : 0;
+    /** Estimated time until a new list arrives, microseconds; 0 while the current list has not expired. */
+    long renewalInUs(long now) {
+        return expired(now) ? schedule.responseInUs(now, callInProgress ? 0 : nextCallAt) : 0;
     }
 
     /**
-     * Calls if that is due, and says what has become of the list.
+     * Makes a call if one is due, and reports the expiry of the list.
      *
-     * @return when this is to be done next; {@link Long#MAX_VALUE}: after the next event
+     * @return the time at which this method is to be called next; {@link Long#MAX_VALUE}: after the next event
      */
-    long act(long now) {
-        boolean mustAsk = asked && !asking && !subscribed;
-        if (mustAsk && now >= askAt) {
-            asking = true;
-            mustAsk = false;
-            calls.called(now);
-            out.subscribe(calls.patienceUs());
+    long update(long now) {
+        boolean callNeeded = callsRequired && !callInProgress && !watchOpen;
+        if (callNeeded && now >= nextCallAt) {
+            callInProgress = true;
+            callNeeded = false;
+            schedule.called(now);
+            actions.subscribe(schedule.callTimeoutUs());
         }
-        renewValidity();
-        if (!overdue && overdue(now)) {
-            overdue = true;
-            out.onListExpired(calls.bound());
+        updateExpiry();
+        if (!expired && expired(now)) {
+            expired = true;
+            actions.onListExpired(schedule.expiryReason());
         }
-        return Math.min(mustAsk ? askAt : Long.MAX_VALUE, overdue ? Long.MAX_VALUE : validUntil);
+        return Math.min(callNeeded ? nextCallAt : Long.MAX_VALUE, expired ? Long.MAX_VALUE : expiresAt);
     }
 
-    private void renewValidity() {
-        long until = asked && !subscribed ? calls.toldBy() : Long.MAX_VALUE;
-        if (until != validUntil) {
-            validUntil = until;
-            overdue = false;
-            out.listValidUntil(until);
+    private void updateExpiry() {
+        long newExpiry = callsRequired && !watchOpen ? schedule.propagationDeadline() : Long.MAX_VALUE;
+        if (newExpiry != expiresAt) {
+            expiresAt = newExpiry;
+            expired = false;
+            actions.listValidUntil(newExpiry);
         }
     }
 }
--- a/src/main/java/mulleinfront/UnservedReason.java
+++ b/src/main/java/mulleinfront/UnservedReason.java
@@ -3,17 +3,17 @@
 import java.util.Locale;
 
 /**
- * Why a request got its last word without having been served; told to a {@link Balancer.Observer}, which changes no
- * decision.
+ * The reason why a request was refused or failed without having been served; given to a {@link Balancer.Observer}, and
+ * without influence on decisions.
  *
- * @param requestId which one
- * @param cause what it comes to
+ * @param requestId id of the request
+ * @param cause the category of the reason
  * @param classIndex position in the settings' classes
- * @param worth what it was expected to earn
- * @param ageUs how long the instance had been there, microseconds
- * @param bound what was reached: admission's share, endpoints' limits in all, credit for cold ones, microseconds of
- *        usual lag, the reported queue; NaN where there is none
- * @param madeFrom what that was made from, in words; empty where there is nothing to say
+ * @param worth expected value of the request
+ * @param instanceAgeUs time since the start of the instance, microseconds
+ * @param limitReached the limit that was reached: the admitted share, the sum of the endpoints' concurrency limits, the
+ *     baseline latency in microseconds, the reported queue or the retry tokens; NaN for other causes
+ * @param detail values behind the decision, as text
  */
 public record UnservedReason(
         String requestId,
@@ -24,35 +24,35 @@
         double limitReached,
         String detail) {
 
-    /** What it comes to. */
+    /** Categories of reasons. */
     public enum Cause {
-        /** Admission's bound is reached: too many of the fleet's answers were late. */
+        /** Admission control: too many responses were late or lost, or the reported queues are too long. */
         ADMISSION("admission's bound reached"),
-        /** The same, and at its full worth it would have been let in. */
+        /** Admission control, for a tenant beyond its share: with the full value of its class it would be admitted. */
         TENANT("tenant beyond its share"),
-        /** Endpoints' estimated limits leave no room. */
+        /** The concurrency limits of the endpoints leave no spare capacity. */
         LIMITS("estimate of capacity low"),
-        /** Endpoints report queues that are too long for it. */
+        /** The endpoints report queues that are too long for the request. */
         OVERLOAD("overload signal"),
-        /** Endpoints have turned requests away a moment ago. */
+        /** The endpoints rejected requests recently. */
         FULL("turned away a moment ago"),
-        /** All that is left to go to is cold, and its allowance is used up. */
+        /** The remaining endpoints are cold and have no tokens. */
         COLD("cold allowance used up"),
-        /** Endpoints that are listed are left out for failures, drained, or were tried before. */
+        /** The listed endpoints are ejected, draining or already tried, or outside the deduplication group. */
         NO_HOST("no usable host"),
-        /** No list has named an endpoint since the start. */
+        /** No endpoint is listed. */
         NO_LIST("not yet warm: no list"),
-        /** The list may be out of date: what it names may have been told to drain. */
+        /** The list has expired: its endpoints may be draining. */
         LIST_OVERDUE("list out of date"),
-        /** An answer would come too late to earn anything. */
+        /** A response would come too late to have any value. */
         TIME("time left too short"),
-        /** Its repeats are no longer dropped. */
+        /** The deduplication window has passed, so repeats are no longer dropped. */
         WINDOW("window of its key over"),
-        /** It may have run and may not be repeated. */
+        /** The request may have been executed and must not be repeated. */
         EFFECT("may have run, not repeatable"),
-        /** It has had all its attempts. */
+        /** The request has had its most attempts. */
         ATTEMPTS("attempts used up"),
-        /** The budget for repeats is used up. */
+        /** The retry budget is used up. */
         BUDGET("budget for repeats used up");
 
         private final String description;
@@ -61,12 +61,12 @@
             this.description = words;
         }
 
-        /** In words, for people. */
+        /** Description for people. */
         public String description() {
             return description;
         }
 
-        /** The name in files. */
+        /** Name in files and logs. */
         public String outputName() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
--- a/src/test/java/example/EmbeddingTest.java
+++ b/src/test/java/example/EmbeddingTest.java
@@ -22,10 +22,10 @@
 import mulleinfront.Balancer.Source;
 import org.junit.jupiter.api.Test;
 
-/** The README's example, from another package, with actions that write down what they are told. */
+/** The README's example, run from another package with actions that record their calls. */
 class EmbeddingTest {
     @Test
-    void exampleOfTheReadmeWorks() {
+    void readmeExampleWorks() {
         List<String> log = new ArrayList<>();
         Actions actions = new Actions() {
             public void send(String requestId, String endpointId, long timeoutUs) {
--- a/src/test/java/mulleinfront/CallScheduleTest.java
+++ b/src/test/java/mulleinfront/CallScheduleTest.java
@@ -9,32 +9,33 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When instances call discovery: soon enough each, and evenly all together. */
+/** Discovery calls of each instance are early enough, and those of all instances are spread evenly. */
 class CallScheduleTest {
-    private static final long S = 1_000_000;
-    private static final long NOW = 1_796_169_600L * S + 123_457;
+    private static final long SECOND_US = 1_000_000;
+    private static final long NOW_US = 1_796_169_600L * SECOND_US + 123_457;
 
-    private static CallSchedule of(int me, int instances, long seed) {
-        return new CallSchedule(Rig.settings(true, Rig.SAFE).forInstance(me, instances), 16, seed, NOW);
+    private static CallSchedule schedule(int instanceNumber, int instances, long seed) {
+        return new CallSchedule(
+                Rig.settings(true, Rig.RETRYABLE).forInstance(instanceNumber, instances), 16, seed, NOW_US);
     }
 
     @Test
-    void fewThatStartCallAtOnceAndManyAreSpread() {
-        assertEquals(NOW, of(3, 16, 1).atStart(NOW, false));
-        for (boolean holdsList : new boolean[] {true, false}) {
-            int[] perS = new int[20];
+    void firstCallsAreSpreadWithManyInstances() {
+        assertEquals(NOW_US, schedule(3, 16, 1).firstCallAt(NOW_US, false));
+        for (boolean hasList : new boolean[] {true, false}) {
+            int[] perSecond = new int[20];
             for (int i = 0; i < 5_000; i++) {
-                perS[(int) ((of(i, 5_000, i).atStart(NOW, holdsList) - NOW) / S)]++;
+                perSecond[(int) ((schedule(i, 5_000, i).firstCallAt(NOW_US, hasList) - NOW_US) / SECOND_US)]++;
             }
-            int used = holdsList ? 4 : 2;
-            for (int s = 0; s < perS.length; s++) {
-                assertTrue(perS[s] < 1.1 * 5_000 / used, "second " + s + ": " + perS[s]);
-                assertEquals(s < used, perS[s] > 0, "second " + s + ": " + perS[s]);
+            int seconds = hasList ? 4 : 2;
+            for (int second = 0; second < perSecond.length; second++) {
+                assertTrue(perSecond[second] < 1.1 * 5_000 / seconds, "second " + second + ": " + perSecond[second]);
+                assertEquals(second < seconds, perSecond[second] > 0, "second " + second + ": " + perSecond[second]);
             }
         }
         int[] tenths = new int[10];
         for (int i = 0; i < 500; i++) {
-            tenths[(int) ((of(i, 60, i).atStart(NOW, true) - NOW) / (3 * S / 10))]++;
+            tenths[(int) ((schedule(i, 60, i).firstCallAt(NOW_US, true) - NOW_US) / (3 * SECOND_US / 10))]++;
         }
         for (int tenth : tenths) {
             assertTrue(tenth > 20 && tenth < 90, "60 instances call within 3 s, " + tenth + " in a tenth of it");
@@ -43,157 +44,173 @@
 
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100, 200, 670})
-    void callsOfAllThatFailedTogetherComeEvenlyAndWithinTheTimeThatTheyTake(int instances) {
-        // Nothing is known of discovery yet: a call is taken to cost 250 ms. The deadline leaves 6 s: half of it.
-        long window = Math.min(ListDeadline.REACHABLE_US / 2, instances * S / 4);
+    void callsAfterACommonFailureAreSpreadEvenly(int instances) {
+        // Before the first response a call is assumed to take 250 ms. The window is at most half of the 6 s deadline.
+        long window = Math.min(ListDeadline.PROPAGATION_US / 2, instances * SECOND_US / 4);
         List<Long> calls = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
-            CallSchedule one = of(i, instances, i);
-            one.called(NOW - 10_000);
-            long at = one.afterCall(NOW, false);
-            assertTrue(at >= NOW && at < NOW + window, "after " + (at - NOW));
-            calls.add(at);
-            one.called(at);
-            long again = one.afterCall(at + 1, false);
-            assertTrue(again <= at + Math.max(window, S), "and again as soon, or after a second where that was sooner");
+            CallSchedule schedule = schedule(i, instances, i);
+            schedule.called(NOW_US - 10_000);
+            long nextCallAt = schedule.afterFailedCall(NOW_US, false);
+            assertTrue(nextCallAt >= NOW_US && nextCallAt < NOW_US + window, "after " + (nextCallAt - NOW_US));
+            calls.add(nextCallAt);
+            schedule.called(nextCallAt);
+            long secondCallAt = schedule.afterFailedCall(nextCallAt + 1, false);
+            assertTrue(
+                    secondCallAt <= nextCallAt + Math.max(window, SECOND_US),
+                    "the next call follows within the window or a second");
         }
         calls.sort(null);
         for (int i = 1; i < instances; i++) {
-            long apart = calls.get(i) - calls.get(i - 1);
-            assertTrue(apart >= window / instances / 2 - 2, apart + " us apart");
+            long spacingUs = calls.get(i) - calls.get(i - 1);
+            assertTrue(spacingUs >= window / instances / 2 - 2, spacingUs + " us apart");
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 16, 30})
-    void threeCallsInARowMayFailAndTheFourthStillBeginsInTime(int instances) {
-        // Whatever fails is quick: the deadline is the instance's, and no failure moves it.
+    void fourthCallStartsBeforeTheDeadline(int instances) {
+        // All calls fail quickly, and no failure moves the deadline of the instance.
         for (int i = 0; i < instances; i++) {
             for (long phase = 0; phase < 4; phase++) {
-                CallSchedule one = of(i, instances, i);
-                long now = NOW + phase * 1_100_003;
-                one.called(now);
-                one.answered(now + 20_000);
-                long lost = now + 5 * S;
-                long at = one.afterWatch(lost, 0);
+                CallSchedule schedule = schedule(i, instances, i);
+                long now = NOW_US + phase * 1_100_003;
+                schedule.called(now);
+                schedule.answered(now + 20_000);
+                long watchLostAt = now + 5 * SECOND_US;
+                long nextCallAt = schedule.afterWatchLost(watchLostAt, 0);
                 for (int failed = 0; failed < 3; failed++) {
-                    one.called(at);
-                    at = one.afterCall(at + 1_000, false);
+                    schedule.called(nextCallAt);
+                    nextCallAt = schedule.afterFailedCall(nextCallAt + 1_000, false);
                 }
-                assertTrue(at < lost + 5 * S, "after " + (at - lost));
-                assertEquals(lost + ListDeadline.REACHABLE_US, one.toldBy());
+                assertTrue(nextCallAt < watchLostAt + 5 * SECOND_US, "after " + (nextCallAt - watchLostAt));
+                assertEquals(watchLostAt + ListDeadline.PROPAGATION_US, schedule.propagationDeadline());
             }
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {200_000, 1_800_000, 3_000_000, 10_000_000})
-    void theTimeForAskingIsTheSettingsWhateverDiscoveryBears(long askWithinUs) {
+    void pollIntervalLimitIsKeptWithSlowResponses(long askWithinUs) {
         for (int i = 0; i < 100; i++) {
-            CallSchedule one = new CallSchedule(
-                    Rig.settings(true, Rig.SAFE).asking(askWithinUs).forInstance(i, 100), 16, i, NOW);
-            assertTrue(one.atStart(NOW, true) < NOW + askWithinUs, "at the start");
-            one.called(NOW);
-            // An answer takes a second: calls of all would take far longer than there is time.
-            one.answered(NOW + S);
-            long lost = NOW + 20 * S;
-            long at = one.afterWatch(lost, 0);
-            assertTrue(at < lost + askWithinUs, "after " + (at - lost));
-            one.called(at);
-            assertTrue(at < lost + ListDeadline.WATCH_ENDED_US, "and within 2 s of a watch's end");
-            assertEquals(Math.min(at + askWithinUs, lost + ListDeadline.REACHABLE_US), one.toldBy());
-            long again = one.afterCall(at + 1_000, false);
-            assertTrue(again < at + 4 * askWithinUs, "four times as long after a call that failed");
+            CallSchedule schedule = new CallSchedule(
+                    Rig.settings(true, Rig.RETRYABLE).withAskWithin(askWithinUs).forInstance(i, 100), 16, i, NOW_US);
+            assertTrue(schedule.firstCallAt(NOW_US, true) < NOW_US + askWithinUs, "at the start");
+            schedule.called(NOW_US);
+            // A response takes a second: the calls of all instances take far longer than the poll interval limit.
+            schedule.answered(NOW_US + SECOND_US);
+            long watchLostAt = NOW_US + 20 * SECOND_US;
+            long nextCallAt = schedule.afterWatchLost(watchLostAt, 0);
+            assertTrue(nextCallAt < watchLostAt + askWithinUs, "after " + (nextCallAt - watchLostAt));
+            schedule.called(nextCallAt);
+            assertTrue(nextCallAt < watchLostAt + ListDeadline.WATCH_ENDED_US, "and within 2 s of a watch's end");
+            assertEquals(
+                    Math.min(nextCallAt + askWithinUs, watchLostAt + ListDeadline.PROPAGATION_US),
+                    schedule.propagationDeadline());
+            long secondCallAt = schedule.afterFailedCall(nextCallAt + 1_000, false);
+            assertTrue(secondCallAt < nextCallAt + 4 * askWithinUs, "four times as long after a call that failed");
         }
     }
 
-    /** Incident 2: a call given up before discovery answers it has lost its turn, and costs discovery another. */
+    /**
+     * Guards against call timeouts below discovery's own: a call that is given up before discovery responds loses its
+     * place in the queue, and its successor costs discovery as much again.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 20, 670})
-    void aCallIsWaitedForLongerThanDiscoveryLetsItWait(int instances) {
-        CallSchedule one = of(0, instances, 1);
-        assertTrue(one.patienceUs() > 3 * S, "at the start");
-        one.called(NOW);
-        one.answered(NOW + 10_000);
-        assertTrue(one.patienceUs() > 3 * S, "after a quick answer");
+    void callTimeoutExceedsThatOfDiscovery(int instances) {
+        CallSchedule schedule = schedule(0, instances, 1);
+        assertTrue(schedule.callTimeoutUs() > 3 * SECOND_US, "at the start");
+        schedule.called(NOW_US);
+        schedule.answered(NOW_US + 10_000);
+        assertTrue(schedule.callTimeoutUs() > 3 * SECOND_US, "after a quick answer");
     }
 
     @Test
-    void whereTheTimeForAskingIsShortPatienceGrowsUntilSomethingComesThrough() {
-        CallSchedule one =
-                new CallSchedule(Rig.settings(true, Rig.SAFE).asking(S).forInstance(0, 5), 16, 1, NOW);
-        long now = NOW;
+    void shortCallTimeoutDoublesUntilAResponse() {
+        CallSchedule schedule = new CallSchedule(
+                Rig.settings(true, Rig.RETRYABLE).withAskWithin(SECOND_US).forInstance(0, 5), 16, 1, NOW_US);
+        long now = NOW_US;
         for (int calls = 0; calls < 3; calls++) {
-            one.called(now);
-            now += one.patienceUs();
-            now = one.afterCall(now, false);
+            schedule.called(now);
+            now += schedule.callTimeoutUs();
+            now = schedule.afterFailedCall(now, false);
         }
-        assertTrue(one.patienceUs() > 3 * S, "" + one.patienceUs());
-        one.called(now);
-        one.answered(now + S);
-        assertTrue(one.patienceUs() < S, "given up within the time for asking again");
+        assertTrue(schedule.callTimeoutUs() > 3 * SECOND_US, "" + schedule.callTimeoutUs());
+        schedule.called(now);
+        schedule.answered(now + SECOND_US);
+        assertTrue(schedule.callTimeoutUs() < SECOND_US, "given up within the time for asking again");
     }
 
     @Test
-    void whatCouldNotBeReachedHasItsTimeAnew() {
-        CallSchedule one = of(0, 5, 1);
-        one.called(NOW);
-        one.answered(NOW + 1_000);
-        long at = one.afterWatch(NOW + S, 0);
+    void unreachableDiscoveryResetsTheDeadline() {
+        CallSchedule schedule = schedule(0, 5, 1);
+        schedule.called(NOW_US);
+        schedule.answered(NOW_US + 1_000);
+        long nextCallAt = schedule.afterWatchLost(NOW_US + SECOND_US, 0);
         for (int failed = 0; failed < 20; failed++) {
-            one.called(at);
-            long called = at;
-            long ended = at + 1_000;
-            at = one.afterCall(ended, true);
-            assertTrue(at < ended + 1_500_001, "it goes on calling, after " + (at - ended));
-            assertEquals(called + ListDeadline.REACHABLE_US, one.toldBy(), "from when it was called");
+            schedule.called(nextCallAt);
+            long calledAt = nextCallAt;
+            long failedAt = nextCallAt + 1_000;
+            nextCallAt = schedule.afterFailedCall(failedAt, true);
+            assertTrue(nextCallAt < failedAt + 1_500_001, "it goes on calling, after " + (nextCallAt - failedAt));
+            assertEquals(
+                    calledAt + ListDeadline.PROPAGATION_US, schedule.propagationDeadline(), "from when it was called");
         }
     }
 
     @Test
-    void oneThatHadToWaitCallsWithinAPeriodOfTheCallBefore() {
-        for (long took = S; took <= 3 * S; took += S / 4) {
+    void callAfterAWaitStartsWithinAWindowOfTheLastCall() {
+        for (long waitUs = SECOND_US; waitUs <= 3 * SECOND_US; waitUs += SECOND_US / 4) {
             for (int i = 0; i < 100; i++) {
-                CallSchedule one = of(i, 100, i);
-                one.called(NOW - took);
-                long at = one.afterCall(NOW, false);
-                assertTrue(at >= NOW && at < NOW - took + CallSchedule.PERIOD_US, "after " + (at - NOW));
+                CallSchedule schedule = schedule(i, 100, i);
+                schedule.called(NOW_US - waitUs);
+                long nextCallAt = schedule.afterFailedCall(NOW_US, false);
+                assertTrue(
+                        nextCallAt >= NOW_US && nextCallAt < NOW_US - waitUs + CallSchedule.MAX_WINDOW_US,
+                        "after " + (nextCallAt - NOW_US));
             }
         }
     }
 
     @Test
-    void afterSilenceACallBeginsWithinAPeriodOfWhatWasHeardLast() {
-        for (long quiet = 0; quiet <= 3 * S; quiet += S / 4) {
+    void callAfterSilenceStartsWithinAWindowOfTheLastData() {
+        for (long quietUs = 0; quietUs <= 3 * SECOND_US; quietUs += SECOND_US / 4) {
             for (int i = 0; i < 100; i++) {
-                long at = of(i, 100, i).afterWatch(NOW, quiet);
-                assertTrue(at >= NOW && at < NOW - quiet + CallSchedule.PERIOD_US, "after " + (at - NOW));
+                long nextCallAt = schedule(i, 100, i).afterWatchLost(NOW_US, quietUs);
+                assertTrue(
+                        nextCallAt >= NOW_US && nextCallAt < NOW_US - quietUs + CallSchedule.MAX_WINDOW_US,
+                        "after " + (nextCallAt - NOW_US));
             }
         }
     }
 
     @Test
-    void whereAnswersAreQuickAWatchThatEndedIsAskedForSoon() {
+    void callFollowsSoonWithQuickResponses() {
         for (int i = 0; i < 6; i++) {
-            CallSchedule one = of(i, 6, i);
-            one.called(NOW);
-            one.answered(NOW + 130_000);
-            long at = one.afterWatch(NOW + 5 * S, 0);
-            assertTrue(at < NOW + 5 * S + 6 * 130_000, "after " + (at - NOW - 5 * S));
+            CallSchedule schedule = schedule(i, 6, i);
+            schedule.called(NOW_US);
+            schedule.answered(NOW_US + 130_000);
+            long nextCallAt = schedule.afterWatchLost(NOW_US + 5 * SECOND_US, 0);
+            assertTrue(
+                    nextCallAt < NOW_US + 5 * SECOND_US + 6 * 130_000,
+                    "after " + (nextCallAt - NOW_US - 5 * SECOND_US));
         }
     }
 
     @Test
-    void withoutANumberPlacesAreDrawnAndOneAloneWaitsForNobody() {
+    void slotsAreRandomWithoutAnInstanceNumber() {
         int[] tenths = new int[10];
         for (int i = 0; i < 1_000; i++) {
-            CallSchedule one = of(-1, 100, i);
-            one.called(NOW);
-            tenths[(int) ((one.afterCall(NOW, false) - NOW) / (ListDeadline.REACHABLE_US / 2 / 10))]++;
+            CallSchedule schedule = schedule(-1, 100, i);
+            schedule.called(NOW_US);
+            tenths[
+                    (int) ((schedule.afterFailedCall(NOW_US, false) - NOW_US)
+                            / (ListDeadline.PROPAGATION_US / 2 / 10))]++;
         }
         for (int tenth : tenths) {
             assertTrue(tenth > 60 && tenth < 140, tenth + " of 1,000 in a tenth of the period");
         }
-        assertEquals(NOW, of(0, 1, 1).afterWatch(NOW, 0));
+        assertEquals(NOW_US, schedule(0, 1, 1).afterWatchLost(NOW_US, 0));
     }
 }
--- a/src/test/java/mulleinfront/EffectTableTest.java
+++ b/src/test/java/mulleinfront/EffectTableTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * No effect happens twice, as a table: how each attempt ended, how many there were, where in the window for repeats the
- * last one ended, and whom of its group the list still has. Each cell says what the module must do, and not only what
- * it must not.
+ * No effect happens twice, as a table over the outcome of each attempt, the number of attempts, the position of the
+ * last end within the deduplication window, and the endpoints that are still listed. Each cell states what the decision
+ * logic must do, not only what it must not do.
  */
 class EffectTableTest {
     private static final long WINDOW_US = 100_000;
-    private static final int MOST_ATTEMPTS = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
-    /** What the protocol's table says of each outcome; read off the page and not off the program. */
+    /** Whether a request may have been executed, by outcome, as the protocol states it; independent of the program. */
     private static final Map<Outcome, Boolean> MAY_HAVE_RUN = new EnumMap<>(Map.of(
             Outcome.FAILED,
             true,
@@ -43,39 +43,39 @@
             Outcome.IGNORED,
             false));
 
-    /** Time of the last end, from the first attempt that may have run. */
+    /** Time of the last end, counted from the first possibly executed attempt. */
     private enum Window {
         INSIDE(WINDOW_US - 1),
         AT_ITS_END(WINDOW_US),
         AFTER(WINDOW_US + 50_000);
 
-        final long at;
+        final long offsetUs;
 
-        Window(long at) {
-            this.at = at;
+        Window(long offsetUs) {
+            this.offsetUs = offsetUs;
         }
     }
 
-    /** Who is left when the last attempt ends; all that were tried stand in zone 0 and cell 0. */
-    private enum Left {
+    /** Endpoints that are listed when the last attempt ends; the ones tried before are in zone 0 and cell 0. */
+    private enum Listed {
         SAME(0, 0),
         SAME_ZONE(0, 1),
         SAME_CELL(1, 0),
         NEITHER(1, 1),
-        NOBODY(-1, -1);
+        NONE(-1, -1);
 
         final int zone;
         final int cell;
 
-        Left(int zone, int cell) {
+        Listed(int zone, int cell) {
             this.zone = zone;
             this.cell = cell;
         }
 
-        boolean inGroup(RequestClass type) {
-            return this != NOBODY
-                    && (type.effect() != Effect.DEDUP
-                            || switch (type.scope()) {
+        boolean inDedupGroup(RequestClass requestClass) {
+            return this != NONE
+                    && (requestClass.effect() != Effect.DEDUP
+                            || switch (requestClass.scope()) {
                                 case ALL -> true;
                                 case ZONE -> zone == 0;
                                 case CELL -> cell == 0;
@@ -83,21 +83,21 @@
         }
     }
 
-    private static RequestClass keyed(DedupScope scope) {
+    private static RequestClass dedup(DedupScope scope) {
         return new RequestClass("keyed " + scope, Effect.DEDUP, scope, WINDOW_US, 1, 0, 500_000, 0, 2_000_000);
     }
 
-    private static final List<RequestClass> TYPES =
-            List.of(Rig.SAFE, Rig.UNSAFE, keyed(DedupScope.ALL), keyed(DedupScope.ZONE), keyed(DedupScope.CELL));
+    private static final List<RequestClass> CLASSES =
+            List.of(Rig.RETRYABLE, Rig.FRAGILE, dedup(DedupScope.ALL), dedup(DedupScope.ZONE), dedup(DedupScope.CELL));
 
     private static List<List<Outcome>> histories() {
         List<List<Outcome>> all = new ArrayList<>(List.of(List.of()));
-        for (int from = 0, n = 0; n < MOST_ATTEMPTS; n++) {
+        for (int from = 0, length = 0; length < MAX_ATTEMPTS; length++) {
             int to = all.size();
             for (; from < to; from++) {
-                for (Outcome o : MAY_HAVE_RUN.keySet()) {
+                for (Outcome outcome : MAY_HAVE_RUN.keySet()) {
                     List<Outcome> longer = new ArrayList<>(all.get(from));
-                    longer.add(o);
+                    longer.add(outcome);
                     all.add(longer);
                 }
             }
@@ -105,8 +105,8 @@
         return all.subList(1, all.size());
     }
 
-    private static Rig rig(RequestClass type) {
-        Rig rig = new Rig(type);
+    private static Rig rig(RequestClass requestClass) {
+        Rig rig = new Rig(requestClass);
         List<Endpoint> first = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             first.add(new Endpoint("tried" + i, 0, 0, 0, Availability.READY, 1, 0));
@@ -115,111 +115,111 @@
         return rig;
     }
 
-    private static void only(Rig rig, Left left) {
+    private static void relist(Rig rig, Listed listed) {
         List<Endpoint> list = new ArrayList<>();
-        for (int i = 0; i < 4 && left != Left.NOBODY; i++) {
-            list.add(new Endpoint("left" + i, left.zone, left.cell, 0, Availability.READY, 1, 0));
+        for (int i = 0; i < 4 && listed != Listed.NONE; i++) {
+            list.add(new Endpoint("left" + i, listed.zone, listed.cell, 0, Availability.READY, 1, 0));
         }
         rig.balancer.onEndpoints(rig.now, Source.FULL, list);
     }
 
-    /** Whether a request of this history may go out again at this time to somebody of its group; and to whom it may. */
-    private static boolean mayGoAgain(RequestClass type, boolean mayHaveRun, Window window) {
+    /** Whether a request may be sent again at this time to an endpoint of its deduplication group. */
+    private static boolean mayRetry(RequestClass requestClass, boolean mayHaveRun, Window window) {
         return !mayHaveRun
-                || type.effect() == Effect.RETRYABLE
-                || type.effect() == Effect.DEDUP && window == Window.INSIDE;
+                || requestClass.effect() == Effect.RETRYABLE
+                || requestClass.effect() == Effect.DEDUP && window == Window.INSIDE;
     }
 
-    private static String lastWord(RequestClass type, boolean mayHaveRun) {
+    private static String finalAnswer(RequestClass requestClass, boolean mayHaveRun) {
         boolean harmless = !mayHaveRun
-                || type.effect() == Effect.RETRYABLE
-                || type.effect() == Effect.DEDUP && type.scope() == DedupScope.ALL;
+                || requestClass.effect() == Effect.RETRYABLE
+                || requestClass.effect() == Effect.DEDUP && requestClass.scope() == DedupScope.ALL;
         return harmless ? "refuse" : "fail";
     }
 
     @Test
     void everyCellOfTheTableHolds() {
         int cells = 0;
-        for (RequestClass type : TYPES) {
+        for (RequestClass requestClass : CLASSES) {
             for (List<Outcome> history : histories()) {
                 for (Window window : Window.values()) {
-                    for (Left left : Left.values()) {
-                        cells += cell(type, history, window, left) ? 1 : 0;
+                    for (Listed listed : Listed.values()) {
+                        cells += checkCell(requestClass, history, window, listed) ? 1 : 0;
                     }
                 }
             }
         }
-        assertTrue(cells > 15_000, "cells that can come about: " + cells);
+        assertTrue(cells > 15_000, "cells that can occur: " + cells);
     }
 
-    /** Plays one cell; false if it can't come about, since an earlier attempt was the last. */
-    private static boolean cell(RequestClass type, List<Outcome> history, Window window, Left left) {
-        String what = type.name() + " " + history + " " + window + ", left " + left;
-        Rig rig = rig(type);
+    /** Checks one cell; false if the cell cannot occur since an earlier attempt had to be the last. */
+    private static boolean checkCell(RequestClass requestClass, List<Outcome> history, Window window, Listed listed) {
+        String description = requestClass.name() + " " + history + " " + window + ", left " + listed;
+        Rig rig = rig(requestClass);
         String id = rig.request(0, null, 1_000_000);
-        long boundAt = -1;
+        long pinnedAt = -1;
         for (int i = 0; i < history.size(); i++) {
-            assertEquals(i + 1, rig.attempts(id), what);
-            Outcome o = history.get(i);
-            boundAt = boundAt < 0 && MAY_HAVE_RUN.get(o) ? rig.now : boundAt;
+            assertEquals(i + 1, rig.attempts(id), description);
+            Outcome outcome = history.get(i);
+            pinnedAt = pinnedAt < 0 && MAY_HAVE_RUN.get(outcome) ? rig.now : pinnedAt;
             if (i < history.size() - 1) {
                 rig.now += 1_000;
-                rig.end(id, o, 1_000);
-                if (!mayGoAgain(type, boundAt >= 0, Window.INSIDE)) {
-                    assertEquals("fail", rig.finals.get(id), what);
+                rig.endAttempt(id, outcome, 1_000);
+                if (!mayRetry(requestClass, pinnedAt >= 0, Window.INSIDE)) {
+                    assertEquals("fail", rig.finalAnswers.get(id), description);
                     return false;
                 }
             }
         }
         int attempts = history.size();
-        boolean mayHaveRun = boundAt >= 0;
-        only(rig, left);
+        boolean mayHaveRun = pinnedAt >= 0;
+        relist(rig, listed);
         long before = rig.now;
-        rig.now = Math.max(before, (mayHaveRun ? boundAt : before) + window.at);
-        rig.end(id, history.get(attempts - 1), rig.now - before);
-        // A group binds only what may have run: who has surely not run may go anywhere.
-        boolean somebody = mayHaveRun ? left.inGroup(type) : left != Left.NOBODY;
-        boolean again = attempts < MOST_ATTEMPTS && somebody && mayGoAgain(type, mayHaveRun, window);
-        if (again) {
-            assertEquals(attempts + 1, rig.attempts(id), what);
-            assertTrue(rig.at(id).startsWith("left"), what);
-            assertEquals(null, rig.finals.get(id), what);
+        rig.now = Math.max(before, (mayHaveRun ? pinnedAt : before) + window.offsetUs);
+        rig.endAttempt(id, history.get(attempts - 1), rig.now - before);
+        // The group restricts only requests that may have been executed; others may go to any endpoint.
+        boolean hasEndpoint = mayHaveRun ? listed.inDedupGroup(requestClass) : listed != Listed.NONE;
+        boolean retried = attempts < MAX_ATTEMPTS && hasEndpoint && mayRetry(requestClass, mayHaveRun, window);
+        if (retried) {
+            assertEquals(attempts + 1, rig.attempts(id), description);
+            assertTrue(rig.endpointOf(id).startsWith("left"), description);
+            assertEquals(null, rig.finalAnswers.get(id), description);
         } else {
-            assertEquals(attempts, rig.attempts(id), what);
-            assertEquals(lastWord(type, mayHaveRun), rig.finals.get(id), what);
+            assertEquals(attempts, rig.attempts(id), description);
+            assertEquals(finalAnswer(requestClass, mayHaveRun), rig.finalAnswers.get(id), description);
         }
-        // Whatever comes late changes nothing, and nothing more goes out.
-        int sent = rig.log.size();
-        if (!again) {
+        // Late events change nothing, and nothing more is sent.
+        int logged = rig.log.size();
+        if (!retried) {
             rig.balancer.onAttemptEnded(rig.now, new Balancer.AttemptEnd(id, attempts - 1, Outcome.FAILED, true, 0));
-            rig.pass(3_000_000);
+            rig.advance(3_000_000);
             assertEquals(
                     Set.of(),
-                    Set.copyOf(rig.log.subList(sent, rig.log.size()).stream()
-                            .filter(l -> l.contains(id))
+                    Set.copyOf(rig.log.subList(logged, rig.log.size()).stream()
+                            .filter(line -> line.contains(id))
                             .toList()),
-                    what);
+                    description);
         }
         return true;
     }
 
     @Test
-    void whatIsServedGoesNowhereAgain() {
-        for (RequestClass type : TYPES) {
-            Rig rig = rig(type);
+    void servedRequestsAreNotSentAgain() {
+        for (RequestClass requestClass : CLASSES) {
+            Rig rig = rig(requestClass);
             String id = rig.request(0, null, 1_000_000);
             rig.now += 1_000;
-            rig.end(id, Outcome.OK, 1_000);
-            rig.pass(3_000_000);
-            assertEquals(1, rig.attempts(id), type.name());
-            assertEquals(null, rig.finals.get(id), type.name());
+            rig.endAttempt(id, Outcome.OK, 1_000);
+            rig.advance(3_000_000);
+            assertEquals(1, rig.attempts(id), requestClass.name());
+            assertEquals(null, rig.finalAnswers.get(id), requestClass.name());
         }
     }
 
     @Test
-    void theTableNamesEveryOutcome() {
-        for (Outcome o : Outcome.values()) {
-            assertTrue(o == Outcome.OK || MAY_HAVE_RUN.containsKey(o), o.name());
+    void theTableHasEveryOutcome() {
+        for (Outcome outcome : Outcome.values()) {
+            assertTrue(outcome == Outcome.OK || MAY_HAVE_RUN.containsKey(outcome), outcome.name());
         }
     }
 }
--- /dev/null
+++ b/src/test/java/mulleinfront/ExpiredListTest.java
@@ -0,0 +1,99 @@
+package mulleinfront;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import mulleinfront.Balancer.ListExpiryReason;
+import mulleinfront.Balancer.Outcome;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Requests while the current list has expired. */
+class ExpiredListTest {
+    private static final int RETRYABLE = 0;
+    private static final int FRAGILE = 1;
+    private static final long BUDGET_US = 1_000_000;
+
+    private final Rig rig = new Rig(Rig.settings(true, Rig.RETRYABLE, Rig.FRAGILE));
+
+    @BeforeEach
+    void openWatch() {
+        rig.endpoints(4);
+        rig.advance(10_000_000);
+    }
+
+    private void letTheListExpire() {
+        rig.balancer.onWatchEnded(rig.now);
+        rig.advance(ListDeadline.WATCH_ENDED_US + 1_000);
+    }
+
+    @Test
+    void requestsAreQueuedUntilTheListIsRenewed() {
+        rig.balancer.onWatchEnded(rig.now);
+        rig.advance(ListDeadline.WATCH_ENDED_US - 1_000);
+        assertNotNull(rig.endpointOf(rig.request(RETRYABLE, "before", BUDGET_US)), "sent while the list is valid");
+        rig.advance(2_000);
+        String queued = rig.request(RETRYABLE, "after", BUDGET_US);
+        assertNull(rig.endpointOf(queued));
+        assertNull(rig.finalAnswers.get(queued));
+        rig.advance(100_000);
+        rig.endpoints(4);
+        assertNotNull(rig.endpointOf(queued), "sent by the new list");
+    }
+
+    /** A request without an attempt may be refused whatever its effect, before half of its budget is used up. */
+    @Test
+    void queuedRequestsAreRefusedInTime() {
+        letTheListExpire();
+        String retryable = rig.request(RETRYABLE, "a", BUDGET_US);
+        String fragile = rig.request(FRAGILE, "b", BUDGET_US);
+        rig.advance(BUDGET_US / 2);
+        assertEquals("refuse", rig.finalAnswers.get(retryable));
+        assertEquals("refuse", rig.finalAnswers.get(fragile));
+        assertEquals(0, rig.attempts(retryable) + rig.attempts(fragile));
+    }
+
+    @Test
+    void retriesAreNotSent() {
+        rig.balancer.onWatchEnded(rig.now);
+        rig.advance(ListDeadline.WATCH_ENDED_US - 1_000);
+        String id = rig.request(RETRYABLE, "a", BUDGET_US);
+        rig.advance(5_000);
+        rig.endAttempt(id, Outcome.CONNECT_ERROR, 5_000);
+        rig.advance(BUDGET_US);
+        assertEquals(1, rig.attempts(id));
+        assertEquals("refuse", rig.finalAnswers.get(id));
+    }
+
+    @Test
+    void expiryIsReportedOnceWithItsReason() {
+        letTheListExpire();
+        rig.advance(500_000);
+        assertEquals(
+                1,
+                rig.log.stream().filter(line -> line.startsWith("list-overdue")).count());
+        assertTrue(rig.log.contains("list-overdue " + ListExpiryReason.WATCH_ENDED));
+    }
+
+    /** While discovery is unreachable it cannot deliver changes, and clients are served by the current list. */
+    @Test
+    void listDoesNotExpireWhileDiscoveryIsUnreachable() {
+        rig.balancer.onWatchEnded(rig.now);
+        for (int i = 0; i < 20; i++) {
+            rig.advance(1_000_000);
+            rig.balancer.onDiscoveryUnreachable(rig.now);
+            assertNotNull(rig.serve(RETRYABLE, "k" + i));
+        }
+    }
+
+    @Test
+    void movedDeadlineCountsFromTheRequestOfTheMove() {
+        rig.balancer.onDiscoveryMoved(rig.now, 500_000);
+        rig.advance(ListDeadline.MOVED_US - 501_000);
+        assertNotNull(rig.endpointOf(rig.request(RETRYABLE, "before", BUDGET_US)));
+        rig.advance(2_000);
+        assertNull(rig.endpointOf(rig.request(RETRYABLE, "after", BUDGET_US)));
+    }
+}
--- a/src/test/java/mulleinfront/FleetTest.java
+++ b/src/test/java/mulleinfront/FleetTest.java
@@ -18,46 +18,46 @@
 import mulleinfront.Balancer.Source;
 import org.junit.jupiter.api.Test;
 
-/** What goes wrong only where hundreds of instances each send little. */
+/** Failures that occur only where each of hundreds of instances sends little. */
 class FleetTest {
-    private static final RequestClass DEAR =
+    private static final RequestClass VALUABLE =
             new RequestClass("dear", Effect.RETRYABLE, null, 0, 10, 0, 500_000, 0, 2_000_000);
 
-    /** Every request of the instance is lost, whichever endpoint it went to. */
-    private static void collapse(Rig rig, int requests) {
+    /** Sends requests that are all lost, whichever endpoint they go to. */
+    private static void loseRequests(Rig rig, int requests) {
         for (int i = 0; i < requests; i++) {
             String id = rig.request(0, "lost" + i, 2_000_000);
-            while (rig.finals.get(id) == null && rig.at(id) != null) {
-                rig.pass(400_000);
-                rig.end(id, Outcome.TIMED_OUT, 400_000);
+            while (rig.finalAnswers.get(id) == null && rig.endpointOf(id) != null) {
+                rig.advance(400_000);
+                rig.endAttempt(id, Outcome.TIMED_OUT, 400_000);
             }
-            rig.pass(100_000);
+            rig.advance(100_000);
         }
     }
 
     @Test
-    void manyInstancesThatEachSendLittleDoNotFloodAColdEndpoint() {
+    void manyInstancesDoNotOverloadAColdEndpoint() {
         int instances = 500;
         int toCold = 0;
         int all = 0;
         for (int i = 0; i < instances; i++) {
-            Rig rig = new Rig(Rig.oneOfMany(false, Rig.SAFE), i).endpoints(9);
-            rig.starts("cold");
+            Rig rig = new Rig(Rig.oneOfMany(false, Rig.RETRYABLE), i).endpoints(9);
+            rig.startEndpoint("cold");
             for (int k = 0; k < 3; k++) {
                 toCold += rig.serve(0, "key" + (7 * i + k) % 400).equals("cold") ? 1 : 0;
                 all++;
             }
         }
-        // It has a fifth of its capacity: 0.2 of 9.2 is 33 of 1500; one each would be 150.
-        double part = 0.2 / 9.2 * all;
-        assertTrue(toCold > 0 && toCold < 1.3 * part, toCold + " to the cold one, its part is " + part);
+        // The cold endpoint has a fifth of its capacity: 0.2 of 9.2 is 33 of 1500 requests; warm, it would take 150.
+        double share = 0.2 / 9.2 * all;
+        assertTrue(toCold > 0 && toCold < 1.3 * share, toCold + " sent to the cold endpoint, its share is " + share);
     }
 
     @Test
-    void aColdEndpointThatWasEjectedGetsNoTrialBeyondItsCredit() {
+    void coldEndpointIsSentNoMoreThanItsTokens() {
         int sent = 0;
         for (int i = 0; i < 200; i++) {
-            Rig rig = new Rig(Rig.oneOfMany(false, Rig.SAFE), i);
+            Rig rig = new Rig(Rig.oneOfMany(false, Rig.RETRYABLE), i);
             rig.balancer.onEndpoints(
                     rig.now,
                     Source.FULL,
@@ -70,115 +70,118 @@
     }
 
     @Test
-    void underStrainAKeyAskedForTooOftenSpillsInExpectation() {
-        Rig rig = new Rig(Rig.oneOfMany(false, Rig.SAFE)).endpoints(20);
-        collapse(rig, 8);
-        rig.pass(20_000_000);
+    void hotKeySpillsUnderOverload() {
+        Rig rig = new Rig(Rig.oneOfMany(false, Rig.RETRYABLE)).endpoints(20);
+        loseRequests(rig, 8);
+        rig.advance(20_000_000);
         Set<String> owners = new HashSet<>();
         for (int i = 0; i < 60; i++) {
             String id = rig.request(0, "hot", 2_000_000);
-            if (rig.at(id) != null) {
-                owners.add(rig.at(id));
-                rig.pass(20_000);
-                rig.end(id, i % 6 == 0 ? Outcome.TIMED_OUT : Outcome.OK, i % 6 == 0 ? 450_000 : 20_000);
+            if (rig.endpointOf(id) != null) {
+                owners.add(rig.endpointOf(id));
+                rig.advance(20_000);
+                rig.endAttempt(id, i % 6 == 0 ? Outcome.TIMED_OUT : Outcome.OK, i % 6 == 0 ? 450_000 : 20_000);
             }
-            rig.pass(200_000);
+            rig.advance(200_000);
         }
         assertTrue(owners.size() >= 2, "hot key on " + owners);
     }
 
     @Test
-    void withoutStrainAKeyStaysHowOftenItIsAskedFor() {
-        Rig rig = new Rig(Rig.oneOfMany(true, Rig.SAFE)).endpoints(20);
+    void hotKeyStaysWithItsOwnerWithoutOverload() {
+        Rig rig = new Rig(Rig.oneOfMany(true, Rig.RETRYABLE)).endpoints(20);
         Set<String> owners = new HashSet<>();
         for (int i = 0; i < 200; i++) {
             owners.add(rig.serve(0, "hot"));
-            rig.pass(100_000);
+            rig.advance(100_000);
         }
         assertEquals(1, owners.size());
-        assertTrue(rig.probes.isEmpty(), "no strain, no probe");
+        assertTrue(rig.probes.isEmpty(), "no overload, no probe");
     }
 
     @Test
-    void whenAllEndpointsLoseWorkOnlyAShareIsAdmittedAndTheWorthiestFirst() {
-        Rig rig = new Rig(Rig.oneOfMany(false, Rig.SAFE, DEAR)).endpoints(4);
-        collapse(rig, 30);
+    void fleetWideLossAdmitsAShareByPriority() {
+        Rig rig = new Rig(Rig.oneOfMany(false, Rig.RETRYABLE, VALUABLE)).endpoints(4);
+        loseRequests(rig, 30);
         int cheap = 0;
-        int dear = 0;
+        int valuable = 0;
         for (int i = 0; i < 40; i++) {
-            String c = rig.request(0, "c" + i, 2_000_000);
-            String d = rig.request(1, "d" + i, 2_000_000);
-            cheap += rig.at(c) == null ? 0 : 1;
-            dear += rig.at(d) == null ? 0 : 1;
-            rig.pass(400_000);
-            for (String id : List.of(c, d)) {
-                if (rig.at(id) != null && rig.finals.get(id) == null) {
-                    rig.end(id, Outcome.TIMED_OUT, 400_000);
+            String cheapId = rig.request(0, "c" + i, 2_000_000);
+            String valuableId = rig.request(1, "d" + i, 2_000_000);
+            cheap += rig.endpointOf(cheapId) == null ? 0 : 1;
+            valuable += rig.endpointOf(valuableId) == null ? 0 : 1;
+            rig.advance(400_000);
+            for (String id : List.of(cheapId, valuableId)) {
+                if (rig.endpointOf(id) != null && rig.finalAnswers.get(id) == null) {
+                    rig.endAttempt(id, Outcome.TIMED_OUT, 400_000);
                 }
             }
         }
-        assertTrue(cheap < 10 && dear > cheap, "admitted " + cheap + " cheap, " + dear + " dear");
-        // It ends with its cause: good answers open it again.
+        assertTrue(cheap < 10 && valuable > cheap, "admitted " + cheap + " cheap, " + valuable + " dear");
+        // Admission recovers with its cause: timely responses raise the admitted share.
         int served = 0;
         for (int i = 0; i < 400; i++) {
             String id = rig.request(0, "good" + i, 2_000_000);
-            if (rig.at(id) != null) {
-                rig.pass(20_000);
-                rig.end(id, Outcome.OK, 20_000);
+            if (rig.endpointOf(id) != null) {
+                rig.advance(20_000);
+                rig.endAttempt(id, Outcome.OK, 20_000);
                 served = i >= 300 ? served + 1 : served;
             }
-            rig.pass(300_000);
+            rig.advance(300_000);
         }
-        assertTrue(served > 90, "of the last hundred only " + served);
+        assertTrue(served > 90, "served of the last hundred: " + served);
     }
 
     @Test
-    void underStrainAnEndpointIsProbedFirstAndPassedOverIfSlow() {
-        Rig rig = new Rig(Rig.oneOfMany(true, Rig.SAFE)).endpoints(5);
+    void endpointWithASlowProbeIsPassedOverUnderOverload() {
+        Rig rig = new Rig(Rig.oneOfMany(true, Rig.RETRYABLE)).endpoints(5);
         for (int i = 0; rig.probes.isEmpty() && i < 40; i++) {
             String id = rig.request(0, "k" + i, 2_000_000);
-            if (rig.at(id) != null) {
-                rig.pass(450_000);
-                rig.end(id, Outcome.TIMED_OUT, 450_000);
+            if (rig.endpointOf(id) != null) {
+                rig.advance(450_000);
+                rig.endAttempt(id, Outcome.TIMED_OUT, 450_000);
             }
         }
         assertEquals(1, rig.probes.size());
         String slow = rig.probes.get(0);
         int before = rig.log.size();
-        rig.pass(300_000);
+        rig.advance(300_000);
         List<String> after = rig.log.subList(before, rig.log.size());
         assertTrue(
-                after.stream().anyMatch(l -> l.startsWith("probe") || l.startsWith("send") || l.startsWith("refuse")),
-                "waits for a probe that does not come: " + after);
-        assertTrue(after.stream().noneMatch(l -> l.contains("send") && l.contains(" " + slow + " ")), "" + after);
+                after.stream()
+                        .anyMatch(line ->
+                                line.startsWith("probe") || line.startsWith("send") || line.startsWith("refuse")),
+                "waits for a probe result that does not arrive: " + after);
+        assertTrue(
+                after.stream().noneMatch(line -> line.contains("send") && line.contains(" " + slow + " ")), "" + after);
     }
 
     @Test
-    void anOwnPauseIsNobodysSilence() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(3);
+    void ownStallDoesNotMakeEndpointsUnresponsive() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(3);
         String id = rig.request(0, "k", 2_000_000);
-        String owner = rig.at(id);
+        String owner = rig.endpointOf(id);
         rig.now += 1_200_000;
         rig.balancer.onTimer(rig.now);
-        assertEquals(List.of("send " + id + " " + owner + " " + rig.timeout), rig.log);
-        rig.end(id, Outcome.OK, 1_200_000);
+        assertEquals(List.of("send " + id + " " + owner + " " + rig.lastTimeoutUs), rig.log);
+        rig.endAttempt(id, Outcome.OK, 1_200_000);
         for (int i = 0; i < 3; i++) {
-            assertEquals(owner, rig.serve(0, "k"), "the owner keeps its key after our own pause");
+            assertEquals(owner, rig.serve(0, "k"), "the owner keeps its key after a pause of this process");
         }
     }
 
     @Test
-    void aFirstErrorAfterALongPauseStillGetsItsFinalAnswer() {
-        Rig rig = new Rig(Rig.UNSAFE).endpoints(3);
+    void firstErrorAfterAStallGetsAFinalAnswer() {
+        Rig rig = new Rig(Rig.FRAGILE).endpoints(3);
         String id = rig.request(0, "k", 2_000_000);
         rig.now += 3_000_000;
-        rig.end(id, Outcome.TIMED_OUT, 500_000);
-        assertEquals("fail", rig.finals.get(id));
+        rig.endAttempt(id, Outcome.TIMED_OUT, 500_000);
+        assertEquals("fail", rig.finalAnswers.get(id));
     }
 
     @Test
-    void oneLargeBudgetDoesNotMarkLaterTriesForGood() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(3);
+    void oneLargeBudgetDoesNotMarkLaterTriesAsRepeats() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(3);
         rig.request(0, "k", 1_900_000);
         for (int i = 0; i < 2_000; i++) {
             rig.balancer.onRequest(rig.now, new Request("x" + i, 0, "k" + i, 1_000_000, 0, 0, false));
@@ -186,55 +189,55 @@
         }
         rig.balancer.onEndpoints(rig.now, Source.FULL, List.of());
         String id = rig.request(0, "k", 1_000_000);
-        rig.pass(100_000);
-        assertNull(rig.finals.get(id), "held as a first try, not as a repeat");
+        rig.advance(100_000);
+        assertNull(rig.finalAnswers.get(id), "queued as a first try, not as a repeat");
     }
 
     @Test
-    void thousandsOfRequestsAtOnceEachGetOneTimelyAnswer() {
-        Rig rig = new Rig(Rig.oneOfMany(true, Rig.SAFE)).endpoints(3);
+    void thousandsOfConcurrentRequestsEachGetOneTimelyAnswer() {
+        Rig rig = new Rig(Rig.oneOfMany(true, Rig.RETRYABLE)).endpoints(3);
         for (int i = 0; i < 5_000; i++) {
             rig.request(0, "k" + i % 50, i % 7 == 0 ? 0 : 400_000);
         }
-        rig.pass(400_000);
+        rig.advance(400_000);
         for (int i = 0; i < 5_000; i++) {
             String id = "r" + i;
-            if (rig.finals.get(id) == null) {
-                assertEquals(1, rig.attempts(id), "neither answered nor out: " + id);
-                rig.end(id, Outcome.TIMED_OUT, 400_000);
-                assertTrue(rig.finals.get(id) != null, "lost " + id);
+            if (rig.finalAnswers.get(id) == null) {
+                assertEquals(1, rig.attempts(id), "neither answered nor outstanding: " + id);
+                rig.endAttempt(id, Outcome.TIMED_OUT, 400_000);
+                assertTrue(rig.finalAnswers.get(id) != null, "lost " + id);
             }
         }
     }
 
     @Test
-    void timeThatJumpsBetweenTwoEventsLosesNothing() {
-        Rig rig = new Rig(Rig.SAFE);
-        String held = rig.request(0, "k", 5_000_000);
+    void timeJumpLosesNoRequest() {
+        Rig rig = new Rig(Rig.RETRYABLE);
+        String queued = rig.request(0, "k", 5_000_000);
         rig.now += 4_000_000;
         rig.balancer.onTimer(rig.now);
-        assertEquals("refuse", rig.finals.get(held));
+        assertEquals("refuse", rig.finalAnswers.get(queued));
         rig.balancer.onProbeEnded(rig.now, "never-listed", Outcome.OK, 1);
         rig.balancer.onEndpoints(rig.now, Source.FULL, List.of());
     }
 
     @Test
-    void clientsThatLeaveEarlyTellNothingOfTheEndpoint() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(3);
+    void abandonedRequestsDoNotAffectTheEndpoint() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(3);
         String owner = rig.serve(0, "k");
         for (int i = 0; i < 20; i++) {
             String id = rig.request(0, "k", 130_000);
-            assertEquals(owner, rig.at(id));
-            rig.pass(130_000);
+            assertEquals(owner, rig.endpointOf(id));
+            rig.advance(130_000);
             rig.balancer.onRequestAbandoned(rig.now, id);
-            rig.end(id, Outcome.CANCELED, 130_000);
+            rig.endAttempt(id, Outcome.CANCELED, 130_000);
         }
         assertEquals(owner, rig.serve(0, "k"));
     }
 
     @Test
-    void aKindOfMachineThatIsSlowTakesLessUnderStrain() {
-        Rig rig = new Rig(Rig.oneOfMany(false, Rig.SAFE));
+    void slowServerTypeTakesLessUnderOverload() {
+        Rig rig = new Rig(Rig.oneOfMany(false, Rig.RETRYABLE));
         List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             list.add(new Endpoint("e" + i, 0, 0, i % 2, Availability.READY, 1, 0));
@@ -243,30 +246,31 @@
         int[] sent = new int[2];
         for (int i = 0; i < 1_500; i++) {
             String id = rig.request(0, "k" + i % 300, 2_000_000);
-            if (rig.at(id) != null) {
-                int kind = Integer.parseInt(rig.at(id).substring(1)) % 2;
+            if (rig.endpointOf(id) != null) {
+                int kind = Integer.parseInt(rig.endpointOf(id).substring(1)) % 2;
                 sent[kind] += i < 500 ? 0 : 1;
-                long lag = kind == 0 ? 20_000 : 180_000;
-                rig.pass(lag);
-                rig.end(id, Outcome.OK, lag);
+                long latencyUs = kind == 0 ? 20_000 : 180_000;
+                rig.advance(latencyUs);
+                rig.endAttempt(id, Outcome.OK, latencyUs);
             }
-            rig.pass(50_000);
+            rig.advance(50_000);
         }
         assertTrue(sent[0] > sent[1], sent[0] + " to the fast kind, " + sent[1] + " to the slow");
     }
 
     @Test
-    void endpointsAndRequestsThatWentLeaveNothingBehind() throws Exception {
-        Rig rig = new Rig(Rig.SAFE);
+    void removedEndpointsAndRequestsAreNotRetained() throws Exception {
+        Rig rig = new Rig(Rig.RETRYABLE);
         for (int i = 0; i < 3_000; i++) {
             rig.balancer.onEndpoints(rig.now, Source.FULL, List.of(Rig.ready(i), Rig.ready(i + 1)));
             rig.serve(0, "k" + i);
         }
-        for (String field : List.of("nodes", "open", "ended", "held", "probing", "listed")) {
-            java.lang.reflect.Field f = Logic.class.getDeclaredField(field);
-            f.setAccessible(true);
-            Object kept = f.get(rig.balancer);
-            int size = kept instanceof java.util.Map<?, ?> m ? m.size() : ((java.util.Collection<?>) kept).size();
+        for (String field :
+                List.of("endpoints", "openRequests", "endedRequests", "queued", "awaitingProbe", "listed")) {
+            java.lang.reflect.Field reflected = Logic.class.getDeclaredField(field);
+            reflected.setAccessible(true);
+            Object value = reflected.get(rig.balancer);
+            int size = value instanceof java.util.Map<?, ?> map ? map.size() : ((java.util.Collection<?>) value).size();
             assertTrue(size <= 3, field + " keeps " + size);
         }
         assertNotEquals(0, rig.sends.size());
--- a/src/test/java/mulleinfront/LayersTest.java
+++ b/src/test/java/mulleinfront/LayersTest.java
@@ -13,26 +13,27 @@
 import com.tngtech.archunit.lang.ArchRule;
 import org.junit.jupiter.api.Test;
 
-/** The layers, each importing only downward: module, core, wires, emulator, command line. */
+/** Layers depend only on lower ones: decision logic, core, transports, emulator, command line. */
 class LayersTest {
     private static final JavaClasses MAIN = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("mulleinfront");
 
-    /** The module: the root package without the command line's entry, which is put there by the platform. */
-    private static final DescribedPredicate<JavaClass> MODULE = DescribedPredicate.describe(
-            "the module",
-            c -> c.getPackageName().equals("mulleinfront") && !c.getFullName().startsWith("mulleinfront.Main"));
+    /** The decision logic: the root package without the entry point, whose place the platform prescribes. */
+    private static final DescribedPredicate<JavaClass> DECISIONS = DescribedPredicate.describe(
+            "the decision logic",
+            type -> type.getPackageName().equals("mulleinfront")
+                    && !type.getFullName().startsWith("mulleinfront.Main"));
 
     private static ArchRule only(String layer, String... allowed) {
         return classes()
                 .that()
                 .resideInAPackage(layer)
                 .should()
-                .onlyDependOnClassesThat(MODULE.or(JavaClass.Predicates.resideInAnyPackage(allowed)));
+                .onlyDependOnClassesThat(DECISIONS.or(JavaClass.Predicates.resideInAnyPackage(allowed)));
     }
 
-    /** No I/O, thread or system clock, by packages and by the classes that lie in {@code java.lang}. */
+    /** No I/O, threads or system clock: neither their packages nor the classes for them in {@code java.lang}. */
     private static ArchRule withoutIo(DescribedPredicate<JavaClass> layer) {
         return noClasses()
                 .that(layer)
@@ -46,37 +47,37 @@
                                 "io.netty..")
                         .or(DescribedPredicate.describe(
                                 "threads or time",
-                                c -> c.isEquivalentTo(System.class)
-                                        || c.isEquivalentTo(Thread.class)
-                                        || c.isEquivalentTo(ProcessHandle.class)
-                                        || c.isEquivalentTo(Runtime.class)
-                                        || c.isEquivalentTo(java.util.Timer.class))));
+                                type -> type.isEquivalentTo(System.class)
+                                        || type.isEquivalentTo(Thread.class)
+                                        || type.isEquivalentTo(ProcessHandle.class)
+                                        || type.isEquivalentTo(Runtime.class)
+                                        || type.isEquivalentTo(java.util.Timer.class))));
     }
 
     @Test
-    void theModuleKnowsNothingButItself() {
+    void decisionsDependOnNothingElse() {
         classes()
-                .that(MODULE)
+                .that(DECISIONS)
                 .should()
-                .onlyDependOnClassesThat(MODULE.or(JavaClass.Predicates.resideInAnyPackage(
+                .onlyDependOnClassesThat(DECISIONS.or(JavaClass.Predicates.resideInAnyPackage(
                         "java.lang..",
                         "java.util",
                         "java.util.function",
                         "java.util.stream",
                         "com.dynatrace.hash4j..")))
                 .check(MAIN);
-        withoutIo(MODULE).check(MAIN);
+        withoutIo(DECISIONS).check(MAIN);
     }
 
     @Test
-    void theCoreKnowsTheModuleAndNoIo() {
+    void coreDependsOnDecisionsWithoutIo() {
         only("mulleinfront.core", "mulleinfront.core", "java.lang..", "java.util", "java.util.function")
                 .check(MAIN);
         withoutIo(JavaClass.Predicates.resideInAPackage("mulleinfront.core")).check(MAIN);
     }
 
     @Test
-    void theFleetKnowsItselfAndNoIo() {
+    void fleetDependsOnNothingElseWithoutIo() {
         only(
                         "mulleinfront.fleet",
                         "mulleinfront.fleet",
@@ -102,14 +103,14 @@
                                 "io.netty..")
                         .or(DescribedPredicate.describe(
                                 "threads, time or the rest of the program",
-                                c -> c.isEquivalentTo(System.class)
-                                        || c.isEquivalentTo(Thread.class)
-                                        || c.getPackageName().startsWith("mulleinfront.core"))))
+                                type -> type.isEquivalentTo(System.class)
+                                        || type.isEquivalentTo(Thread.class)
+                                        || type.getPackageName().startsWith("mulleinfront.core"))))
                 .check(MAIN);
     }
 
     @Test
-    void theConfigurationKnowsItselfAndNoIo() {
+    void configDependsOnNothingElseWithoutIo() {
         classes()
                 .that()
                 .resideInAPackage("mulleinfront.config")
@@ -126,7 +127,7 @@
     }
 
     @Test
-    void theFleetsWireKnowsNoClientsAndNoHosts() {
+    void gossipDoesNotDependOnClientOrEndpointTransport() {
         noClasses()
                 .that()
                 .resideInAPackage("mulleinfront.gossip..")
@@ -140,7 +141,7 @@
                         "mulleinfront.cli..",
                         "io.netty.handler.codec.http..")
                 .check(MAIN);
-        // The one class that reads event logs into the program is the kit's; who writes them is loaded alone.
+        // Event logs are read by the kit; the logging library that writes them is used by the gossip transport alone.
         noClasses()
                 .that()
                 .resideOutsideOfPackage("mulleinfront.gossip..")
@@ -151,7 +152,7 @@
     }
 
     @Test
-    void whatReadsSettingsKnowsNobodyThatIsSet() {
+    void settingsDoNotDependOnTheirUsers() {
         only(
                         "mulleinfront.settings",
                         "mulleinfront.settings",
@@ -172,7 +173,7 @@
     }
 
     @Test
-    void theOperatorsDoorKnowsNothingOfTheClientsWire() {
+    void managementDoesNotDependOnClientTransport() {
         noClasses()
                 .that()
                 .resideInAPackage("mulleinfront.manage..")
@@ -189,7 +190,7 @@
     }
 
     @Test
-    void theEntryHoldsOnlyTheStart() {
+    void mainDependsOnEntryPointsOnly() {
         classes()
                 .that()
                 .haveFullyQualifiedName("mulleinfront.Main")
@@ -206,7 +207,7 @@
     }
 
     @Test
-    void theEmulatorStandsOnTheCoreAndNoWire() {
+    void emulatorDoesNotDependOnTransports() {
         noClasses()
                 .that()
                 .resideInAPackage("mulleinfront.emulator..")
@@ -223,7 +224,7 @@
     }
 
     @Test
-    void nothingBelowTheCommandLineKnowsIt() {
+    void lowerLayersDoNotDependOnTheCommandLine() {
         noClasses()
                 .that()
                 .resideInAnyPackage("mulleinfront.core..", "mulleinfront.proxy..", "mulleinfront.benchlink..")
@@ -234,7 +235,7 @@
     }
 
     @Test
-    void theKitStandsOnTheEmulatorAndOnlyTheCommandLineOnIt() {
+    void onlyTheCommandLineDependsOnTheKit() {
         noClasses()
                 .that()
                 .resideInAPackage("mulleinfront.kit..")
@@ -257,7 +258,7 @@
     }
 
     @Test
-    void onlyTheKeepersKnowTheConsensusLibraryAndOnlyTheCommandLineThem() {
+    void onlyReplicasDependOnTheConsensusLibrary() {
         only(
                         "mulleinfront.keep",
                         "mulleinfront.keep",
@@ -281,7 +282,7 @@
                 .dependOnClassesThat()
                 .resideInAPackage("mulleinfront.keep")
                 .check(MAIN);
-        // The state machine is without I/O: what it keeps is written and read by the codec alone.
+        // The state machine has no I/O: its state is written and read by the codec alone.
         noClasses()
                 .that()
                 .haveSimpleName("Register")
@@ -299,7 +300,7 @@
     }
 
     @Test
-    void capacityIsArithmeticAndKnowsItselfOnly() {
+    void capacityDependsOnNothingElseWithoutIo() {
         classes()
                 .that()
                 .resideInAPackage("mulleinfront.capacity")
@@ -317,8 +318,8 @@
     }
 
     @Test
-    void theseChecksCanFail() {
-        // The socket wire does what the core may not: the same rules on it must find that.
+    void layerRulesDetectViolations() {
+        // The socket transport does what the core must not do, so the same rules must fail for it.
         ArchRule wrong = only("mulleinfront.proxy", "mulleinfront.core", "mulleinfront.proxy", "java..");
         AssertionError found = assertThrows(AssertionError.class, () -> wrong.check(MAIN));
         assertTrue(found.getMessage().contains("io.netty"), found.getMessage());
--- a/src/test/java/mulleinfront/ListDeadlineTest.java
+++ b/src/test/java/mulleinfront/ListDeadlineTest.java
@@ -6,145 +6,151 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Until when an instance may send by the list that it holds, whatever becomes of its calls. */
+/** The time until which an instance may send by its current list, whatever becomes of its discovery calls. */
 class ListDeadlineTest {
-    private static final long S = 1_000_000;
-    private static final long LOST = 100 * S;
+    private static final long SECOND_US = 1_000_000;
+    private static final long LOST_AT_US = 100 * SECOND_US;
 
-    private final ListDeadline deadline = new ListDeadline(10 * S, 0);
+    private final ListDeadline deadline = new ListDeadline(10 * SECOND_US, 0);
 
     @BeforeEach
-    void watches() {
-        deadline.called(S);
+    void openWatch() {
+        deadline.called(SECOND_US);
         deadline.renewed();
     }
 
-    /** Incident 2: a call that was out, or had failed, put off what counts from the end of the watch. */
+    /** Guards against a call in progress, or a failed one, that postpones the deadline set by the end of the watch. */
     @Test
-    void theEndOfAWatchCountsWhateverCallsAreOutOrFailed() {
-        deadline.ended(LOST);
-        assertEquals(LOST + ListDeadline.WATCH_ENDED_US, deadline.toldBy());
-        deadline.called(LOST + S);
-        assertEquals(LOST + ListDeadline.WATCH_ENDED_US, deadline.toldBy());
-        deadline.refused();
-        deadline.called(LOST + 2 * S);
-        deadline.waitedInVain();
-        assertEquals(LOST + ListDeadline.WATCH_ENDED_US, deadline.toldBy());
-        assertEquals(ListExpiryReason.WATCH_ENDED, deadline.bound());
+    void callsDoNotPostponeTheDeadlineOfAClosedWatch() {
+        deadline.watchEnded(LOST_AT_US);
+        assertEquals(LOST_AT_US + ListDeadline.WATCH_ENDED_US, deadline.propagationDeadline());
+        deadline.called(LOST_AT_US + SECOND_US);
+        assertEquals(LOST_AT_US + ListDeadline.WATCH_ENDED_US, deadline.propagationDeadline());
+        deadline.callRejected();
+        deadline.called(LOST_AT_US + 2 * SECOND_US);
+        deadline.callTimedOut();
+        assertEquals(LOST_AT_US + ListDeadline.WATCH_ENDED_US, deadline.propagationDeadline());
+        assertEquals(ListExpiryReason.WATCH_ENDED, deadline.expiryReason());
     }
 
     @Test
-    void aShorterTimeForAskingHoldsForTheEndOfAWatchToo() {
-        ListDeadline brief = new ListDeadline(S, 0);
-        brief.renewed();
-        brief.ended(LOST);
-        assertEquals(LOST + S, brief.toldBy());
+    void shorterPollIntervalLimitAppliesAfterAClosedWatch() {
+        ListDeadline shortDeadline = new ListDeadline(SECOND_US, 0);
+        shortDeadline.renewed();
+        shortDeadline.watchEnded(LOST_AT_US);
+        assertEquals(LOST_AT_US + SECOND_US, shortDeadline.propagationDeadline());
     }
 
     @Test
-    void aWatchThatBrokeOrFellSilentCountsFromWhatWasHeardLast() {
-        deadline.lost(LOST - 2 * S, LOST);
-        deadline.called(LOST + S);
-        deadline.refused();
-        assertEquals(LOST - 2 * S + ListDeadline.REACHABLE_US, deadline.toldBy());
-        assertEquals(ListExpiryReason.REACHABLE, deadline.bound());
+    void deadlineOfABrokenWatchCountsFromItsLastData() {
+        deadline.watchLost(LOST_AT_US - 2 * SECOND_US, LOST_AT_US);
+        deadline.called(LOST_AT_US + SECOND_US);
+        deadline.callRejected();
+        assertEquals(LOST_AT_US - 2 * SECOND_US + ListDeadline.PROPAGATION_US, deadline.propagationDeadline());
+        assertEquals(ListExpiryReason.REACHABLE, deadline.expiryReason());
     }
 
     @Test
-    void theTimeForAskingCountsFromTheLastCallAndIsLongerAfterAFailure() {
-        ListDeadline brief = new ListDeadline(S, 0);
-        brief.renewed();
-        brief.lost(LOST, LOST);
-        assertEquals(LOST + S, brief.toldBy());
-        brief.called(LOST + S / 2);
-        assertEquals(LOST + S / 2 + S, brief.toldBy());
-        assertEquals(ListExpiryReason.ASK_WITHIN, brief.bound());
-        brief.refused();
-        assertEquals(LOST + S / 2 + 4 * S, brief.toldBy());
+    void pollIntervalLimitCountsFromTheLastCall() {
+        ListDeadline shortDeadline = new ListDeadline(SECOND_US, 0);
+        shortDeadline.renewed();
+        shortDeadline.watchLost(LOST_AT_US, LOST_AT_US);
+        assertEquals(LOST_AT_US + SECOND_US, shortDeadline.propagationDeadline());
+        shortDeadline.called(LOST_AT_US + SECOND_US / 2);
+        assertEquals(LOST_AT_US + SECOND_US / 2 + SECOND_US, shortDeadline.propagationDeadline());
+        assertEquals(ListExpiryReason.ASK_WITHIN, shortDeadline.expiryReason());
+        shortDeadline.callRejected();
+        assertEquals(LOST_AT_US + SECOND_US / 2 + 4 * SECOND_US, shortDeadline.propagationDeadline());
     }
 
     @Test
-    void allCountsAnewWhenNobodyTookACall() {
-        deadline.ended(LOST);
-        deadline.called(LOST + S);
-        deadline.unreachable();
-        assertEquals(LOST + S + ListDeadline.REACHABLE_US, deadline.toldBy());
+    void unreachableDiscoveryResetsTheDeadlines() {
+        deadline.watchEnded(LOST_AT_US);
+        deadline.called(LOST_AT_US + SECOND_US);
+        deadline.callUnreachable();
+        assertEquals(LOST_AT_US + SECOND_US + ListDeadline.PROPAGATION_US, deadline.propagationDeadline());
     }
 
     @Test
-    void callsThatWaitInVainInARowAreADiscoveryThatIsDown() {
-        deadline.lost(LOST, LOST);
-        long now = LOST;
-        for (int waits = 1; waits < ListDeadline.WAITS_OF_DOWN; waits++) {
-            now += 3 * S;
+    void consecutiveTimeoutsCountAsUnreachable() {
+        deadline.watchLost(LOST_AT_US, LOST_AT_US);
+        long now = LOST_AT_US;
+        for (int timeouts = 1; timeouts < ListDeadline.TIMEOUTS_UNTIL_UNREACHABLE; timeouts++) {
+            now += 3 * SECOND_US;
             deadline.called(now);
-            deadline.waitedInVain();
-            assertEquals(LOST + ListDeadline.REACHABLE_US, deadline.toldBy());
+            deadline.callTimedOut();
+            assertEquals(LOST_AT_US + ListDeadline.PROPAGATION_US, deadline.propagationDeadline());
         }
-        now += 3 * S;
+        now += 3 * SECOND_US;
         deadline.called(now);
-        deadline.waitedInVain();
-        assertEquals(now + ListDeadline.REACHABLE_US, deadline.toldBy(), "from when the last of them was made");
+        deadline.callTimedOut();
+        assertEquals(
+                now + ListDeadline.PROPAGATION_US,
+                deadline.propagationDeadline(),
+                "counted from the start of the last call");
     }
 
     @Test
-    void aQuickRefusalBetweenShowsThatDiscoveryIsThere() {
-        deadline.lost(LOST, LOST);
-        for (int waits = 1; waits < 3 * ListDeadline.WAITS_OF_DOWN; waits++) {
-            deadline.waitedInVain();
-            deadline.refused();
-            assertEquals(LOST + ListDeadline.REACHABLE_US, deadline.toldBy());
+    void rejectionsBetweenTimeoutsShowThatDiscoveryIsReachable() {
+        deadline.watchLost(LOST_AT_US, LOST_AT_US);
+        for (int timeouts = 1; timeouts < 3 * ListDeadline.TIMEOUTS_UNTIL_UNREACHABLE; timeouts++) {
+            deadline.callTimedOut();
+            deadline.callRejected();
+            assertEquals(LOST_AT_US + ListDeadline.PROPAGATION_US, deadline.propagationDeadline());
         }
     }
 
     @Test
-    void afterTheEndOfAWatchItTakesMoreOfThem() {
-        deadline.ended(LOST);
-        for (int waits = 1; waits < ListDeadline.WAITS_AFTER_END; waits++) {
-            deadline.called(LOST + 3 * waits * S);
-            deadline.waitedInVain();
-            assertEquals(LOST + ListDeadline.WATCH_ENDED_US, deadline.toldBy());
+    void moreTimeoutsAreNeededAfterAClosedWatch() {
+        deadline.watchEnded(LOST_AT_US);
+        for (int timeouts = 1; timeouts < ListDeadline.TIMEOUTS_AFTER_WATCH_ENDED; timeouts++) {
+            deadline.called(LOST_AT_US + 3 * timeouts * SECOND_US);
+            deadline.callTimedOut();
+            assertEquals(LOST_AT_US + ListDeadline.WATCH_ENDED_US, deadline.propagationDeadline());
         }
-        deadline.called(LOST + 15 * S);
-        deadline.waitedInVain();
-        assertEquals(LOST + 15 * S + ListDeadline.REACHABLE_US, deadline.toldBy());
+        deadline.called(LOST_AT_US + 15 * SECOND_US);
+        deadline.callTimedOut();
+        assertEquals(LOST_AT_US + 15 * SECOND_US + ListDeadline.PROPAGATION_US, deadline.propagationDeadline());
     }
 
-    /** Soak seeds 120 and 140: calls of all took twice as long as discovery lets one wait. */
+    /**
+     * Guards against taking an overloaded discovery for an unreachable one: the calls of all instances together may
+     * take twice as long as discovery lets one of them wait.
+     */
     @Test
-    void afterAQuickRefusalNoNumberOfWaitsIsADiscoveryThatIsDown() {
-        deadline.lost(LOST, LOST);
-        deadline.called(LOST + S);
-        deadline.refused();
-        for (int waits = 1; waits < 3 * ListDeadline.WAITS_OF_DOWN; waits++) {
-            deadline.called(LOST + 3 * waits * S);
-            deadline.waitedInVain();
-            assertEquals(LOST + ListDeadline.REACHABLE_US, deadline.toldBy());
+    void timeoutsAfterARejectionDoNotCountAsUnreachable() {
+        deadline.watchLost(LOST_AT_US, LOST_AT_US);
+        deadline.called(LOST_AT_US + SECOND_US);
+        deadline.callRejected();
+        for (int timeouts = 1; timeouts < 3 * ListDeadline.TIMEOUTS_UNTIL_UNREACHABLE; timeouts++) {
+            deadline.called(LOST_AT_US + 3 * timeouts * SECOND_US);
+            deadline.callTimedOut();
+            assertEquals(LOST_AT_US + ListDeadline.PROPAGATION_US, deadline.propagationDeadline());
         }
     }
 
-    /** Soak seed 12: a process is launched before its own code can look at a clock. */
+    /** The process starts before its own code can read a clock, so deadlines count from the launch. */
     @Test
-    void aStartCountsFromTheLaunchOfTheProcess() {
-        ListDeadline started = new ListDeadline(10 * S, LOST);
-        started.processStarted(LOST - S);
-        started.called(LOST + S);
-        assertEquals(LOST - S + ListDeadline.REACHABLE_US, started.toldBy());
+    void deadlineCountsFromTheStartOfTheProcess() {
+        ListDeadline started = new ListDeadline(10 * SECOND_US, LOST_AT_US);
+        started.processStarted(LOST_AT_US - SECOND_US);
+        started.called(LOST_AT_US + SECOND_US);
+        assertEquals(LOST_AT_US - SECOND_US + ListDeadline.PROPAGATION_US, started.propagationDeadline());
         started.renewed();
-        started.lost(LOST + 9 * S, LOST + 9 * S);
-        started.processStarted(LOST - S);
-        assertEquals(LOST + 9 * S + ListDeadline.REACHABLE_US, started.toldBy());
+        started.watchLost(LOST_AT_US + 9 * SECOND_US, LOST_AT_US + 9 * SECOND_US);
+        started.processStarted(LOST_AT_US - SECOND_US);
+        assertEquals(LOST_AT_US + 9 * SECOND_US + ListDeadline.PROPAGATION_US, started.propagationDeadline());
     }
 
     @Test
-    void aMoveOfDiscoveryCountsFromTheFirstThatIsNotAnsweredYet() {
-        deadline.moved(LOST);
-        deadline.called(LOST + S);
-        assertEquals(LOST + ListDeadline.MOVED_US, deadline.toldBy());
-        assertEquals(ListExpiryReason.MOVED, deadline.bound());
-        deadline.moved(LOST + 2 * S);
-        assertEquals(LOST + ListDeadline.MOVED_US, deadline.toldBy());
+    void movedDeadlineCountsFromTheFirstUnansweredMove() {
+        deadline.moved(LOST_AT_US);
+        deadline.called(LOST_AT_US + SECOND_US);
+        assertEquals(LOST_AT_US + ListDeadline.MOVED_US, deadline.propagationDeadline());
+        assertEquals(ListExpiryReason.MOVED, deadline.expiryReason());
+        deadline.moved(LOST_AT_US + 2 * SECOND_US);
+        assertEquals(LOST_AT_US + ListDeadline.MOVED_US, deadline.propagationDeadline());
         deadline.renewed();
-        assertEquals(Long.MAX_VALUE, deadline.toldBy());
+        assertEquals(Long.MAX_VALUE, deadline.propagationDeadline());
     }
 }
--- a/src/test/java/mulleinfront/LogicTest.java
+++ b/src/test/java/mulleinfront/LogicTest.java
@@ -21,24 +21,24 @@
 import mulleinfront.Balancer.Source;
 import org.junit.jupiter.api.Test;
 
-/** One small test for each decision and for each failure found. */
+/** Each decision of the logic, and regressions of single decisions. */
 class LogicTest {
 
     @Test
-    void aKeyStaysWithItsOwnerAcrossInstances() {
-        Rig a = new Rig(Rig.SAFE).endpoints(9);
-        Rig b = new Rig(Rig.SAFE).endpoints(9);
+    void keysHaveTheSameOwnerInAllInstances() {
+        Rig first = new Rig(Rig.RETRYABLE).endpoints(9);
+        Rig second = new Rig(Rig.RETRYABLE).endpoints(9);
         for (int k = 0; k < 200; k++) {
-            String owner = a.serve(0, "k" + k);
-            assertEquals(owner, a.serve(0, "k" + k));
-            assertEquals(owner, b.serve(0, "k" + k));
+            String owner = first.serve(0, "k" + k);
+            assertEquals(owner, first.serve(0, "k" + k));
+            assertEquals(owner, second.serve(0, "k" + k));
         }
     }
 
     @Test
-    void hostsAndKeysSeenOnceLeaveNothingBehind() throws Exception {
-        // Guards a day on which all is new all the time: also an end told of a host that was never listed.
-        Rig rig = new Rig(Rig.SAFE).endpoints(9);
+    void endpointsAndKeysSeenOnceAreNotRetained() throws Exception {
+        // Guards against leaks when all endpoints and keys are new and removals of unlisted endpoints are reported.
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(9);
         for (int i = 0; i < 2000; i++) {
             rig.balancer.onEndpoints(
                     rig.now,
@@ -50,19 +50,19 @@
             rig.balancer.onEndpoints(
                     rig.now, Source.DELTA, List.of(new Endpoint("new" + i, 0, 0, 0, Availability.GONE, 1, 0)));
         }
-        for (java.lang.reflect.Field f : rig.balancer.getClass().getDeclaredFields()) {
-            f.setAccessible(true);
-            if (f.get(rig.balancer) instanceof Map<?, ?> m) {
-                assertTrue(m.size() <= 9, f.getName() + " holds " + m.size());
-            } else if (f.get(rig.balancer) instanceof java.util.Collection<?> c) {
-                assertTrue(c.size() <= 9, f.getName() + " holds " + c.size());
+        for (java.lang.reflect.Field field : rig.balancer.getClass().getDeclaredFields()) {
+            field.setAccessible(true);
+            if (field.get(rig.balancer) instanceof Map<?, ?> map) {
+                assertTrue(map.size() <= 9, field.getName() + " holds " + map.size());
+            } else if (field.get(rig.balancer) instanceof java.util.Collection<?> collection) {
+                assertTrue(collection.size() <= 9, field.getName() + " holds " + collection.size());
             }
         }
     }
 
     @Test
-    void aListChangeMovesOnlyTheKeysItMust() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(9);
+    void listChangeMovesOnlyKeysOfChangedEndpoints() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(9);
         Map<String, String> before = new HashMap<>();
         for (int k = 0; k < 300; k++) {
             before.put("k" + k, rig.serve(0, "k" + k));
@@ -85,12 +85,12 @@
 
     @Test
     void keylessRequestsOpenOneConnectionAtATime() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(6);
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(6);
         rig.serve(0, null);
         Set<String> unconnected = new HashSet<>();
         Set<String> known = new HashSet<>(Set.of(rig.sends.get("r0").get(0)));
         for (int i = 0; i < 3; i++) {
-            String to = rig.at(rig.request(0, null, 1_000_000));
+            String to = rig.endpointOf(rig.request(0, null, 1_000_000));
             if (!known.contains(to)) {
                 unconnected.add(to);
             }
@@ -99,9 +99,9 @@
     }
 
     @Test
-    void aDrainingOrGoneEndpointGetsNothingNew() {
+    void drainingOrRemovedEndpointGetsNoNewRequests() {
         for (Availability state : List.of(Availability.DRAINING, Availability.GONE)) {
-            Rig rig = new Rig(Rig.SAFE).endpoints(4);
+            Rig rig = new Rig(Rig.RETRYABLE).endpoints(4);
             rig.balancer.onEndpoints(rig.now, Source.DELTA, List.of(new Endpoint("e2", 2, 2, 0, state, 1, 0)));
             for (int k = 0; k < 100; k++) {
                 assertNotEquals("e2", rig.serve(0, "k" + k));
@@ -110,8 +110,8 @@
     }
 
     @Test
-    void anEndpointMissingFromACompleteListIsGoneAndMayComeBack() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(4);
+    void endpointMissingFromAFullListIsRemovedUntilListedAgain() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(4);
         rig.endpoints(2);
         Set<String> seen = new HashSet<>();
         for (int k = 0; k < 60; k++) {
@@ -126,124 +126,124 @@
     }
 
     @Test
-    void aFragileRequestIsResentOnlyOnProof() {
+    void fragileRequestIsRetriedOnlyIfNotExecuted() {
         for (Outcome outcome : Outcome.values()) {
             if (outcome == Outcome.OK) {
                 continue;
             }
-            Rig rig = new Rig(Rig.UNSAFE).endpoints(4);
+            Rig rig = new Rig(Rig.FRAGILE).endpoints(4);
             String id = rig.request(0, "k", 1_000_000);
             rig.now += 1_000;
-            rig.end(id, outcome, 1_000);
+            rig.endAttempt(id, outcome, 1_000);
             assertEquals(outcome.neverRan() ? 2 : 1, rig.attempts(id), outcome.name());
-            assertEquals(outcome.neverRan() ? null : "fail", rig.finals.get(id), outcome.name());
+            assertEquals(outcome.neverRan() ? null : "fail", rig.finalAnswers.get(id), outcome.name());
         }
     }
 
     @Test
-    void aDedupRequestStaysInItsZoneAndWindow() {
-        Rig rig = new Rig(Rig.KEYED).endpoints(9);
+    void dedupRequestIsRetriedInItsZoneAndWindow() {
+        Rig rig = new Rig(Rig.DEDUP).endpoints(9);
         String id = rig.request(0, "k", 2_000_000);
-        int zone = Integer.parseInt(rig.at(id).substring(1)) % 3;
+        int zone = Integer.parseInt(rig.endpointOf(id).substring(1)) % 3;
         rig.now += 1_000;
-        rig.end(id, Outcome.FAILED, 1_000);
+        rig.endAttempt(id, Outcome.FAILED, 1_000);
         assertEquals(2, rig.attempts(id));
-        assertEquals(zone, Integer.parseInt(rig.at(id).substring(1)) % 3);
+        assertEquals(zone, Integer.parseInt(rig.endpointOf(id).substring(1)) % 3);
         rig.now += 1_000_000;
-        rig.end(id, Outcome.FAILED, 1_000_000);
+        rig.endAttempt(id, Outcome.FAILED, 1_000_000);
         assertEquals(2, rig.attempts(id));
-        assertEquals("fail", rig.finals.get(id));
+        assertEquals("fail", rig.finalAnswers.get(id));
     }
 
     @Test
-    void aDedupRequestThatNeverRanMayGoAnywhereAndBeRefused() {
-        Rig rig = new Rig(Rig.KEYED).endpoints(1);
+    void unexecutedDedupRequestMayBeRefused() {
+        Rig rig = new Rig(Rig.DEDUP).endpoints(1);
         String id = rig.request(0, "k", 2_000_000);
-        rig.end(id, Outcome.QUEUE_FULL, 1_000);
-        assertEquals("refuse", rig.finals.get(id));
+        rig.endAttempt(id, Outcome.QUEUE_FULL, 1_000);
+        assertEquals("refuse", rig.finalAnswers.get(id));
     }
 
     @Test
-    void noEndpointStillGivesATimelyAnswerHoweverShortTheBudget() {
-        for (long budget : List.of(0L, 1L, 3_000L, 40_000L, 2_000_000L)) {
-            for (RequestClass type : List.of(Rig.SAFE, Rig.KEYED, Rig.UNSAFE)) {
-                Rig rig = new Rig(type);
-                String id = rig.request(0, "k", budget);
-                rig.pass(budget);
-                assertEquals("refuse", rig.finals.get(id), type.name() + " " + budget);
+    void requestsAreRefusedWithinTheirBudgetWithoutEndpoints() {
+        for (long budgetUs : List.of(0L, 1L, 3_000L, 40_000L, 2_000_000L)) {
+            for (RequestClass requestClass : List.of(Rig.RETRYABLE, Rig.DEDUP, Rig.FRAGILE)) {
+                Rig rig = new Rig(requestClass);
+                String id = rig.request(0, "k", budgetUs);
+                rig.advance(budgetUs);
+                assertEquals("refuse", rig.finalAnswers.get(id), requestClass.name() + " " + budgetUs);
             }
         }
     }
 
     @Test
-    void aHeldRequestGoesOutWhenAnEndpointAppears() {
-        Rig rig = new Rig(Rig.SAFE);
+    void queuedRequestIsSentWhenAnEndpointAppears() {
+        Rig rig = new Rig(Rig.RETRYABLE);
         String id = rig.request(0, "k", 1_000_000);
-        assertNull(rig.at(id));
+        assertNull(rig.endpointOf(id));
         rig.endpoints(2);
         assertEquals(1, rig.attempts(id));
     }
 
     @Test
-    void failuresEjectAndGoodTrialsReadmit() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(5);
-        String bad = rig.serve(0, "k");
+    void failuresEjectAndSuccessfulHalfOpenProbeReadmits() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(5);
+        String failing = rig.serve(0, "k");
         for (int i = 0; i < 3; i++) {
             String id = rig.request(0, "k", 1_000_000);
             rig.now += 1_000;
-            rig.end(id, Outcome.FAILED, 1_000);
+            rig.endAttempt(id, Outcome.FAILED, 1_000);
             rig.now += 1_000;
-            rig.end(id, Outcome.OK, 1_000);
+            rig.endAttempt(id, Outcome.OK, 1_000);
         }
-        assertNotEquals(bad, rig.serve(0, "k"));
-        rig.pass(3_000_000);
+        assertNotEquals(failing, rig.serve(0, "k"));
+        rig.advance(3_000_000);
         for (int i = 0; i < 4; i++) {
             rig.serve(0, "k");
         }
-        assertEquals(bad, rig.serve(0, "k"));
+        assertEquals(failing, rig.serve(0, "k"));
     }
 
     @Test
-    void whenEverythingFailsEjectionStops() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(5);
+    void ejectionIsLimitedWhenAllEndpointsFail() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(5);
         for (int i = 0; i < 100; i++) {
             String id = rig.request(0, "k" + i, 1_000_000);
-            for (int a = 0; a < 3 && rig.finals.get(id) == null; a++) {
+            for (int attempt = 0; attempt < 3 && rig.finalAnswers.get(id) == null; attempt++) {
                 rig.now += 1_000;
-                rig.end(id, Outcome.FAILED, 1_000);
+                rig.endAttempt(id, Outcome.FAILED, 1_000);
             }
         }
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 100; i++) {
             String id = rig.request(0, "k" + i, 1_000_000);
-            used.add(rig.at(id));
+            used.add(rig.endpointOf(id));
             rig.now += 1_000;
-            rig.end(id, Outcome.OK, 1_000);
+            rig.endAttempt(id, Outcome.OK, 1_000);
         }
         assertTrue(used.size() >= 3, "used " + used);
     }
 
     @Test
-    void aSilentEndpointIsLeftBeforeTimeOuts() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(5);
+    void unresponsiveEndpointIsAbandonedBeforeTheTimeout() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(5);
         for (int k = 0; k < 200; k++) {
             rig.serve(0, "k" + k);
         }
         String id = rig.request(0, "k1", 1_000_000);
-        String silent = rig.at(id);
-        rig.pass(290_000);
+        String unresponsive = rig.endpointOf(id);
+        rig.advance(290_000);
         assertTrue(rig.log.contains("cancel " + id + " 0"));
-        rig.end(id, Outcome.CANCELED, 290_000);
-        assertNotEquals(silent, rig.at(id));
-        assertNotEquals(silent, rig.serve(0, "k1"));
+        rig.endAttempt(id, Outcome.CANCELED, 290_000);
+        assertNotEquals(unresponsive, rig.endpointOf(id));
+        assertNotEquals(unresponsive, rig.serve(0, "k1"));
     }
 
     @Test
-    void aHotKeySpillsToFewEndpoints() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(9);
+    void hotKeySpillsToFewEndpoints() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(9);
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 60; i++) {
-            String to = rig.at(rig.request(0, "hot", 1_000_000));
+            String to = rig.endpointOf(rig.request(0, "hot", 1_000_000));
             if (to != null) {
                 used.add(to);
             }
@@ -252,31 +252,31 @@
     }
 
     @Test
-    void crowdingCutsWhatIsOutAndHoldsTheRest() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(3);
+    void overloadReducesOutstandingAttempts() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(3);
         for (int k = 0; k < 100; k++) {
             rig.serve(0, "k" + k);
         }
         for (int k = 0; k < 60; k++) {
             String id = rig.request(0, "k" + k, 1_000_000);
-            if (rig.at(id) != null) {
+            if (rig.endpointOf(id) != null) {
                 rig.now += 300_000;
-                rig.end(id, Outcome.OK, 300_000);
+                rig.endAttempt(id, Outcome.OK, 300_000);
             }
         }
-        int out = 0;
+        int sent = 0;
         for (int k = 0; k < 60; k++) {
-            out += rig.at(rig.request(0, "k" + k, 1_000_000)) == null ? 0 : 1;
+            sent += rig.endpointOf(rig.request(0, "k" + k, 1_000_000)) == null ? 0 : 1;
         }
-        assertTrue(out < 12, "out " + out);
+        assertTrue(sent < 12, "out " + sent);
     }
 
-    /** Warms the rig up, starts the endpoint afresh and counts what it then serves. */
-    private static int servedByFresh(Rig rig, int before, String endpoint, int after) {
+    /** Serves requests, then starts the endpoint and counts the requests that it serves while cold. */
+    private static int servedWhileCold(Rig rig, int before, String endpoint, int after) {
         for (int k = 0; k < before; k++) {
             rig.serve(0, "k" + k);
         }
-        rig.starts(endpoint);
+        rig.startEndpoint(endpoint);
         int served = 0;
         for (int k = 0; k < after; k++) {
             served += rig.serve(0, "k" + k).equals(endpoint) ? 1 : 0;
@@ -285,107 +285,107 @@
     }
 
     @Test
-    void aColdEndpointTakesItsRampShareOnly() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(4);
-        int cold = servedByFresh(rig, 400, "cold", 200);
+    void coldEndpointTakesItsSlowStartShare() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(4);
+        int cold = servedWhileCold(rig, 400, "cold", 200);
         assertTrue(cold > 0 && cold < 25, "cold got " + cold);
     }
 
     @Test
-    void aRestartUnderTheSameIdIsColdAgain() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(2);
-        int first = servedByFresh(rig, 200, "e0", 100);
+    void restartedEndpointIsColdAgain() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(2);
+        int first = servedWhileCold(rig, 200, "e0", 100);
         assertTrue(first < 30, "restarted got " + first);
     }
 
     @Test
-    void aStartIsColdWhereverTheWallClockWasSteppedTo() {
-        // An hour back, an hour ahead: discovery's word of the start is no time of this instance's clock.
+    void startIsColdAfterAWallClockStep() {
+        // The wall clock was stepped by an hour, so the listed start is no valid time of this instance's clock.
         for (long step : new long[] {-3_600_000_000L, 3_600_000_000L}) {
-            Rig rig = new Rig(Rig.settings(true, Rig.SAFE)).endpoints(4);
-            rig.pass(30_000_000);
+            Rig rig = new Rig(Rig.settings(true, Rig.RETRYABLE)).endpoints(4);
+            rig.advance(30_000_000);
             rig.balancer.onEndpoints(
                     rig.now,
                     Source.DELTA,
                     List.of(new Balancer.Endpoint("stepped", 0, 0, 0, Balancer.Availability.READY, 1, rig.now + step)));
-            int first = share(rig, "stepped", 200);
-            assertTrue(first < 25, "cold at first, by " + step + ": " + first + " of 200");
-            rig.pass(30_000_000);
-            int later = share(rig, "stepped", 200);
-            assertTrue(later > 25, "and warm after its time: " + later + " of 200");
+            int first = servedBy(rig, "stepped", 200);
+            assertTrue(first < 25, "cold at first, clock stepped by " + step + ": " + first + " of 200");
+            rig.advance(30_000_000);
+            int later = servedBy(rig, "stepped", 200);
+            assertTrue(later > 25, "warm after the slow start: " + later + " of 200");
         }
     }
 
-    private static int share(Rig rig, String endpoint, int requests) {
-        int there = 0;
+    private static int servedBy(Rig rig, String endpoint, int requests) {
+        int served = 0;
         for (int i = 0; i < requests; i++) {
-            there += endpoint.equals(rig.serve(0, "k" + i)) ? 1 : 0;
+            served += endpoint.equals(rig.serve(0, "k" + i)) ? 1 : 0;
         }
-        return there;
+        return served;
     }
 
     @Test
-    void discoveryIsAskedAgainAfterEachFailure() {
-        Rig rig = new Rig(Rig.settings(true, Rig.SAFE));
+    void discoveryIsCalledAgainAfterEachFailure() {
+        Rig rig = new Rig(Rig.settings(true, Rig.RETRYABLE));
         assertEquals(1, rig.subscribes);
         for (int i = 0; i < 5; i++) {
             rig.balancer.onDiscoveryFailed(rig.now);
-            rig.pass(4_000_000);
+            rig.advance(4_000_000);
             assertEquals(i + 2, rig.subscribes);
         }
         rig.balancer.onEndpoints(rig.now, Source.FULL, List.of(Rig.ready(1)));
-        rig.pass(20_000_000);
+        rig.advance(20_000_000);
         assertEquals(6, rig.subscribes);
     }
 
     @Test
-    void unknownAndRepeatedEventsDoNoHarm() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(3);
-        rig.end("nobody", Outcome.FAILED, 1);
-        rig.balancer.onRequestAbandoned(rig.now, "nobody");
-        rig.balancer.onStreamStarted(rig.now, "nobody", 3);
+    void unknownAndRepeatedEventsAreIgnored() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(3);
+        rig.endAttempt("unknown", Outcome.FAILED, 1);
+        rig.balancer.onRequestAbandoned(rig.now, "unknown");
+        rig.balancer.onStreamStarted(rig.now, "unknown", 3);
         String id = rig.request(0, "k", 1_000_000);
-        rig.end(id, Outcome.OK, 1_000);
+        rig.endAttempt(id, Outcome.OK, 1_000);
         int before = rig.log.size();
-        rig.end(id, Outcome.OK, 1_000);
-        rig.end(id, Outcome.FAILED, 1_000);
+        rig.endAttempt(id, Outcome.OK, 1_000);
+        rig.endAttempt(id, Outcome.FAILED, 1_000);
         rig.balancer.onRequestAbandoned(rig.now, id);
         assertEquals(before, rig.log.size());
     }
 
     @Test
-    void repeatsWaitBehindFirstTriesAndForLess() {
-        Rig rig = new Rig(Rig.SAFE);
+    void repeatsAreQueuedForLessTimeThanFirstTries() {
+        Rig rig = new Rig(Rig.RETRYABLE);
         String first = rig.request(0, "a", 1_000_000);
         rig.balancer.onRequest(rig.now, new Balancer.Request("again", 0, "b", 1_000_000, 0, 0, true));
-        rig.pass(100_000);
-        assertEquals("refuse", rig.finals.get("again"));
-        assertNull(rig.finals.get(first));
-        rig.pass(150_000);
-        assertEquals("refuse", rig.finals.get(first));
+        rig.advance(100_000);
+        assertEquals("refuse", rig.finalAnswers.get("again"));
+        assertNull(rig.finalAnswers.get(first));
+        rig.advance(150_000);
+        assertEquals("refuse", rig.finalAnswers.get(first));
     }
 
     @Test
-    void timeOutsCutALimitToASmallShareOfRequests() {
-        Rig rig = new Rig(Rig.UNSAFE).endpoints(1);
+    void timeoutsReduceTheLimitBelowOne() {
+        Rig rig = new Rig(Rig.FRAGILE).endpoints(1);
         for (int i = 0; i < 12; i++) {
             String id = rig.request(0, "k", 1_000_000);
-            if (rig.at(id) != null) {
+            if (rig.endpointOf(id) != null) {
                 rig.now += 90_000;
-                rig.end(id, Outcome.TIMED_OUT, 500_000);
+                rig.endAttempt(id, Outcome.TIMED_OUT, 500_000);
             }
-            rig.pass(300_000);
+            rig.advance(300_000);
         }
         int sent = 0;
         for (int i = 0; i < 6; i++) {
-            sent += rig.at(rig.request(0, "k" + i, 1_000_000)) == null ? 0 : 1;
+            sent += rig.endpointOf(rig.request(0, "k" + i, 1_000_000)) == null ? 0 : 1;
         }
         assertTrue(sent <= 1, "sent " + sent);
     }
 
     @Test
-    void aStaleCachedListServesUntilTheTrueOneComes() {
-        Rig rig = new Rig(Rig.settings(true, Rig.SAFE));
+    void cachedListIsUsedUntilAFullListArrives() {
+        Rig rig = new Rig(Rig.settings(true, Rig.RETRYABLE));
         rig.balancer.onEndpoints(rig.now, Source.CACHED, List.of(Rig.ready(0), Rig.ready(1)));
         assertEquals(1, rig.attempts(rig.request(0, "k", 1_000_000)));
         rig.balancer.onEndpoints(rig.now, Source.FULL, List.of(Rig.ready(2)));
@@ -395,17 +395,17 @@
     }
 
     @Test
-    void aStartedStreamIsNeverCancelled() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(4);
+    void startedStreamIsNeverCancelled() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(4);
         String id = rig.request(0, "k", 1_000_000);
         rig.balancer.onStreamStarted(rig.now + 10_000, id, 0);
-        rig.pass(3_000_000);
+        rig.advance(3_000_000);
         rig.balancer.onRequestAbandoned(rig.now, id);
         assertFalse(rig.log.contains("cancel " + id + " 0"), rig.log.toString());
     }
 
     @Test
-    void nonsensicalSettingsAreRejectedByName() {
+    void invalidSettingsAreRejectedByName() {
         String text = assertThrows(
                         IllegalArgumentException.class,
                         () -> new RequestClass("c", Effect.RETRYABLE, null, 0, 1, 0, -5, 0, 10))
@@ -418,12 +418,12 @@
     void equalEventsGiveEqualActions() {
         List<List<String>> logs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
-            Rig rig = new Rig(Rig.SAFE, Rig.UNSAFE).endpoints(7);
+            Rig rig = new Rig(Rig.RETRYABLE, Rig.FRAGILE).endpoints(7);
             for (int i = 0; i < 300; i++) {
                 String id = rig.request(i % 2, i % 5 == 0 ? null : "k" + i % 40, 1_000_000);
-                rig.pass(7_000);
-                if (rig.at(id) != null) {
-                    rig.end(id, i % 9 == 0 ? Outcome.FAILED : Outcome.OK, 7_000);
+                rig.advance(7_000);
+                if (rig.endpointOf(id) != null) {
+                    rig.endAttempt(id, i % 9 == 0 ? Outcome.FAILED : Outcome.OK, 7_000);
                 }
             }
             logs.add(rig.log);
@@ -432,34 +432,34 @@
         assertFalse(logs.get(0).isEmpty());
     }
 
-    /** Requests of as many keys at once; gives how many were sent on, and ends them after a lag. */
-    private static int sentAtOnce(Rig rig, int count, long lag) {
+    /** Sends requests with different keys at once and ends them after a latency; returns how many were sent. */
+    private static int sentAtOnce(Rig rig, int count, long latencyUs) {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             ids.add(rig.request(0, "k" + i, 1_000_000));
         }
-        int sent = (int) ids.stream().filter(id -> rig.at(id) != null).count();
-        rig.pass(lag);
+        int sent = (int) ids.stream().filter(id -> rig.endpointOf(id) != null).count();
+        rig.advance(latencyUs);
         ids.stream()
-                .filter(id -> rig.at(id) != null && rig.finals.get(id) == null)
-                .forEach(id -> rig.end(id, Outcome.OK, lag));
+                .filter(id -> rig.endpointOf(id) != null && rig.finalAnswers.get(id) == null)
+                .forEach(id -> rig.endAttempt(id, Outcome.OK, latencyUs));
         return sent;
     }
 
     @Test
-    void jitterOfAMillisecondIsNoCrowding() {
-        // Guards hosts that answer at once: ten times their usual lag is still nothing against the aim.
-        Rig rig = new Rig(Rig.SAFE).endpoints(3);
+    void jitterOfAMillisecondIsNotOverload() {
+        // Guards fast endpoints: ten times their baseline latency is still negligible against the target latency.
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(3);
         for (int i = 0; i < 600; i++) {
             sentAtOnce(rig, 60, i % 3 == 0 ? 2_000 : 200);
         }
-        assertEquals(60, sentAtOnce(rig, 60, 2_000), "limits have grown by good answers and were never cut");
+        assertEquals(60, sentAtOnce(rig, 60, 2_000), "limits have grown by timely responses and were never reduced");
         assertEquals(60, sentAtOnce(rig, 60, 200));
     }
 
     @Test
-    void whatIsFeltIsCrowdingHoweverFastHostsUsuallyAre() {
-        Rig rig = new Rig(Rig.SAFE).endpoints(3);
+    void noticeableLatencyIsOverloadForFastEndpoints() {
+        Rig rig = new Rig(Rig.RETRYABLE).endpoints(3);
         for (int i = 0; i < 600; i++) {
             sentAtOnce(rig, 60, 200);
         }
@@ -467,6 +467,6 @@
             sentAtOnce(rig, 60, 60_000);
         }
         int sent = sentAtOnce(rig, 60, 60_000);
-        assertTrue(sent < 20, "limits were cut: only a few go out at once, " + sent);
+        assertTrue(sent < 20, "limits were reduced, so only a few are sent at once: " + sent);
     }
 }
