--- a/src/test/java/mulleinfront/OwnNamesTest.java
+++ b/src/test/java/mulleinfront/OwnNamesTest.java
@@ -15,10 +15,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The program is run for several customers: what is theirs comes from the settings alone. */
+/** Several customers run the program: their names occur only in their settings, not in the program. */
 class OwnNamesTest {
-    /** Classes, tenants, zones and kinds of the operators' sites, which are not in the repository. */
-    private static final List<String> THEIRS = List.of(
+    /** Classes, tenants, zones and server types of sites that are not in the repository. */
+    private static final List<String> EXTERNAL_SITE_NAMES = List.of(
             "ub-factoring",
             "invoice-lookup",
             "advance-payout",
@@ -47,9 +47,9 @@
             "krakow",
             "duzy",
             "maly");
-    /** A name, or the zones of a site file. */
-    private static final Pattern NAMED = Pattern.compile("^(?:name|zones) = (.*)$", Pattern.MULTILINE);
-    /** Troubles have the bench's own names, which are words like any other. */
+    /** Line of a site file with a name or zones. */
+    private static final Pattern NAME_OR_ZONES = Pattern.compile("^(?:name|zones) = (.*)$", Pattern.MULTILINE);
+    /** Names of troubles are chosen by the bench, not by customers. */
     private static final Pattern TROUBLE = Pattern.compile("\\[\\[trouble\\]\\]\\nname = .*");
 
     private static final Pattern QUOTED = Pattern.compile("\"([^\"]+)\"");
@@ -60,11 +60,11 @@
         }
     }
 
-    private static Set<String> names() throws IOException {
-        Set<String> names = new TreeSet<>(THEIRS);
+    private static Set<String> siteNames() throws IOException {
+        Set<String> names = new TreeSet<>(EXTERNAL_SITE_NAMES);
         for (Path site : files("deploy/sites", ".toml")) {
-            Matcher named =
-                    NAMED.matcher(TROUBLE.matcher(Files.readString(site)).replaceAll(""));
+            Matcher named = NAME_OR_ZONES.matcher(
+                    TROUBLE.matcher(Files.readString(site)).replaceAll(""));
             while (named.find()) {
                 Matcher quoted = QUOTED.matcher(named.group(1));
                 while (quoted.find()) {
@@ -76,13 +76,13 @@
     }
 
     @Test
-    void noSitesNameStandsInTheProgramOrItsDeployFile() throws Exception {
-        Set<String> names = names();
+    void programAndDeployFileContainNoSiteNames() throws Exception {
+        Set<String> names = siteNames();
         assertTrue(names.containsAll(List.of("cotizar", "muelle-sur", "haku", "lappeenranta")), names.toString());
         List<Path> program = new ArrayList<>(files("src/main", ""));
         program.removeIf(Files::isDirectory);
         program.add(Path.of("deploy/balancer.toml"));
-        assertTrue(program.size() > 100, "all of the program is read");
+        assertTrue(program.size() > 100, "all source files are read");
         List<String> found = new ArrayList<>();
         for (Path file : program) {
             String text = Files.readString(file);
--- a/src/test/java/mulleinfront/ReportsTest.java
+++ b/src/test/java/mulleinfront/ReportsTest.java
@@ -19,202 +19,202 @@
 import mulleinfront.Balancer.Source;
 import org.junit.jupiter.api.Test;
 
-/** What endpoints say of their load, and what turned away requests say, among hundreds of instances. */
+/** Load reports of endpoints and rejected requests, with hundreds of instances. */
 class ReportsTest {
-    private static Rig one(long seed, int endpoints) {
-        return new Rig(Rig.oneOfMany(false, Rig.SAFE, Rig.UNSAFE), seed).endpoints(endpoints);
+    private static Rig oneOfMany(long seed, int endpoints) {
+        return new Rig(Rig.oneOfMany(false, Rig.RETRYABLE, Rig.FRAGILE), seed).endpoints(endpoints);
     }
 
-    private static void say(Rig rig, int endpoints, double held) {
+    private static void reportLoad(Rig rig, int endpoints, double inFlight) {
         for (int i = 0; i < endpoints; i++) {
-            rig.balancer.onLoadReport(rig.now, "e" + i, held);
+            rig.balancer.onLoadReport(rig.now, "e" + i, inFlight);
         }
     }
 
-    /**
-     * How many of 200 instances send a key to its owner, which reports to hold so many; the others hold one.
-     */
-    private static int toOwner(double held) {
+    /** How many of 200 instances send a key to its owner, if that reports this load and the others report 1. */
+    private static int sentToOwner(double inFlight) {
         int stayed = 0;
         for (int i = 0; i < 200; i++) {
-            Rig rig = one(i, 12);
+            Rig rig = oneOfMany(i, 12);
             String owner = rig.serve(0, "key");
-            say(rig, 12, 1);
-            rig.balancer.onLoadReport(rig.now, owner, held);
+            reportLoad(rig, 12, 1);
+            rig.balancer.onLoadReport(rig.now, owner, inFlight);
             String id = rig.request(0, "key", 2_000_000);
-            stayed += owner.equals(rig.at(id)) ? 1 : 0;
+            stayed += owner.equals(rig.endpointOf(id)) ? 1 : 0;
         }
         return stayed;
     }
 
     @Test
-    void aKeyStaysWithItsOwnerAsLongAsThatIsNotBusy() {
-        assertEquals(200, toOwner(0));
-        assertEquals(200, toOwner(1));
+    void keyStaysWithAnOwnerThatIsNotBusy() {
+        assertEquals(200, sentToOwner(0));
+        assertEquals(200, sentToOwner(1));
     }
 
     @Test
-    void theLongerTheOwnersQueueTheMoreInstancesPassItBy() {
-        // The usual lag starts at a quarter of the aim: some pass by from 1.2 requests held on, all at 6.
-        int some = toOwner(3);
+    void moreInstancesSpillAsTheOwnersQueueGrows() {
+        // The baseline starts at a quarter of the target: some spill from a load of 1.2, all at 6.
+        int some = sentToOwner(3);
         assertTrue(some > 80 && some < 180, some + " of 200 stayed: they must not all move together");
-        int fewer = toOwner(5);
+        int fewer = sentToOwner(5);
         assertTrue(fewer > 10 && fewer < some - 20, fewer + " stayed, " + some + " before");
-        assertEquals(0, toOwner(10));
+        assertEquals(0, sentToOwner(10));
     }
 
     @Test
-    void whereAllAreBusyTheWorkIsRefusedAndAGoodWordOpensAgain() {
-        Rig rig = one(3, 6);
+    void requestsAreRefusedWhileAllEndpointsReportOverload() {
+        Rig rig = oneOfMany(3, 6);
         rig.serve(0, "key");
-        say(rig, 6, 60);
+        reportLoad(rig, 6, 60);
         String id = rig.request(0, "key", 2_000_000);
-        rig.pass(500_000);
-        assertEquals("refuse", rig.finals.get(id));
+        rig.advance(500_000);
+        assertEquals("refuse", rig.finalAnswers.get(id));
         for (int i = 0; i < 8; i++) {
-            say(rig, 6, 0);
+            reportLoad(rig, 6, 0);
         }
         assertTrue(rig.serve(0, "key") != null);
     }
 
     @Test
-    void whoSendsNothingAndSoHearsNothingTriesAgain() {
-        Rig rig = one(3, 6);
+    void oldReportsDecayWithoutTraffic() {
+        Rig rig = oneOfMany(3, 6);
         rig.serve(0, "key");
-        say(rig, 6, 60);
-        rig.pass(15_000_000);
-        assertTrue(rig.at(rig.request(0, "key", 2_000_000)) != null, "an old report must not close the door for good");
+        reportLoad(rig, 6, 60);
+        rig.advance(15_000_000);
+        assertTrue(
+                rig.endpointOf(rig.request(0, "key", 2_000_000)) != null,
+                "an old report must not stop requests forever");
     }
 
     @Test
-    void whereAllIsLostAndNobodyReportsTheFleetIsNotTakenForIdle() {
-        // Guards against a jam that keeps itself up: answers that come too late bring no reports, and the last word of
-        // a crowd faded as if it had gone. The work that was given up on stays in the endpoints' queues.
-        // Many endpoints, so that no limit of one binds.
-        Rig rig = one(3, 60);
+    void reportedOverloadPersistsWhileAllAttemptsAreLost() {
+        // Guards against metastable congestion. Responses that are too late carry no reports, so the last reported load
+        // decays as if the endpoints were idle, while abandoned requests stay in their queues. There are many
+        // endpoints, so that no concurrency limit applies.
+        Rig rig = oneOfMany(3, 60);
         rig.serve(0, "key");
-        say(rig, 60, 5);
+        reportLoad(rig, 60, 5);
         int sent = 0;
-        int of = 0;
+        int total = 0;
         for (int i = 0; i < 40; i++) {
             String id = rig.request(0, "key" + i, 2_000_000);
-            rig.pass(600_000);
-            if (rig.at(id) != null && rig.finals.get(id) == null) {
-                rig.end(id, Outcome.TIMED_OUT, 600_000);
-                // Whatever it tries next is lost too.
-                while (rig.finals.get(id) == null) {
-                    rig.pass(600_000);
-                    rig.end(id, Outcome.TIMED_OUT, 600_000);
+            rig.advance(600_000);
+            if (rig.endpointOf(id) != null && rig.finalAnswers.get(id) == null) {
+                rig.endAttempt(id, Outcome.TIMED_OUT, 600_000);
+                // All further attempts are lost too.
+                while (rig.finalAnswers.get(id) == null) {
+                    rig.advance(600_000);
+                    rig.endAttempt(id, Outcome.TIMED_OUT, 600_000);
                 }
             }
             if (i >= 20) {
-                of++;
-                sent += rig.at(id) != null ? 1 : 0;
+                total++;
+                sent += rig.endpointOf(id) != null ? 1 : 0;
             }
         }
-        assertTrue(sent > 0 && sent < of / 2, sent + " of " + of + " were sent into the jam");
-        say(rig, 60, 0);
-        assertTrue(rig.at(rig.request(0, "key", 2_000_000)) != null, "a good word opens again");
+        assertTrue(sent > 0 && sent < total / 2, sent + " of " + total + " were sent to overloaded endpoints");
+        reportLoad(rig, 60, 0);
+        assertTrue(rig.endpointOf(rig.request(0, "key", 2_000_000)) != null, "low reported load admits requests again");
     }
 
-    /** How many of 200 instances send a request with no key where all endpoints report to hold so many. */
-    private static int sentWhereAllHold(double held) {
+    /** How many of 200 instances send a request without a key, if all endpoints report this load. */
+    private static int sentWithEqualLoad(double inFlight) {
         int sent = 0;
         for (int i = 0; i < 200; i++) {
-            Rig rig = one(i, 12);
+            Rig rig = oneOfMany(i, 12);
             rig.serve(0, "key");
             for (int k = 0; k < 8; k++) {
-                say(rig, 12, held);
+                reportLoad(rig, 12, inFlight);
             }
-            sent += rig.at(rig.request(1, null, 2_000_000)) != null ? 1 : 0;
+            sent += rig.endpointOf(rig.request(1, null, 2_000_000)) != null ? 1 : 0;
         }
         return sent;
     }
 
     @Test
-    void aRequestWithNoKeyWaitsForNobodyWhoIsBusyThoughAllAreAlike() {
-        // The usual lag starts at a quarter of the aim: a queue of 2 takes half of it, one of 4 all.
-        assertEquals(200, sentWhereAllHold(1.9));
-        assertTrue(sentWhereAllHold(3) > 150, "one of twelve takes it");
-        assertEquals(0, sentWhereAllHold(4.1));
+    void keylessRequestsSkipBusyEndpointsEvenIfAllAreBusy() {
+        // The baseline starts at a quarter of the target: a queue of 2 takes half of the target, one of 4 all.
+        assertEquals(200, sentWithEqualLoad(1.9));
+        assertTrue(sentWithEqualLoad(3) > 150, "at least one of twelve endpoints accepts the request");
+        assertEquals(0, sentWithEqualLoad(4.1));
     }
 
     @Test
-    void nonsenseAndStrangersAreIgnored() {
-        Rig rig = one(3, 3);
-        rig.balancer.onLoadReport(rig.now, "nobody", 5);
+    void reportsOfUnknownEndpointsAreIgnored() {
+        Rig rig = oneOfMany(3, 3);
+        rig.balancer.onLoadReport(rig.now, "unknown", 5);
         assertTrue(rig.serve(0, "key") != null);
     }
 
     @Test
-    void aHotKeySpreadsOverAsManyAsItHasWorkFor() {
-        Map<String, Integer> met = new HashMap<>();
+    void hotKeySpreadsOverAsManyEndpointsAsItNeeds() {
+        Map<String, Integer> requestsByEndpoint = new HashMap<>();
         for (int i = 0; i < 300; i++) {
-            Rig rig = one(i, 60);
+            Rig rig = oneOfMany(i, 60);
             rig.serve(0, "cold key");
-            // The owners say in turn that they are busy.
+            // Each owner in turn reports that it is busy.
             Set<String> busy = new HashSet<>();
             for (int k = 0; k < 5; k++) {
                 String id = rig.request(0, "hot", 2_000_000);
-                busy.add(rig.at(id));
-                rig.pass(20_000);
-                rig.end(id, Outcome.OK, 20_000);
-                say(rig, 60, 0);
-                busy.forEach(b -> rig.balancer.onLoadReport(rig.now, b, 9));
+                busy.add(rig.endpointOf(id));
+                rig.advance(20_000);
+                rig.endAttempt(id, Outcome.OK, 20_000);
+                reportLoad(rig, 60, 0);
+                busy.forEach(endpoint -> rig.balancer.onLoadReport(rig.now, endpoint, 9));
             }
-            busy.forEach(b -> met.merge(b, 1, Integer::sum));
+            busy.forEach(endpoint -> requestsByEndpoint.merge(endpoint, 1, Integer::sum));
         }
-        assertTrue(met.size() >= 5, "hot key on " + met);
+        assertTrue(requestsByEndpoint.size() >= 5, "hot key on " + requestsByEndpoint);
     }
 
     @Test
-    void oneThatTurnedARequestAwayIsLeftAloneAndItsRequestGoesOn() {
-        Rig rig = one(5, 8);
+    void rejectingEndpointIsBackedOffAndItsRequestRetried() {
+        Rig rig = oneOfMany(5, 8);
         String id = rig.request(1, "key", 2_000_000);
-        String first = rig.at(id);
-        rig.pass(2_000);
-        rig.end(id, Outcome.QUEUE_FULL, 2_000);
-        assertEquals(2, rig.attempts(id), "it surely did not run there");
-        assertNotEquals(first, rig.at(id));
-        rig.end(id, Outcome.OK, 20_000);
+        String first = rig.endpointOf(id);
+        rig.advance(2_000);
+        rig.endAttempt(id, Outcome.QUEUE_FULL, 2_000);
+        assertEquals(2, rig.attempts(id), "a rejected request was not executed");
+        assertNotEquals(first, rig.endpointOf(id));
+        rig.endAttempt(id, Outcome.OK, 20_000);
         assertNotEquals(first, rig.serve(1, "key"));
-        rig.pass(1_200_000);
-        assertEquals(first, rig.serve(1, "key"), "after a second it is asked again");
-        String again = rig.request(1, "key", 2_000_000);
-        rig.end(again, Outcome.QUEUE_FULL, 2_000);
-        rig.end(again, Outcome.OK, 20_000);
-        rig.pass(1_200_000);
+        rig.advance(1_200_000);
+        assertEquals(first, rig.serve(1, "key"), "used again after a back-off of a second");
+        String secondId = rig.request(1, "key", 2_000_000);
+        rig.endAttempt(secondId, Outcome.QUEUE_FULL, 2_000);
+        rig.endAttempt(secondId, Outcome.OK, 20_000);
+        rig.advance(1_200_000);
         String next = rig.serve(1, "key");
-        assertEquals(first, next, "an answer between the two begins anew");
+        assertEquals(first, next, "a success between the two resets the back-off");
     }
 
     @Test
-    void whereNobodyElseCanTakeItARequestThatNeverRanWaitsAMoment() {
-        Rig rig = one(5, 1);
+    void unexecutedRequestIsQueuedWithoutAnotherEndpoint() {
+        Rig rig = oneOfMany(5, 1);
         String id = rig.request(1, "key", 2_000_000);
-        rig.pass(2_000);
-        rig.end(id, Outcome.QUEUE_FULL, 2_000);
-        assertNull(rig.finals.get(id), "refused at once though another may have room in a moment");
+        rig.advance(2_000);
+        rig.endAttempt(id, Outcome.QUEUE_FULL, 2_000);
+        assertNull(rig.finalAnswers.get(id), "refused at once though another endpoint may have spare capacity soon");
         rig.balancer.onEndpoints(rig.now, Source.DELTA, List.of(Rig.ready(7)));
-        assertEquals("e7", rig.at(id));
+        assertEquals("e7", rig.endpointOf(id));
     }
 
     @Test
-    void aRequestThatWaitsIsNotSentAgainOnceItsWindowIsOver() {
-        Rig rig = new Rig(Rig.oneOfMany(false, Rig.KEYED), 5).endpoints(1);
+    void queuedRequestIsNotRetriedAfterItsDedupWindow() {
+        Rig rig = new Rig(Rig.oneOfMany(false, Rig.DEDUP), 5).endpoints(1);
         String id = rig.request(0, "key", 2_000_000);
-        rig.pass(100_000);
-        rig.end(id, Outcome.RESET, 100_000);
-        rig.pass(1_000_000);
+        rig.advance(100_000);
+        rig.endAttempt(id, Outcome.RESET, 100_000);
+        rig.advance(1_000_000);
         rig.balancer.onEndpoints(rig.now, Source.DELTA, List.of(Rig.ready(3)));
         assertEquals(1, rig.attempts(id));
-        assertEquals("fail", rig.finals.get(id));
+        assertEquals("fail", rig.finalAnswers.get(id));
     }
 
-    /** All endpoints start at once: how many of so many requests of many instances are sent at all. */
-    private static int[] coldFleet(Contract contract, int instances, int each) {
+    /** All endpoints start at once; returns the requests sent by all instances and the most sent to one endpoint. */
+    private static int[] sentToColdFleet(Contract contract, int instances, int requestsPerInstance) {
         Settings settings = new Settings(
-                List.of(Rig.SAFE),
+                List.of(Rig.RETRYABLE),
                 List.of(),
                 0.2,
                 instances,
@@ -232,14 +232,14 @@
                 list.add(new Endpoint("e" + k, 0, 0, 0, Availability.READY, 1, rig.now));
             }
             rig.balancer.onEndpoints(rig.now, Source.FULL, list);
-            for (int k = 0; k < each; k++) {
+            for (int k = 0; k < requestsPerInstance; k++) {
                 String id = rig.request(0, "key" + (31 * i + k), 2_000_000);
-                if (rig.at(id) != null) {
-                    sent.merge(rig.at(id), 1, Integer::sum);
-                    rig.end(id, Outcome.OK, 20_000);
+                if (rig.endpointOf(id) != null) {
+                    sent.merge(rig.endpointOf(id), 1, Integer::sum);
+                    rig.endAttempt(id, Outcome.OK, 20_000);
                     all++;
                 }
-                rig.pass(10_000);
+                rig.advance(10_000);
             }
         }
         return new int[] {
@@ -248,13 +248,12 @@
     }
 
     @Test
-    void aFleetThatIsColdAsAWholeIsSentAsMuchAsItBears() {
-        // 10 endpoints at a fifth of their capacity, of which 0.6 of 4 times is sent: 0.48 of what is asked
-        // for.
-        int[] got = coldFleet(new Contract(10_000_000, 0.2, 20_000_000, 4), 300, 10);
-        assertTrue(got[0] > 0.4 * 3_000 && got[0] < 0.56 * 3_000, got[0] + " of 3000 sent");
-        assertTrue(got[1] < 1.5 * got[0] / 10, got[1] + " to one of ten, of " + got[0]);
-        int[] careful = coldFleet(new Contract(10_000_000, 0.2, 20_000_000, 2), 300, 10);
-        assertTrue(careful[0] < 0.7 * got[0], "where less pushes one over, less is sent: " + careful[0]);
+    void coldFleetIsSentItsSustainableLoad() {
+        // Endpoints have a fifth of their capacity and are sent 0.6 times the factor 4 of it: 0.48 of the offered load.
+        int[] sent = sentToColdFleet(new Contract(10_000_000, 0.2, 20_000_000, 4), 300, 10);
+        assertTrue(sent[0] > 0.4 * 3_000 && sent[0] < 0.56 * 3_000, sent[0] + " of 3000 sent");
+        assertTrue(sent[1] < 1.5 * sent[0] / 10, sent[1] + " to one of ten, of " + sent[0]);
+        int[] careful = sentToColdFleet(new Contract(10_000_000, 0.2, 20_000_000, 2), 300, 10);
+        assertTrue(careful[0] < 0.7 * sent[0], "with a lower overload factor, less is sent: " + careful[0]);
     }
 }
--- a/src/test/java/mulleinfront/Rig.java
+++ b/src/test/java/mulleinfront/Rig.java
@@ -18,30 +18,32 @@
 import mulleinfront.Balancer.Settings;
 import mulleinfront.Balancer.Source;
 
-/** Drives one balancer by hand and writes down what it does. */
+/** Drives one balancer step by step and records its actions. */
 final class Rig implements Actions {
-    static final RequestClass SAFE = new RequestClass("safe", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 2_000_000);
-    static final RequestClass KEYED =
+    static final RequestClass RETRYABLE =
+            new RequestClass("safe", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 2_000_000);
+    static final RequestClass DEDUP =
             new RequestClass("keyed", Effect.DEDUP, DedupScope.ZONE, 1_000_000, 2, 0, 500_000, 0, 2_000_000);
-    static final RequestClass UNSAFE = new RequestClass("unsafe", Effect.FRAGILE, null, 0, 4, 0, 500_000, 0, 2_000_000);
+    static final RequestClass FRAGILE =
+            new RequestClass("unsafe", Effect.FRAGILE, null, 0, 4, 0, 500_000, 0, 2_000_000);
     static final Contract CONTRACT = new Contract(10_000_000, 0.2, 20_000_000);
 
     final List<String> log = new ArrayList<>();
     final Map<String, List<String>> sends = new HashMap<>();
-    final Map<String, String> finals = new HashMap<>();
+    final Map<String, String> finalAnswers = new HashMap<>();
     final List<String> probes = new ArrayList<>();
     int subscribes;
-    long wake = Long.MAX_VALUE;
-    long timeout;
+    long nextWakeAt = Long.MAX_VALUE;
+    long lastTimeoutUs;
     Balancer balancer;
     long now = 1_000_000;
-    private int ids;
+    private int nextId;
 
     static Settings settings(boolean subscribe, RequestClass... classes) {
         return settings(3, false, subscribe, classes);
     }
 
-    /** One of 500 instances, with probes that cost nothing. */
+    /** Settings of one of 500 instances, with free probes. */
     static Settings oneOfMany(boolean mayProbe, RequestClass... classes) {
         return settings(500, mayProbe, false, classes);
     }
@@ -71,12 +73,12 @@
         balancer = Balancer.create(settings, seed, now, this);
     }
 
-    static Endpoint ready(int i) {
-        return new Endpoint("e" + i, i % 3, i % 4, 0, Availability.READY, 1, 0);
+    static Endpoint ready(int number) {
+        return new Endpoint("e" + number, number % 3, number % 4, 0, Availability.READY, 1, 0);
     }
 
-    /** Discovery tells of an endpoint whose process starts now. */
-    void starts(String id) {
+    /** Discovery lists an endpoint whose process starts now. */
+    void startEndpoint(String id) {
         balancer.onEndpoints(now, Source.DELTA, List.of(new Endpoint(id, 0, 0, 0, Availability.READY, 1, now)));
     }
 
@@ -89,40 +91,40 @@
         return this;
     }
 
-    String request(int type, String key, long budget) {
-        String id = "r" + ids++;
-        balancer.onRequest(now, new Request(id, type, key, budget, 0, 0, false));
+    String request(int classIndex, String key, long budgetUs) {
+        String id = "r" + nextId++;
+        balancer.onRequest(now, new Request(id, classIndex, key, budgetUs, 0, 0, false));
         return id;
     }
 
-    /** Endpoint of the request's latest attempt. */
-    String at(String id) {
-        List<String> to = sends.get(id);
-        return to == null ? null : to.get(to.size() - 1);
+    /** Endpoint of the request's latest attempt, or null. */
+    String endpointOf(String id) {
+        List<String> endpointIds = sends.get(id);
+        return endpointIds == null ? null : endpointIds.get(endpointIds.size() - 1);
     }
 
     int attempts(String id) {
         return sends.getOrDefault(id, List.of()).size();
     }
 
-    void end(String id, Outcome outcome, long lag) {
-        balancer.onAttemptEnded(now, new AttemptEnd(id, attempts(id) - 1, outcome, outcome == Outcome.OK, lag));
+    void endAttempt(String id, Outcome outcome, long latencyUs) {
+        balancer.onAttemptEnded(now, new AttemptEnd(id, attempts(id) - 1, outcome, outcome == Outcome.OK, latencyUs));
     }
 
-    /** Serves one request at once; gives the endpoint. */
-    String serve(int type, String key) {
-        String id = request(type, key, 1_000_000);
+    /** Serves one request with a latency of 20 ms; returns the endpoint. */
+    String serve(int classIndex, String key) {
+        String id = request(classIndex, key, 1_000_000);
         now += 20_000;
-        end(id, Outcome.OK, 20_000);
-        return at(id);
+        endAttempt(id, Outcome.OK, 20_000);
+        return endpointOf(id);
     }
 
-    /** Lets time pass, with the timers that were asked for. */
-    void pass(long us) {
-        long until = now + us;
-        while (wake <= until) {
-            now = Math.max(now, wake);
-            wake = Long.MAX_VALUE;
+    /** Advances time and calls the timers that are due. */
+    void advance(long durationUs) {
+        long until = now + durationUs;
+        while (nextWakeAt <= until) {
+            now = Math.max(now, nextWakeAt);
+            nextWakeAt = Long.MAX_VALUE;
             balancer.onTimer(now);
         }
         now = until;
@@ -131,19 +133,19 @@
     @Override
     public void send(String requestId, String endpointId, long timeoutUs) {
         sends.computeIfAbsent(requestId, k -> new ArrayList<>()).add(endpointId);
-        timeout = timeoutUs;
+        lastTimeoutUs = timeoutUs;
         log.add("send " + requestId + " " + endpointId + " " + timeoutUs);
     }
 
     @Override
     public void refuse(String requestId, long retryAfterUs) {
-        finals.put(requestId, "refuse");
+        finalAnswers.put(requestId, "refuse");
         log.add("refuse " + requestId);
     }
 
     @Override
     public void fail(String requestId) {
-        finals.put(requestId, "fail");
+        finalAnswers.put(requestId, "fail");
         log.add("fail " + requestId);
     }
 
@@ -171,6 +173,6 @@
 
     @Override
     public void wakeAt(long atUs) {
-        wake = Math.min(wake, atUs);
+        nextWakeAt = Math.min(nextWakeAt, atUs);
     }
 }
--- a/src/test/java/mulleinfront/RingTest.java
+++ b/src/test/java/mulleinfront/RingTest.java
@@ -7,11 +7,11 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The ring against a plain sorted map, through many joins and leaves. */
+/** Compares the ring with a sorted map while owners are added and removed. */
 class RingTest {
 
     @Test
-    void mergingGivesTheSameOwnersAsAMap() {
+    void mergeKeepsTheOwnersOfASortedMap() {
         Random random = new Random(3);
         Ring<String> ring = new Ring<>();
         TreeMap<Long, String> map = new TreeMap<>();
@@ -22,8 +22,8 @@
                     map.values().removeIf(owner::equals);
                     ring.remove(owner, points(owner));
                 } else {
-                    for (long p : points(owner)) {
-                        map.put(p & ~0xffffL, owner);
+                    for (long point : points(owner)) {
+                        map.put(point & ~0xffffL, owner);
                     }
                     ring.add(owner, points(owner));
                 }
--- a/src/test/java/mulleinfront/RulesTest.java
+++ b/src/test/java/mulleinfront/RulesTest.java
@@ -24,38 +24,35 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * Plays seeded random but legal sequences of events and checks every action against the rules with
- * bookkeeping of its own.
- */
+/** Generates random sequences of valid events and checks every action against the invariants. */
 class RulesTest {
-    private static final long SLACK = 20_000;
+    private static final long SLACK_US = 20_000;
 
-    /** One request as the checker sees it. */
-    private static final class Seen {
-        RequestClass type;
+    /** The checker's record of a request. */
+    private static final class RequestRecord {
+        RequestClass requestClass;
         long deadline;
         boolean done;
-        final List<Try> tries = new ArrayList<>();
+        final List<AttemptRecord> attempts = new ArrayList<>();
     }
 
     /** One attempt of a request: its endpoint, when it was sent and ends, and its planned and actual outcome. */
-    private static final class Try {
+    private static final class AttemptRecord {
         String endpoint;
-        long at;
+        long sentAt;
         long endsAt;
         Outcome planned;
         Outcome outcome;
     }
 
-    /** Balancer's actions, checked as they come. */
+    /** Checks the balancer's actions as they are called. */
     private static final class Checker implements Actions {
-        final Map<String, Endpoint> world = new HashMap<>();
-        final Map<String, Seen> open = new HashMap<>();
+        final Map<String, Endpoint> endpoints = new HashMap<>();
+        final Map<String, RequestRecord> open = new HashMap<>();
         final Random random;
         long now = 5_000_000_000L;
-        long wake = Long.MAX_VALUE;
-        int finals;
+        long nextWakeAt = Long.MAX_VALUE;
+        int finalAnswers;
         final List<String> probes = new ArrayList<>();
 
         Checker(Random random) {
@@ -63,85 +60,90 @@
         }
 
         @Override
-        public void send(String id, String endpoint, long timeout) {
-            Seen s = open.get(id);
-            assertTrue(s != null && !s.done, "sent after its end: " + id);
-            Endpoint e = world.get(endpoint);
-            assertTrue(e != null && e.availability() == Availability.READY, "sent to a drained " + endpoint);
-            assertTrue(s.tries.size() < 3, "too many attempts");
-            for (Try t : s.tries) {
-                assertTrue(t.outcome != null, "two attempts out at once");
-                boolean maybe = t.outcome == null || !t.outcome.neverRan();
-                if (maybe && s.type.effect() == Effect.FRAGILE) {
+        public void send(String id, String endpointId, long timeoutUs) {
+            RequestRecord request = open.get(id);
+            assertTrue(request != null && !request.done, "sent after its end: " + id);
+            Endpoint endpoint = endpoints.get(endpointId);
+            assertTrue(
+                    endpoint != null && endpoint.availability() == Availability.READY,
+                    "sent to a drained " + endpointId);
+            assertTrue(request.attempts.size() < 3, "too many attempts");
+            for (AttemptRecord attempt : request.attempts) {
+                assertTrue(attempt.outcome != null, "two attempts out at once");
+                boolean mayHaveRun = attempt.outcome == null || !attempt.outcome.neverRan();
+                if (mayHaveRun && request.requestClass.effect() == Effect.FRAGILE) {
                     throw new AssertionError("fragile request sent twice");
                 }
-                if (maybe && s.type.effect() == Effect.DEDUP) {
-                    Endpoint first = world.get(t.endpoint);
-                    assertTrue(now - t.at <= s.type.dedupWindowUs(), "outside the window");
+                if (mayHaveRun && request.requestClass.effect() == Effect.DEDUP) {
+                    Endpoint first = endpoints.get(attempt.endpoint);
+                    assertTrue(now - attempt.sentAt <= request.requestClass.dedupWindowUs(), "outside the window");
                     assertTrue(
-                            s.type.scope() == DedupScope.ALL
-                                    || s.type.scope() == DedupScope.ZONE && first.zone() == e.zone()
-                                    || s.type.scope() == DedupScope.CELL && first.cell() == e.cell(),
+                            request.requestClass.scope() == DedupScope.ALL
+                                    || request.requestClass.scope() == DedupScope.ZONE
+                                            && first.zone() == endpoint.zone()
+                                    || request.requestClass.scope() == DedupScope.CELL
+                                            && first.cell() == endpoint.cell(),
                             "outside the group");
                 }
             }
-            Try t = new Try();
-            t.endpoint = endpoint;
-            t.at = now;
-            long limit = Math.min(now + (timeout == 0 ? Long.MAX_VALUE / 2 : timeout), s.deadline);
-            long natural = now + (long) (20_000 * Math.exp(1.2 * random.nextGaussian()));
-            boolean late = natural > limit || random.nextInt(60) == 0;
-            t.endsAt = late ? Math.max(now, limit) : natural;
-            t.planned = late
+            AttemptRecord attempt = new AttemptRecord();
+            attempt.endpoint = endpointId;
+            attempt.sentAt = now;
+            long limitAt = Math.min(now + (timeoutUs == 0 ? Long.MAX_VALUE / 2 : timeoutUs), request.deadline);
+            long responseAt = now + (long) (20_000 * Math.exp(1.2 * random.nextGaussian()));
+            boolean late = responseAt > limitAt || random.nextInt(60) == 0;
+            attempt.endsAt = late ? Math.max(now, limitAt) : responseAt;
+            attempt.planned = late
                     ? Outcome.TIMED_OUT
                     : random.nextInt(14) > 0
                             ? Outcome.OK
                             : Outcome.values()[random.nextInt(5) == 0 ? 4 : 1 + random.nextInt(5)];
-            if (t.planned == Outcome.TIMED_OUT && !late) {
-                t.planned = Outcome.FAILED;
+            if (attempt.planned == Outcome.TIMED_OUT && !late) {
+                attempt.planned = Outcome.FAILED;
             }
-            s.tries.add(t);
+            request.attempts.add(attempt);
         }
 
         @Override
         public void refuse(String id, long retryAfter) {
-            Seen s = answer(id);
-            for (Try t : s.tries) {
-                boolean maybe = t.outcome == null || !t.outcome.neverRan();
+            RequestRecord request = finish(id);
+            for (AttemptRecord attempt : request.attempts) {
+                boolean mayHaveRun = attempt.outcome == null || !attempt.outcome.neverRan();
                 assertTrue(
-                        !maybe
-                                || s.type.effect() == Effect.RETRYABLE
-                                || s.type.effect() == Effect.DEDUP && s.type.scope() == DedupScope.ALL,
+                        !mayHaveRun
+                                || request.requestClass.effect() == Effect.RETRYABLE
+                                || request.requestClass.effect() == Effect.DEDUP
+                                        && request.requestClass.scope() == DedupScope.ALL,
                         "untrue refusal");
             }
         }
 
         @Override
         public void fail(String id) {
-            answer(id);
+            finish(id);
         }
 
-        private Seen answer(String id) {
-            Seen s = open.get(id);
-            assertTrue(s != null && !s.done, "second final answer");
-            assertTrue(now <= s.deadline + SLACK, "answered " + (now - s.deadline) + " us late");
-            s.done = true;
-            finals++;
-            return s;
+        private RequestRecord finish(String id) {
+            RequestRecord request = open.get(id);
+            assertTrue(request != null && !request.done, "second final answer");
+            assertTrue(now <= request.deadline + SLACK_US, "answered " + (now - request.deadline) + " us late");
+            request.done = true;
+            finalAnswers++;
+            return request;
         }
 
         @Override
-        public void cancel(String id, int attempt) {
-            Try t = open.get(id).tries.get(attempt);
-            if (t.outcome == null) {
-                t.planned = Outcome.CANCELED;
-                t.endsAt = Math.min(t.endsAt, now + 1_000);
+        public void cancel(String id, int number) {
+            AttemptRecord attempt = open.get(id).attempts.get(number);
+            if (attempt.outcome == null) {
+                attempt.planned = Outcome.CANCELED;
+                attempt.endsAt = Math.min(attempt.endsAt, now + 1_000);
             }
         }
 
         @Override
         public void probe(String endpoint) {
-            assertTrue(world.containsKey(endpoint), "probed an endpoint never listed");
+            assertTrue(endpoints.containsKey(endpoint), "probed an endpoint never listed");
             probes.add(endpoint);
         }
 
@@ -151,170 +153,177 @@
         @Override
         public void wakeAt(long at) {
             assertTrue(at > now, "timer in the past");
-            wake = Math.min(wake, at);
+            nextWakeAt = Math.min(nextWakeAt, at);
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
-    void randomEventsBreakNoRule(int seed) {
+    void randomEventsViolateNoInvariant(int seed) {
         Random random = new Random(seed);
-        Checker c = new Checker(random);
-        List<RequestClass> classes = new ArrayList<>(List.of(Rig.SAFE, Rig.UNSAFE));
+        Checker checker = new Checker(random);
+        List<RequestClass> classes = new ArrayList<>(List.of(Rig.RETRYABLE, Rig.FRAGILE));
         for (DedupScope scope : DedupScope.values()) {
             classes.add(new RequestClass("d" + scope, Effect.DEDUP, scope, 100_000, 1, 0, 300_000, 0, 900_000));
         }
         RequestClass[] all = classes.toArray(new RequestClass[0]);
         Settings settings = seed > 16 ? Rig.oneOfMany(seed % 2 == 0, all) : Rig.settings(seed % 3 == 0, all);
-        // One of many sees little and stands still now and then; requests are as many, only further apart.
-        int pace = seed > 16 ? 40_000 : 4_000;
-        Balancer balancer = Balancer.create(settings, seed, c.now, c);
-        int made = 0;
+        // With many instances, requests are further apart and the process stalls now and then.
+        int maxGapUs = seed > 16 ? 40_000 : 4_000;
+        Balancer balancer = Balancer.create(settings, seed, checker.now, checker);
+        int created = 0;
         int ended = 0;
         for (int step = 0; step < 4_000; step++) {
-            int gap = random.nextInt(pace);
-            for (; gap > 4_000; gap -= 4_000) {
-                ended += advance(c, balancer, 4_000);
+            int gapUs = random.nextInt(maxGapUs);
+            for (; gapUs > 4_000; gapUs -= 4_000) {
+                ended += advance(checker, balancer, 4_000);
             }
-            c.now += gap;
+            checker.now += gapUs;
             if (seed > 16 && random.nextInt(80) == 0) {
-                stand(c, balancer, random, 200_000 + random.nextInt(600_000));
+                stall(checker, balancer, random, 200_000 + random.nextInt(600_000));
             }
-            ended += advance(c, balancer, 0);
-            for (String probed : List.copyOf(c.probes)) {
+            ended += advance(checker, balancer, 0);
+            for (String probed : List.copyOf(checker.probes)) {
                 if (random.nextInt(3) > 0) {
-                    c.probes.remove(probed);
-                    balancer.onProbeEnded(c.now, probed, Outcome.values()[random.nextInt(5)], random.nextInt(200_000));
+                    checker.probes.remove(probed);
+                    balancer.onProbeEnded(
+                            checker.now, probed, Outcome.values()[random.nextInt(5)], random.nextInt(200_000));
                 }
             }
             if (step % 150 == 0) {
-                change(c, balancer, random);
+                changeEndpoints(checker, balancer, random);
             }
             if (step < 3_500) {
-                String id = "r" + made++;
-                int type = random.nextInt(classes.size());
-                Seen s = new Seen();
-                s.type = classes.get(type);
-                long budget = random.nextInt(10) == 0 ? random.nextInt(3_000) : 50_000 + random.nextInt(800_000);
-                s.deadline = c.now + budget;
-                c.open.put(id, s);
+                String id = "r" + created++;
+                int classIndex = random.nextInt(classes.size());
+                RequestRecord request = new RequestRecord();
+                request.requestClass = classes.get(classIndex);
+                long budgetUs = random.nextInt(10) == 0 ? random.nextInt(3_000) : 50_000 + random.nextInt(800_000);
+                request.deadline = checker.now + budgetUs;
+                checker.open.put(id, request);
                 String key = random.nextInt(4) == 0 ? null : "k" + (int) Math.pow(random.nextInt(40), 1.5);
-                balancer.onRequest(c.now, new Request(id, type, key, budget, 0, 0, random.nextBoolean()));
-                if (random.nextInt(60) == 0 && !s.done) {
-                    s.done = true;
-                    c.finals++;
-                    balancer.onRequestAbandoned(c.now, id);
+                balancer.onRequest(checker.now, new Request(id, classIndex, key, budgetUs, 0, 0, random.nextBoolean()));
+                if (random.nextInt(60) == 0 && !request.done) {
+                    request.done = true;
+                    checker.finalAnswers++;
+                    balancer.onRequestAbandoned(checker.now, id);
                 }
             }
         }
         for (int i = 0; i < 1_000; i++) {
-            ended += advance(c, balancer, 4_000);
+            ended += advance(checker, balancer, 4_000);
         }
-        assertEquals(made, c.finals, "requests without a final answer");
-        assertTrue(ended > 1_000, "too little was sent: " + ended);
+        assertEquals(created, checker.finalAnswers, "requests without a final answer");
+        assertTrue(ended > 1_000, "too few attempts ended: " + ended);
     }
 
-    /** The process stands still: clients whose time is up have left when it looks again. */
-    private static void stand(Checker c, Balancer balancer, Random random, long us) {
-        c.now += us;
-        for (Map.Entry<String, Seen> e : new ArrayList<>(c.open.entrySet())) {
-            if (!e.getValue().done && c.now > e.getValue().deadline) {
-                e.getValue().done = true;
-                c.finals++;
-                balancer.onRequestAbandoned(c.now, e.getKey());
+    /** Stalls the process: clients whose budget ended have disconnected when it resumes. */
+    private static void stall(Checker checker, Balancer balancer, Random random, long durationUs) {
+        checker.now += durationUs;
+        for (Map.Entry<String, RequestRecord> entry : new ArrayList<>(checker.open.entrySet())) {
+            if (!entry.getValue().done && checker.now > entry.getValue().deadline) {
+                entry.getValue().done = true;
+                checker.finalAnswers++;
+                balancer.onRequestAbandoned(checker.now, entry.getKey());
             }
         }
     }
 
-    /** Lets time pass, then fires the timers due and ends the attempts due; gives how many ended. */
-    private static int advance(Checker c, Balancer balancer, long us) {
-        c.now += us;
-        while (c.wake <= c.now) {
-            c.wake = Long.MAX_VALUE;
-            balancer.onTimer(c.now);
+    /** Advances time, then calls the timers due and ends the attempts due; returns how many ended. */
+    private static int advance(Checker checker, Balancer balancer, long durationUs) {
+        checker.now += durationUs;
+        while (checker.nextWakeAt <= checker.now) {
+            checker.nextWakeAt = Long.MAX_VALUE;
+            balancer.onTimer(checker.now);
         }
-        return endDue(c, balancer);
+        return endDueAttempts(checker, balancer);
     }
 
-    private static int endDue(Checker c, Balancer balancer) {
+    private static int endDueAttempts(Checker checker, Balancer balancer) {
         int ended = 0;
-        for (Map.Entry<String, Seen> e : new ArrayList<>(c.open.entrySet())) {
-            Seen s = e.getValue();
-            boolean out = false;
-            for (int i = 0; i < s.tries.size(); i++) {
-                Try t = s.tries.get(i);
-                if (t.outcome == null && t.endsAt <= c.now) {
-                    t.outcome = t.planned;
-                    boolean served = t.outcome == Outcome.OK && !s.done;
+        for (Map.Entry<String, RequestRecord> entry : new ArrayList<>(checker.open.entrySet())) {
+            RequestRecord request = entry.getValue();
+            boolean outstanding = false;
+            for (int i = 0; i < request.attempts.size(); i++) {
+                AttemptRecord attempt = request.attempts.get(i);
+                if (attempt.outcome == null && attempt.endsAt <= checker.now) {
+                    attempt.outcome = attempt.planned;
+                    boolean served = attempt.outcome == Outcome.OK && !request.done;
                     if (served) {
-                        s.done = true;
-                        c.finals++;
+                        request.done = true;
+                        checker.finalAnswers++;
                     }
                     ended++;
-                    balancer.onAttemptEnded(c.now, new AttemptEnd(e.getKey(), i, t.outcome, s.done, c.now - t.at));
+                    balancer.onAttemptEnded(
+                            checker.now,
+                            new AttemptEnd(
+                                    entry.getKey(), i, attempt.outcome, request.done, checker.now - attempt.sentAt));
                 }
-                out |= t.outcome == null;
+                outstanding |= attempt.outcome == null;
             }
-            assertTrue(s.done || c.now <= s.deadline + SLACK || out, "lost " + e.getKey());
-            if (s.done && !out) {
-                c.open.remove(e.getKey());
+            assertTrue(
+                    request.done || checker.now <= request.deadline + SLACK_US || outstanding,
+                    "lost " + entry.getKey());
+            if (request.done && !outstanding) {
+                checker.open.remove(entry.getKey());
             }
         }
         return ended;
     }
 
-    /** Endpoints start, drain, leave and come back; what the balancer is told holds at once. */
-    private static void change(Checker c, Balancer balancer, Random random) {
+    /** Endpoints start, drain, disappear and return; the balancer is notified at once. */
+    private static void changeEndpoints(Checker checker, Balancer balancer, Random random) {
         List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             Availability state = Availability.values()[Math.max(0, random.nextInt(6) - 3)];
-            Endpoint e = new Endpoint("e" + i, i % 3, i % 4, i % 2, state, 1, random.nextInt(5) == 0 ? c.now : 0);
-            c.world.put(e.id(), e);
-            list.add(e);
+            Endpoint endpoint =
+                    new Endpoint("e" + i, i % 3, i % 4, i % 2, state, 1, random.nextInt(5) == 0 ? checker.now : 0);
+            checker.endpoints.put(endpoint.id(), endpoint);
+            list.add(endpoint);
         }
         if (random.nextBoolean()) {
-            list.removeIf(e -> e.availability() == Availability.GONE);
-            balancer.onEndpoints(c.now, Source.FULL, list);
+            list.removeIf(endpoint -> endpoint.availability() == Availability.GONE);
+            balancer.onEndpoints(checker.now, Source.FULL, list);
         } else {
-            balancer.onEndpoints(c.now, Source.DELTA, list);
+            balancer.onEndpoints(checker.now, Source.DELTA, list);
         }
         if (random.nextInt(3) == 0) {
-            balancer.onDiscoveryFailed(c.now);
+            balancer.onDiscoveryFailed(checker.now);
         }
     }
 
     @Test
-    void theCheckerReportsEachRuleBrokenOnPurpose() {
-        Checker c = new Checker(new Random(1));
-        c.world.put("up", new Endpoint("up", 0, 0, 0, Availability.READY, 1, 0));
-        c.world.put("far", new Endpoint("far", 1, 1, 0, Availability.READY, 1, 0));
-        c.world.put("drained", new Endpoint("drained", 0, 0, 0, Availability.DRAINING, 1, 0));
-        open(c, "a", Rig.SAFE);
-        assertThrows(AssertionError.class, () -> c.send("a", "drained", 0));
-        c.send("a", "up", 0);
-        assertThrows(AssertionError.class, () -> c.send("a", "far", 0), "two attempts out");
-        c.fail("a");
-        assertThrows(AssertionError.class, () -> c.fail("a"), "two answers");
-        open(c, "b", Rig.UNSAFE);
-        c.send("b", "up", 0);
-        c.open.get("b").tries.get(0).outcome = Outcome.FAILED;
-        assertThrows(AssertionError.class, () -> c.send("b", "far", 0), "fragile twice");
-        assertThrows(AssertionError.class, () -> c.refuse("b", 0), "untrue refusal");
-        open(c, "d", Rig.KEYED);
-        c.send("d", "up", 0);
-        c.open.get("d").tries.get(0).outcome = Outcome.FAILED;
-        assertThrows(AssertionError.class, () -> c.send("d", "far", 0), "outside its zone");
-        c.now += 1_500_000;
-        assertThrows(AssertionError.class, () -> c.send("d", "up", 0), "outside its window");
-        open(c, "e", Rig.SAFE);
-        c.now += 3_000_000;
-        assertThrows(AssertionError.class, () -> c.fail("e"), "late");
+    void checkerDetectsEachViolation() {
+        Checker checker = new Checker(new Random(1));
+        checker.endpoints.put("up", new Endpoint("up", 0, 0, 0, Availability.READY, 1, 0));
+        checker.endpoints.put("far", new Endpoint("far", 1, 1, 0, Availability.READY, 1, 0));
+        checker.endpoints.put("drained", new Endpoint("drained", 0, 0, 0, Availability.DRAINING, 1, 0));
+        openRequest(checker, "a", Rig.RETRYABLE);
+        assertThrows(AssertionError.class, () -> checker.send("a", "drained", 0));
+        checker.send("a", "up", 0);
+        assertThrows(AssertionError.class, () -> checker.send("a", "far", 0), "two attempts out");
+        checker.fail("a");
+        assertThrows(AssertionError.class, () -> checker.fail("a"), "two answers");
+        openRequest(checker, "b", Rig.FRAGILE);
+        checker.send("b", "up", 0);
+        checker.open.get("b").attempts.get(0).outcome = Outcome.FAILED;
+        assertThrows(AssertionError.class, () -> checker.send("b", "far", 0), "fragile twice");
+        assertThrows(AssertionError.class, () -> checker.refuse("b", 0), "untrue refusal");
+        openRequest(checker, "d", Rig.DEDUP);
+        checker.send("d", "up", 0);
+        checker.open.get("d").attempts.get(0).outcome = Outcome.FAILED;
+        assertThrows(AssertionError.class, () -> checker.send("d", "far", 0), "outside its zone");
+        checker.now += 1_500_000;
+        assertThrows(AssertionError.class, () -> checker.send("d", "up", 0), "outside its window");
+        openRequest(checker, "e", Rig.RETRYABLE);
+        checker.now += 3_000_000;
+        assertThrows(AssertionError.class, () -> checker.fail("e"), "late");
     }
 
-    private static void open(Checker c, String id, RequestClass type) {
-        Seen s = new Seen();
-        s.type = type;
-        s.deadline = c.now + 2_000_000;
-        c.open.put(id, s);
+    private static void openRequest(Checker checker, String id, RequestClass requestClass) {
+        RequestRecord request = new RequestRecord();
+        request.requestClass = requestClass;
+        request.deadline = checker.now + 2_000_000;
+        checker.open.put(id, request);
     }
 }
