--- a/src/main/java/mulleinfront/proxy/ClientChannel.java
+++ b/src/main/java/mulleinfront/proxy/ClientChannel.java
@@ -15,42 +15,42 @@
 import java.util.function.IntConsumer;
 
 /**
- * A client's connection that can be asked whether its client has closed it, though the loop has not come to read that
- * yet. The platform tells of a close only behind all that was sent before it, so that is read here and kept until the
- * pipeline reads it in its turn.
+ * A client's connection that can tell whether the client has closed it before the event loop has read that far. The
+ * operating system reports a close only after all data sent before it, so that data is read ahead and buffered here until
+ * the pipeline reads it.
  */
 final class ClientChannel extends NioSocketChannel {
-    /** What is read past the pipeline at most: what one connection's first receive window holds, bytes. */
-    private static final int MOST_LOOKED = 64 * 1024;
+    /** Limit of the read-ahead: the size of a connection's initial receive window. */
+    private static final int MAX_READ_AHEAD_BYTES = 64 * 1024;
 
     private static final int READ_BYTES = 8 * 1024;
-    /** How long nothing is accepted after that has failed. */
-    private static final int ACCEPT_AGAIN_MS = 5;
+    /** Pause after a failed accept. */
+    private static final int ACCEPT_RETRY_MS = 5;
 
-    private final ByteBuffer room;
-    private final IntConsumer hold;
-    /** What was read here and not yet by the pipeline; null if nothing was. */
-    private ByteBuf looked;
+    private final ByteBuffer readBuffer;
+    private final IntConsumer onBufferedBytes;
+    /** Data read ahead of the pipeline; null if there is none. */
+    private ByteBuf readAhead;
 
-    private boolean kicked;
+    private boolean readScheduled;
 
-    private ClientChannel(Channel parent, SocketChannel socket, ByteBuffer room, IntConsumer hold) {
+    private ClientChannel(Channel parent, SocketChannel socket, ByteBuffer readBuffer, IntConsumer onBufferedBytes) {
         super(parent, socket);
-        this.room = room;
-        this.hold = hold;
+        this.readBuffer = readBuffer;
+        this.onBufferedBytes = onBufferedBytes;
     }
 
-    /** Whether the client has closed its end, or the connection is gone; looks no further than a bound. */
-    boolean left() {
+    /** Whether the client has closed its end or the connection is broken; reads ahead up to the limit to find out. */
+    boolean closedByClient() {
         try {
             while (isActive()) {
-                int n = looked != null && looked.readableBytes() >= MOST_LOOKED
+                int bytesRead = readAhead != null && readAhead.readableBytes() >= MAX_READ_AHEAD_BYTES
                         ? 0
-                        : javaChannel().read(room.clear());
-                if (n <= 0) {
-                    return n < 0;
+                        : javaChannel().read(readBuffer.clear());
+                if (bytesRead <= 0) {
+                    return bytesRead < 0;
                 }
-                keep(room.flip());
+                appendReadAhead(readBuffer.flip());
             }
             return true;
         } catch (IOException reset) {
@@ -58,25 +58,27 @@
         }
     }
 
-    /** Whether anything has come that the pipeline has not read. */
-    boolean unread() {
-        return !left() && looked != null;
+    /** Whether data has arrived that the pipeline has not read. */
+    boolean hasUnreadData() {
+        return !closedByClient() && readAhead != null;
     }
 
-    private void keep(ByteBuffer more) {
-        hold.accept(more.remaining());
-        looked = looked == null ? Upstream.BUFFERS.buffer(more.remaining(), MOST_LOOKED + READ_BYTES) : looked;
-        looked.writeBytes(more);
-        readSoon();
+    private void appendReadAhead(ByteBuffer data) {
+        onBufferedBytes.accept(data.remaining());
+        readAhead = readAhead == null
+                ? Upstream.ALLOCATOR.buffer(data.remaining(), MAX_READ_AHEAD_BYTES + READ_BYTES)
+                : readAhead;
+        readAhead.writeBytes(data);
+        scheduleRead();
     }
 
-    /** The selector tells of what the system holds, and no longer of what was taken from there. */
-    private void readSoon() {
-        if (!kicked) {
-            kicked = true;
+    /** Schedules a read by the pipeline, since the selector does not report data that has been read ahead. */
+    private void scheduleRead() {
+        if (!readScheduled) {
+            readScheduled = true;
             eventLoop().execute(() -> {
-                kicked = false;
-                if (looked != null && isActive() && config().isAutoRead()) {
+                readScheduled = false;
+                if (readAhead != null && isActive() && config().isAutoRead()) {
                     unsafe().read();
                 }
             });
@@ -86,77 +88,80 @@
     @Override
     protected void doBeginRead() throws Exception {
         super.doBeginRead();
-        if (looked != null) {
-            readSoon();
+        if (readAhead != null) {
+            scheduleRead();
         }
     }
 
     @Override
-    protected int doReadBytes(ByteBuf into) throws Exception {
-        if (looked == null) {
-            return super.doReadBytes(into);
+    protected int doReadBytes(ByteBuf target) throws Exception {
+        if (readAhead == null) {
+            return super.doReadBytes(target);
         }
-        int n = Math.min(looked.readableBytes(), into.writableBytes());
-        unsafe().recvBufAllocHandle().attemptedBytesRead(n);
-        into.writeBytes(looked, n);
-        hold.accept(-n);
-        if (!looked.isReadable()) {
-            looked.release();
-            looked = null;
+        int bytesRead = Math.min(readAhead.readableBytes(), target.writableBytes());
+        unsafe().recvBufAllocHandle().attemptedBytesRead(bytesRead);
+        target.writeBytes(readAhead, bytesRead);
+        onBufferedBytes.accept(-bytesRead);
+        if (!readAhead.isReadable()) {
+            readAhead.release();
+            readAhead = null;
         }
-        return n;
+        return bytesRead;
     }
 
     @Override
     protected void doClose() throws Exception {
-        if (looked != null) {
-            hold.accept(-looked.readableBytes());
-            looked.release();
-            looked = null;
+        if (readAhead != null) {
+            onBufferedBytes.accept(-readAhead.readableBytes());
+            readAhead.release();
+            readAhead = null;
         }
         super.doClose();
     }
 
-    /** A listening socket whose connections are such. */
+    /** A listening socket that accepts connections as {@link ClientChannel}. */
     static final class Listener extends NioServerSocketChannel {
-        /** Outside the heap, or each look would copy. */
-        private final ByteBuffer room = ByteBuffer.allocateDirect(READ_BYTES);
+        /** A direct buffer, which avoids a copy on each read-ahead. */
+        private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BYTES);
 
-        private final IntConsumer hold;
-        /** Whether others may accept there too, so that what waits is not lost when this one is closed. */
+        private final IntConsumer onBufferedBytes;
+        /**
+         * Whether the socket was inherited: other processes may accept on it too, so waiting connections are not lost when
+         * this process closes it.
+         */
         private final boolean inherited;
 
         private int accepted;
         private boolean pausedAfterFailure;
 
         /**
-         * @param listening handed over by the platform; null to listen anew
-         * @param hold told of bytes that are held, and of those no longer held by a number below 0
+         * @param inheritedSocket the listening socket that the process inherited; null to open a new one
+         * @param onBufferedBytes called with the change of the number of bytes buffered, negative when bytes are released
          */
-        Listener(ServerSocketChannel listening, IntConsumer hold) {
-            super(listening == null ? open() : listening);
-            this.inherited = listening != null;
-            this.hold = hold;
+        Listener(ServerSocketChannel inheritedSocket, IntConsumer onBufferedBytes) {
+            super(inheritedSocket == null ? open() : inheritedSocket);
+            this.inherited = inheritedSocket != null;
+            this.onBufferedBytes = onBufferedBytes;
         }
 
         private static ServerSocketChannel open() {
             try {
                 return ServerSocketChannel.open();
-            } catch (IOException e) {
-                throw new ChannelException("no listening socket", e);
+            } catch (IOException cause) {
+                throw new ChannelException("can't open a listening socket", cause);
             }
         }
 
         @Override
-        protected int doReadMessages(List<Object> into) throws Exception {
+        protected int doReadMessages(List<Object> messages) throws Exception {
             SocketChannel socket;
             try {
                 socket = SocketUtils.accept(javaChannel());
-            } catch (IOException e) {
-                // No descriptor, no buffers, or a connection that was over: what waits behind it is asked for again
-                // soon.
-                // Netty would accept nothing for a second, and those who wait would be lost by then.
-                acceptAgainSoon();
+            } catch (IOException failure) {
+                // No free descriptor, no buffers, or a connection that was already closed. The next accept follows
+                // soon:
+                // Netty's own pause is 1 s, after which the waiting clients would have timed out.
+                pauseAccepting();
                 return 0;
             }
             if (socket == null) {
@@ -164,15 +169,15 @@
             }
             accepted++;
             try {
-                into.add(new ClientChannel(this, socket, room, hold));
+                messages.add(new ClientChannel(this, socket, readBuffer, onBufferedBytes));
                 return 1;
-            } catch (RuntimeException e) {
+            } catch (RuntimeException failure) {
                 socket.close();
                 return 0;
             }
         }
 
-        private void acceptAgainSoon() {
+        private void pauseAccepting() {
             if (isActive()) {
                 pausedAfterFailure = true;
                 config().setAutoRead(false);
@@ -184,29 +189,29 @@
                                         config().setAutoRead(true);
                                     }
                                 },
-                                ACCEPT_AGAIN_MS,
+                                ACCEPT_RETRY_MS,
                                 TimeUnit.MILLISECONDS);
             }
         }
 
         /**
-         * Closes, but takes first what the system has accepted: it would reset that, and what was sent there. A read
-         * at a time, since what is closed to make room frees its descriptor only with the loop's next select; and as
-         * long as there is room.
+         * Accepts the connections that wait in the backlog, as long as there is room for clients, and then closes: the
+         * operating system would reset waiting connections and the requests sent on them. Each step reads once, since a
+         * connection closed to make room frees its descriptor only with the event loop's next select.
          *
-         * @param reads made at most
-         * @param then run when it is closed
+         * @param maxReads limit of the number of reads
+         * @param whenClosed run after the close
          */
-        void closeAfterAll(int reads, Runnable then) {
+        void closeAfterAll(int maxReads, Runnable whenClosed) {
             accepted = 0;
-            if (!inherited && isActive() && config().isAutoRead() && reads > 0) {
+            if (!inherited && isActive() && config().isAutoRead() && maxReads > 0) {
                 unsafe().read();
             }
-            if (accepted > 0 || pausedAfterFailure && reads > 0) {
-                eventLoop().schedule(() -> closeAfterAll(reads - 1, then), 1, TimeUnit.MILLISECONDS);
+            if (accepted > 0 || pausedAfterFailure && maxReads > 0) {
+                eventLoop().schedule(() -> closeAfterAll(maxReads - 1, whenClosed), 1, TimeUnit.MILLISECONDS);
             } else {
                 close();
-                then.run();
+                whenClosed.run();
             }
         }
     }
--- a/src/main/java/mulleinfront/proxy/ClientProxy.java
+++ b/src/main/java/mulleinfront/proxy/ClientProxy.java
@@ -51,32 +51,32 @@
 import mulleinfront.settings.Listing;
 
 /**
- * A client proxy on sockets: a {@link Core} whose time is an event loop's and whose wire are connections.
- * The one event-loop thread owns all of it, so nothing here is locked and nothing may block.
+ * A client proxy on sockets: a {@link Core} with an event loop's timers and real connections. The event-loop thread owns
+ * all of it, so nothing here is locked and nothing may block.
  */
 public final class ClientProxy {
     /**
-     * Descriptors that the process needs for itself: some 20 for the JVM, selector, listener and watch, and
-     * as many that have been accepted or closed but not counted yet. Of the rest clients have one half and
-     * connections to hosts, of which a client's request has one at most, the other.
+     * Descriptors reserved for the process itself: about 20 for the JVM, selector, listener and watch, and as many again
+     * for connections accepted or closed but not counted yet. Clients get half of the rest. Connections to endpoints get the
+     * other half, which suffices, since a request uses at most one.
      */
     static final int OWN_SOCKETS = 48;
-    /** And for each further event loop: its selector and wake-up, listener, watch, and what is not counted yet. */
-    static final int LOOP_SOCKETS = 16;
-    /** After SIGTERM there is time for the longest deadline, this at most, and a little more. */
-    private static final long MOST_END_US = 3_000_000;
-
-    private static final long LAST_US = 600_000;
-    /** How long an address may be in use by another before that is an error, and how often it is tried. */
-    private static final long BIND_MS = 3_000;
-
-    private static final long BIND_AGAIN_MS = 20;
-    /** How long a start waits for the agent that pushes lists before it goes by the list of its configuration. */
-    private static final long AGENT_WAIT_MS = 1_500;
-    /** Metrics go into the log this often at most, seconds. */
-    private static final long METRICS_S = 10;
-
-    static final Upstream.Answer NO_BODY = new Upstream.Answer(new byte[0], null, null);
+    /** Descriptors reserved for each further event loop: selector, wake-up, listener, watch, and uncounted connections. */
+    static final int RESERVED_SOCKETS_PER_LOOP = 16;
+    /** Limit of the time that requests get after SIGTERM; the longest request deadline if that is shorter. */
+    private static final long MAX_SHUTDOWN_US = 3_000_000;
+    /** Added to this time after SIGTERM. */
+    private static final long SHUTDOWN_MARGIN_US = 600_000;
+    /** Time for which binding is retried while the address is in use. */
+    private static final long BIND_TIMEOUT_MS = 3_000;
+
+    private static final long BIND_RETRY_MS = 20;
+    /** Time that a start waits for the agent's list before it applies the list of its configuration. */
+    private static final long AGENT_TIMEOUT_MS = 1_500;
+    /** Metrics are logged at this interval if they have changed. */
+    private static final long METRICS_INTERVAL_S = 10;
+
+    static final Upstream.Answer EMPTY_ANSWER = new Upstream.Answer(new byte[0], null, null);
 
     private final Config config;
     private final EventLoopGroup group;
@@ -85,72 +85,78 @@
     private final Upstream upstream;
     private final Discovery discovery;
     private final Frontend frontend;
-    private final Core<Call, Upstream.Answer> core;
-    private final Map<String, Integer> classes = new HashMap<>();
-    private final LifecycleState standing;
+    private final Core<RequestMessage, Upstream.Answer> core;
+    private final Map<String, Integer> classIndexes = new HashMap<>();
+    private final LifecycleState lifecycle;
     private final Metrics metrics = new Metrics();
-    private final AgentBackoff agent = new AgentBackoff();
+    private final AgentBackoff agentBackoff = new AgentBackoff();
     private final EventLog log;
     private String loggedMetrics = metrics.summary();
-    /** A listening socket that the platform handed over, until it is taken up. */
-    private ServerSocketChannel inherited;
+    /** The listening socket that the process inherited, until the proxy accepts on it; else null. */
+    private ServerSocketChannel inheritedSocket;
 
     private Channel management;
-    private UnservedCounts refusals;
-    /** What it is in a fleet; null while it is in none, and then nothing of that is loaded. */
+    private UnservedCounts unservedCounts;
+    /** The fleet membership; null if the proxy is in no fleet, which also keeps its classes from being loaded. */
     private Membership membership;
-    /** The fleet's configuration; null while it is not watched, and then nothing of that is loaded. */
-    private ConfigWatcher following;
-    /** Where discovery is by this process's own configuration. */
-    private InetSocketAddress ownDiscovery;
+    /** The configuration watch; null if there is none, which also keeps its classes from being loaded. */
+    private ConfigWatcher configWatcher;
+    /** The address of discovery in this process's own configuration. */
+    private InetSocketAddress configuredDiscovery;
 
     private ClientProxy(Config config, EventLoopGroup group) {
         this.config = config;
-        this.ownDiscovery = config.discovery();
+        this.configuredDiscovery = config.discovery();
         this.group = group;
         this.loop = group.next();
         this.log = new EventLog(config.settings().instanceNumber());
-        this.standing = new LifecycleState(log::state);
-        int half = Math.max(1, (config.sockets() - OWN_SOCKETS) / 2);
+        this.lifecycle = new LifecycleState(log::stateChanged);
+        int socketsPerSide = Math.max(1, (config.sockets() - OWN_SOCKETS) / 2);
         this.upstream = new Upstream(
-                loop, config.dialTimeoutUs(), config.settings().limits().connIdleUs(), half, this::mostIdle, metrics);
-        this.core = new Core<>(config.settings(), new LoopTime(), new Sockets(), ClientProxy::defect, metrics);
+                loop,
+                config.dialTimeoutUs(),
+                config.settings().limits().connIdleUs(),
+                socketsPerSide,
+                this::maxIdleConnections,
+                metrics);
+        this.core = new Core<>(
+                config.settings(), new LoopTime(), new SocketWire(), ClientProxy::logUnexpectedException, metrics);
         this.discovery = new Discovery(config, loop, upstream, log, metrics.discovery, new Discovery.Listener() {
             @Override
-            public void listed(Source source, List<Endpoint> endpoints) {
+            public void onList(Source source, List<Endpoint> endpoints) {
                 core.onEndpointList(source, endpoints);
-                standing.endpointsListed(discovery.holdsList());
-                adopt();
+                lifecycle.endpointsListed(discovery.hasEndpoints());
+                acceptOnInherited();
             }
 
             @Override
-            public void failed(boolean unreachable) {
-                askAgain(() -> core.discoveryFailed(unreachable), agent.delayAfterCallUs());
+            public void onCallFailed(boolean unreachable) {
+                retryDiscovery(() -> core.discoveryFailed(unreachable), agentBackoff.delayAfterCallUs());
             }
 
             @Override
-            public void lost(long silentUs) {
-                askAgain(() -> core.watchLost(silentUs), agent.delayAfterWatchUs());
+            public void onWatchLost(long idleUs) {
+                retryDiscovery(() -> core.watchLost(idleUs), agentBackoff.delayAfterWatchUs());
             }
 
             @Override
-            public void ended() {
-                askAgain(core::watchEnded, agent.delayAfterWatchUs());
+            public void onWatchEnded() {
+                retryDiscovery(core::watchEnded, agentBackoff.delayAfterWatchUs());
             }
 
             @Override
-            public void calledElsewhere(long movedAgoUs) {
+            public void onMoved(long movedAgoUs) {
                 core.discoveryMoved(movedAgoUs);
             }
         });
-        this.frontend = new Frontend(this, standing, loop, half, metrics);
+        this.frontend = new Frontend(this, lifecycle, loop, socketsPerSide, metrics);
         List<RequestClass> all = config.settings().classes();
         for (int i = 0; i < all.size(); i++) {
-            classes.put(all.get(i).name(), i);
+            classIndexes.put(all.get(i).name(), i);
         }
     }
 
-    /** The event loop's timers, on the module's clock. */
+    /** The event loop's timers, on the balancer's clock. */
     private final class LoopTime implements Time {
         @Override
         public long now() {
@@ -164,87 +170,91 @@
         }
     }
 
-    /** Attempts and probes on connections, lists from the watch. */
-    private final class Sockets implements Wire<Call, Upstream.Answer> {
+    /** Sends attempts and probes on connections, and takes lists from the discovery watch. */
+    private final class SocketWire implements Wire<RequestMessage, Upstream.Answer> {
         @Override
         public Attempt attempt(
                 String requestId,
                 int number,
                 String hostId,
-                Call call,
+                RequestMessage message,
                 long timeoutUs,
-                BooleanSupplier wanted,
-                AttemptListener<Upstream.Answer> end) {
+                BooleanSupplier stillWanted,
+                AttemptListener<Upstream.Answer> listener) {
             Upstream.Host host = discovery.host(hostId);
-            return host == null ? null : upstream.attempt(host, call, timeoutUs, wanted, end);
+            return host == null ? null : upstream.attempt(host, message, timeoutUs, stillWanted, listener);
         }
 
         @Override
-        public void probe(String hostId, AttemptListener<Upstream.Answer> end) {
+        public void probe(String hostId, AttemptListener<Upstream.Answer> listener) {
             Upstream.Host host = discovery.host(hostId);
             if (host == null) {
-                end.ended(Outcome.IGNORED, null);
+                listener.ended(Outcome.IGNORED, null);
             } else {
-                upstream.attempt(host, Call.health(), config.dialTimeoutUs(), () -> true, end)
+                upstream.attempt(host, RequestMessage.healthProbe(), config.dialTimeoutUs(), () -> true, listener)
                         .start();
             }
         }
 
         @Override
-        public void subscribe(long patienceUs) {
-            discovery.watch(patienceUs);
+        public void subscribe(long timeoutUs) {
+            discovery.ensureWatch(timeoutUs);
         }
 
         @Override
-        public void onListExpired(Balancer.ListExpiryReason bound) {
-            log.listOverdue(bound);
+        public void onListExpired(Balancer.ListExpiryReason reason) {
+            log.listExpired(reason);
         }
     }
 
-    private int mostIdle() {
+    private int maxIdleConnections() {
         return core.maxIdleConnections();
     }
 
-    private static void defect(Throwable e) {
-        // Exceptions thrown often come without a trace.
-        System.err.println("mulleinfront: " + e
-                + Arrays.stream(e.getStackTrace())
+    private static void logUnexpectedException(Throwable exception) {
+        // The JVM omits the stack trace of an exception that is thrown often.
+        System.err.println("mulleinfront: " + exception
+                + Arrays.stream(exception.getStackTrace())
                         .limit(1)
-                        .map(at -> " at " + at)
+                        .map(frame -> " at " + frame)
                         .collect(Collectors.joining()));
     }
 
-    /** Starts to serve; returns once it listens. */
+    /** Starts a client proxy; returns once it listens. */
     public static ClientProxy start(Config config) throws Exception {
-        return start(config, null, begun -> {});
+        return start(config, null, onCreated -> {});
     }
 
     /**
-     * Starts to serve; returns once it listens.
+     * Starts a client proxy; returns once it listens.
      *
-     * @param inherited the listening socket of the configuration's address, which others may have too: nothing is
-     *        accepted on it before there is a list to serve by; null to listen there anew
-     * @param begun told of the client proxy before anybody can connect to it: from then on it may be drained
+     * @param inheritedSocket the inherited listening socket for the configured address, which other processes may hold too:
+     *     nothing is accepted on it before there is an endpoint list; null to open a new socket
+     * @param onCreated called with the client proxy before clients can connect to it; from then on it may be drained
      */
-    public static ClientProxy start(Config config, ServerSocketChannel inherited, Consumer<ClientProxy> begun)
+    public static ClientProxy start(Config config, ServerSocketChannel inheritedSocket, Consumer<ClientProxy> onCreated)
             throws Exception {
-        rehearse(config, inherited != null);
-        return start(config, Balancer::create, false, inherited, begun);
+        warmUp(config, inheritedSocket != null);
+        return start(config, Balancer::create, false, inheritedSocket, onCreated);
     }
 
     /**
-     * Starts one client proxy for each configuration, all on the address of the first, which share nothing but the
-     * port: the system gives each new connection to one of them. Each counts as an instance to its module.
+     * Starts one client proxy for each configuration, all on the address of the first. They share nothing but the port: the
+     * operating system assigns each new connection to one of them. Each is an instance of its own to the balancer.
      *
-     * @param begun as for one
+     * @param onCreated called with each client proxy before clients can connect to it; from then on it may be drained
      */
-    public static List<ClientProxy> startAll(List<Config> configs, Consumer<ClientProxy> begun) throws Exception {
-        rehearse(configs.get(0), false);
+    public static List<ClientProxy> startAll(List<Config> configs, Consumer<ClientProxy> onCreated) throws Exception {
+        warmUp(configs.get(0), false);
         List<ClientProxy> all = new ArrayList<>();
         try {
             for (Config config : configs) {
                 all.add(start(
-                        all.isEmpty() ? config : config.on(all.get(0).port()), Balancer::create, true, null, begun));
+                        all.isEmpty() ? config : config.on(all.get(0).port()),
+                        Balancer::create,
+                        true,
+                        null,
+                        onCreated));
             }
             return all;
         } catch (Exception e) {
@@ -254,69 +264,72 @@
     }
 
     /**
-     * Is its own host for a moment, and not ready; ends before the real one begins.
+     * Runs the warm-up with a temporary client proxy that is its own only endpoint and not ready. It ends before the real
+     * proxy starts.
      *
-     * @param held whether others serve at the clients' address now: then it is at the operators', where they are told
-     *        that it starts
+     * @param addressInUse whether other processes may serve the clients' address: the temporary proxy then listens on the
+     *     management address, where it reports that it is starting
      */
-    private static void rehearse(Config config, boolean held) throws Exception {
+    private static void warmUp(Config config, boolean addressInUse) throws Exception {
         if (!Rehearsal.pays(config)) {
             return;
         }
-        Rehearsal.decide(config.settings());
-        InetSocketAddress at = held ? config.management() : config.listen();
-        if (at == null) {
+        Rehearsal.exerciseBalancer(config.settings());
+        InetSocketAddress address = addressInUse ? config.management() : config.listen();
+        if (address == null) {
             return;
         }
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         Channel listener = null;
         ClientProxy proxy = new ClientProxy(config, group);
         try {
-            proxy.core.begin((settings, seed, now, actions) -> Rehearsal.module(actions), 0);
-            listener = proxy.bound(
-                    () -> proxy.frontend.listen(at, false, held ? proxy.new Operated(List.of(proxy)) : null), at);
+            proxy.core.begin((settings, seed, now, actions) -> Rehearsal.loopbackBalancer(actions), 0);
+            listener = proxy.bindWithRetry(
+                    () -> proxy.frontend.listen(
+                            address, false, addressInUse ? proxy.new ManagedProcess(List.of(proxy)) : null),
+                    address);
             proxy.loop
                     .submit(() -> {
-                        proxy.discovery.take(Rehearsal.self(at.getAddress(), proxy.port()), Source.FULL);
-                        // What listens is no client proxy, whatever its list says.
-                        proxy.standing.endpointsListed(false);
-                        return new Rehearsal.Rounds(
+                        proxy.discovery.apply(Rehearsal.selfListing(address.getAddress(), proxy.port()), Source.FULL);
+                        // The temporary proxy must not be ready for clients, although its list has an endpoint.
+                        proxy.lifecycle.endpointsListed(false);
+                        return new Rehearsal.LoopbackRequests(
                                         proxy.loop,
                                         proxy.upstream,
-                                        proxy.discovery.host(Rehearsal.SELF),
+                                        proxy.discovery.host(Rehearsal.SELF_ENDPOINT_ID),
                                         config.settings().classes().get(0))
-                                .next();
+                                .sendNext();
                     })
                     .get()
                     .await();
         } finally {
             if (listener != null) {
-                // By the loop while it runs: the address is wanted at once.
+                // Closed before the event loop ends, since the real proxy needs the address at once.
                 listener.close().await();
             }
-            proxy.end().await();
+            proxy.shutDown().await();
         }
     }
 
-    static ClientProxy start(Config config, Core.BalancerFactory maker) throws Exception {
-        return start(config, maker, false, null, begun -> {});
+    static ClientProxy start(Config config, Core.BalancerFactory balancerFactory) throws Exception {
+        return start(config, balancerFactory, false, null, onCreated -> {});
     }
 
-    /** One of many in a process, on event loops that they share: {@link SimulatedMembers}. */
-    static ClientProxy hollow(Config config, EventLoopGroup shared) throws Exception {
-        return start(config, Balancer::create, false, null, begun -> {}, shared);
+    /** Starts one of many client proxies that share event loops: see {@link SimulatedMembers}. */
+    static ClientProxy startSimulated(Config config, EventLoopGroup sharedGroup) throws Exception {
+        return start(config, Balancer::create, false, null, onCreated -> {}, sharedGroup);
     }
 
     private static ClientProxy start(
             Config config,
-            Core.BalancerFactory maker,
-            boolean shared,
-            ServerSocketChannel inherited,
-            Consumer<ClientProxy> begun)
+            Core.BalancerFactory balancerFactory,
+            boolean reusePort,
+            ServerSocketChannel inheritedSocket,
+            Consumer<ClientProxy> onCreated)
             throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
-            return start(config, maker, shared, inherited, begun, group);
+            return start(config, balancerFactory, reusePort, inheritedSocket, onCreated, group);
         } catch (Exception e) {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
             throw e;
@@ -325,77 +338,78 @@
 
     private static ClientProxy start(
             Config config,
-            Core.BalancerFactory maker,
-            boolean shared,
-            ServerSocketChannel inherited,
-            Consumer<ClientProxy> begun,
+            Core.BalancerFactory balancerFactory,
+            boolean reusePort,
+            ServerSocketChannel inheritedSocket,
+            Consumer<ClientProxy> onCreated,
             EventLoopGroup group)
             throws Exception {
         ClientProxy proxy = new ClientProxy(config, group);
-        begun.accept(proxy);
-        proxy.loop.submit(() -> proxy.begin(maker, inherited)).get();
-        if (inherited == null) {
-            proxy.bound(() -> proxy.frontend.listen(config.listen(), shared, null), config.listen());
-            proxy.standing.listening();
+        onCreated.accept(proxy);
+        proxy.loop.submit(() -> proxy.begin(balancerFactory, inheritedSocket)).get();
+        if (inheritedSocket == null) {
+            proxy.bindWithRetry(() -> proxy.frontend.listen(config.listen(), reusePort, null), config.listen());
+            proxy.lifecycle.listening();
         }
         System.err.println("mulleinfront: listening on " + NetUtil.toSocketAddressString(config.listen()));
         return proxy;
     }
 
     /**
-     * Listens, also where the address is in use for another moment: at a restart by the process before, say. One that
-     * ended because of it would be a crash.
+     * Binds a listener, with retries while the address is in use: at a restart the previous process may hold it for a
+     * moment longer, and an exit would count as a crash.
      */
-    private Channel bound(Supplier<ChannelFuture> listen, InetSocketAddress address) throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(BIND_MS);
+    private Channel bindWithRetry(Supplier<ChannelFuture> bind, InetSocketAddress address) throws Exception {
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(BIND_TIMEOUT_MS);
         for (boolean first = true; ; first = false) {
-            ChannelFuture binding = loop.submit(listen::get).get().await();
+            ChannelFuture binding = loop.submit(bind::get).get().await();
             if (binding.isSuccess()) {
                 return binding.channel();
             }
-            String why = "can't listen on " + NetUtil.toSocketAddressString(address) + ": "
+            String message = "can't listen on " + NetUtil.toSocketAddressString(address) + ": "
                     + binding.cause().getMessage();
-            if (!(binding.cause() instanceof BindException) || System.nanoTime() > end) {
-                throw new IOException(why);
+            if (!(binding.cause() instanceof BindException) || System.nanoTime() > endNanos) {
+                throw new IOException(message);
             }
             if (first) {
-                System.err.println("mulleinfront: " + why + "; trying on");
+                System.err.println("mulleinfront: " + message + "; trying on");
             }
-            Thread.sleep(BIND_AGAIN_MS);
+            Thread.sleep(BIND_RETRY_MS);
         }
     }
 
-    /** Takes up the inherited socket once there is a list: until then its clients wait for whoever else has it. */
-    private void adopt() {
-        if (inherited != null && standing.ready()) {
-            frontend.adopt(inherited);
-            inherited = null;
-            standing.listening();
+    /** Accepts on the inherited socket once there is a list; until then other processes that hold it may serve its clients. */
+    private void acceptOnInherited() {
+        if (inheritedSocket != null && lifecycle.ready()) {
+            frontend.acceptOn(inheritedSocket);
+            inheritedSocket = null;
+            lifecycle.listening();
         }
     }
 
     /**
-     * Opens the operators' door of a process at the first one's {@code management} address, if it has one.
+     * Opens the management endpoint of a process at the first proxy's {@code management} address, if it has one.
      *
-     * @param proxies all of the process, which are operated as one
+     * @param proxies all client proxies of the process, which are managed as one
      */
     public static void operate(List<ClientProxy> proxies) throws Exception {
         ClientProxy first = proxies.get(0);
-        InetSocketAddress at = first.config.management();
-        if (at != null) {
-            proxies.forEach(ClientProxy::countRefusals);
-            Operated process = first.new Operated(proxies);
-            first.management = first.bound(
-                    () -> ManagementServer.listen(first.loop, at, Upstream.BUFFERS, new CommandHandler(process)), at);
+        InetSocketAddress address = first.config.management();
+        if (address != null) {
+            proxies.forEach(ClientProxy::countUnserved);
+            ManagedProcess process = first.new ManagedProcess(proxies);
+            first.management = first.bindWithRetry(
+                    () -> ManagementServer.listen(first.loop, address, Upstream.ALLOCATOR, new CommandHandler(process)),
+                    address);
         }
     }
 
-    /** Makes it a member of a fleet; others hear of it as soon as its address can be had. */
-    public void join(FleetFile file) throws IOException {
-        membership = Membership.join(loop, Upstream.BUFFERS, clock::now, config.seed(), file, core::setLiveInstances);
+    /** Makes the proxy a member of a fleet; the other members learn of it once its address is bound. */
+    public void joinFleet(FleetFile file) throws IOException {
+        membership = Membership.join(loop, Upstream.ALLOCATOR, clock::now, config.seed(), file, core::setLiveInstances);
     }
 
-    /** Says to the fleet that it goes, if it is in one. */
+    /** Announces to the fleet that this member leaves, if the proxy is in one. */
     void leaveFleet() {
         if (membership != null) {
             loop.execute(membership::leave);
@@ -403,79 +417,82 @@
     }
 
     /**
-     * Watches the fleet's configuration for all client proxies of a process. Of its keys one has an effect: {@code
-     * discovery} moves the watch of hosts, as a change of the process's own configuration does; the last word counts.
+     * Watches the fleet's configuration for all client proxies of a process. Only its key {@code discovery} has an effect:
+     * it moves the discovery watch, as a reload of the process's own configuration does. The latest change of the two
+     * applies.
      */
-    public void follow(ControlFile file, String name, List<ClientProxy> all) throws IOException {
-        String[] before = {null};
-        following = new ConfigWatcher(loop, Upstream.BUFFERS, file, name, config.seed(), (version, how) -> {
-            System.err.println("mulleinfront: configuration version " + version.number() + " in force, " + how);
-            String now = version.entries().get("discovery");
-            if (!Objects.equals(now, before[0])) {
-                before[0] = now;
-                all.forEach(p -> p.move(now));
+    public void watchConfiguration(ControlFile file, String name, List<ClientProxy> all) throws IOException {
+        String[] previousDiscovery = {null};
+        configWatcher = new ConfigWatcher(loop, Upstream.ALLOCATOR, file, name, config.seed(), (version, origin) -> {
+            System.err.println("mulleinfront: configuration version " + version.number() + " in force, " + origin);
+            String currentDiscovery = version.entries().get("discovery");
+            if (!Objects.equals(currentDiscovery, previousDiscovery[0])) {
+                previousDiscovery[0] = currentDiscovery;
+                all.forEach(proxy -> proxy.moveDiscovery(currentDiscovery));
             }
         });
-        following.start();
+        configWatcher.start();
     }
 
-    /** Told no place, it goes back to the one of its own configuration. */
-    private void move(String to) {
+    /** Moves to another discovery address; null moves back to the address of the process's own configuration. */
+    private void moveDiscovery(String newAddress) {
         loop.execute(() -> {
             try {
-                InetSocketAddress address = to == null ? ownDiscovery : Listing.address(to);
-                moveTo(address);
-            } catch (IOException e) {
-                System.err.println("mulleinfront: discovery stays where it is: " + e.getMessage());
+                InetSocketAddress address = newAddress == null ? configuredDiscovery : Listing.address(newAddress);
+                moveDiscoveryTo(address);
+            } catch (IOException invalid) {
+                System.err.println("mulleinfront: keeping the current discovery address: " + invalid.getMessage());
             }
         });
     }
 
-    /** Only where somebody may ask: nothing of it is loaded elsewhere. */
-    private void countRefusals() {
-        refusals = new UnservedCounts(config.settings().classes());
-        loop.execute(() -> core.observe(refusals));
+    /** Counts unserved requests by reason. Called only where there is a management endpoint to report them. */
+    private void countUnserved() {
+        unservedCounts = new UnservedCounts(config.settings().classes());
+        loop.execute(() -> core.observe(unservedCounts));
     }
 
-    /** What operators call, for all client proxies of a process. */
-    private final class Operated implements CommandHandler.Process {
-        private final List<ClientProxy> all;
+    /** Handles operators' commands for all client proxies of a process. */
+    private final class ManagedProcess implements CommandHandler.Process {
+        private final List<ClientProxy> proxies;
 
-        Operated(List<ClientProxy> all) {
-            this.all = all;
+        ManagedProcess(List<ClientProxy> proxies) {
+            this.proxies = proxies;
         }
 
         @Override
         public boolean takesClients() {
-            return all.stream().allMatch(p -> p.standing.acceptsClients());
+            return proxies.stream().allMatch(proxy -> proxy.lifecycle.acceptsClients());
         }
 
         @Override
         public String standing() {
-            return standing.stateName();
+            return lifecycle.stateName();
         }
 
         @Override
         public String metrics() {
-            return all.stream().map(p -> p.metrics.summary()).collect(Collectors.joining("; "));
+            return proxies.stream().map(proxy -> proxy.metrics.summary()).collect(Collectors.joining("; "));
         }
 
-        /** Counters of other event loops are read as they are at some moment of late. */
+        /** Counters of other event loops are read without synchronization and may be slightly behind. */
         @Override
         public String refusals() {
             UnservedCounts sum = new UnservedCounts(config.settings().classes());
-            all.stream().filter(p -> p.refusals != null).forEach(p -> sum.add(p.refusals));
+            proxies.stream()
+                    .filter(proxy -> proxy.unservedCounts != null)
+                    .forEach(proxy -> sum.add(proxy.unservedCounts));
             return sum.summary();
         }
 
         @Override
         public void quiesce() {
-            each(p -> p.standing.quiesce());
+            forEachProxy(proxy -> proxy.lifecycle.quiesce());
         }
 
         @Override
         public void resume() {
-            each(p -> p.standing.resume());
+            forEachProxy(proxy -> proxy.lifecycle.resume());
             if (membership != null) {
                 membership.rejoin();
             }
@@ -488,11 +505,11 @@
 
         @Override
         public boolean leave() {
-            boolean may = standing.closesConnections();
-            if (may) {
+            boolean allowed = lifecycle.closesConnections();
+            if (allowed) {
                 membership.leave();
             }
-            return may;
+            return allowed;
         }
 
         @Override
@@ -505,71 +522,70 @@
             membership.unwatch(lines);
         }
 
-        /** At once for the one that owns the door, so that its answer tells what holds. */
-        private void each(Consumer<ClientProxy> what) {
-            for (ClientProxy p : all) {
-                if (p.loop.inEventLoop()) {
-                    what.accept(p);
+        /** Acts at once on the proxy of the calling event loop, so that the reply shows the new state. */
+        private void forEachProxy(Consumer<ClientProxy> action) {
+            for (ClientProxy proxy : proxies) {
+                if (proxy.loop.inEventLoop()) {
+                    action.accept(proxy);
                 } else {
-                    p.loop.execute(() -> what.accept(p));
+                    proxy.loop.execute(() -> action.accept(proxy));
                 }
             }
         }
     }
 
-    private void begin(Core.BalancerFactory maker, ServerSocketChannel handedOver) {
-        inherited = handedOver;
+    private void begin(Core.BalancerFactory balancerFactory, ServerSocketChannel handedOverSocket) {
+        inheritedSocket = handedOverSocket;
         log.started(config.settings());
         metrics.guard.listen(log::violation);
-        upstream.begin();
-        core.begin(maker, config.seed());
-        loop.scheduleWithFixedDelay(this::logMetrics, METRICS_S, METRICS_S, TimeUnit.SECONDS);
+        upstream.startSweeping();
+        core.begin(balancerFactory, config.seed());
+        loop.scheduleWithFixedDelay(this::logMetrics, METRICS_INTERVAL_S, METRICS_INTERVAL_S, TimeUnit.SECONDS);
         if (config.settings().subscribe()) {
-            goByKnown();
+            applyConfiguredList();
         } else {
-            // What the agent has counts as told from the first moment on, and the list of the configuration may be old:
-            // that one is for an agent that is silent, since it has learnt nothing then.
-            discovery.watch(Wire.CALL_TIMEOUT_US);
-            loop.schedule(this::goByKnown, AGENT_WAIT_MS, TimeUnit.MILLISECONDS);
+            // An agent's list counts as known to the proxy from the start, and the configured list may be older. The
+            // configured list is for an agent that does not respond, from which the proxy has learnt nothing.
+            discovery.ensureWatch(Wire.CALL_TIMEOUT_US);
+            loop.schedule(this::applyConfiguredList, AGENT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
         core.processQueue();
     }
 
-    /** Only what has changed since the last line. */
+    /** Logs the metrics if they have changed since the last line. */
     private void logMetrics() {
-        String now = metrics.summary();
-        if (!now.equals(loggedMetrics)) {
-            loggedMetrics = now;
-            log.metrics(now);
+        String current = metrics.summary();
+        if (!current.equals(loggedMetrics)) {
+            loggedMetrics = current;
+            log.metrics(current);
         }
     }
 
-    private void goByKnown() {
-        if (config.known() != null && !discovery.hasHeard()) {
-            discovery.take(config.known(), Source.CACHED);
+    private void applyConfiguredList() {
+        if (config.known() != null && !discovery.hasAppliedList()) {
+            discovery.apply(config.known(), Source.CACHED);
         }
     }
 
-    /** Serves to the end what clients have sent or are about to; the future is done when all has ended. */
+    /** Answers the requests that clients have sent or are about to send, and ends; returns the future of the end. */
     public Future<?> drain() {
-        System.err.println("mulleinfront: told to end; finishing what is open");
+        System.err.println("mulleinfront: told to end; finishing open requests");
         leaveFleet();
         loop.execute(() -> frontend.drain(() -> {
             discovery.stop();
             if (management != null) {
                 management.close();
             }
-            end();
+            shutDown();
         }));
         return group.terminationFuture();
     }
 
     /**
-     * Closes everything and ends the event loop. An event loop that is told to end while it runs a task does
-     * not close what is registered with it: those connections would stay open, with nobody at this end, as
-     * long as the process.
+     * Closes everything and ends the event loop. An event loop that is shut down while it runs a task does not close the
+     * channels registered with it: such connections would stay open, and unread, until the process ends.
      */
-    private Future<?> end() {
+    private Future<?> shutDown() {
         loop.execute(() -> {
             logMetrics();
             frontend.close();
@@ -577,8 +593,8 @@
             if (membership != null) {
                 membership.close();
             }
-            if (following != null) {
-                following.close();
+            if (configWatcher != null) {
+                configWatcher.close();
             }
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         });
@@ -586,26 +602,26 @@
     }
 
     /**
-     * Takes up what may change while it serves: where discovery is. The rest of a configuration holds from
-     * start to end.
+     * Applies the one setting that may change at run time: the address of discovery. All other settings are fixed at the
+     * start.
      */
     public void reload(Config changed) {
         loop.execute(() -> {
-            ownDiscovery = changed.discovery();
-            moveTo(ownDiscovery);
+            configuredDiscovery = changed.discovery();
+            moveDiscoveryTo(configuredDiscovery);
         });
     }
 
-    private void moveTo(InetSocketAddress address) {
+    private void moveDiscoveryTo(InetSocketAddress address) {
         core.run(() -> discovery.move(address, config.settings().subscribe() ? core.moveDelayUs() : 0));
     }
 
-    /** The port it listens on. */
+    /** The port for clients. */
     public int port() {
         return frontend.port();
     }
 
-    /** The port at which operators call it; only where there is a door. */
+    /** The port of the management endpoint, which must have been opened. */
     int managementPort() {
         return ((InetSocketAddress) management.localAddress()).getPort();
     }
@@ -614,114 +630,119 @@
         return clock.now();
     }
 
-    /** The process that it is in started so long ago, microseconds. */
+    /** Sets how long ago the process started, microseconds. */
     void processStarted(long agoUs) {
         loop.execute(() -> core.processStarted(agoUs));
     }
 
-    /** Where discovery is asked, by the module's word. */
-    private void askAgain(Runnable tell, long agentDelayUs) {
+    /**
+     * After a failed call or watch: where the proxy calls discovery, the balancer decides when to call again; an agent is
+     * called again after a delay.
+     */
+    private void retryDiscovery(Runnable reportFailure, long agentDelayUs) {
         if (config.settings().subscribe()) {
-            tell.run();
+            reportFailure.run();
         } else {
-            loop.schedule(() -> discovery.watch(Wire.CALL_TIMEOUT_US), agentDelayUs, TimeUnit.MICROSECONDS);
+            loop.schedule(() -> discovery.ensureWatch(Wire.CALL_TIMEOUT_US), agentDelayUs, TimeUnit.MICROSECONDS);
         }
     }
 
     // ---- clients -------------------------------------------------------------------------------------
 
     /**
-     * Takes a request that is as the protocol says, and answers for it at once if it is not.
+     * Passes a valid request to the core, and answers an invalid one at once.
      *
-     * @param body all of it, or its beginning
-     * @param rest what follows the beginning while it comes; null if nothing does
+     * @param body the whole body, or its first part if the rest is streamed
+     * @param remainingBody the rest of the body, streamed as it arrives; null if there is none
+     * @param receivedAtUs when the request arrived, microseconds on the clock of {@link #now}
      */
-    void take(Frontend.Client client, HttpRequest in, byte[] body, Flow rest, long at) {
-        HttpHeaders h = in.headers();
-        String id = single(h, "X-Request-Id");
-        Integer classIndex = classes.get(single(h, "X-Class"));
-        long deadlineMs = Framing.number(single(h, Call.DEADLINE));
-        String tenantName = single(h, "X-Tenant");
+    void accept(Frontend.Client client, HttpRequest request, byte[] body, BodyStream remainingBody, long receivedAtUs) {
+        HttpHeaders headers = request.headers();
+        String id = singleValue(headers, "X-Request-Id");
+        Integer classIndex = classIndexes.get(singleValue(headers, "X-Class"));
+        long deadlineMs = Framing.parseDigits(singleValue(headers, RequestMessage.DEADLINE_HEADER));
+        String tenantName = singleValue(headers, "X-Tenant");
         int tenant = tenantName == null ? -1 : config.tenants().indexOf(tenantName);
-        boolean known = !h.contains("X-Tenant") || config.tenants().isEmpty() || tenant >= 0;
-        boolean fresh = id != null && !id.isEmpty() && !core.isOpen(id);
-        if (!fresh
+        boolean tenantKnown = !headers.contains("X-Tenant") || config.tenants().isEmpty() || tenant >= 0;
+        boolean idUnused = id != null && !id.isEmpty() && !core.isOpen(id);
+        if (!idUnused
                 || classIndex == null
                 || deadlineMs < 1
-                || !known
-                || config.settings().classes().get(classIndex).effect() != shown(in, body)) {
+                || !tenantKnown
+                || config.settings().classes().get(classIndex).effect() != effectOf(request, body)) {
             client.answer(HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        String key = single(h, "X-Key");
-        if (key == null && h.contains("X-Key")) {
-            key = String.join(",", h.getAll("X-Key"));
+        String key = singleValue(headers, "X-Key");
+        if (key == null && headers.contains("X-Key")) {
+            key = String.join(",", headers.getAll("X-Key"));
         }
-        Call call = Call.of(in, body);
+        RequestMessage message = RequestMessage.of(request, body);
         core.accept(
                 client,
                 id,
                 classIndex,
                 key,
                 deadlineMs,
-                at,
-                Math.max(0, Framing.number(h.get("X-Cost-Hint"))),
+                receivedAtUs,
+                Math.max(0, Framing.parseDigits(headers.get("X-Cost-Hint"))),
                 tenant,
-                "1".equals(h.get("X-Retry")),
-                rest == null ? call : call.with(rest, deadlineMs),
-                rest != null);
+                "1".equals(headers.get("X-Retry")),
+                remainingBody == null ? message : message.withRemainingBody(remainingBody, deadlineMs),
+                remainingBody != null);
     }
 
-    /** The last byte of a request that went on while it came has been read. */
-    void whole(Core.RequestHandle<Call, Upstream.Answer> x) {
-        core.requestComplete(x);
+    /** The last byte of a request with a streamed body has been read. */
+    void requestComplete(Core.RequestHandle<RequestMessage, Upstream.Answer> handle) {
+        core.requestComplete(handle);
     }
 
     /**
-     * The process is killed when the longest deadline and a little more is over: by then all is answered.
+     * Limits the time of open requests at shutdown: the process is killed after the longest deadline and a margin, and all
+     * requests must be answered by then.
      *
      * @return the time until then, microseconds
      */
-    long ending() {
-        long longest = config.settings().classes().stream()
+    long beginShutdown() {
+        long longestDeadlineUs = config.settings().classes().stream()
                 .mapToLong(RequestClass::deadlineUs)
                 .max()
                 .orElse(0);
-        long left = Math.min(MOST_END_US, longest) + LAST_US;
-        core.setShutdownDeadline(clock.now() + left);
-        return left;
+        long remainingUs = Math.min(MAX_SHUTDOWN_US, longestDeadlineUs) + SHUTDOWN_MARGIN_US;
+        core.setShutdownDeadline(clock.now() + remainingUs);
+        return remainingUs;
     }
 
-    /** When the time of a request's client is up, microseconds on the clock of {@link #now}. */
-    long timeOf(Core.RequestHandle<Call, Upstream.Answer> x) {
-        return core.timeLimitOf(x);
+    /** When a request's deadline timer fires, microseconds on the clock of {@link #now}. */
+    long timeLimitOf(Core.RequestHandle<RequestMessage, Upstream.Answer> handle) {
+        return core.timeLimitOf(handle);
     }
 
-    /** When whoever is refused for what it sent ahead may come again, microseconds; 0: no advice. */
-    long comeBackUs() {
+    /** The retry delay for a client that is refused because it pipelined too much, microseconds; 0 for no advice. */
+    long retryAfterUs() {
         return config.settings().limits().maxRetryAfterUs();
     }
 
-    /** The client closed its connection. */
-    void gone(Core.RequestHandle<Call, Upstream.Answer> x) {
-        core.abandoned(x);
+    /** The request's client has disconnected. */
+    void abandoned(Core.RequestHandle<RequestMessage, Upstream.Answer> handle) {
+        core.abandoned(handle);
     }
 
-    /** What the method and its headers say of a repeat; null if they say nothing that the protocol knows. */
-    private static Effect shown(HttpRequest in, byte[] body) {
-        Iterator<String> given = in.headers().valueStringIterator("Idempotency-Key");
-        boolean keyed = given.hasNext() && given.next() != null;
-        if (given.hasNext() || !printable(in.uri())) {
+    /** The effect of a repeat according to the method and headers; null if the request is invalid by the protocol. */
+    private static Effect effectOf(HttpRequest request, byte[] body) {
+        Iterator<String> idempotencyKeys = request.headers().valueStringIterator("Idempotency-Key");
+        boolean hasKey = idempotencyKeys.hasNext() && idempotencyKeys.next() != null;
+        if (idempotencyKeys.hasNext() || !isPrintable(request.uri())) {
             return null;
         }
-        return switch (in.method().name()) {
-            case "GET" -> body.length == 0 && !keyed ? Effect.RETRYABLE : null;
-            case "POST" -> keyed ? Effect.DEDUP : Effect.FRAGILE;
+        return switch (request.method().name()) {
+            case "GET" -> body.length == 0 && !hasKey ? Effect.RETRYABLE : null;
+            case "POST" -> hasKey ? Effect.DEDUP : Effect.FRAGILE;
             default -> null;
         };
     }
 
-    private static boolean printable(String uri) {
+    private static boolean isPrintable(String uri) {
         for (int i = 0; i < uri.length(); i++) {
             if (uri.charAt(i) <= ' ' || uri.charAt(i) >= 0x7f) {
                 return false;
@@ -730,8 +751,8 @@
         return true;
     }
 
-    /** The value of a header that comes once; null if it is missing or repeated: no reader is to choose. */
-    private static String single(HttpHeaders headers, CharSequence name) {
+    /** The value of a header that occurs once; null if it is missing or repeated, since repeated values are ambiguous. */
+    private static String singleValue(HttpHeaders headers, CharSequence name) {
         Iterator<String> values = headers.valueStringIterator(name);
         String first = values.hasNext() ? values.next() : null;
         return values.hasNext() ? null : first;
--- a/src/main/java/mulleinfront/proxy/Discovery.java
+++ b/src/main/java/mulleinfront/proxy/Discovery.java
@@ -34,46 +34,46 @@
 import mulleinfront.settings.Listing;
 
 /**
- * Discovery's watch, and the hosts as last listed. A watch that ends, falls silent or talks nonsense has
- * failed, once; when to ask again is the module's to say, since discovery has little capacity.
+ * The discovery watch, and the endpoints as last listed. A watch that ends, times out or sends invalid data is reported as
+ * failed, once. The balancer decides when to call again, since discovery has little capacity.
  */
 final class Discovery {
-    static final long SILENCE_MS = Wire.WATCH_TIMEOUT_US / 1000;
-    /** News counts as told 4 s after a move: within that time a silent new address is asked again. */
-    private static final long MOVED_SILENCE_MS = 1_800;
+    static final long WATCH_TIMEOUT_MS = Wire.WATCH_TIMEOUT_US / 1000;
+    /** The propagation deadline after a move is 4 s: an unresponsive new address is called again before it. */
+    private static final long MOVED_CALL_TIMEOUT_MS = 1_800;
 
-    private static final int CONNECT_MS = 1_000;
-    private static final int MOST_DOUBLINGS = 2;
-    /** A call that ends sooner than this had not waited for its turn. */
-    private static final long WAIT_MS = 1_000;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int MAX_TIMEOUT_DOUBLINGS = 2;
+    /** A call that ends sooner than this was not queued by discovery. */
+    private static final long MIN_QUEUED_CALL_MS = 1_000;
 
-    /** Told of lists, and of calls and watches that failed. */
+    /** Receives lists, and is notified of failed calls and watches. */
     interface Listener {
-        void listed(Source source, List<Endpoint> endpoints);
+        void onList(Source source, List<Endpoint> endpoints);
 
         /**
-         * A call failed before anything came of it.
+         * A call failed before its response body started.
          *
-         * @param unreachable whether nobody took it
+         * @param unreachable whether the connection was refused or timed out before discovery accepted the call
          */
-        void failed(boolean unreachable);
+        void onCallFailed(boolean unreachable);
 
         /**
-         * A watch broke or fell silent.
+         * A watch broke or timed out.
          *
-         * @param silentUs since when it had been silent, microseconds
+         * @param idleUs how long nothing had been read from it, microseconds; 0 if no heartbeat was missed
          */
-        void lost(long silentUs);
+        void onWatchLost(long idleUs);
 
-        /** A watch was ended in order. */
-        void ended();
+        /** Discovery closed a watch. */
+        void onWatchEnded();
 
         /**
-         * A call begins where discovery has moved to.
+         * The first call to discovery's new address starts.
          *
-         * @param movedAgoUs how long ago that was asked for, microseconds
+         * @param movedAgoUs how long ago the move was requested, microseconds
          */
-        void calledElsewhere(long movedAgoUs);
+        void onMoved(long movedAgoUs);
     }
 
     private InetSocketAddress address;
@@ -81,25 +81,26 @@
     private final Upstream upstream;
     private final Listener listener;
     private final Map<String, Upstream.Host> hosts = new HashMap<>();
-    /** Numbers by name. A name that the settings lack gets a number of its own: zones must not merge. */
+    /** Numbers by name. Each name that the settings lack gets its own number, since zones must not merge. */
     private final Map<String, Integer> zones = new HashMap<>();
 
     private final Map<String, Integer> kinds = new HashMap<>();
-    private final ListVersionFilter order = new ListVersionFilter();
+    private final ListVersionFilter versionFilter = new ListVersionFilter();
     private long version = -1;
-    private boolean heardAny;
+    private boolean listApplied;
     private Watch watch;
-    private final boolean pushed;
+    private final boolean listsPushed;
     private final long askWithinUs;
-    /** It is elsewhere, has not been asked there yet, and was where it is asked first moved from at that time. */
-    private boolean moved;
+    /** Whether discovery has moved and its new address has not been called yet. */
+    private boolean movePending;
+    /** When the first of the moves since the last call was requested. */
+    private long moveRequestedNanos;
 
-    private long movedNanos;
     private final EventLog log;
     private final EnumCounts<Metrics.Discovery> counts;
     private long calls;
-    /** Calls in a row that were answered and brought no whole list. */
-    private int unfinishedLists;
+    /** Consecutive calls whose response started but brought no complete list; limited to the number of doublings. */
+    private int incompleteListCalls;
 
     Discovery(
             Config config,
@@ -111,7 +112,7 @@
         this.log = log;
         this.counts = counts;
         this.address = config.discovery();
-        this.pushed = !config.settings().subscribe();
+        this.listsPushed = !config.settings().subscribe();
         this.askWithinUs = config.settings().contract().askWithinUs();
         this.upstream = upstream;
         this.listener = listener;
@@ -120,50 +121,51 @@
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, Upstream.BUFFERS)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS);
+                .option(ChannelOption.ALLOCATOR, Upstream.ALLOCATOR)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS);
     }
 
-    /** The host of this id, or null if it is not listed. */
+    /** The endpoint with this id, or null if it is not listed. */
     Upstream.Host host(String id) {
         return hosts.get(id);
     }
 
-    boolean holdsList() {
+    boolean hasEndpoints() {
         return !hosts.isEmpty();
     }
 
-    /** Whether there has been any list, one that names nobody too. */
-    boolean hasHeard() {
-        return heardAny;
+    /** Whether any list has been applied, including an empty one. */
+    boolean hasAppliedList() {
+        return listApplied;
     }
 
     /**
-     * Asks for what changed and for all changes to come, unless that is asked for already.
+     * Opens a watch for all changes since the current version, unless one is open.
      *
-     * @param patienceUs how long nothing may come of the call, microseconds
+     * @param timeoutUs longest time without data before the response body starts, microseconds
      */
-    void watch(long patienceUs) {
-        if (moved) {
-            takeUp();
+    void ensureWatch(long timeoutUs) {
+        if (movePending) {
+            callNewAddress();
         } else if (watch == null) {
-            ask(TimeUnit.MICROSECONDS.toMillis(patienceUs));
+            openWatch(TimeUnit.MICROSECONDS.toMillis(timeoutUs));
         }
     }
 
     /**
-     * Takes up another discovery. It may count its versions in its own way, so the whole list is asked for; until it has
-     * come the old one holds, and until then the old watch goes on. That was given up, not failed.
+     * Moves to another discovery address. Its version numbers may be unrelated, so the full list is requested. The old watch
+     * stays open until the new address is called; closing it is no failure. The current list stays in use until the new one
+     * has arrived.
      *
-     * @param delayUs time until it is asked, unless somebody asks before; 0: at once
+     * @param delayUs time until the new address is called, unless a call is due before; 0 to call it at once
      */
-    void move(InetSocketAddress to, long delayUs) {
-        if (!to.equals(address)) {
-            address = to;
-            movedNanos = moved ? movedNanos : System.nanoTime();
-            moved = true;
+    void move(InetSocketAddress newAddress, long delayUs) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
+            moveRequestedNanos = movePending ? moveRequestedNanos : System.nanoTime();
+            movePending = true;
             if (delayUs == 0) {
-                takeUp();
+                callNewAddress();
             } else {
                 bootstrap
                         .config()
@@ -171,8 +173,8 @@
                         .next()
                         .schedule(
                                 () -> {
-                                    if (moved && address.equals(to)) {
-                                        takeUp();
+                                    if (movePending && address.equals(newAddress)) {
+                                        callNewAddress();
                                     }
                                 },
                                 delayUs,
@@ -181,26 +183,29 @@
         }
     }
 
-    private void takeUp() {
-        moved = false;
+    private void callNewAddress() {
+        movePending = false;
         stop();
         version = -1;
-        order.reset();
-        listener.calledElsewhere((System.nanoTime() - movedNanos) / 1000);
-        ask(pushed ? MOVED_SILENCE_MS : TimeUnit.MICROSECONDS.toMillis(Wire.movedCallTimeoutUs(askWithinUs)));
+        versionFilter.reset();
+        listener.onMoved((System.nanoTime() - moveRequestedNanos) / 1000);
+        openWatch(
+                listsPushed
+                        ? MOVED_CALL_TIMEOUT_MS
+                        : TimeUnit.MICROSECONDS.toMillis(Wire.movedCallTimeoutUs(askWithinUs)));
     }
 
-    /** How long a call's list may take, or stop halfway: twice as long after each call whose list was not finished. */
-    private long listPatienceMs() {
-        return TimeUnit.MICROSECONDS.toMillis(Wire.LIST_TIMEOUT_US) << unfinishedLists;
+    /** Timeout of a call's first list, and of each list in pieces: doubled after each call whose list was not complete. */
+    private long listTimeoutMs() {
+        return TimeUnit.MICROSECONDS.toMillis(Wire.LIST_TIMEOUT_US) << incompleteListCalls;
     }
 
-    private void ask(long patienceMs) {
-        Watch asked = new Watch(patienceMs);
-        watch = asked;
-        bootstrap.clone().handler(asked.pipeline()).connect(address).addListener(f -> {
-            if (!f.isSuccess()) {
-                asked.fail(f.cause());
+    private void openWatch(long timeoutMs) {
+        Watch opened = new Watch(timeoutMs);
+        watch = opened;
+        bootstrap.clone().handler(opened.pipeline()).connect(address).addListener(connected -> {
+            if (!connected.isSuccess()) {
+                opened.fail(connected.cause());
             }
         });
     }
@@ -215,82 +220,84 @@
     }
 
     /**
-     * Takes over a list, first for the sockets and then for the module. Of changes that come late only what
-     * is news counts: what a newer version has overtaken would undo a drain.
+     * Applies a list, first to the connections and then to the balancer. Entries of a late delta that a newer version has
+     * replaced are ignored: they could undo a drain.
      */
-    void take(Listing listing, Source source) {
-        boolean whole = source != Source.DELTA;
-        heardAny = true;
-        version = whole ? listing.version() : Math.max(version, listing.version());
+    void apply(Listing listing, Source source) {
+        boolean full = source != Source.DELTA;
+        listApplied = true;
+        version = full ? listing.version() : Math.max(version, listing.version());
         List<Endpoint> endpoints = new ArrayList<>();
-        Map<String, Upstream.Host> left = source == Source.DELTA ? new HashMap<>() : new HashMap<>(hosts);
-        for (Listing.Entry e : order.newEntries(listing.version(), whole, listing.entries(), Listing.Entry::id)) {
-            left.remove(e.id());
+        Map<String, Upstream.Host> unlisted = source == Source.DELTA ? new HashMap<>() : new HashMap<>(hosts);
+        for (Listing.Entry entry :
+                versionFilter.newEntries(listing.version(), full, listing.entries(), Listing.Entry::id)) {
+            unlisted.remove(entry.id());
             endpoints.add(new Endpoint(
-                    e.id(),
-                    number(zones, e.zone()),
-                    e.cell(),
-                    number(kinds, e.kind()),
-                    e.availability(),
-                    e.weight(),
-                    e.startedMs() * 1000));
-            if (e.availability() == Availability.GONE) {
-                drop(hosts.get(e.id()));
+                    entry.id(),
+                    numberOf(zones, entry.zone()),
+                    entry.cell(),
+                    numberOf(kinds, entry.kind()),
+                    entry.availability(),
+                    entry.weight(),
+                    entry.startedMs() * 1000));
+            if (entry.availability() == Availability.GONE) {
+                removeHost(hosts.get(entry.id()));
                 continue;
             }
-            Upstream.Host host = hosts.computeIfAbsent(e.id(), Upstream.Host::new);
-            boolean moved = host.address != null && !host.address.equals(e.address());
-            host.address = e.address();
-            host.ready = e.availability() == Availability.READY;
-            if (moved || !host.ready) {
-                upstream.hangUp(host);
+            Upstream.Host host = hosts.computeIfAbsent(entry.id(), Upstream.Host::new);
+            boolean addressChanged = host.address != null && !host.address.equals(entry.address());
+            host.address = entry.address();
+            host.ready = entry.availability() == Availability.READY;
+            if (addressChanged || !host.ready) {
+                upstream.closeIdle(host);
             }
         }
-        left.values().forEach(this::drop);
-        listener.listed(source, endpoints);
+        unlisted.values().forEach(this::removeHost);
+        listener.onList(source, endpoints);
     }
 
-    private void drop(Upstream.Host host) {
+    private void removeHost(Upstream.Host host) {
         if (host != null) {
             host.ready = false;
             hosts.remove(host.id);
-            upstream.hangUp(host);
+            upstream.closeIdle(host);
         }
     }
 
-    private static int number(Map<String, Integer> numbers, String name) {
-        return numbers.computeIfAbsent(name, n -> numbers.size());
+    private static int numberOf(Map<String, Integer> numbers, String name) {
+        return numbers.computeIfAbsent(name, unknownName -> numbers.size());
     }
 
-    /** One call. It fails once, however it ends, unless it was given up for another. */
+    /** One call and the watch that it opens. Its end is reported once as a failure, unless the proxy itself closed it. */
     private final class Watch extends SimpleChannelInboundHandler<ByteBuf> {
         private Channel channel;
-        private final long call = ++calls;
-        private final long beganNanos = System.nanoTime();
-        private final AnswerSilence silence;
+        private final long callNumber = ++calls;
+        private final long startedNanos = System.nanoTime();
+        private final WatchReadTimeout readTimeout;
         private boolean connected;
-        private boolean endedInOrder;
-        private boolean heard;
-        /** The newest version that it told of. */
-        private long newest = -1;
-
-        Watch(long patienceMs) {
-            this.silence = new AnswerSilence(patienceMs, listPatienceMs(), this::answered);
-            log.callBegan(call, address, version);
+        private boolean endedByDiscovery;
+        private boolean listReceived;
+        /** The newest version that this watch has sent. */
+        private long newestVersion = -1;
+
+        Watch(long timeoutMs) {
+            this.readTimeout = new WatchReadTimeout(timeoutMs, listTimeoutMs(), this::onBodyStarted);
+            log.callStarted(callNumber, address, version);
             counts.add(Metrics.Discovery.CALL);
         }
 
         ChannelInitializer<SocketChannel> pipeline() {
             return new ChannelInitializer<>() {
                 @Override
-                protected void initChannel(SocketChannel ch) {
-                    channel = ch;
-                    ch.pipeline()
+                protected void initChannel(SocketChannel socketChannel) {
+                    channel = socketChannel;
+                    socketChannel
+                            .pipeline()
                             .addLast(
-                                    silence,
+                                    readTimeout,
                                     new HttpResponseDecoder(),
-                                    new AnswerBody(),
-                                    new ListDecoder(listPatienceMs()),
+                                    new WatchBodyDecoder(),
+                                    new ListDecoder(listTimeoutMs()),
                                     Watch.this);
                 }
             };
@@ -305,96 +312,96 @@
                     StandardCharsets.US_ASCII));
         }
 
-        /** Something has come of an answer, if only a heartbeat: the list has to follow. */
-        private void answered() {
-            log.callAnswered(call, sinceBeginMs());
+        /** The response body has started, perhaps with a heartbeat only: the list must follow within its timeout. */
+        private void onBodyStarted() {
+            log.callAnswered(callNumber, elapsedMs());
             channel.eventLoop()
                     .schedule(
                             () -> {
-                                if (!heard && watch == this) {
+                                if (!listReceived && watch == this) {
                                     channel.pipeline().fireExceptionCaught(new IOException("no list came"));
                                 }
                             },
-                            listPatienceMs(),
+                            listTimeoutMs(),
                             TimeUnit.MILLISECONDS);
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf object) throws IOException {
+        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf json) throws IOException {
             if (watch == this) {
-                Listing listing = Listing.parse(ByteBufUtil.getBytes(object));
-                if (!heard) {
-                    heard = true;
-                    unfinishedLists = 0;
-                    silence.listed(ctx);
+                Listing listing = Listing.parse(ByteBufUtil.getBytes(json));
+                if (!listReceived) {
+                    listReceived = true;
+                    incompleteListCalls = 0;
+                    readTimeout.onFirstList(ctx);
                 }
-                // A whole list is the latest word of who sends it, but not one that it has overtaken itself.
-                if (!listing.full() || listing.version() >= newest) {
-                    newest = Math.max(newest, listing.version());
+                // A full list replaces the current one, unless this watch has already sent a newer version.
+                if (!listing.full() || listing.version() >= newestVersion) {
+                    newestVersion = Math.max(newestVersion, listing.version());
                     counts.add(Metrics.Discovery.LIST);
-                    log.listTaken(
-                            call,
+                    log.listApplied(
+                            callNumber,
                             listing.version(),
                             listing.full(),
                             listing.entries().size(),
-                            sinceBeginMs());
-                    take(listing, listing.full() ? Source.FULL : Source.DELTA);
+                            elapsedMs());
+                    apply(listing, listing.full() ? Source.FULL : Source.DELTA);
                 }
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            endedInOrder = true;
+            endedByDiscovery = true;
             fail(new IOException("it ended"));
         }
 
-        /** A bad line, a refusal, silence or a break: the call has failed, and nothing else has. */
+        /** Invalid data, an error response, a timeout or a broken connection: only this call fails. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             fail(cause);
             ctx.close();
         }
 
-        private long sinceBeginMs() {
-            return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganNanos);
+        private long elapsedMs() {
+            return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
         }
 
         private void logEnd(Object reason) {
-            log.callEnded(call, reason, silence.answered(), sinceBeginMs(), version);
+            log.callEnded(callNumber, reason, readTimeout.bodyStarted(), elapsedMs(), version);
         }
 
-        /** Says so once for each watch that had worked: calls go on failing while discovery is down. */
+        /** Reports the failure. Only a watch that had worked is logged: calls keep failing while discovery is unreachable. */
         void fail(Throwable cause) {
             if (watch == this) {
                 watch = null;
                 logEnd(cause);
-                if (heard) {
+                if (listReceived) {
                     System.err.println("mulleinfront: the watch of " + NetUtil.toSocketAddressString(address)
                             + " failed: " + cause);
                 }
-                counts.add(silence.answered() ? Metrics.Discovery.WATCH_LOST : Metrics.Discovery.CALL_FAILED);
-                if (silence.answered() && !heard) {
-                    unfinishedLists = Math.min(unfinishedLists + 1, MOST_DOUBLINGS);
+                counts.add(readTimeout.bodyStarted() ? Metrics.Discovery.WATCH_LOST : Metrics.Discovery.CALL_FAILED);
+                if (readTimeout.bodyStarted() && !listReceived) {
+                    incompleteListCalls = Math.min(incompleteListCalls + 1, MAX_TIMEOUT_DOUBLINGS);
                 }
-                if (!silence.answered()) {
-                    listener.failed(nobodyTookIt(cause));
-                } else if (endedInOrder) {
-                    listener.ended();
+                if (!readTimeout.bodyStarted()) {
+                    listener.onCallFailed(wasNotAccepted(cause));
+                } else if (endedByDiscovery) {
+                    listener.onWatchEnded();
                 } else {
-                    listener.lost(silence.silentUs());
+                    listener.onWatchLost(readTimeout.idleUs());
                 }
             }
         }
 
         /**
-         * Whether nobody took the call: there was no connection, it broke at once, or nothing at all came of it for longer
-         * than discovery lets a call wait.
+         * Whether discovery never accepted the call: there was no connection, it broke at once, or nothing at all was read
+         * for longer than discovery queues a call.
          */
-        private boolean nobodyTookIt(Throwable cause) {
-            boolean atOnce = sinceBeginMs() < WAIT_MS;
-            boolean silent = cause instanceof ReadTimeoutException && sinceBeginMs() >= Wire.MAX_DISCOVERY_WAIT_MS;
-            return !silence.heard() && (!connected || atOnce || silent);
+        private boolean wasNotAccepted(Throwable cause) {
+            boolean endedAtOnce = elapsedMs() < MIN_QUEUED_CALL_MS;
+            boolean timedOut = cause instanceof ReadTimeoutException && elapsedMs() >= Wire.MAX_DISCOVERY_WAIT_MS;
+            return !readTimeout.hasReceivedData() && (!connected || endedAtOnce || timedOut);
         }
     }
 }
--- a/src/main/java/mulleinfront/proxy/EventLog.java
+++ b/src/main/java/mulleinfront/proxy/EventLog.java
@@ -7,17 +7,17 @@
 import mulleinfront.Balancer;
 import mulleinfront.core.RuleGuard;
 
-/** Events of one client proxy on standard error: each a line with a name and {@code key=value} fields. */
+/** Writes the events of one client proxy to standard error, one line each with a name and {@code key=value} fields. */
 final class EventLog {
     private final String prefix;
     private final long startNanos = System.nanoTime();
 
-    /** @param instance its number among all, as the settings have it; -1 if they do not say */
+    /** @param instance the instance's number from the settings; -1 if they have none */
     EventLog(int instance) {
         this.prefix = "mulleinfront: instance=" + (instance < 0 ? "?" : Integer.toString(instance)) + " event=";
     }
 
-    private void line(StringBuilder fields) {
+    private void write(StringBuilder fields) {
         System.err.println(fields);
     }
 
@@ -30,13 +30,13 @@
                 .append(upMs);
     }
 
-    private static String plain(Object reason) {
+    private static String quote(Object reason) {
         return '"' + String.valueOf(reason).replace('"', '\'').replace('\n', ' ') + '"';
     }
 
-    /** A process starts: the settings that its deadlines go by. */
+    /** The instance starts, with the settings that its propagation deadline depends on. */
     void started(Balancer.Settings settings) {
-        line(event("start")
+        write(event("start")
                 .append(" instances=")
                 .append(settings.instances())
                 .append(settings.subscribe() ? " lists=asked" : " lists=pushed")
@@ -44,75 +44,75 @@
                 .append(TimeUnit.MICROSECONDS.toMillis(settings.contract().askWithinUs())));
     }
 
-    /** A call to discovery begins; it says which version is held, -1 for none. */
-    void callBegan(long call, InetSocketAddress to, long version) {
-        line(event("discovery_call")
+    /** A discovery call starts; {@code version} is the current list's, -1 if there is none. */
+    void callStarted(long call, InetSocketAddress address, long version) {
+        write(event("discovery_call")
                 .append(" call=")
                 .append(call)
                 .append(" to=")
-                .append(NetUtil.toSocketAddressString(to))
+                .append(NetUtil.toSocketAddressString(address))
                 .append(" holds=")
                 .append(version));
     }
 
-    /** The first bytes of its answer have come. */
-    void callAnswered(long call, long tookMs) {
-        line(event("discovery_answer")
+    /** The first bytes of a discovery call's response body have been read. */
+    void callAnswered(long call, long elapsedMs) {
+        write(event("discovery_answer")
                 .append(" call=")
                 .append(call)
                 .append(" after_ms=")
-                .append(tookMs));
+                .append(elapsedMs));
     }
 
-    /** A list has come in whole and is in force. */
-    void listTaken(long call, long version, boolean whole, int entries, long tookMs) {
-        line(event("discovery_list")
+    /** A list has been read completely and is applied. */
+    void listApplied(long call, long version, boolean full, int entries, long elapsedMs) {
+        write(event("discovery_list")
                 .append(" call=")
                 .append(call)
                 .append(" version=")
                 .append(version)
-                .append(whole ? " whole" : " changes")
+                .append(full ? " whole" : " changes")
                 .append(" entries=")
                 .append(entries)
                 .append(" after_ms=")
-                .append(tookMs));
+                .append(elapsedMs));
     }
 
-    /** A call or the watch that came of it has ended. */
-    void callEnded(long call, Object reason, boolean answered, long lastedMs, long version) {
-        line(event("discovery_end")
+    /** A discovery call, or the watch that it opened, has ended. */
+    void callEnded(long call, Object reason, boolean answered, long durationMs, long version) {
+        write(event("discovery_end")
                 .append(" call=")
                 .append(call)
                 .append(" reason=")
-                .append(plain(reason))
+                .append(quote(reason))
                 .append(answered ? " answered" : " unanswered")
                 .append(" lasted_ms=")
-                .append(lastedMs)
+                .append(durationMs)
                 .append(" holds=")
                 .append(version));
     }
 
-    /** The list held had to be renewed by now, whatever became of calls: nothing is sent by it until it is. */
-    void listOverdue(Balancer.ListExpiryReason bound) {
-        line(event("list_overdue").append(" bound=").append(bound.name().toLowerCase(Locale.ROOT)));
+    /** The current list has expired: nothing is sent by it until discovery has confirmed or replaced it. */
+    void listExpired(Balancer.ListExpiryReason reason) {
+        write(event("list_overdue").append(" bound=").append(reason.name().toLowerCase(Locale.ROOT)));
     }
 
-    /** It stands otherwise towards its clients. */
-    void state(String from, String to) {
-        line(event("state").append(" from=").append(from).append(" to=").append(to));
+    /** The proxy's lifecycle state has changed. */
+    void stateChanged(String from, String to) {
+        write(event("state").append(" from=").append(from).append(" to=").append(to));
     }
 
-    /** A rule was broken by what this process did. */
+    /** This process has violated an invariant. */
     void violation(RuleGuard.Check check, String requestId) {
-        line(event("violation")
+        write(event("violation")
                 .append(" check=")
                 .append(check.name().toLowerCase(Locale.ROOT))
                 .append(" request=")
                 .append(requestId));
     }
 
-    /** What has been counted since the start. */
-    void metrics(String counts) {
-        line(event("metrics").append(' ').append(counts));
+    /** The counters since the start. */
+    void metrics(String summary) {
+        write(event("metrics").append(' ').append(summary));
     }
 }
--- a/src/main/java/mulleinfront/proxy/Framing.java
+++ b/src/main/java/mulleinfront/proxy/Framing.java
@@ -18,11 +18,11 @@
 import java.util.List;
 
 /**
- * Where a message begins and ends, strictly by RFC 9112. The codec mends what is ambiguous and reads on; one
- * in the middle must not: what the two sides of it read differently hides a second request or a cut answer.
+ * HTTP message framing, strictly by RFC 9112. Netty's codec repairs ambiguous framing and reads on. A proxy must reject
+ * it: a message that its two sides frame differently can hide a second request or a truncated response.
  */
 final class Framing {
-    /** The largest body that is read whole before it goes on, bytes; a larger one goes on while it comes. */
+    /** The largest body that is buffered before it is passed on; a larger one is streamed. */
     static final int MOST_BODY = 64 * 1024;
 
     static final byte[] NO_BYTES = {};
@@ -35,30 +35,30 @@
 
     /** Decodes HTTP requests and rejects those with ambiguous framing. */
     static class RequestDecoder extends HttpRequestDecoder {
-        private final Runnable heard;
+        private final Runnable onRead;
 
         /**
-         * @param heard run whenever bytes have come, before what they make is handed on
+         * @param onRead run whenever bytes have been read, before they are decoded
          */
-        RequestDecoder(Runnable heard) {
+        RequestDecoder(Runnable onRead) {
             super(STRICT);
-            this.heard = heard;
+            this.onRead = onRead;
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object in) throws Exception {
-            heard.run();
-            super.channelRead(ctx, in);
+        public void channelRead(ChannelHandlerContext ctx, Object data) throws Exception {
+            onRead.run();
+            super.channelRead(ctx, data);
         }
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("two lengths");
+            throw new IllegalArgumentException("both Transfer-Encoding and Content-Length");
         }
 
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-            needColon(line, start + length);
+            requireColon(line, start + length);
             return super.splitHeaderName(line, start, length);
         }
     }
@@ -69,40 +69,40 @@
             super(STRICT);
         }
 
-        /** Whether it holds the beginning of something that it could not yet make a message of. */
-        boolean holdsMore() {
+        /** Whether bytes have been read that are not part of a complete message yet. */
+        boolean hasPartialMessage() {
             return actualReadableBytes() > 0;
         }
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("two lengths");
+            throw new IllegalArgumentException("both Transfer-Encoding and Content-Length");
         }
 
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-            needColon(line, start + length);
+            requireColon(line, start + length);
             return super.splitHeaderName(line, start, length);
         }
     }
 
-    /** The codec takes a line without a colon for the name of an empty header. */
-    private static void needColon(byte[] line, int at) {
-        if (at >= line.length || line[at] != ':') {
-            throw new IllegalArgumentException("a header without a colon");
+    /** Rejects a header line without a colon, which Netty's codec reads as the name of an empty header. */
+    private static void requireColon(byte[] line, int nameEnd) {
+        if (nameEnd >= line.length || line[nameEnd] != ':') {
+            throw new IllegalArgumentException("header line without a colon");
         }
     }
 
-    /** A message in one buffer and so in one write: a head whose characters are bytes, and a body. */
-    static ByteBuf whole(byte[] start, String rest, byte[] body) {
-        byte[] lines = rest.getBytes(StandardCharsets.ISO_8859_1);
-        byte[] all = Arrays.copyOf(start, start.length + lines.length + body.length);
-        System.arraycopy(lines, 0, all, start.length, lines.length);
-        System.arraycopy(body, 0, all, start.length + lines.length, body.length);
-        return Unpooled.wrappedBuffer(all);
+    /** A message in one buffer and so in one write. */
+    static ByteBuf message(byte[] head, String lastLines, byte[] body) {
+        byte[] lastLineBytes = lastLines.getBytes(StandardCharsets.ISO_8859_1);
+        byte[] bytes = Arrays.copyOf(head, head.length + lastLineBytes.length + body.length);
+        System.arraycopy(lastLineBytes, 0, bytes, head.length, lastLineBytes.length);
+        System.arraycopy(body, 0, bytes, head.length + lastLineBytes.length, body.length);
+        return Unpooled.wrappedBuffer(bytes);
     }
 
-    /** A piece as a chunk (RFC 9112, 7.1); takes over its release. An empty one would be the end. */
+    /** A piece as a chunk (RFC 9112, 7.1); takes over its release. An empty chunk would end the body. */
     static ByteBuf chunk(ByteBuf piece) {
         return Unpooled.wrappedBuffer(ascii(Integer.toHexString(piece.readableBytes()) + "\r\n"), piece, ascii("\r\n"));
     }
@@ -116,18 +116,18 @@
         return Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Whether a head can be read in one way only, as HTTP/1; says nothing of a body that is yet to come. */
-    static boolean sound(HttpMessage head) {
+    /** Whether a head is valid HTTP/1 with unambiguous framing; the body that follows is not checked. */
+    static boolean isValid(HttpMessage head) {
         HttpVersion version = head.protocolVersion();
         HttpHeaders headers = head.headers();
         if (head.decoderResult().isFailure()
                 || !version.equals(HttpVersion.HTTP_1_1) && !version.equals(HttpVersion.HTTP_1_0)) {
             return false;
         }
-        // The codec has checked each name and value (RFC 9110, 5.1 and 5.5) when it added them.
+        // The codec checked each name and value (RFC 9110, 5.1 and 5.5) when it added them.
         if (!headers.contains(HttpHeaderNames.TRANSFER_ENCODING)) {
-            Iterator<String> stated = headers.valueStringIterator(HttpHeaderNames.CONTENT_LENGTH);
-            return !stated.hasNext() || number(stated.next()) >= 0 && !stated.hasNext();
+            Iterator<String> lengths = headers.valueStringIterator(HttpHeaderNames.CONTENT_LENGTH);
+            return !lengths.hasNext() || parseDigits(lengths.next()) >= 0 && !lengths.hasNext();
         }
         List<String> encodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return encodings.size() == 1
@@ -136,23 +136,23 @@
                 && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encodings.get(0));
     }
 
-    /** Whether a sound head says how long its body is. */
-    static boolean statesLength(HttpHeaders headers) {
+    /** Whether a valid head states how its body is delimited, by length or by chunks. */
+    static boolean delimitsBody(HttpHeaders headers) {
         return headers.contains(HttpHeaderNames.CONTENT_LENGTH) || headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
     }
 
-    /** Whether a sound head states a body larger than any may be. */
-    static boolean tooLong(HttpHeaders headers) {
-        return length(headers) > Flow.MOST;
+    /** Whether a valid head states a body above the size limit. */
+    static boolean isBodyTooLarge(HttpHeaders headers) {
+        return contentLength(headers) > BodyStream.MAX_BODY_BYTES;
     }
 
-    /** The length of the body that a sound head states; -1 if it states none. */
-    static long length(HttpHeaders headers) {
-        return number(headers.get(HttpHeaderNames.CONTENT_LENGTH));
+    /** The length of the body that a valid head states; -1 if it states none. */
+    static long contentLength(HttpHeaders headers) {
+        return parseDigits(headers.get(HttpHeaderNames.CONTENT_LENGTH));
     }
 
-    /** A number of digits alone; -1 if it is none: no sign, no fraction, no list, nothing that overflows. */
-    static long number(String text) {
+    /** Parses a number of 1 to 18 digits; -1 for any other text, such as one with a sign, a fraction or a list. */
+    static long parseDigits(String text) {
         if (text == null || text.isEmpty() || text.length() > 18) {
             return -1;
         }
--- a/src/main/java/mulleinfront/proxy/Frontend.java
+++ b/src/main/java/mulleinfront/proxy/Frontend.java
@@ -49,88 +49,91 @@
 import mulleinfront.settings.Version;
 
 /**
- * What the application connects to. It reads requests, hands those for hosts to the {@link ClientProxy}
- * and writes final answers, one at a time on each connection. Nothing that a client sends, or does not send,
- * may cost more than its own connection.
+ * The clients' side of the proxy. It reads requests, passes those for endpoints to the {@link ClientProxy} and writes final
+ * answers, one at a time on each connection. Whatever a client sends or fails to send affects only its own connection.
  */
 final class Frontend {
     /**
-     * What is held of a client that it sends ahead of its answers, bytes; and of all clients together. Reading goes on
-     * beyond that, since a client's leaving shows behind all that it sent: but that is dropped, and refused in its turn.
+     * Limit of the bytes buffered for one client that pipelines requests. Reading goes on beyond it, since a client's close
+     * is seen only after all that it sent; but these requests are dropped, and refused in their turn.
      */
-    private static final int MOST_AHEAD_BYTES = 16 * Framing.MOST_BODY;
+    private static final int MAX_PIPELINED_BYTES = 16 * Framing.MOST_BODY;
+    /** Limit of the bytes buffered for all clients together. */
+    private static final int MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
-    private static final int MOST_HELD = 8 * 1024 * 1024;
     private static final int READ_BYTES = 8 * 1024;
-    /** Connections that the system accepts for us before we do. */
-    private static final int BACKLOG = 1024;
-    /** What a request that waits takes besides its body, about. */
-    private static final int HEAD_BYTES = 1024;
+    /** Connections that the operating system queues before the proxy accepts them. */
+    private static final int ACCEPT_BACKLOG = 1024;
+    /** Approximate memory of a waiting request besides its body. */
+    private static final int REQUEST_OVERHEAD_BYTES = 1024;
     /**
-     * A connection without an open request ends after this long: the protocol allows it after 2 s, and a
-     * client that says nothing or never gets to the end of a request is owed an end within 3 s.
+     * Idle timeout of a connection without an open request: the protocol allows a close after 2 s, and requires it within
+     * 3 s for a client that sends nothing or never completes a request.
      */
-    private static final long QUIET_MS = 2_300;
+    private static final long IDLE_TIMEOUT_MS = 2_300;
 
-    private static final long SWEEP_MS = 100;
-    /** How long new connections go on coming after SIGTERM: 0.4 s at most by the protocol, and some slack. */
-    private static final long LISTEN_ON_MS = 480;
-    /** And how long requests do: a connection that was accepted last has had time for its first. */
-    private static final long DRAIN_MS = 650;
+    private static final long SWEEP_INTERVAL_MS = 100;
+    /** Time after SIGTERM for which connections are accepted: clients may connect for 0.4 s by the protocol, plus slack. */
+    private static final long SHUTDOWN_ACCEPT_MS = 480;
+    /** Time after SIGTERM for which new requests are read: the last connection accepted has time for its first request. */
+    private static final long SHUTDOWN_READ_MS = 650;
     /**
-     * And a request that has begun to come: as long as its pieces come no further apart than this, and this long. The
-     * sooner a process ends, the sooner another is started in its place.
+     * Longest pause within a request that is still incomplete after that time. It is short because the sooner a process
+     * ends, the sooner its replacement starts.
      */
-    private static final long HALF_WAY_MS = 450;
-
-    private static final long LAST_READ_MS = 700;
-    /** While clients are sent away one that asks nothing is closed on after this: what crosses it is rare by then. */
-    private static final long SENT_AWAY_MS = 400;
-    /** Time for a head from its first byte; a body has {@link #QUIET_MS} from one piece to the next. */
-    private static final long HEAD_MS = 2_600;
-    /** A body or an answer that goes on while it comes ends when nothing of it has moved for this long. */
-    private static final long STALLED_MS = 10_000;
-    /** The same of an answer whose client's time is up: half a second after that it is lost, and a cut tells it before. */
-    private static final long LATE_STALLED_MS = 300;
+    private static final long PARTIAL_REQUEST_GAP_MS = 450;
+    /** Time for which such an incomplete request is read in total. */
+    private static final long PARTIAL_REQUEST_TIMEOUT_MS = 700;
+    /** Idle timeout while connections are drained: a request that crosses the close is rare after this time. */
+    private static final long DRAINING_IDLE_TIMEOUT_MS = 400;
+    /** Timeout of a head from its first byte; the pieces of a body have {@link #IDLE_TIMEOUT_MS} between them. */
+    private static final long HEAD_TIMEOUT_MS = 2_600;
+    /** A streamed request or response is aborted when it has made no progress for this time. */
+    private static final long STALL_TIMEOUT_MS = 10_000;
     /**
-     * How long what a client still sends is read and dropped after its last answer: closing over it would reset the
-     * connection, and the answer with it. At the end of the process there is less time for that.
+     * Stall timeout of a streamed response after the client's deadline. A response that ends 0.5 s after the deadline is
+     * lost; the reset tells the client before that.
+     */
+    private static final long LATE_STALL_TIMEOUT_MS = 300;
+    /**
+     * Time for which data is read and dropped after a connection's last response: a close with unread data would reset the
+     * connection, and the client could lose the response.
      */
     private static final long LINGER_MS = 1_000;
-
-    private static final long LAST_LINGER_MS = 250;
-    /** A kit of another version must not judge this one. */
-    private static final String VERSION = Version.HEADER + ": " + Version.OWN + "\r\n";
+    /** The same time at shutdown. */
+    private static final long SHUTDOWN_LINGER_MS = 250;
+    /** Tells the proxy's version, since a test kit of another version must not check it. */
+    private static final String VERSION_HEADER = Version.HEADER + ": " + Version.OWN + "\r\n";
 
     private final ClientProxy proxy;
     private final EventLoop loop;
     private final ChannelGroup clients;
-    private final int mostClients;
+    private final int maxClients;
     private final EnumCounts<Close> closes;
     private final RuleGuard guard;
-    /** Connections without an open request, the longest quiet first. */
-    private final LinkedHashSet<Client> quiet = new LinkedHashSet<>();
-    /** Those on which nothing more is said, until the client has closed as well; the first to part first. */
-    private final LinkedHashSet<Client> parting = new LinkedHashSet<>();
-    /** Those whose request or answer is going on while it comes. */
-    private final LinkedHashSet<Client> flowing = new LinkedHashSet<>();
-
-    private long held;
-    private final LoopStall stall = new LoopStall(TimeUnit.MILLISECONDS.toMicros(SWEEP_MS), System.nanoTime());
-    private final LifecycleState standing;
-    private ClientChannel.Listener server;
-    private boolean sweeping;
-    private boolean deaf;
-    private boolean shut;
-    private long lastReadNanos;
-    private long lastAnswerNanos;
-
-    Frontend(ClientProxy proxy, LifecycleState standing, EventLoop loop, int mostClients, Metrics metrics) {
+    /** Connections without an open request or with a response being written; the least recently active first. */
+    private final LinkedHashSet<Client> idle = new LinkedHashSet<>();
+    /** Connections whose output is shut down, until the client has closed as well; the oldest first. */
+    private final LinkedHashSet<Client> closing = new LinkedHashSet<>();
+    /** Connections with a streamed request or response. */
+    private final LinkedHashSet<Client> streaming = new LinkedHashSet<>();
+
+    private long bufferedBytes;
+    private final LoopStall stall = new LoopStall(TimeUnit.MILLISECONDS.toMicros(SWEEP_INTERVAL_MS), System.nanoTime());
+    private final LifecycleState lifecycle;
+    private ClientChannel.Listener listener;
+    private boolean sweepScheduled;
+    private boolean newRequestsStopped;
+    private boolean shutDown;
+    private long readDeadlineNanos;
+    private long answerDeadlineNanos;
+
+    Frontend(ClientProxy proxy, LifecycleState lifecycle, EventLoop loop, int maxClients, Metrics metrics) {
         this.closes = metrics.clientCloses;
         this.guard = metrics.guard;
-        this.mostClients = mostClients;
+        this.maxClients = maxClients;
         this.proxy = proxy;
-        this.standing = standing;
+        this.lifecycle = lifecycle;
         this.loop = loop;
         this.clients = new DefaultChannelGroup(loop);
     }
@@ -138,65 +141,66 @@
     /**
      * Listens.
      *
-     * @param shared whether others listen there too, each with its own part of the connections
-     * @param door the operators' who may call there too, since it is their address; null if it is not
+     * @param reusePort whether other event loops listen on the address too, each with its share of the connections
+     * @param managedProcess handles operators' commands where the address is the management address; else null
      */
-    ChannelFuture listen(InetSocketAddress address, boolean shared, CommandHandler.Process door) {
-        ServerBootstrap server = bootstrap(door).channelFactory(() -> new ClientChannel.Listener(null, this::hold));
-        if (shared) {
-            server.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
-        }
-        ChannelFuture bound = server.bind(address);
-        this.server = (ClientChannel.Listener) bound.channel();
+    ChannelFuture listen(InetSocketAddress address, boolean reusePort, CommandHandler.Process managedProcess) {
+        ServerBootstrap serverBootstrap = bootstrap(managedProcess)
+                .channelFactory(() -> new ClientChannel.Listener(null, this::addBufferedBytes));
+        if (reusePort) {
+            serverBootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
+        }
+        ChannelFuture bound = serverBootstrap.bind(address);
+        this.listener = (ClientChannel.Listener) bound.channel();
         return bound;
     }
 
-    /** Accepts on a socket that listens already. */
-    void adopt(ServerSocketChannel listening) {
-        server = (ClientChannel.Listener) bootstrap(null)
-                .channelFactory(() -> new ClientChannel.Listener(listening, this::hold))
+    /** Accepts on an inherited listening socket. */
+    void acceptOn(ServerSocketChannel inheritedSocket) {
+        listener = (ClientChannel.Listener) bootstrap(null)
+                .channelFactory(() -> new ClientChannel.Listener(inheritedSocket, this::addBufferedBytes))
                 .register()
                 .channel();
     }
 
-    private ServerBootstrap bootstrap(CommandHandler.Process door) {
-        if (!sweeping) {
-            sweeping = true;
-            loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    private ServerBootstrap bootstrap(CommandHandler.Process managedProcess) {
+        if (!sweepScheduled) {
+            sweepScheduled = true;
+            loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
         return new ServerBootstrap()
                 .group(loop)
-                .option(ChannelOption.ALLOCATOR, Upstream.BUFFERS)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                .childOption(ChannelOption.ALLOCATOR, Upstream.BUFFERS)
+                .option(ChannelOption.ALLOCATOR, Upstream.ALLOCATOR)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
+                .childOption(ChannelOption.ALLOCATOR, Upstream.ALLOCATOR)
                 .childOption(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(READ_BYTES))
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Upstream.WAITING)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Upstream.WRITE_WATER_MARK)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        if (door == null) {
-                            serve(ch);
+                    protected void initChannel(SocketChannel channel) {
+                        if (managedProcess == null) {
+                            serve(channel);
                         } else {
-                            clients.add(ch);
-                            ch.pipeline().addLast(new Divide(door));
+                            clients.add(channel);
+                            channel.pipeline().addLast(new ProtocolSelector(managedProcess));
                         }
                     }
                 });
     }
 
-    private void serve(Channel ch) {
-        Client client = new Client(ch);
-        ch.pipeline().addLast(new Framing.RequestDecoder(client::heard), client);
-        admit(ch, client);
+    private void serve(Channel channel) {
+        Client client = new Client(channel);
+        channel.pipeline().addLast(new Framing.RequestDecoder(client::onBytesRead), client);
+        admit(channel, client);
     }
 
-    /** Tells operators from the rehearsal's own requests: a method has capitals, a call has none. */
-    private final class Divide extends ByteToMessageDecoder {
-        private final CommandHandler.Process door;
+    /** Selects the protocol by the first byte: the warm-up's HTTP requests start with a capital, commands do not. */
+    private final class ProtocolSelector extends ByteToMessageDecoder {
+        private final CommandHandler.Process managedProcess;
 
-        Divide(CommandHandler.Process door) {
-            this.door = door;
+        ProtocolSelector(CommandHandler.Process managedProcess) {
+            this.managedProcess = managedProcess;
         }
 
         @Override
@@ -204,142 +208,146 @@
             if (Character.isUpperCase(in.getByte(in.readerIndex()))) {
                 serve(ctx.channel());
             } else {
-                ManagementServer.answerOn(ctx.channel(), new CommandHandler(door));
+                ManagementServer.answerOn(ctx.channel(), new CommandHandler(managedProcess));
             }
             ctx.pipeline().remove(this);
         }
     }
 
     /**
-     * At the most, one that has had its last answer makes room, or the longest quiet one; where all have a request
-     * open, a new one must wait.
+     * Adds a client. At the connection limit, the oldest connection that is closing is closed to make room, or else the
+     * longest idle one. If all have an open request, new connections are not accepted.
      */
-    private void admit(Channel ch, Client client) {
-        LinkedHashSet<Client> spare = parting.isEmpty() ? quiet : parting;
-        if (clients.size() >= mostClients && !spare.isEmpty()) {
-            Client longest = spare.iterator().next();
-            spare.remove(longest);
-            longest.close(Close.NO_ROOM);
-        }
-        clients.add(ch);
-        client.hush();
-        ch.closeFuture().addListener(f -> acceptIfRoom(ch));
+    private void admit(Channel channel, Client client) {
+        LinkedHashSet<Client> evictable = closing.isEmpty() ? idle : closing;
+        if (clients.size() >= maxClients && !evictable.isEmpty()) {
+            Client oldest = evictable.iterator().next();
+            evictable.remove(oldest);
+            oldest.close(Close.NO_ROOM);
+        }
+        clients.add(channel);
+        client.markIdle();
+        channel.closeFuture().addListener(f -> updateAccepting(channel));
     }
 
-    private void acceptIfRoom(Channel client) {
-        client.parent().config().setAutoRead(clients.size() < mostClients || !quiet.isEmpty() || !parting.isEmpty());
+    private void updateAccepting(Channel client) {
+        client.parent().config().setAutoRead(clients.size() < maxClients || !idle.isEmpty() || !closing.isEmpty());
     }
 
     private void sweep() {
         long now = System.nanoTime();
         stall.tick(now);
-        for (Client c : quiet.toArray(Client[]::new)) {
-            if (c.overdue(now)) {
-                c.tooLong();
+        for (Client client : idle.toArray(Client[]::new)) {
+            if (client.isTimedOut(now)) {
+                client.onTimeout();
             }
         }
-        for (Client c : flowing.toArray(Client[]::new)) {
-            c.endIfStalled(now);
+        for (Client client : streaming.toArray(Client[]::new)) {
+            client.endIfStalled(now);
         }
-        long longAgo = now - TimeUnit.MILLISECONDS.toNanos(deaf ? LAST_LINGER_MS : LINGER_MS);
-        for (Client c; !parting.isEmpty() && (c = parting.iterator().next()).quietAt - longAgo < 0; ) {
-            parting.remove(c);
-            c.close(Close.NOT_REUSABLE);
+        long lingerLimitNanos =
+                now - TimeUnit.MILLISECONDS.toNanos(newRequestsStopped ? SHUTDOWN_LINGER_MS : LINGER_MS);
+        for (Client client;
+                !closing.isEmpty() && (client = closing.iterator().next()).lastProgressNanos - lingerLimitNanos < 0; ) {
+            closing.remove(client);
+            client.close(Close.NOT_REUSABLE);
         }
     }
 
-    private void hold(int bytes) {
-        held += bytes;
+    private void addBufferedBytes(int bytes) {
+        bufferedBytes += bytes;
     }
 
     int port() {
-        return ((InetSocketAddress) server.localAddress()).getPort();
+        return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
     /**
-     * Serves on while requests may come, each answer the last of its connection; then stops listening and
-     * reading, closes what is idle and runs {@code done} when the last client has its answer.
+     * Serves while requests may still arrive, and closes each connection after its response. Then stops listening and
+     * reading, closes idle connections, and runs {@code onDrained} when the last client has its response.
      */
-    void drain(Runnable done) {
-        standing.ending();
-        lastAnswerNanos = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(proxy.ending());
-        // The last call is no timer of its own: what was accepted just now by a loop that had stood still is read
-        // first.
-        Runnable closed = () -> loop.schedule(() -> lastCall(done), DRAIN_MS - LISTEN_ON_MS, TimeUnit.MILLISECONDS);
+    void drain(Runnable onDrained) {
+        lifecycle.ending();
+        answerDeadlineNanos = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(proxy.beginShutdown());
+        // Scheduled only after the listener has closed: connections that were accepted late, after a stall of the event
+        // loop, are read first.
+        Runnable afterListenerClosed = () -> loop.schedule(
+                () -> stopNewRequests(onDrained), SHUTDOWN_READ_MS - SHUTDOWN_ACCEPT_MS, TimeUnit.MILLISECONDS);
         loop.schedule(
                 () -> {
-                    if (server == null) {
-                        closed.run();
+                    if (listener == null) {
+                        afterListenerClosed.run();
                     } else {
-                        server.closeAfterAll(BACKLOG, closed);
+                        listener.closeAfterAll(ACCEPT_BACKLOG, afterListenerClosed);
                     }
                 },
-                LISTEN_ON_MS,
+                SHUTDOWN_ACCEPT_MS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void lastCall(Runnable done) {
-        deaf = true;
-        lastReadNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LAST_READ_MS);
-        clients.forEach(c -> c.pipeline().get(Client.class).lastCall());
-        clients.newCloseFuture().addListener((Future<Void> f) -> done.run());
+    private void stopNewRequests(Runnable onDrained) {
+        newRequestsStopped = true;
+        readDeadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PARTIAL_REQUEST_TIMEOUT_MS);
+        clients.forEach(channel -> channel.pipeline().get(Client.class).stopNewRequests());
+        clients.newCloseFuture().addListener((Future<Void> f) -> onDrained.run());
     }
 
-    /** Closes at once, the listener and all that it accepted. */
+    /** Closes the listener and all connections at once. */
     void close() {
-        shut = true;
-        if (server != null) {
-            server.close();
+        shutDown = true;
+        if (listener != null) {
+            listener.close();
         }
         clients.close();
     }
 
     /** One connection of the application. */
     final class Client extends SimpleChannelInboundHandler<HttpObject>
-            implements ResponseHandler<Call, Upstream.Answer> {
+            implements ResponseHandler<RequestMessage, Upstream.Answer> {
         private final ClientChannel channel;
-        private final ArrayDeque<Ahead> ahead = new ArrayDeque<>();
-        private int aheadBytes;
-        /** What of these is the rest of the open request, until somebody takes it. */
+        private final ArrayDeque<PendingRequest> pipelined = new ArrayDeque<>();
+        private int pipelinedBytes;
+        /** The part of these bytes that belongs to the open request's streamed body, until it is being sent. */
         private int uploadBytes;
-        /** The rest of the open request, and of its answer, while they go on as they come. */
-        private Flow upload;
-
-        private Flow download;
-        /** When its client's time is up, microseconds on the proxy's clock. */
-        private long downloadDue;
-        /** The request being read, its body so far, and whether the client waits to be told to send it. */
+        /** The streamed body of the open request; null if there is none. */
+        private BodyStream upload;
+        /** The streamed body of its response; null if there is none. */
+        private BodyStream download;
+        /** The client's deadline for the streamed response, microseconds on the proxy's clock. */
+        private long downloadDeadlineUs;
+        /** The request being read, and its body so far. */
         private HttpRequest head;
 
         private ByteBuf body;
         private long bodyBytes;
-        /** Too much was sent ahead for it to be held: its body is dropped. */
-        private boolean shed;
-
-        private boolean expects;
-        /** Set by what can't be read: nothing after it is. */
-        private boolean lost;
+        /** Whether the request being read exceeds the buffer limit, so that its body is dropped. */
+        private boolean bodyDropped;
+        /** Whether the client waits for 100 Continue before it sends the body. */
+        private boolean expectsContinue;
+        /** Whether further input is ignored, after unreadable input or the connection's last response. */
+        private boolean ignoresInput;
 
         private boolean busy;
-        private boolean pumping;
+        private boolean dispatching;
         private boolean keepAlive;
-        private boolean old;
+        private boolean http10;
         private boolean closed;
-        /** When the connection last made progress: an answer was given or a byte of a request read. */
-        private long quietAt;
-        /** When the first byte of the request being read came; 0 if nothing of one has. */
-        private long startedAt;
+        /** When the connection last made progress: a response was written or a byte of a request was read. */
+        private long lastProgressNanos;
+        /** When the first byte of the request being read arrived; 0 if there is none. */
+        private long requestStartedNanos;
 
-        private Core.RequestHandle<Call, Upstream.Answer> exchange;
+        private Core.RequestHandle<RequestMessage, Upstream.Answer> requestHandle;
 
-        /** A request as read; or what is to be said of one that can't be, or of so many that were too much. */
-        private record Ahead(HttpRequest head, byte[] body, long at, HttpResponseStatus error, int shed) {
-            static Ahead unreadable(HttpResponseStatus error) {
-                return new Ahead(null, Framing.NO_BYTES, 0, error, 0);
+        /** A request as read; or the error status for unreadable input; or a number of requests to be refused. */
+        private record PendingRequest(
+                HttpRequest head, byte[] body, long receivedAtUs, HttpResponseStatus error, int refusedCount) {
+            static PendingRequest unreadable(HttpResponseStatus error) {
+                return new PendingRequest(null, Framing.NO_BYTES, 0, error, 0);
             }
 
-            static Ahead tooMany(int count) {
-                return new Ahead(null, Framing.NO_BYTES, 0, null, count);
+            static PendingRequest refused(int count) {
+                return new PendingRequest(null, Framing.NO_BYTES, 0, null, count);
             }
         }
 
@@ -349,308 +357,322 @@
 
         // ---- reading ---------------------------------------------------------------------------------
 
-        /** Bytes came, whatever they are. */
-        void heard() {
+        /** Bytes were read. */
+        void onBytesRead() {
             long now = System.nanoTime();
-            startedAt = startedAt == 0 ? now : startedAt;
-            if (quiet.remove(this)) {
-                quietAt = now;
-                quiet.add(this);
+            requestStartedNanos = requestStartedNanos == 0 ? now : requestStartedNanos;
+            if (idle.remove(this)) {
+                lastProgressNanos = now;
+                idle.add(this);
             } else if (upload != null) {
-                quietAt = now;
+                lastProgressNanos = now;
             }
         }
 
-        /** Whether it has said nothing, or not enough, for too long. */
-        private boolean overdue(long now) {
-            long silent = TimeUnit.NANOSECONDS.toMillis(now - quietAt);
+        /** Whether the connection has exceeded the timeout that applies to its state. */
+        private boolean isTimedOut(long now) {
+            long idleMs = TimeUnit.NANOSECONDS.toMillis(now - lastProgressNanos);
             if (busy) {
-                // Its answer is on the way, and it does not read it.
-                return silent > QUIET_MS || deaf && now > lastAnswerNanos;
+                // The response is being written and the client does not read it.
+                return idleMs > IDLE_TIMEOUT_MS || newRequestsStopped && now > answerDeadlineNanos;
             }
-            if (deaf) {
-                // Whoever still writes may get to the end of it, for a moment; who has stopped half way never will.
-                return startedAt == 0 || silent > HALF_WAY_MS || now > lastReadNanos;
+            if (newRequestsStopped) {
+                // A client that is still sending may complete its request within a short time; one that has paused
+                // won't.
+                return requestStartedNanos == 0 || idleMs > PARTIAL_REQUEST_GAP_MS || now > readDeadlineNanos;
             }
-            if (startedAt == 0) {
-                return silent > (standing.closesConnections() ? SENT_AWAY_MS : QUIET_MS);
+            if (requestStartedNanos == 0) {
+                return idleMs > (lifecycle.closesConnections() ? DRAINING_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS);
             }
-            return silent > QUIET_MS || head == null && TimeUnit.NANOSECONDS.toMillis(now - startedAt) > HEAD_MS;
+            return idleMs > IDLE_TIMEOUT_MS
+                    || head == null && TimeUnit.NANOSECONDS.toMillis(now - requestStartedNanos) > HEAD_TIMEOUT_MS;
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, HttpObject in) {
-            if (lost) {
+        protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
+            if (ignoresInput) {
                 return;
             }
-            if (in.decoderResult().isFailure()) {
-                Throwable why = in.decoderResult().cause();
-                unreadable(
-                        why instanceof TooLongHttpLineException
+            if (message.decoderResult().isFailure()) {
+                Throwable cause = message.decoderResult().cause();
+                rejectUnreadable(
+                        cause instanceof TooLongHttpLineException
                                 ? HttpResponseStatus.REQUEST_URI_TOO_LONG
-                                : why instanceof TooLongHttpHeaderException
+                                : cause instanceof TooLongHttpHeaderException
                                         ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
                                         : HttpResponseStatus.BAD_REQUEST);
                 return;
             }
-            if (in instanceof HttpRequest request) {
-                begin(request);
+            if (message instanceof HttpRequest request) {
+                beginRequest(request);
             }
-            if (in instanceof HttpContent content && !lost) {
-                append(content.content());
-                if (in instanceof LastHttpContent && !lost) {
-                    end();
+            if (message instanceof HttpContent content && !ignoresInput) {
+                appendBody(content.content());
+                if (message instanceof LastHttpContent && !ignoresInput) {
+                    endRequest();
                 }
             }
         }
 
-        private void begin(HttpRequest request) {
-            String expected = request.headers().get(HttpHeaderNames.EXPECT);
-            expects = expected != null;
-            if (!Framing.sound(request)) {
-                unreadable(HttpResponseStatus.BAD_REQUEST);
-            } else if (Framing.tooLong(request.headers())) {
-                unreadable(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-            } else if (expects && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)) {
-                unreadable(HttpResponseStatus.EXPECTATION_FAILED);
+        private void beginRequest(HttpRequest request) {
+            String expectation = request.headers().get(HttpHeaderNames.EXPECT);
+            expectsContinue = expectation != null;
+            if (!Framing.isValid(request)) {
+                rejectUnreadable(HttpResponseStatus.BAD_REQUEST);
+            } else if (Framing.isBodyTooLarge(request.headers())) {
+                rejectUnreadable(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+            } else if (expectsContinue && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expectation)) {
+                rejectUnreadable(HttpResponseStatus.EXPECTATION_FAILED);
             } else {
                 head = request;
                 body = null;
                 bodyBytes = 0;
-                shed = false;
-                goAhead();
+                bodyDropped = false;
+                sendContinue();
             }
         }
 
-        /** Tells a client that asks first to send its body, once it is its turn. */
-        private void goAhead() {
-            if (expects && head != null && !busy) {
-                expects = false;
+        /** Sends 100 Continue to a client that expects it, once the requests before it are answered. */
+        private void sendContinue() {
+            if (expectsContinue && head != null && !busy) {
+                expectsContinue = false;
                 channel.writeAndFlush(
                         Unpooled.copiedBuffer("HTTP/1.1 100 Continue\r\n\r\n", StandardCharsets.US_ASCII));
             }
         }
 
-        private void append(ByteBuf more) {
-            if (!more.isReadable()) {
+        private void appendBody(ByteBuf data) {
+            if (!data.isReadable()) {
                 return;
             }
-            bodyBytes += more.readableBytes();
-            if (bodyBytes > Flow.MOST) {
-                tooMuch();
+            bodyBytes += data.readableBytes();
+            if (bodyBytes > BodyStream.MAX_BODY_BYTES) {
+                rejectTooLarge();
             } else if (upload != null) {
-                if (!upload.given()) {
-                    uploadBytes += more.readableBytes();
-                    hold(more.readableBytes());
-                    if (held >= MOST_HELD) {
+                if (!upload.attached()) {
+                    uploadBytes += data.readableBytes();
+                    addPipelinedBytes(data.readableBytes());
+                    if (bufferedBytes >= MAX_BUFFERED_BYTES) {
                         channel.config().setAutoRead(false);
                     }
                 }
-                upload.put(more.retain());
-            } else if (!shed) {
-                body = body == null ? Upstream.BUFFERS.buffer(more.readableBytes()) : body;
-                hold(more.readableBytes());
-                body.writeBytes(more);
-                goOn();
-                shedIfTooMuch();
-            }
-        }
-
-        /** Whether the request being read is beyond what is held of one that has to wait for its turn. */
-        private boolean shedIfTooMuch() {
-            if (!shed && busy && upload == null && (aheadBytes >= MOST_AHEAD_BYTES || held >= MOST_HELD)) {
-                shed = true;
+                upload.receive(data.retain());
+            } else if (!bodyDropped) {
+                body = body == null ? Upstream.ALLOCATOR.buffer(data.readableBytes()) : body;
+                addPipelinedBytes(data.readableBytes());
+                body.writeBytes(data);
+                streamIfLarge();
+                dropBodyIfOverLimit();
+            }
+        }
+
+        /** Drops the body of a waiting request that exceeds a buffer limit; returns whether it has been dropped. */
+        private boolean dropBodyIfOverLimit() {
+            if (!bodyDropped
+                    && busy
+                    && upload == null
+                    && (pipelinedBytes >= MAX_PIPELINED_BYTES || bufferedBytes >= MAX_BUFFERED_BYTES)) {
+                bodyDropped = true;
                 if (body != null) {
-                    hold(-body.readableBytes());
+                    addPipelinedBytes(-body.readableBytes());
                     body = null;
                 }
             }
-            return shed;
+            return bodyDropped;
         }
 
-        /** A body that only shows how large it is as it comes: its request has not come in whole, so none has run. */
-        private void tooMuch() {
+        /** Rejects a chunked body above the size limit. The request is incomplete, so no endpoint has executed it. */
+        private void rejectTooLarge() {
             if (upload == null) {
-                unreadable(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+                rejectUnreadable(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             } else {
-                giveUp(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+                abortRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             }
         }
 
-        /** Once it is its turn, a body that is too large to be held goes on while it comes. */
-        private void goOn() {
-            if (!busy && head != null && body != null && body.readableBytes() > Framing.MOST_BODY && ahead.isEmpty()) {
-                byte[] first = takeBody();
-                hold(-first.length);
-                upload = new Flow(Framing.length(head.headers()), MOST_AHEAD_BYTES, this::readFlow);
-                flowing.add(this);
-                handle(new Ahead(head, first, cameAt(), null, 0), upload);
+        /** Streams a body that is too large to be buffered, once no earlier request is open. */
+        private void streamIfLarge() {
+            if (!busy
+                    && head != null
+                    && body != null
+                    && body.readableBytes() > Framing.MOST_BODY
+                    && pipelined.isEmpty()) {
+                byte[] firstPart = takeBody();
+                addPipelinedBytes(-firstPart.length);
+                upload = new BodyStream(
+                        Framing.contentLength(head.headers()), MAX_PIPELINED_BYTES, this::setUploadReading);
+                streaming.add(this);
+                handle(new PendingRequest(head, firstPart, arrivalUs(), null, 0), upload);
             }
         }
 
-        /** When what has just been read may have come, microseconds on the clock of the client proxy. */
-        private long cameAt() {
+        /** Earliest time at which the data just read may have arrived, microseconds on the proxy's clock. */
+        private long arrivalUs() {
             return proxy.now() - stall.ageUs(System.nanoTime());
         }
 
-        /** Reading follows whoever takes the body; until somebody does it goes on up to what is held of one client. */
-        private void readFlow(boolean on) {
-            if (upload != null && upload.given()) {
-                uploadTaken();
+        /** Reading follows the pace of the body's sink; before there is one, it goes on up to one client's buffer limit. */
+        private void setUploadReading(boolean on) {
+            if (upload != null && upload.attached()) {
+                releaseUploadBytes();
             }
             channel.config().setAutoRead(on);
-            quietAt = System.nanoTime();
+            lastProgressNanos = System.nanoTime();
         }
 
-        private void uploadTaken() {
-            hold(-uploadBytes);
+        private void releaseUploadBytes() {
+            addPipelinedBytes(-uploadBytes);
             uploadBytes = 0;
         }
 
         private byte[] takeBody() {
-            byte[] whole = body == null ? Framing.NO_BYTES : new byte[body.readableBytes()];
+            byte[] bytes = body == null ? Framing.NO_BYTES : new byte[body.readableBytes()];
             if (body != null) {
-                body.readBytes(whole);
+                body.readBytes(bytes);
                 body = null;
             }
-            return whole;
+            return bytes;
         }
 
         private void endUpload() {
-            Flow ended = upload;
+            BodyStream ended = upload;
             upload = null;
             head = null;
-            startedAt = 0;
+            requestStartedNanos = 0;
             if (download == null) {
-                flowing.remove(this);
+                streaming.remove(this);
             }
-            if (exchange != null) {
-                proxy.whole(exchange);
+            if (requestHandle != null) {
+                proxy.requestComplete(requestHandle);
             }
             ended.end(true);
-            readOn();
+            resumeReading();
         }
 
-        /** Ends an open request whose client does not do its part. */
-        private void giveUp(HttpResponseStatus status) {
-            Core.RequestHandle<Call, Upstream.Answer> x = exchange;
+        /** Answers and abandons an open request whose client does not send the rest of it correctly. */
+        private void abortRequest(HttpResponseStatus status) {
+            Core.RequestHandle<RequestMessage, Upstream.Answer> aborted = requestHandle;
             answer(status);
-            if (x != null) {
-                proxy.gone(x);
+            if (aborted != null) {
+                proxy.abandoned(aborted);
             }
         }
 
         private void endIfStalled(long now) {
-            long still = TimeUnit.NANOSECONDS.toMillis(now - quietAt);
-            if (upload != null && download == null && channel.config().isAutoRead() && still > QUIET_MS) {
-                giveUp(HttpResponseStatus.REQUEST_TIMEOUT);
-            } else if (download != null && still > LATE_STALLED_MS && proxy.now() > downloadDue) {
-                cutOff();
-            } else if (still > STALLED_MS) {
+            long stalledMs = TimeUnit.NANOSECONDS.toMillis(now - lastProgressNanos);
+            if (upload != null && download == null && channel.config().isAutoRead() && stalledMs > IDLE_TIMEOUT_MS) {
+                abortRequest(HttpResponseStatus.REQUEST_TIMEOUT);
+            } else if (download != null && stalledMs > LATE_STALL_TIMEOUT_MS && proxy.now() > downloadDeadlineUs) {
+                reset();
+            } else if (stalledMs > STALL_TIMEOUT_MS) {
                 close(Close.STALLED);
             }
         }
 
-        private void end() {
+        private void endRequest() {
             if (upload != null) {
                 endUpload();
                 return;
             }
-            boolean tooMany = shedIfTooMuch();
-            byte[] whole = takeBody();
+            boolean overLimit = dropBodyIfOverLimit();
+            byte[] wholeBody = takeBody();
             HttpRequest request = head;
             head = null;
-            startedAt = 0;
-            if (tooMany) {
-                boolean another = !ahead.isEmpty() && ahead.peekLast().shed() > 0;
-                ahead.add(Ahead.tooMany(another ? ahead.pollLast().shed() + 1 : 1));
+            requestStartedNanos = 0;
+            if (overLimit) {
+                boolean followsRefused =
+                        !pipelined.isEmpty() && pipelined.peekLast().refusedCount() > 0;
+                pipelined.add(PendingRequest.refused(
+                        followsRefused ? pipelined.pollLast().refusedCount() + 1 : 1));
             } else {
-                hold(HEAD_BYTES);
-                ahead.add(new Ahead(request, whole, cameAt(), null, 0));
+                addPipelinedBytes(REQUEST_OVERHEAD_BYTES);
+                pipelined.add(new PendingRequest(request, wholeBody, arrivalUs(), null, 0));
             }
-            pump();
+            dispatchPending();
         }
 
-        /** The last that is read of this client: what it sent before is served, then it is told. */
-        private void unreadable(HttpResponseStatus error) {
-            lost = true;
+        /** Stops reading requests from this client: the earlier ones are served, then the error is sent. */
+        private void rejectUnreadable(HttpResponseStatus error) {
+            ignoresInput = true;
             head = null;
-            ahead.add(Ahead.unreadable(error));
-            pump();
+            pipelined.add(PendingRequest.unreadable(error));
+            dispatchPending();
         }
 
-        private void hold(int bytes) {
-            aheadBytes += bytes;
-            Frontend.this.hold(bytes);
+        private void addPipelinedBytes(int bytes) {
+            pipelinedBytes += bytes;
+            Frontend.this.addBufferedBytes(bytes);
         }
 
-        /** Once nothing more is taken of a client, all that it sends is read and dropped. */
-        private void readOn() {
+        /** Resumes reading. At shutdown, input that does not belong to a request already started is dropped. */
+        private void resumeReading() {
             if (upload == null) {
-                lost |= deaf && startedAt == 0;
+                ignoresInput |= newRequestsStopped && requestStartedNanos == 0;
                 channel.config().setAutoRead(true);
             }
         }
 
         // ---- answering -------------------------------------------------------------------------------
 
-        /** Takes up requests in their order while none is open. */
-        private void pump() {
-            if (pumping) {
+        /** Handles waiting requests in order while none is open. */
+        private void dispatchPending() {
+            if (dispatching) {
                 return;
             }
-            pumping = true;
-            while (!busy && !ahead.isEmpty() && channel.isActive()) {
-                Ahead next = ahead.poll();
-                if (next.shed() > 1) {
-                    ahead.addFirst(Ahead.tooMany(next.shed() - 1));
+            dispatching = true;
+            while (!busy && !pipelined.isEmpty() && channel.isActive()) {
+                PendingRequest next = pipelined.poll();
+                if (next.refusedCount() > 1) {
+                    pipelined.addFirst(PendingRequest.refused(next.refusedCount() - 1));
                 }
-                hold(next.head() == null ? 0 : -next.body().length - HEAD_BYTES);
+                addPipelinedBytes(next.head() == null ? 0 : -next.body().length - REQUEST_OVERHEAD_BYTES);
                 handle(next, null);
             }
-            pumping = false;
-            goAhead();
-            goOn();
-            readOn();
+            dispatching = false;
+            sendContinue();
+            streamIfLarge();
+            resumeReading();
         }
 
-        private void handle(Ahead next, Flow rest) {
+        private void handle(PendingRequest pending, BodyStream remainingBody) {
             busy = true;
-            quiet.remove(this);
-            HttpRequest in = next.head();
-            keepAlive = in == null ? next.shed() > 0 : HttpUtil.isKeepAlive(in);
-            old = in != null && in.protocolVersion().equals(HttpVersion.HTTP_1_0);
-            int query = in == null ? -1 : in.uri().indexOf('?');
-            String path = in == null ? "" : query < 0 ? in.uri() : in.uri().substring(0, query);
-            if (next.shed() > 0) {
-                refused(proxy.comeBackUs());
-            } else if (in == null) {
-                answer(next.error());
+            idle.remove(this);
+            HttpRequest request = pending.head();
+            keepAlive = request == null ? pending.refusedCount() > 0 : HttpUtil.isKeepAlive(request);
+            http10 = request != null && request.protocolVersion().equals(HttpVersion.HTTP_1_0);
+            int queryIndex = request == null ? -1 : request.uri().indexOf('?');
+            String path = request == null
+                    ? ""
+                    : queryIndex < 0 ? request.uri() : request.uri().substring(0, queryIndex);
+            if (pending.refusedCount() > 0) {
+                refused(proxy.retryAfterUs());
+            } else if (request == null) {
+                answer(pending.error());
             } else if (path.equals("/-/ready")) {
                 answer(
-                        standing.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                        ClientProxy.NO_BODY,
+                        lifecycle.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        ClientProxy.EMPTY_ANSWER,
                         0,
-                        VERSION);
+                        VERSION_HEADER);
             } else if (!path.equals("/api") && !path.startsWith("/api/")) {
                 answer(HttpResponseStatus.NOT_FOUND);
             } else {
-                proxy.take(this, in, next.body(), rest, next.at());
+                proxy.accept(this, request, pending.body(), remainingBody, pending.receivedAtUs());
             }
         }
 
-        /** The request at hand is open until {@link #answer}. */
+        /** The current request is open until {@link #answer}. */
         @Override
-        public void opened(Core.RequestHandle<Call, Upstream.Answer> exchange) {
-            this.exchange = exchange;
+        public void opened(Core.RequestHandle<RequestMessage, Upstream.Answer> handle) {
+            this.requestHandle = handle;
         }
 
         @Override
         public boolean stillWaiting() {
-            if (!channel.left()) {
+            if (!channel.closedByClient()) {
                 return true;
             }
-            exchange = null;
+            requestHandle = null;
             close(Close.BY_PEER);
             return false;
         }
@@ -660,64 +682,64 @@
             answer(HttpResponseStatus.OK, answer, 0);
         }
 
-        /** The rest goes on at the client's pace; where it breaks off, so does the connection, before any end of it. */
+        /** Streams the response at the client's pace. If it breaks off, the connection is reset before its end is sent. */
         @Override
         public void responseStarted(Upstream.Answer answer) {
-            boolean last = isLast();
-            boolean chunked = answer.rest().length() < 0 && !old;
-            boolean untilClose = answer.rest().length() < 0 && old;
-            Flow rest = answer.rest();
-            download = rest;
-            downloadDue = proxy.timeOf(exchange);
-            flowing.add(this);
-            quietAt = System.nanoTime();
-            ByteBuf first = Unpooled.wrappedBuffer(answer.body());
+            boolean lastOnConnection = isLastOnConnection();
+            boolean chunked = answer.remainingBody().length() < 0 && !http10;
+            boolean untilClose = answer.remainingBody().length() < 0 && http10;
+            BodyStream remainingBody = answer.remainingBody();
+            download = remainingBody;
+            downloadDeadlineUs = proxy.timeLimitOf(requestHandle);
+            streaming.add(this);
+            lastProgressNanos = System.nanoTime();
+            ByteBuf firstPart = Unpooled.wrappedBuffer(answer.body());
             channel.writeAndFlush(Unpooled.wrappedBuffer(
-                    Framing.whole(
+                    Framing.message(
                             Framing.NO_BYTES,
-                            head(
+                            encodeHead(
                                     HttpResponseStatus.OK,
                                     chunked
                                             ? "transfer-encoding: chunked\r\n"
-                                            : untilClose ? "" : "content-length: " + rest.length() + "\r\n",
+                                            : untilClose ? "" : "content-length: " + remainingBody.length() + "\r\n",
                                     answer,
                                     0,
                                     "",
-                                    last || untilClose),
+                                    lastOnConnection || untilClose),
                             Framing.NO_BYTES),
-                    chunked && first.isReadable() ? Framing.chunk(first) : first));
-            rest.to(new Flow.Sink() {
+                    chunked && firstPart.isReadable() ? Framing.chunk(firstPart) : firstPart));
+            remainingBody.attach(new BodyStream.Sink() {
                 @Override
-                public void piece(ByteBuf piece) {
-                    quietAt = System.nanoTime();
+                public void write(ByteBuf piece) {
+                    lastProgressNanos = System.nanoTime();
                     channel.writeAndFlush(chunked ? Framing.chunk(piece) : piece);
                     if (!channel.isWritable()) {
-                        rest.want(false);
+                        remainingBody.setSinkReady(false);
                     }
                 }
 
                 @Override
-                public void end(boolean whole) {
+                public void end(boolean complete) {
                     download = null;
-                    exchange = null;
+                    requestHandle = null;
                     if (upload == null) {
-                        flowing.remove(Client.this);
+                        streaming.remove(Client.this);
                     }
-                    if (!whole) {
-                        cutOff();
+                    if (!complete) {
+                        reset();
                         return;
                     }
                     stopUpload();
-                    boolean close = last || untilClose || lost;
-                    hush();
+                    boolean closeConnection = lastOnConnection || untilClose || ignoresInput;
+                    markIdle();
                     channel.writeAndFlush(chunked ? Framing.lastChunk() : Unpooled.EMPTY_BUFFER)
-                            .addListener(written -> next(close || !written.isSuccess()));
+                            .addListener(written -> onAnswerWritten(closeConnection || !written.isSuccess()));
                 }
             });
         }
 
-        /** A reset, which no client can take for the end of an answer. */
-        private void cutOff() {
+        /** Resets the connection, since a client could mistake a regular close for the end of the response. */
+        private void reset() {
             if (channel.isOpen()) {
                 ((SocketChannel) channel).config().setSoLinger(0);
             }
@@ -727,35 +749,38 @@
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (download != null) {
-                quietAt = System.nanoTime();
-                download.want(channel.isWritable());
+                lastProgressNanos = System.nanoTime();
+                download.setSinkReady(channel.isWritable());
             }
         }
 
-        /** Its request is answered before it has come in whole: nothing more of this connection can be read. */
+        /** Stops the streamed body of a request that is answered before its end: no further request can be read then. */
         private boolean stopUpload() {
             if (upload == null) {
                 return false;
             }
-            Flow cut = upload;
+            BodyStream stopped = upload;
             upload = null;
             head = null;
-            lost = true;
-            flowing.remove(this);
-            cut.stop();
+            ignoresInput = true;
+            streaming.remove(this);
+            stopped.discard();
             return true;
         }
 
-        /** In a crowd nobody keeps what others wait for: clients may hold only so many connections as well. */
-        private boolean isLast() {
+        /**
+         * Whether the response is the last on its connection. Above half of the connection limit, connections are not kept
+         * alive, so that waiting clients get one; clients have a connection limit as well.
+         */
+        private boolean isLastOnConnection() {
             return !keepAlive
-                    || ahead.isEmpty()
-                            && (standing.closesConnections() || clients.size() - parting.size() > mostClients / 2);
+                    || pipelined.isEmpty()
+                            && (lifecycle.closesConnections() || clients.size() - closing.size() > maxClients / 2);
         }
 
         @Override
         public void refused(long retryAfterUs) {
-            answer(HttpResponseStatus.SERVICE_UNAVAILABLE, ClientProxy.NO_BODY, retryAfterUs);
+            answer(HttpResponseStatus.SERVICE_UNAVAILABLE, ClientProxy.EMPTY_ANSWER, retryAfterUs);
         }
 
         @Override
@@ -764,127 +789,143 @@
         }
 
         void answer(HttpResponseStatus status) {
-            answer(status, ClientProxy.NO_BODY, 0);
+            answer(status, ClientProxy.EMPTY_ANSWER, 0);
         }
 
-        /** The final answer of the request at hand; the next has its turn when this one is written. */
-        void answer(HttpResponseStatus status, Upstream.Answer what, long retryAfterUs) {
-            answer(status, what, retryAfterUs, "");
+        /** Writes the final answer of the current request; the next request is handled when it is written. */
+        void answer(HttpResponseStatus status, Upstream.Answer answer, long retryAfterUs) {
+            answer(status, answer, retryAfterUs, "");
         }
 
-        private void answer(HttpResponseStatus status, Upstream.Answer what, long retryAfterUs, String lines) {
-            exchange = null;
-            boolean cut = stopUpload();
-            boolean last = isLast() || cut;
-            ByteBuf out = encode(status, what, retryAfterUs, lines, last);
-            hush();
-            channel.writeAndFlush(out).addListener(written -> next(last || !written.isSuccess()));
+        private void answer(HttpResponseStatus status, Upstream.Answer answer, long retryAfterUs, String extraHeaders) {
+            requestHandle = null;
+            boolean uploadStopped = stopUpload();
+            boolean lastOnConnection = isLastOnConnection() || uploadStopped;
+            ByteBuf encoded = encode(status, answer, retryAfterUs, extraHeaders, lastOnConnection);
+            markIdle();
+            channel.writeAndFlush(encoded)
+                    .addListener(written -> onAnswerWritten(lastOnConnection || !written.isSuccess()));
         }
 
-        /** The final answer is written: what was sent ahead has its turn. */
-        private void next(boolean last) {
-            if (last) {
-                part();
+        /** The final answer is written: closes the connection or handles the next waiting request. */
+        private void onAnswerWritten(boolean lastOnConnection) {
+            if (lastOnConnection) {
+                closeGracefully();
             } else {
-                uploadTaken();
+                releaseUploadBytes();
                 busy = false;
-                pump();
+                dispatchPending();
             }
         }
 
         /**
-         * The one way in which a connection ends that owes its client nothing: our half is shut, and what still comes is
-         * read and dropped until the client has closed too. It may cross the shutdown: it is never sent on.
+         * Closes a connection without an unanswered request: shuts down the output, then reads and drops data until the
+         * client has closed too. A request that crosses the shutdown is dropped here and never sent to an endpoint.
          */
-        private void part() {
-            lost = true;
-            quiet.remove(this);
-            if (parting.add(this)) {
-                quietAt = System.nanoTime();
+        private void closeGracefully() {
+            ignoresInput = true;
+            idle.remove(this);
+            if (closing.add(this)) {
+                lastProgressNanos = System.nanoTime();
                 channel.config().setAutoRead(true);
-                ((SocketChannel) channel).shutdownOutput().addListener(shut -> {
-                    if (!shut.isSuccess()) {
+                ((SocketChannel) channel).shutdownOutput().addListener(outputShut -> {
+                    if (!outputShut.isSuccess()) {
                         close(Close.BY_PEER);
                     }
                 });
-                acceptIfRoom(channel);
+                updateAccepting(channel);
             }
         }
 
-        /** One buffer and one write; what a host said of its type was checked when it was read. */
+        /** Encodes a response for one write; the decoder has checked the endpoint's content type. */
         private static ByteBuf encode(
-                HttpResponseStatus status, Upstream.Answer what, long retryAfterUs, String lines, boolean last) {
-            return Framing.whole(
+                HttpResponseStatus status,
+                Upstream.Answer answer,
+                long retryAfterUs,
+                String extraHeaders,
+                boolean lastOnConnection) {
+            return Framing.message(
                     Framing.NO_BYTES,
-                    head(status, "content-length: " + what.body().length + "\r\n", what, retryAfterUs, lines, last),
-                    what.body());
+                    encodeHead(
+                            status,
+                            "content-length: " + answer.body().length + "\r\n",
+                            answer,
+                            retryAfterUs,
+                            extraHeaders,
+                            lastOnConnection),
+                    answer.body());
         }
 
-        private static String head(
+        private static String encodeHead(
                 HttpResponseStatus status,
-                String length,
-                Upstream.Answer what,
+                String lengthHeader,
+                Upstream.Answer answer,
                 long retryAfterUs,
-                String lines,
-                boolean last) {
-            StringBuilder head = new StringBuilder(160)
+                String extraHeaders,
+                boolean lastOnConnection) {
+            StringBuilder encodedHead = new StringBuilder(160)
                     .append("HTTP/1.1 ")
                     .append(status.codeAsText())
                     .append(' ')
                     .append(status.reasonPhrase())
                     .append("\r\n")
-                    .append(length);
-            if (what.contentType() != null) {
-                head.append("content-type: ").append(what.contentType()).append("\r\n");
+                    .append(lengthHeader);
+            if (answer.contentType() != null) {
+                encodedHead
+                        .append("content-type: ")
+                        .append(answer.contentType())
+                        .append("\r\n");
             }
             if (retryAfterUs > 0) {
-                head.append("retry-after: ")
+                encodedHead
+                        .append("retry-after: ")
                         .append(BigDecimal.valueOf(retryAfterUs, 6)
                                 .stripTrailingZeros()
                                 .toPlainString())
                         .append("\r\n");
             }
-            return head.append(lines)
-                    .append(last ? "connection: close\r\n\r\n" : "\r\n")
+            return encodedHead
+                    .append(extraHeaders)
+                    .append(lastOnConnection ? "connection: close\r\n\r\n" : "\r\n")
                     .toString();
         }
 
-        private void close(Close why) {
+        private void close(Close reason) {
             if (!closed) {
                 closed = true;
-                closes.add(why);
-                boolean owed = exchange != null || !ahead.isEmpty();
-                if (owed && why != Close.BY_PEER) {
-                    guard.verify(RuleGuard.Check.CLOSE_UNANSWERED, channel.left(), null);
+                closes.add(reason);
+                boolean answerRequired = requestHandle != null || !pipelined.isEmpty();
+                if (answerRequired && reason != Close.BY_PEER) {
+                    guard.verify(RuleGuard.Check.CLOSE_UNANSWERED, channel.closedByClient(), null);
                 }
             }
             channel.close();
         }
 
-        /** From here on the connection is quiet: also one whose client does not read its answer. */
-        private void hush() {
+        /** Starts the idle timeout, which also covers a client that does not read its response. */
+        private void markIdle() {
             if (channel.isActive()) {
-                quietAt = System.nanoTime();
-                startedAt = startedAt == 0 ? 0 : quietAt;
-                quiet.remove(this);
-                quiet.add(this);
-                acceptIfRoom(channel);
+                lastProgressNanos = System.nanoTime();
+                requestStartedNanos = requestStartedNanos == 0 ? 0 : lastProgressNanos;
+                idle.remove(this);
+                idle.add(this);
+                updateAccepting(channel);
             }
         }
 
-        /** Whether a request has begun to come; one may be here, and only the loop has not come to it. */
-        private boolean asks() {
-            if (startedAt == 0 && channel.unread()) {
-                heard();
+        /** Whether a request has started to arrive, including one that the event loop has not read yet. */
+        private boolean hasRequestStarted() {
+            if (requestStartedNanos == 0 && channel.hasUnreadData()) {
+                onBytesRead();
             }
-            return startedAt != 0;
+            return requestStartedNanos != 0;
         }
 
-        private void tooLong() {
-            if (!busy && startedAt == 0 && asks()) {
+        private void onTimeout() {
+            if (!busy && requestStartedNanos == 0 && hasRequestStarted()) {
                 return;
             }
-            quiet.remove(this);
+            idle.remove(this);
             if (head != null && !busy) {
                 busy = true;
                 keepAlive = false;
@@ -892,41 +933,41 @@
             } else if (busy) {
                 close(Close.STALLED);
             } else {
-                part();
+                closeGracefully();
             }
         }
 
-        /** Nothing more is read but a request that has begun; what is open has its answer first. */
-        private void lastCall() {
-            if (busy || asks()) {
-                readOn();
+        /** Stops reading new requests at shutdown; open and partially read requests are still answered. */
+        private void stopNewRequests() {
+            if (busy || hasRequestStarted()) {
+                resumeReading();
             } else {
-                part();
+                closeGracefully();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            close(shut ? Close.SHUTDOWN : Close.BY_PEER);
-            quiet.remove(this);
-            parting.remove(this);
-            ahead.clear();
-            hold(-aheadBytes);
-            flowing.remove(this);
+            close(shutDown ? Close.SHUTDOWN : Close.BY_PEER);
+            idle.remove(this);
+            closing.remove(this);
+            pipelined.clear();
+            addPipelinedBytes(-pipelinedBytes);
+            streaming.remove(this);
             if (upload != null) {
                 upload.end(false);
                 upload = null;
             }
             if (download != null) {
-                download.stop();
+                download.discard();
                 download = null;
             }
-            if (exchange != null) {
-                proxy.gone(exchange);
+            if (requestHandle != null) {
+                proxy.abandoned(requestHandle);
             }
         }
 
-        /** Whatever went wrong costs this connection; what was open on it is the client's to retry. */
+        /** Closes this connection on any error; the client may retry the request that was open on it. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             close(Close.ERROR);
--- a/src/main/java/mulleinfront/proxy/ListDecoder.java
+++ b/src/main/java/mulleinfront/proxy/ListDecoder.java
@@ -8,47 +8,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lists, however they are laid out: on one line or indented over many, several in a read or one in pieces. White
- * space between two is the heartbeat. One that has begun and does not get to its end is silence too, whatever
- * white space follows.
+ * Splits a watch's response body into lists, in any JSON layout: on one line or indented over several, several in one
+ * read or one in pieces. White space between lists is the heartbeat. A list that has started must be complete within a
+ * timeout, whatever white space follows it.
  */
 final class ListDecoder extends JsonObjectDecoder {
-    private static final int LONGEST_LIST = 4 * 1024 * 1024;
+    private static final int MAX_LIST_BYTES = 4 * 1024 * 1024;
 
-    private final long patienceMs;
-    private Future<?> patience;
+    private final long timeoutMs;
+    private Future<?> listTimer;
 
-    /** @param patienceMs how long a list may take from its first byte to its last */
-    ListDecoder(long patienceMs) {
-        super(LONGEST_LIST);
-        this.patienceMs = patienceMs;
+    /** @param timeoutMs limit of the time from a list's first byte to its last, milliseconds */
+    ListDecoder(long timeoutMs) {
+        super(MAX_LIST_BYTES);
+        this.timeoutMs = timeoutMs;
     }
 
     @Override
     protected ByteBuf extractObject(ChannelHandlerContext ctx, ByteBuf buffer, int index, int length) {
-        ended();
+        cancelTimer();
         return super.extractObject(ctx, buffer, index, length);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) throws Exception {
         if (actualReadableBytes() > 0) {
-            patience = patience == null ? failsAfter(ctx, patienceMs) : patience;
+            listTimer = listTimer == null ? failAfter(ctx, timeoutMs) : listTimer;
         }
         super.channelReadComplete(ctx);
     }
 
     @Override
     protected void handlerRemoved0(ChannelHandlerContext ctx) {
-        ended();
+        cancelTimer();
     }
 
-    private void ended() {
-        cancel(patience);
-        patience = null;
+    private void cancelTimer() {
+        cancel(listTimer);
+        listTimer = null;
     }
 
-    private static Future<?> failsAfter(ChannelHandlerContext ctx, long delayMs) {
+    private static Future<?> failAfter(ChannelHandlerContext ctx, long delayMs) {
         return ctx.executor()
                 .schedule(
                         () -> {
--- a/src/main/java/mulleinfront/proxy/LoopStall.java
+++ b/src/main/java/mulleinfront/proxy/LoopStall.java
@@ -3,45 +3,45 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How long the event loop has stood still, told by a regular tick that comes late. What is read after that may have come
- * at any time since: its age is taken to be the whole of it, so that nothing is sent for a client whose time is up.
- * Shorter hold-ups are within the slack that all times have.
+ * Detects stalls of the event loop by a periodic tick that runs late. Data read right after a stall may have arrived at any
+ * time during it. Its age is taken to be the whole stall, so that nothing is sent for a client after its deadline. Shorter
+ * delays are ignored, since every timeout has that much slack.
  */
 final class LoopStall {
     static final long LEAST_US = 150_000;
-    /** What was accepted by the loop's first round after a stall is read by one soon after. */
-    private static final long FIRST_ROUNDS_US = 20_000;
+    /** Connections accepted by the event loop's first iteration after a stall are read by an iteration soon after. */
+    private static final long AFTER_STALL_US = 20_000;
 
-    private final long tickEveryUs;
-    private long tickedAtNanos;
+    private final long tickIntervalUs;
+    private long lastTickNanos;
     private long stalledUs;
-    private long endedAtNanos;
+    private long stallEndNanos;
 
-    LoopStall(long tickEveryUs, long nowNanos) {
-        this.tickEveryUs = tickEveryUs;
-        this.tickedAtNanos = nowNanos;
-        this.endedAtNanos = nowNanos;
+    LoopStall(long tickIntervalUs, long nowNanos) {
+        this.tickIntervalUs = tickIntervalUs;
+        this.lastTickNanos = nowNanos;
+        this.stallEndNanos = nowNanos;
     }
 
-    /** The regular tick. */
+    /** The periodic tick. */
     void tick(long nowNanos) {
-        note(nowNanos);
-        tickedAtNanos = nowNanos;
+        detectStall(nowNanos);
+        lastTickNanos = nowNanos;
     }
 
-    /** How old what is read now may be, microseconds; 0 if the loop has not stood still. */
+    /** Greatest possible age of data read now, microseconds; 0 if the event loop has not stalled. */
     long ageUs(long nowNanos) {
-        note(nowNanos);
-        boolean justNow = TimeUnit.NANOSECONDS.toMicros(nowNanos - endedAtNanos) < FIRST_ROUNDS_US;
-        return justNow ? stalledUs : 0;
+        detectStall(nowNanos);
+        boolean justEnded = TimeUnit.NANOSECONDS.toMicros(nowNanos - stallEndNanos) < AFTER_STALL_US;
+        return justEnded ? stalledUs : 0;
     }
 
-    private void note(long nowNanos) {
-        long lateUs = TimeUnit.NANOSECONDS.toMicros(nowNanos - tickedAtNanos) - tickEveryUs;
-        if (lateUs > LEAST_US) {
-            stalledUs = lateUs + tickEveryUs;
-            endedAtNanos = nowNanos;
-            tickedAtNanos = nowNanos;
+    private void detectStall(long nowNanos) {
+        long delayUs = TimeUnit.NANOSECONDS.toMicros(nowNanos - lastTickNanos) - tickIntervalUs;
+        if (delayUs > LEAST_US) {
+            stalledUs = delayUs + tickIntervalUs;
+            stallEndNanos = nowNanos;
+            lastTickNanos = nowNanos;
         }
     }
 }
--- a/src/main/java/mulleinfront/proxy/ProcessStart.java
+++ b/src/main/java/mulleinfront/proxy/ProcessStart.java
@@ -1,21 +1,21 @@
 package mulleinfront.proxy;
 
 /**
- * When this process was started, as far as it can tell: what the settings count from a start counts from then, and not
- * from when its code was ready. The system's own record of it is on the wall clock, which may be stepped.
+ * Estimates when this process was started. Times that the settings count from a start count from then, and not from when
+ * the code was ready. The operating system's own record is not used, since it is on the wall clock, which may be stepped.
  */
 final class ProcessStart {
-    /** What the platform needs until the first line of the program runs, on a busy core. */
-    private static final long PLATFORM_US = 500_000;
+    /** Time that the JVM takes on a busy core until the program's first line runs. */
+    private static final long JVM_START_US = 500_000;
 
-    private static final long NOTED_NANOS = System.nanoTime();
+    private static final long INITIALIZED_NANOS = System.nanoTime();
 
     private ProcessStart() {}
 
-    /** To be called first of all. */
-    static void note() {}
+    /** Initializes this class, which notes the time; to be called before anything else. */
+    static void initialize() {}
 
-    static long agoUs() {
-        return (System.nanoTime() - NOTED_NANOS) / 1000 + PLATFORM_US;
+    static long elapsedUs() {
+        return (System.nanoTime() - INITIALIZED_NANOS) / 1000 + JVM_START_US;
     }
 }
--- a/src/main/java/mulleinfront/proxy/Rehearsal.java
+++ b/src/main/java/mulleinfront/proxy/Rehearsal.java
@@ -24,87 +24,88 @@
 import mulleinfront.settings.Listing;
 
 /**
- * Runs the code of a request's way some hundred times before the first one comes: what the JVM has not yet
- * compiled takes ten times the CPU, and there is little of that. Nothing of it is kept but the compiled code.
+ * The warm-up: runs the code path of a request some hundred times before the first client's request. Code that the JVM has
+ * not compiled yet takes ten times the CPU, and CPU is scarce. Only the compiled code remains of it.
  *
- * <p>The decisions are made by a module of its own that sees all its attempts served. The sockets are those
- * of a client proxy that is its own only host: a request goes from {@link Upstream} to its {@link Frontend},
- * on to itself once more, where its id is already open and it is refused, and all the way back. So nothing
- * listens or is spoken to but the address where clients will connect.
+ * <p>Balancing decisions run in a separate balancer, all of whose attempts succeed. Connections are those of a client proxy
+ * that is its own only endpoint: a request goes from {@link Upstream} to its {@link Frontend}, and on to the same proxy a
+ * second time, which rejects it because its id is already open, and back. So only the proxy's own address is used.
  */
 final class Rehearsal {
     /**
-     * The JVM compiles what has been called 200 times; most of a request's way is called a few times in a round. Fewer
-     * rounds serve sooner and refuse more at first: 100 came out no better on restarts, and worse on the start of a day.
+     * The JVM compiles a method after 200 calls; most methods of the request path are called a few times per round. With
+     * fewer rounds the proxy is ready sooner and refuses more requests at first: 100 rounds are no better on restarts, and
+     * worse when a whole scenario starts.
      */
     private static final int ROUNDS = 250;
 
-    private static final int HOSTS = 12;
-    private static final long MOST_SECONDS = 3;
-    static final String SELF = "self";
+    private static final int ENDPOINTS = 12;
+    private static final long TIMEOUT_S = 3;
+    static final String SELF_ENDPOINT_ID = "self";
 
-    /** CPU that a request takes before its code is compiled, seconds: 4 to 8 ms measured, most connecting anew. */
-    private static final double COLD_REQUEST_S = 0.008;
-    /** Part of the cores that requests may take while their code is cold without waiting for each other. */
-    private static final double BEARABLE = 0.5;
+    /** CPU time of a request before its code is compiled: 4 to 8 ms, most of it for a new connection. */
+    private static final double COLD_REQUEST_CPU_S = 0.008;
+    /** Fraction of the cores that requests can use before their code is compiled without queueing for CPU. */
+    private static final double MAX_COLD_CPU_FRACTION = 0.5;
 
     private Rehearsal() {}
 
     /**
-     * Whether a rehearsal earns what it costs, some 0.7 s of CPU during which clients find nobody. Where few requests
-     * come to an instance it does not: they find a core idle even when their code is cold, and a day of two hundred
-     * takes less CPU than the rehearsal and they together.
+     * Whether the warm-up is worth its cost: about 0.7 s of CPU, during which the proxy serves no clients. It is not for an
+     * instance with few requests. These find an idle core even before their code is compiled, and 200 requests in total take
+     * less CPU without the warm-up than with it.
      */
     static boolean pays(Config config) {
-        return config.requestsPerS() == 0 || config.requestsPerS() * COLD_REQUEST_S > BEARABLE * config.cores();
+        return config.requestsPerS() == 0
+                || config.requestsPerS() * COLD_REQUEST_CPU_S > MAX_COLD_CPU_FRACTION * config.cores();
     }
 
-    /** Requests and outcomes through a module. */
-    static void decide(Balancer.Settings settings) {
+    /** Passes requests and outcomes through a balancer. */
+    static void exerciseBalancer(Balancer.Settings settings) {
         ArrayDeque<AttemptEnd> ends = new ArrayDeque<>();
         long now = 1_000_000;
-        Balancer module = Balancer.create(settings, 1, now, new NoOpActions() {
+        Balancer balancer = Balancer.create(settings, 1, now, new NoOpActions() {
             @Override
             public void send(String requestId, String endpointId, long timeoutUs) {
                 ends.add(new AttemptEnd(requestId, 0, Outcome.OK, true, 20_000));
             }
         });
-        List<Endpoint> hosts = new ArrayList<>();
-        for (int i = 0; i < HOSTS; i++) {
-            hosts.add(new Endpoint("host" + i, i % 3, 0, i % 2, Availability.READY, 1, 0));
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (int i = 0; i < ENDPOINTS; i++) {
+            endpoints.add(new Endpoint("host" + i, i % 3, 0, i % 2, Availability.READY, 1, 0));
         }
-        module.onEndpoints(now, Source.FULL, hosts);
+        balancer.onEndpoints(now, Source.FULL, endpoints);
         for (int i = 0; i < ROUNDS; i++) {
-            int type = i % settings.classes().size();
+            int classIndex = i % settings.classes().size();
             now += 4_000;
-            module.onRequest(
+            balancer.onRequest(
                     now,
                     new Request(
                             "id" + i,
-                            type,
+                            classIndex,
                             "key" + i % 50,
-                            settings.classes().get(type).deadlineUs(),
+                            settings.classes().get(classIndex).deadlineUs(),
                             0,
                             0,
                             false));
             for (AttemptEnd end; ends.size() > 4 && (end = ends.poll()) != null; ) {
-                module.onAttemptEnded(now, end);
+                balancer.onAttemptEnded(now, end);
             }
-            module.onTimer(now);
+            balancer.onTimer(now);
         }
     }
 
-    /** A list whose one host is the client proxy itself. */
-    static Listing self(InetAddress address, int port) {
+    /** A list whose only endpoint is the client proxy itself. */
+    static Listing selfListing(InetAddress address, int port) {
         return new Listing(
                 0,
                 true,
                 List.of(new Listing.Entry(
-                        SELF, new InetSocketAddress(address, port), "", "", 0, Availability.READY, 1, 0)));
+                        SELF_ENDPOINT_ID, new InetSocketAddress(address, port), "", "", 0, Availability.READY, 1, 0)));
     }
 
-    /** Sends each request on to itself, and fails it when that comes back refused. */
-    static Balancer module(Balancer.Actions actions) {
+    /** A balancer that sends each request to the proxy itself, and fails it when the attempt ends. */
+    static Balancer loopbackBalancer(Balancer.Actions actions) {
         return new Balancer() {
             @Override
             public void onEndpoints(long now, Source source, List<Endpoint> endpoints) {}
@@ -114,7 +115,7 @@
 
             @Override
             public void onRequest(long now, Request request) {
-                actions.send(request.id(), SELF, 0);
+                actions.send(request.id(), SELF_ENDPOINT_ID, 0);
             }
 
             @Override
@@ -129,42 +130,43 @@
             }
 
             @Override
-            public void onProbeEnded(long now, String endpointId, Outcome outcome, long lagUs) {}
+            public void onProbeEnded(long now, String endpointId, Outcome outcome, long latencyUs) {}
 
             @Override
             public void onTimer(long now) {}
         };
     }
 
-    /** Requests through the sockets, one after the other; on the event loop, all but the wait. */
-    static final class Rounds {
+    /** Sends requests over connections, one after the other. Only the wait runs outside the event loop. */
+    static final class LoopbackRequests {
         private final EventLoop loop;
         private final Upstream upstream;
         private final Upstream.Host self;
-        private final RequestClass type;
-        private final CountDownLatch left = new CountDownLatch(ROUNDS);
+        private final RequestClass requestClass;
+        private final CountDownLatch remaining = new CountDownLatch(ROUNDS);
 
-        Rounds(EventLoop loop, Upstream upstream, Upstream.Host self, RequestClass type) {
+        LoopbackRequests(EventLoop loop, Upstream upstream, Upstream.Host self, RequestClass requestClass) {
             this.loop = loop;
             this.upstream = upstream;
             this.self = self;
-            this.type = type;
+            this.requestClass = requestClass;
         }
 
-        Rounds next() {
+        LoopbackRequests sendNext() {
             HttpHeaders headers = new DefaultHttpHeaders()
                     .set("Host", "origin.svc")
-                    .set("X-Class", type.name())
-                    .set("X-Request-Id", "rehearsal" + left.getCount())
+                    .set("X-Class", requestClass.name())
+                    .set("X-Request-Id", "rehearsal" + remaining.getCount())
                     .set("X-Key", "key");
-            if (type.effect() == Effect.DEDUP) {
+            if (requestClass.effect() == Effect.DEDUP) {
                 headers.set("Idempotency-Key", "key");
             }
-            Call call = Call.of(type.effect() == Effect.RETRYABLE ? "GET" : "POST", "/api", headers, new byte[0]);
-            upstream.attempt(self, call, type.deadlineUs(), () -> true, (outcome, answer) -> {
-                        left.countDown();
-                        if (left.getCount() > 0) {
-                            loop.execute(this::next);
+            RequestMessage message = RequestMessage.of(
+                    requestClass.effect() == Effect.RETRYABLE ? "GET" : "POST", "/api", headers, new byte[0]);
+            upstream.attempt(self, message, requestClass.deadlineUs(), () -> true, (outcome, answer) -> {
+                        remaining.countDown();
+                        if (remaining.getCount() > 0) {
+                            loop.execute(this::sendNext);
                         }
                     })
                     .start();
@@ -172,7 +174,7 @@
         }
 
         void await() throws InterruptedException {
-            left.await(MOST_SECONDS, TimeUnit.SECONDS);
+            remaining.await(TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 }
--- a/src/main/java/mulleinfront/proxy/Serve.java
+++ b/src/main/java/mulleinfront/proxy/Serve.java
@@ -25,96 +25,102 @@
 import mulleinfront.settings.ProcessSettings;
 import sun.misc.Signal;
 
-/** {@code serve} and {@code rehearse}: client proxies as a process, with its signals, log and end. */
+/** The commands {@code serve} and {@code rehearse}: client proxies as a process, with signals, logging and shutdown. */
 public final class Serve {
     private Serve() {}
 
     /**
-     * Returns once it serves. SIGTERM lets it finish what it has taken before the process ends; SIGHUP makes
-     * it read its configuration again, also one that comes before it is ready.
+     * Starts the client proxies of this process; returns once they serve. On SIGTERM the process finishes the requests that
+     * it has accepted and ends. On SIGHUP it reloads its configuration; a SIGHUP during the start takes effect after it.
      *
-     * @param machine the file that says what to use of a machine, or null: one event loop, as deployed
-     * @param fleetFile the file that makes it a member of a fleet, or null: the one that the configuration names, if any
-     * @param controlFile the file that says where the fleet's configuration is watched, or null: it is not
+     * @param processFile the process settings (event loops and sockets), or null for one event loop as in deployment
+     * @param fleetFile the fleet file, which makes the proxy a member; null for the one named in the configuration, if any
+     * @param controlFile the control-plane file, whose configuration is watched; null for no configuration watch
      */
-    public static void serve(String machine, String fleetFile, String controlFile) throws Exception {
-        ProcessStart.note();
-        logPlainly();
+    public static void serve(String processFile, String fleetFile, String controlFile) throws Exception {
+        ProcessStart.initialize();
+        configureLogging();
         String file = System.getenv("NODE_CONFIG");
         CompletableFuture<List<ClientProxy>> started = new CompletableFuture<>();
-        Signal.handle(new Signal("HUP"), hup -> started.thenAccept(proxies -> reload(proxies, file)));
+        Signal.handle(new Signal("HUP"), signal -> started.thenAccept(proxies -> reload(proxies, file)));
         Config config = Config.load(file);
-        ServerSocketChannel inherited = inherited(System.getenv("NODE_INHERITED_FD"));
-        if (inherited != null && machine != null) {
-            throw new IOException("--machine can't go with NODE_INHERITED_FD: one socket has one event loop");
+        ServerSocketChannel inheritedSocket = inheritedSocket(System.getenv("NODE_INHERITED_FD"));
+        if (inheritedSocket != null && processFile != null) {
+            throw new IOException(
+                    "--machine can't be combined with NODE_INHERITED_FD: a socket belongs to one event loop");
         }
-        String fleet = fleetFile == null ? config.fleet() : fleetFile;
-        if (fleet != null && machine != null) {
-            throw new IOException("--machine can't go with a fleet: each event loop would be a member of its own");
+        String fleetPath = fleetFile == null ? config.fleet() : fleetFile;
+        if (fleetPath != null && processFile != null) {
+            throw new IOException(
+                    "--machine can't be combined with a fleet: each event loop would be a separate member");
         }
-        FleetFile member = fleet == null ? null : FleetFile.load(Path.of(fleet), Files.readAllBytes(Path.of(file)));
+        FleetFile fleetMember =
+                fleetPath == null ? null : FleetFile.load(Path.of(fleetPath), Files.readAllBytes(Path.of(file)));
         ControlFile control = controlFile == null ? null : ControlFile.load(Path.of(controlFile));
-        // Before anybody can connect: what is taken between the first connection and the end of the start counts too.
-        List<ClientProxy> begun = new CopyOnWriteArrayList<>();
+        // Installed before clients can connect, so that requests accepted during the start are finished as well.
+        List<ClientProxy> created = new CopyOnWriteArrayList<>();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            begun.stream().map(ClientProxy::drain).toList().forEach(Future::awaitUninterruptibly);
+            created.stream().map(ClientProxy::drain).toList().forEach(Future::awaitUninterruptibly);
         }));
         try {
-            List<ClientProxy> proxies = machine == null
-                    ? List.of(ClientProxy.start(config, inherited, begun::add))
-                    : start(config, ProcessSettings.load(Path.of(machine)), begun::add);
+            List<ClientProxy> proxies = processFile == null
+                    ? List.of(ClientProxy.start(config, inheritedSocket, created::add))
+                    : start(config, ProcessSettings.load(Path.of(processFile)), created::add);
             ClientProxy.operate(proxies);
-            proxies.forEach(proxy -> proxy.processStarted(ProcessStart.agoUs()));
-            if (member != null) {
-                proxies.get(0).join(member);
+            proxies.forEach(proxy -> proxy.processStarted(ProcessStart.elapsedUs()));
+            if (fleetMember != null) {
+                proxies.get(0).joinFleet(fleetMember);
             }
             if (control != null) {
-                proxies.get(0).follow(control, FleetFile.name(Files.readAllBytes(Path.of(file))), proxies);
+                proxies.get(0).watchConfiguration(control, FleetFile.name(Files.readAllBytes(Path.of(file))), proxies);
             }
             started.complete(proxies);
-        } catch (Exception e) {
-            // There is nothing to finish: the process ends by what went wrong.
-            begun.clear();
-            throw e;
+        } catch (Exception failure) {
+            // The start failed: the process ends with this error and drains nothing.
+            created.clear();
+            throw failure;
         }
     }
 
     /**
-     * The listening socket that the platform holds and every start inherits; null if there is none. The Java platform
-     * can take up descriptor 0 and no other.
+     * The listening socket that the process inherits at each start; null if there is none. Java can use an inherited socket
+     * only as descriptor 0.
      */
-    private static ServerSocketChannel inherited(String descriptor) throws IOException {
+    private static ServerSocketChannel inheritedSocket(String descriptor) throws IOException {
         if (descriptor == null || descriptor.isEmpty()) {
             return null;
         }
         if (!descriptor.equals("0")) {
             throw new IOException("NODE_INHERITED_FD: only descriptor 0 can be taken up, not " + descriptor);
         }
-        if (System.inheritedChannel() instanceof ServerSocketChannel listening) {
-            return listening;
+        if (System.inheritedChannel() instanceof ServerSocketChannel socket) {
+            return socket;
         }
         throw new IOException("NODE_INHERITED_FD: descriptor 0 is no listening socket");
     }
 
-    /** Starts the client proxies of a machine file; they listen on one port. */
-    public static List<ClientProxy> start(Config config, ProcessSettings machine) throws Exception {
-        return start(config, machine, begun -> {});
+    /** Starts the client proxies of a process, one for each event loop; they listen on one port. */
+    public static List<ClientProxy> start(Config config, ProcessSettings processSettings) throws Exception {
+        return start(config, processSettings, onCreated -> {});
     }
 
-    private static List<ClientProxy> start(Config config, ProcessSettings machine, Consumer<ClientProxy> begun)
-            throws Exception {
+    private static List<ClientProxy> start(
+            Config config, ProcessSettings processSettings, Consumer<ClientProxy> onCreated) throws Exception {
         return ClientProxy.startAll(
-                machine.split(
-                        config, Runtime.getRuntime().maxMemory(), ClientProxy.OWN_SOCKETS, ClientProxy.LOOP_SOCKETS),
-                begun);
+                processSettings.split(
+                        config,
+                        Runtime.getRuntime().maxMemory(),
+                        ClientProxy.OWN_SOCKETS,
+                        ClientProxy.RESERVED_SOCKETS_PER_LOOP),
+                onCreated);
     }
 
     /**
-     * Starts as a client proxy does, refuses one request for want of hosts and ends: while it does, the build
-     * lets the JVM note which classes a start needs, so that the deployed one has them at hand.
+     * Starts a client proxy, refuses one request since there are no endpoints, and ends. The build runs this to let the JVM
+     * record the classes that a start needs, for the class archive of the deployed process.
      */
     public static void warmUp() throws Exception {
-        logPlainly();
+        configureLogging();
         try (InputStream sample = Serve.class.getResourceAsStream("/rehearsal.json")) {
             ClientProxy proxy = ClientProxy.start(Config.parse(sample.readAllBytes()));
             try (Socket client = new Socket(InetAddress.getLoopbackAddress(), proxy.port())) {
@@ -128,29 +134,31 @@
         }
     }
 
-    /** One at a time, since each signal has its own thread: the file as it is last must be taken last. */
+    /** Synchronized, since each signal has its own thread: the latest state of the file must be applied last. */
     private static synchronized void reload(List<ClientProxy> proxies, String file) {
         try {
             Config changed = Config.load(file);
             proxies.forEach(proxy -> proxy.reload(changed));
-        } catch (IOException | RuntimeException e) {
-            System.err.println("mulleinfront: the configuration stays as it was: " + Config.rootCauseMessage(e));
+        } catch (IOException | RuntimeException failure) {
+            System.err.println("mulleinfront: reload failed, keeping the previous configuration: "
+                    + Config.rootCauseMessage(failure));
         }
     }
 
     /**
-     * What libraries have to say goes to standard error in plain lines. The platform's own form needs a file
-     * for the time zone: a warning that descriptors have run out would end the thread that gives it.
+     * Sends the libraries' log messages to standard error as plain lines. Java's own log format opens a time zone file: a
+     * warning that the descriptors are exhausted would then end the thread that logs it.
      */
-    private static void logPlainly() {
-        // By itself Netty would take up the library that keeps event logs, which is loaded only where one is kept.
+    private static void configureLogging() {
+        // By default Netty would use the logging library of the event log, which is loaded only where that is
+        // configured.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         LogManager.getLogManager().reset();
         Logger.getLogger("").addHandler(new Handler() {
             @Override
-            public void publish(LogRecord line) {
-                System.err.println("mulleinfront: " + line.getMessage()
-                        + (line.getThrown() == null ? "" : ": " + line.getThrown()));
+            public void publish(LogRecord entry) {
+                System.err.println("mulleinfront: " + entry.getMessage()
+                        + (entry.getThrown() == null ? "" : ": " + entry.getThrown()));
             }
 
             @Override
