--- a/src/main/java/mulleinfront/proxy/SimulatedMembers.java
+++ b/src/main/java/mulleinfront/proxy/SimulatedMembers.java
@@ -14,14 +14,15 @@
 import mulleinfront.settings.FleetFile;
 
 /**
- * Hollow client proxies: many in one process, for tests at the size of a whole fleet. Each runs the real control code on
- * real sockets at addresses of its own: its watch of discovery and the module that takes the lists, its membership of
- * the fleet, its watch of the fleet's configuration, its door for clients and hosts. What it leaves out: a JVM of its own, the rehearsal of its code before it
- * is ready, the drain at its end, the operators' door, and, since nobody calls, the data path's load.
+ * Simulated members: many client proxies in one process, for tests at the size of a whole fleet. Each runs the real
+ * control code on real sockets at its own addresses: the discovery watch and the balancer that receives the lists, the
+ * fleet membership, the configuration watch, and the sockets for clients and endpoints. Left out are a JVM of its own, the
+ * warm-up before it is ready, the drain at its end and the management endpoint. No requests arrive, so the data path has
+ * no load.
  */
 public final class SimulatedMembers {
-    /** After they have said that they leave, the news get this long to go out. */
-    private static final long LEAVE_MS = 300;
+    /** Time for the gossip updates to be sent after the members have announced that they leave. */
+    private static final long LEAVE_ANNOUNCEMENT_MS = 300;
 
     private final List<ClientProxy> proxies = new ArrayList<>();
     private final EventLoopGroup group;
@@ -31,47 +32,47 @@
     }
 
     /**
-     * Starts one for each configuration; returns once all listen.
+     * Starts one member for each configuration; returns once all listen.
      *
-     * @param files configurations, each as {@code NODE_CONFIG} has one
-     * @param loops event loops that they share
-     * @param control where the fleet's configuration is watched; null: it is not
-     * @throws IOException if one can't be read or taken, or an address can't be had
+     * @param files configuration files, each as {@code NODE_CONFIG} would name it
+     * @param loops number of event loops that the members share
+     * @param control the control plane whose configuration is watched; null for no configuration watch
+     * @throws IOException if a file can't be read or is invalid, or an address is not available
      */
     public static SimulatedMembers start(List<Path> files, int loops, ControlFile control) throws Exception {
-        SimulatedMembers all = new SimulatedMembers(loops);
+        SimulatedMembers members = new SimulatedMembers(loops);
         try {
             for (Path file : files) {
                 Config config = Config.load(file.toString());
-                ClientProxy proxy = ClientProxy.hollow(config, all.group);
-                all.proxies.add(proxy);
+                ClientProxy proxy = ClientProxy.startSimulated(config, members.group);
+                members.proxies.add(proxy);
                 byte[] json = Files.readAllBytes(file);
                 if (config.fleet() != null) {
-                    proxy.join(FleetFile.load(Path.of(config.fleet()), json));
+                    proxy.joinFleet(FleetFile.load(Path.of(config.fleet()), json));
                 }
                 if (control != null) {
-                    proxy.follow(control, FleetFile.name(json), List.of(proxy));
+                    proxy.watchConfiguration(control, FleetFile.name(json), List.of(proxy));
                 }
             }
-            return all;
-        } catch (Exception e) {
-            all.group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
-            throw e;
+            return members;
+        } catch (Exception failure) {
+            members.group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+            throw failure;
         }
     }
 
-    /** How many there are. */
+    /** The number of members. */
     public int size() {
         return proxies.size();
     }
 
-    /** All say that they leave; returns when that had time to go out. They end with the process. */
+    /** Announces that all members leave; returns when this has had time to be sent. They run on until the process ends. */
     public void leave() throws InterruptedException {
         proxies.forEach(ClientProxy::leaveFleet);
-        Thread.sleep(LEAVE_MS);
+        Thread.sleep(LEAVE_ANNOUNCEMENT_MS);
     }
 
-    /** Ends all at once and says nothing, as a kill does. */
+    /** Stops all members at once without an announcement, as if the process were killed. */
     public void close() {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS).awaitUninterruptibly();
     }
--- a/src/main/java/mulleinfront/proxy/Upstream.java
+++ b/src/main/java/mulleinfront/proxy/Upstream.java
@@ -47,113 +47,115 @@
 import mulleinfront.settings.LoadReport;
 
 /**
- * Connections to hosts, one request at a time on each, and the attempts made on them. It resends nothing:
- * an attempt is written whole once at most, and ends exactly once, with the outcome that can be vouched for.
+ * Connections to endpoints, with one request at a time on each, and the attempts sent on them. It never repeats a request
+ * by itself: an attempt is written completely at most once, and ends exactly once, with an outcome that is certain.
  */
 final class Upstream {
-    private static final long SWEEP_MS = 100;
-    private static final long REST_NANOS = Wire.CONNECTION_COOL_DOWN_US * 1000;
-    /** Interim answers (1xx) to one request; more of them is noise. */
-    private static final int MOST_INTERIM = 16;
+    private static final long SWEEP_INTERVAL_MS = 100;
+    private static final long COOL_DOWN_NANOS = Wire.CONNECTION_COOL_DOWN_US * 1000;
+    /** Limit of the interim responses (1xx) to one request; more of them fail it. */
+    private static final int MAX_INTERIM_RESPONSES = 16;
     /**
-     * A host may close sooner than the settings say and not tell: a reset this soon after a request was
-     * written to a connection that had been idle for at least so long. Then less idleness is allowed, and
-     * slowly more again while it does no harm.
+     * An endpoint may close idle connections sooner than the settings say. A reset within this time after a request was
+     * written to a reused connection is taken as a sign of that: the idle limit is then reduced below the connection's idle
+     * time, and slowly raised again while reused connections work.
      */
-    private static final long STALE_NANOS = 20_000_000;
+    private static final long STALE_RESET_NANOS = 20_000_000;
+    /** Lower bound of the idle limit; resets after a shorter idle time do not reduce it. */
+    private static final long MIN_IDLE_LIMIT_NANOS = 100_000_000;
 
-    private static final long LEAST_IDLE_NANOS = 100_000_000;
-    private static final double IDLE_CUT = 0.8;
-    private static final double IDLE_GROW = 1.1;
+    private static final double IDLE_LIMIT_DECREASE = 0.8;
+    private static final double IDLE_LIMIT_INCREASE = 1.1;
     /**
-     * An answer of unknown length is passed on as it comes if it is not whole this long after its first
-     * bytes.
+     * A response of unknown length is streamed if it is not complete within this time after its first body bytes.
      */
-    private static final long BEGIN_MS = 30;
-    /** What may wait to be written on a connection before the other one is read no further, bytes. */
-    static final WriteBufferWaterMark WAITING = new WriteBufferWaterMark(16 * 1024, 48 * 1024);
+    private static final long STREAM_AFTER_MS = 30;
+    /** Bytes waiting to be written on a connection at which reading from the other one pauses and resumes. */
+    static final WriteBufferWaterMark WRITE_WATER_MARK = new WriteBufferWaterMark(16 * 1024, 48 * 1024);
 
     /**
-     * Buffers count as heap, which is bounded once and for all, and need no pool at this traffic, nor a
-     * search for leaks.
+     * Allocates buffers on the heap, whose size is limited as a whole. At this traffic they need no pool and no leak
+     * detection.
      */
-    static final UnpooledByteBufAllocator BUFFERS = new UnpooledByteBufAllocator(false, true);
+    static final UnpooledByteBufAllocator ALLOCATOR = new UnpooledByteBufAllocator(false, true);
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
-    private final long mostIdleNanos;
-    private long idleNanos;
-    private final int mostConnections;
-    private final IntSupplier mostIdle;
+    private final long maxIdleLimitNanos;
+    private long idleLimitNanos;
+    private final int maxConnections;
+    private final IntSupplier maxIdleConnections;
     private final EnumCounts<Close> closes;
     private final RuleGuard guard;
-    /** Idle connections to all hosts, the longest idle first. */
+    /** Idle connections to all endpoints, the longest idle first. */
     private final LinkedHashSet<Connection> idle = new LinkedHashSet<>();
-    /** All that are not closed, also while they come up. */
+    /** All connections that are not closed, including those being established. */
     private final Set<Connection> open = new HashSet<>();
 
     private boolean closed;
-    /** Room for what nobody asked for: outside the heap, or each look would copy. */
-    private final ByteBuffer peek = ByteBuffer.allocateDirect(1);
+    /** Receives unsolicited data of an idle connection; a direct buffer, which avoids a copy on each check. */
+    private final ByteBuffer peekBuffer = ByteBuffer.allocateDirect(1);
 
     /**
-     * @param mostConnections connections to hold at most, also while all are in use
-     * @param mostIdle idle connections to keep at most
-     * @param metrics counts why connections are closed, and what was against a rule
+     * @param maxConnections number of connections above which an idle one is closed for each new one
+     * @param maxIdleConnections limit of the idle connections kept
+     * @param metrics counts the reasons for which connections are closed, and the violations of invariants
      */
     Upstream(
             EventLoop loop,
             long dialTimeoutUs,
             long connIdleUs,
-            int mostConnections,
-            IntSupplier mostIdle,
+            int maxConnections,
+            IntSupplier maxIdleConnections,
             Metrics metrics) {
         this.loop = loop;
         this.closes = metrics.endpointCloses;
         this.guard = metrics.guard;
-        this.mostIdle = mostIdle;
-        this.mostConnections = mostConnections;
-        this.mostIdleNanos = (long) (connIdleUs * 1000 * Wire.IDLE_CLOSE_FRACTION);
-        this.idleNanos = mostIdleNanos;
+        this.maxIdleConnections = maxIdleConnections;
+        this.maxConnections = maxConnections;
+        this.maxIdleLimitNanos = (long) (connIdleUs * 1000 * Wire.IDLE_CLOSE_FRACTION);
+        this.idleLimitNanos = maxIdleLimitNanos;
         this.bootstrap = new Bootstrap()
                 .group(loop)
-                .option(ChannelOption.ALLOCATOR, BUFFERS)
+                .option(ChannelOption.ALLOCATOR, ALLOCATOR)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WAITING)
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_WATER_MARK)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeoutUs / 1000));
     }
 
-    /** Closes what has been idle for long, from now on. */
-    void begin() {
+    /** Starts the periodic task that closes connections idle for longer than the limit. */
+    void startSweeping() {
         loop.scheduleWithFixedDelay(
                 () -> {
-                    long before = System.nanoTime() - idleNanos;
-                    for (Connection c; !idle.isEmpty() && (c = idle.iterator().next()).idleAt - before < 0; ) {
-                        c.close(Close.IDLE);
+                    long expiryNanos = System.nanoTime() - idleLimitNanos;
+                    for (Connection oldest;
+                            !idle.isEmpty() && (oldest = idle.iterator().next()).idleSinceNanos - expiryNanos < 0; ) {
+                        oldest.close(Close.IDLE);
                     }
                 },
-                SWEEP_MS,
-                SWEEP_MS,
+                SWEEP_INTERVAL_MS,
+                SWEEP_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Closes all connections, for good: attempts that are out end, and others can't connect. */
+    /** Closes all connections for good: attempts in progress end, and later ones can't connect. */
     void close() {
         closed = true;
-        List.copyOf(open).forEach(c -> c.close(Close.SHUTDOWN));
+        List.copyOf(open).forEach(connection -> connection.close(Close.SHUTDOWN));
     }
 
-    /** A host as last listed; all fields are discovery's to set. */
+    /** An endpoint as last listed; its address and readiness are set by {@link Discovery}. */
     static final class Host {
         final String id;
         InetSocketAddress address;
         boolean ready;
         /**
-         * Idle connections that have rested, the last used first, and those that rest, the first used first.
+         * Idle connections past their cool-down, the most recently used first; and those in cool-down, the least recently
+         * used first.
          */
         private final ArrayDeque<Connection> idle = new ArrayDeque<>();
 
-        private final ArrayDeque<Connection> resting = new ArrayDeque<>();
+        private final ArrayDeque<Connection> coolingDown = new ArrayDeque<>();
 
         Host(String id) {
             this.id = id;
@@ -161,80 +163,93 @@
     }
 
     /**
-     * A host's 200.
+     * An endpoint's 200 response.
      *
-     * @param body all of it, or its beginning
-     * @param rest what follows the beginning; null if nothing does
+     * @param body the whole body, or its first part if the rest is streamed
+     * @param contentType the value of the Content-Type header; null if there is none
+     * @param remainingBody the rest of the body, streamed as it arrives; null if there is none
      */
-    record Answer(byte[] body, String contentType, Flow rest) {}
+    record Answer(byte[] body, String contentType, BodyStream remainingBody) {}
 
     /**
-     * An attempt, to be started at once; null if the request can't be sent from its beginning.
+     * Creates an attempt, to be started at once; null if the request can't be sent from its beginning.
      *
-     * @param wanted whether it may still be sent
+     * @param stillWanted checked right before the request is written: whether it may still be sent
      */
-    Attempt attempt(Host host, Call call, long timeoutUs, BooleanSupplier wanted, Wire.AttemptListener<Answer> end) {
-        if (call.rest() != null && call.rest().given()) {
-            // Part of the body has gone to another host and is not kept.
+    Attempt attempt(
+            Host host,
+            RequestMessage message,
+            long timeoutUs,
+            BooleanSupplier stillWanted,
+            Wire.AttemptListener<Answer> listener) {
+        if (message.remainingBody() != null && message.remainingBody().attached()) {
+            // Part of the body has been sent to another endpoint and is no longer buffered.
             return null;
         }
-        return new Attempt(host, call, timeoutUs, wanted, end);
+        return new Attempt(host, message, timeoutUs, stillWanted, listener);
     }
 
-    /** Closes the idle connections to a host; those in use close after their answer. */
-    void hangUp(Host host) {
-        for (Connection c; (c = host.idle.isEmpty() ? host.resting.peek() : host.idle.peek()) != null; ) {
-            c.close(Close.ENDPOINT_LEFT);
+    /** Closes the idle connections to an endpoint; those in use close after their response. */
+    void closeIdle(Host host) {
+        for (Connection connection;
+                (connection = host.idle.isEmpty() ? host.coolingDown.peek() : host.idle.peek()) != null; ) {
+            connection.close(Close.ENDPOINT_LEFT);
         }
     }
 
-    /** The last used of the idle connections that have rested and show nothing; null if there is none. */
-    private Connection rested(Host host) {
+    /** Takes the most recently used idle connection past its cool-down without unread data; null if there is none. */
+    private Connection takeIdle(Host host) {
         long now = System.nanoTime();
-        for (Connection c; (c = host.resting.peek()) != null && now - c.idleAt > REST_NANOS; ) {
-            host.idle.push(host.resting.poll());
+        for (Connection connection;
+                (connection = host.coolingDown.peek()) != null && now - connection.idleSinceNanos > COOL_DOWN_NANOS; ) {
+            host.idle.push(host.coolingDown.poll());
         }
-        for (Connection c; (c = host.idle.peek()) != null; ) {
-            if (now - c.idleAt <= idleNanos && c.channel.untouched(peek)) {
-                c.leaveIdle();
-                return c;
+        for (Connection connection; (connection = host.idle.peek()) != null; ) {
+            if (now - connection.idleSinceNanos <= idleLimitNanos && connection.channel.hasNoUnreadData(peekBuffer)) {
+                connection.removeFromIdle();
+                return connection;
             }
-            c.close(now - c.idleAt <= idleNanos ? Close.BY_PEER : Close.IDLE);
+            connection.close(now - connection.idleSinceNanos <= idleLimitNanos ? Close.BY_PEER : Close.IDLE);
         }
         return null;
     }
 
-    /** What a reused connection taught: it was stale after this idleness, or still good. */
-    private void learnIdle(long idleFor, boolean stale) {
-        if (stale && idleFor > LEAST_IDLE_NANOS) {
-            idleNanos = Math.min(idleNanos, Math.max(LEAST_IDLE_NANOS, (long) (IDLE_CUT * idleFor)));
-        } else if (!stale && idleFor > idleNanos / 2) {
-            idleNanos = Math.min(mostIdleNanos, (long) (IDLE_GROW * idleNanos));
+    /** Adjusts the idle limit after a reused connection was found stale, or still usable. */
+    private void adjustIdleLimit(long idleForNanos, boolean stale) {
+        if (stale && idleForNanos > MIN_IDLE_LIMIT_NANOS) {
+            idleLimitNanos = Math.min(
+                    idleLimitNanos, Math.max(MIN_IDLE_LIMIT_NANOS, (long) (IDLE_LIMIT_DECREASE * idleForNanos)));
+        } else if (!stale && idleForNanos > idleLimitNanos / 2) {
+            idleLimitNanos = Math.min(maxIdleLimitNanos, (long) (IDLE_LIMIT_INCREASE * idleLimitNanos));
         }
     }
 
-    /** One attempt of a request: it connects or reuses a connection, writes the call and reports the outcome once. */
+    /** One attempt of a request: connects or reuses a connection, writes the request and reports the outcome once. */
     final class Attempt implements Wire.Attempt {
         private final Host host;
-        private final Call call;
-        private long endNanos;
-        private final BooleanSupplier wanted;
-        private final Wire.AttemptListener<Answer> end;
+        private final RequestMessage message;
+        private long deadlineNanos;
+        private final BooleanSupplier stillWanted;
+        private final Wire.AttemptListener<Answer> listener;
         private ScheduledFuture<?> timer;
         private ChannelFuture connecting;
         private Connection connection;
-        private ChannelFuture written;
-        private int fresh;
-        private long idleFor;
-        private long writtenAt;
-        private boolean over;
+        private ChannelFuture writeFuture;
+        private int newConnections;
+        private long idleForNanos;
+        private long writtenNanos;
+        private boolean ended;
 
         private Attempt(
-                Host host, Call call, long timeoutUs, BooleanSupplier wanted, Wire.AttemptListener<Answer> end) {
+                Host host,
+                RequestMessage message,
+                long timeoutUs,
+                BooleanSupplier stillWanted,
+                Wire.AttemptListener<Answer> listener) {
             this.host = host;
-            this.call = call;
-            this.wanted = wanted;
-            this.end = end;
+            this.message = message;
+            this.stillWanted = stillWanted;
+            this.listener = listener;
             if (timeoutUs != Wire.NO_TIMEOUT) {
                 endWithin(timeoutUs);
             }
@@ -242,17 +257,17 @@
 
         @Override
         public void endWithin(long timeoutUs) {
-            if (!over && timer == null) {
-                endNanos = System.nanoTime() + timeoutUs * 1000;
+            if (!ended && timer == null) {
+                deadlineNanos = System.nanoTime() + timeoutUs * 1000;
                 timer = loop.schedule(() -> abandon(Outcome.TIMED_OUT), timeoutUs, TimeUnit.MICROSECONDS);
             }
         }
 
         @Override
         public void start() {
-            Connection reused = rested(host);
+            Connection reused = takeIdle(host);
             if (reused != null) {
-                idleFor = System.nanoTime() - reused.idleAt;
+                idleForNanos = System.nanoTime() - reused.idleSinceNanos;
                 write(reused, true);
             } else {
                 connect();
@@ -265,233 +280,233 @@
                 return;
             }
             if (!guard.allows(RuleGuard.Check.START_AT_LEFT_ENDPOINT, host.ready)) {
-                // A connection costs it something too, and nothing would be written there.
+                // A connection has a cost for the endpoint as well, and no request would be written to it.
                 finish(Outcome.IGNORED, null);
                 return;
             }
-            if (open.size() >= mostConnections && !idle.isEmpty()) {
+            if (open.size() >= maxConnections && !idle.isEmpty()) {
                 idle.iterator().next().close(Close.NO_ROOM);
             }
-            Connection made;
+            Connection established;
             try {
-                made = new Connection(host);
+                established = new Connection(host);
             } catch (ChannelException noDescriptor) {
-                // It says nothing of the host.
+                // A lack of descriptors here says nothing about the endpoint.
                 finish(Outcome.IGNORED, null);
                 return;
             }
-            ChannelFuture up = bootstrap
+            ChannelFuture connectFuture = bootstrap
                     .clone()
-                    .channelFactory(() -> made.channel)
-                    .handler(made.pipeline())
-                    .connect(made.to);
-            fresh++;
-            open.add(made);
-            up.channel().closeFuture().addListener(f -> open.remove(made));
-            connecting = up;
-            up.addListener(f -> {
-                if (over) {
-                    up.channel().close();
-                } else if (f.isSuccess()) {
-                    write(made, false);
-                } else if (resetAtOnce(f.cause()) && fresh < Wire.MAX_NEW_CONNECTIONS) {
+                    .channelFactory(() -> established.channel)
+                    .handler(established.pipeline())
+                    .connect(established.address);
+            newConnections++;
+            open.add(established);
+            connectFuture.channel().closeFuture().addListener(completed -> open.remove(established));
+            connecting = connectFuture;
+            connectFuture.addListener(completed -> {
+                if (ended) {
+                    connectFuture.channel().close();
+                } else if (completed.isSuccess()) {
+                    write(established, false);
+                } else if (isResetByPeer(completed.cause()) && newConnections < Wire.MAX_NEW_CONNECTIONS) {
                     connect();
                 } else {
-                    finish(ownFailure(f.cause()) ? Outcome.IGNORED : Outcome.CONNECT_ERROR, null);
+                    finish(isLocalFailure(completed.cause()) ? Outcome.IGNORED : Outcome.CONNECT_ERROR, null);
                 }
             });
         }
 
         /**
-         * The one place where a request goes out. While the connection came up the host may have been told
-         * to drain, or the request may have ended: then nothing is written, and that is known. A host that was
-         * moved to another address is reached there. A connection that does not take the whole of it says little of
-         * the host: a fresh one is tried.
+         * The only place where a request is written. If the endpoint began to drain or the request ended while the
+         * connection was established, nothing is written, and the outcome says so. If the endpoint has moved to another
+         * address, a connection is made to that one. If the write fails, which says little about the endpoint, a new
+         * connection is tried.
          */
-        private void write(Connection c, boolean reused) {
-            connection = c;
+        private void write(Connection target, boolean reused) {
+            connection = target;
             connecting = null;
-            if (!guard.allows(RuleGuard.Check.START_AT_LEFT_ENDPOINT, host.ready) || !wanted.getAsBoolean()) {
+            if (!guard.allows(RuleGuard.Check.START_AT_LEFT_ENDPOINT, host.ready) || !stillWanted.getAsBoolean()) {
                 finish(Outcome.IGNORED, null);
                 return;
             }
-            if (!c.leadsToHost()) {
-                release();
-                if (fresh < Wire.MAX_NEW_CONNECTIONS) {
+            if (!target.leadsToEndpoint()) {
+                releaseConnection();
+                if (newConnections < Wire.MAX_NEW_CONNECTIONS) {
                     connect();
                 } else {
                     finish(Outcome.CONNECT_ERROR, null);
                 }
                 return;
             }
-            long left = timer == null ? Long.MAX_VALUE : endNanos - System.nanoTime();
-            if (left <= 0) {
-                // The loop had stood still: its timer is due too, and only behind this in the turn.
+            long remainingNanos = timer == null ? Long.MAX_VALUE : deadlineNanos - System.nanoTime();
+            if (remainingNanos <= 0) {
+                // After a stall of the event loop: the attempt's timer is due too, but runs after this task.
                 abandon(Outcome.TIMED_OUT);
                 return;
             }
-            c.current = this;
-            long leftMs = Math.max(1, left / 1_000_000);
-            writtenAt = System.nanoTime();
-            ChannelFuture first = c.channel.writeAndFlush(call.encode(leftMs));
-            written = call.rest() == null ? first : c.channel.newPromise();
-            first.addListener(f -> {
-                if (f.isSuccess() && !over && connection == c && call.rest() != null) {
-                    passOn(c);
+            target.attempt = this;
+            long remainingMs = Math.max(1, remainingNanos / 1_000_000);
+            writtenNanos = System.nanoTime();
+            ChannelFuture firstWrite = target.channel.writeAndFlush(message.encode(remainingMs));
+            writeFuture = message.remainingBody() == null ? firstWrite : target.channel.newPromise();
+            firstWrite.addListener(completed -> {
+                if (completed.isSuccess() && !ended && connection == target && message.remainingBody() != null) {
+                    streamBody(target);
                 }
-                if (f.isSuccess() || over) {
+                if (completed.isSuccess() || ended) {
                     return;
                 }
-                if (reused || fresh < Wire.MAX_NEW_CONNECTIONS) {
-                    idleFor = 0;
-                    release();
+                if (reused || newConnections < Wire.MAX_NEW_CONNECTIONS) {
+                    idleForNanos = 0;
+                    releaseConnection();
                     connect();
                 } else {
-                    broken();
+                    onConnectionBroken();
                 }
             });
         }
 
-        /** The rest of a request as it comes: it has been written whole when its last piece has. */
-        private void passOn(Connection c) {
-            Flow rest = call.rest();
-            boolean chunked = rest.length() < 0;
-            c.upload = rest;
-            rest.to(new Flow.Sink() {
+        /** Streams the rest of the request's body; the write is complete when the last piece has been written. */
+        private void streamBody(Connection target) {
+            BodyStream remainingBody = message.remainingBody();
+            boolean chunked = remainingBody.length() < 0;
+            target.upload = remainingBody;
+            remainingBody.attach(new BodyStream.Sink() {
                 @Override
-                public void piece(ByteBuf piece) {
-                    if (over) {
+                public void write(ByteBuf piece) {
+                    if (ended) {
                         piece.release();
                         return;
                     }
-                    c.channel.writeAndFlush(chunked ? Framing.chunk(piece) : piece);
-                    if (!c.channel.isWritable()) {
-                        rest.want(false);
+                    target.channel.writeAndFlush(chunked ? Framing.chunk(piece) : piece);
+                    if (!target.channel.isWritable()) {
+                        remainingBody.setSinkReady(false);
                     }
                 }
 
-                /** If the client went away the core calls this off. */
+                /** After an incomplete body nothing is written: the client has disconnected and the core cancels. */
                 @Override
-                public void end(boolean whole) {
-                    c.upload = null;
-                    if (whole && !over) {
-                        c.channel.writeAndFlush(
-                                chunked ? Framing.lastChunk() : Unpooled.EMPTY_BUFFER, (ChannelPromise) written);
-                        writtenAt = System.nanoTime();
+                public void end(boolean complete) {
+                    target.upload = null;
+                    if (complete && !ended) {
+                        target.channel.writeAndFlush(
+                                chunked ? Framing.lastChunk() : Unpooled.EMPTY_BUFFER, (ChannelPromise) writeFuture);
+                        writtenNanos = System.nanoTime();
                     }
                 }
             });
         }
 
-        /** Whether somebody takes what there is of the answer; from here on time does not end it. */
-        private boolean begin(Answer answer) {
+        /** Starts to stream the response, without a timeout from now on; returns whether the response is still wanted. */
+        private boolean startStreaming(Answer answer) {
             if (timer != null) {
                 timer.cancel(false);
             }
-            return end.responseStarted(answer);
+            return listener.responseStarted(answer);
         }
 
-        /** Stops waiting: the connection goes with the attempt, so that the host stops too. */
+        /** Ends the attempt and closes its connection, so that the endpoint stops its work too. */
         @Override
         public void cancel() {
             abandon(Outcome.CANCELED);
         }
 
         private void abandon(Outcome outcome) {
-            boolean whole = written != null && written.isSuccess();
-            finish(outcome == Outcome.TIMED_OUT && !whole ? Outcome.CONNECT_ERROR : outcome, null);
+            boolean fullyWritten = writeFuture != null && writeFuture.isSuccess();
+            finish(outcome == Outcome.TIMED_OUT && !fullyWritten ? Outcome.CONNECT_ERROR : outcome, null);
         }
 
-        /** The connection is gone. Only if the write did not reach the last byte has it surely not run. */
-        private void broken() {
-            if (idleFor > 0) {
-                learnIdle(idleFor, System.nanoTime() - writtenAt < STALE_NANOS);
+        /** The connection broke. Only if the last byte was not written is it certain that the request was not executed. */
+        private void onConnectionBroken() {
+            if (idleForNanos > 0) {
+                adjustIdleLimit(idleForNanos, System.nanoTime() - writtenNanos < STALE_RESET_NANOS);
             }
-            finish(written.isSuccess() ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
+            finish(writeFuture.isSuccess() ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
         }
 
-        /** Whether this machine had no address or port left to connect from: it says nothing of the host. */
-        private static boolean ownFailure(Throwable cause) {
+        /** Whether no local address or port was free to connect from, which says nothing about the endpoint. */
+        private static boolean isLocalFailure(Throwable cause) {
             return cause instanceof BindException;
         }
 
-        /** Whether something is there that would not have this connection: then the host is not away. */
-        private static boolean resetAtOnce(Throwable cause) {
+        /** Whether the connection was reset by a peer that is reachable, rather than refused or timed out. */
+        private static boolean isResetByPeer(Throwable cause) {
             return cause instanceof SocketException
                     && !(cause instanceof ConnectException)
-                    && !ownFailure(cause)
+                    && !isLocalFailure(cause)
                     && !(cause instanceof NoRouteToHostException);
         }
 
-        private void release() {
+        private void releaseConnection() {
             if (connection != null) {
-                connection.current = null;
-                connection.cut();
+                connection.attempt = null;
+                connection.endStreams();
                 connection.close(Close.ATTEMPT_ENDED);
                 connection = null;
-                written = null;
+                writeFuture = null;
             } else if (connecting != null) {
                 connecting.channel().close();
             }
         }
 
-        /** Closes what the attempt still holds before its end is told: what follows may be another. */
+        /** Releases the connection before it reports the outcome, since the listener may start another attempt. */
         private void finish(Outcome outcome, Answer answer) {
-            if (over) {
+            if (ended) {
                 return;
             }
-            over = true;
+            ended = true;
             if (timer != null) {
                 timer.cancel(false);
             }
-            release();
-            end.ended(outcome, answer);
+            releaseConnection();
+            listener.ended(outcome, answer);
         }
     }
 
-    /** A socket that can be asked whether anything has come: the loop may not have seen it yet. */
-    private static final class HostChannel extends NioSocketChannel {
-        boolean untouched(ByteBuffer peek) {
+    /** A socket that can tell whether data has arrived that the event loop has not read yet. */
+    private static final class EndpointChannel extends NioSocketChannel {
+        boolean hasNoUnreadData(ByteBuffer buffer) {
             try {
-                return isActive() && javaChannel().read(peek.clear()) == 0;
-            } catch (IOException e) {
+                return isActive() && javaChannel().read(buffer.clear()) == 0;
+            } catch (IOException broken) {
                 return false;
             }
         }
     }
 
-    /** One connection to a host: busy with one attempt, or idle in its host's list, or closed. */
+    /** One connection to an endpoint: in use by one attempt, or idle in the endpoint's list, or closed. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final Host host;
-        /** Where it leads; the host may be moved elsewhere meanwhile. */
-        private final InetSocketAddress to;
+        /** The address connected to; the endpoint may since have moved to another one. */
+        private final InetSocketAddress address;
 
-        private final HostChannel channel = new HostChannel();
-        private final ByteBuf body = BUFFERS.buffer();
-        private Attempt current;
-        private long idleAt;
+        private final EndpointChannel channel = new EndpointChannel();
+        private final ByteBuf body = ALLOCATOR.buffer();
+        private Attempt attempt;
+        private long idleSinceNanos;
         private boolean closed;
         private HttpResponse head;
-        private int interim;
+        private int interimResponses;
         private boolean reusable = true;
         private Outcome outcome;
         private Answer answer;
-        /** The rest of the request that goes out here; null if there is none or it is out. */
-        private Flow upload;
-        /** The rest of the answer, once that is passed on as it comes. */
-        private Flow download;
+        /** The streamed body of the request; null if there is none or it has been written. */
+        private BodyStream upload;
+        /** The streamed body of the response; null if there is none. */
+        private BodyStream download;
 
         private long bodyBytes;
-        /** What the answer's head says of the host's load; null if nothing. */
-        private String load;
-        /** How long the body is by its head; -1 if that does not say. */
-        private long stated;
+        /** The load report in the response's head; null if there is none. */
+        private String loadReport;
+        /** The length of the body stated in the response's head; -1 if there is none. */
+        private long statedLength;
 
-        /** What comes while nothing is asked belongs to no request, read to its end or not. */
+        /** Closes the connection on data that arrives without a request: it belongs to none, complete or not. */
         private final Framing.ResponseDecoder decoder = new Framing.ResponseDecoder() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object in) throws Exception {
-                if (current == null) {
+                if (attempt == null) {
                     ReferenceCountUtil.release(in);
                     ctx.close();
                 } else {
@@ -502,169 +517,174 @@
 
         Connection(Host host) {
             this.host = host;
-            this.to = host.address;
+            this.address = host.address;
         }
 
-        private boolean leadsToHost() {
-            return to.equals(host.address);
+        private boolean leadsToEndpoint() {
+            return address.equals(host.address);
         }
 
         ChannelInitializer<SocketChannel> pipeline() {
             return new ChannelInitializer<>() {
                 @Override
-                protected void initChannel(SocketChannel ch) {
-                    ch.pipeline().addLast(decoder, Connection.this);
+                protected void initChannel(SocketChannel socketChannel) {
+                    socketChannel.pipeline().addLast(decoder, Connection.this);
                 }
             };
         }
 
-        void leaveIdle() {
+        void removeFromIdle() {
             if (idle.remove(this) && !host.idle.remove(this)) {
-                host.resting.remove(this);
+                host.coolingDown.remove(this);
             }
         }
 
-        void close(Close why) {
-            leaveIdle();
+        void close(Close reason) {
+            removeFromIdle();
             if (!closed) {
                 closed = true;
-                closes.add(why);
+                closes.add(reason);
             }
             channel.close();
         }
 
         /**
-         * An answer is served only if it is whole by its own word; the codec would also take as whole what
-         * ends with its connection, or has two lengths. What can't be read may have run all the same.
+         * A response is served only if its own head shows that it is complete: Netty's codec would also accept one that
+         * ends with its connection unannounced, or has two lengths. The request of an invalid response may have been
+         * executed all the same.
          */
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, HttpObject in) {
-            if (current == null) {
+        protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
+            if (attempt == null) {
                 return;
             }
             if (outcome != null) {
                 reusable = false;
                 return;
             }
-            if (in.decoderResult().isFailure()) {
-                spoilt();
+            if (message.decoderResult().isFailure()) {
+                failResponse();
                 return;
             }
-            if (in instanceof HttpResponse response) {
-                begin(response);
+            if (message instanceof HttpResponse response) {
+                beginResponse(response);
                 if (outcome != null) {
                     return;
                 }
             }
-            if (in instanceof HttpContent content && head.status().code() >= 200) {
-                append(content.content());
-                if (in instanceof LastHttpContent && outcome == null && current != null) {
-                    whole();
+            if (message instanceof HttpContent content && head.status().code() >= 200) {
+                appendBody(content.content());
+                if (message instanceof LastHttpContent && outcome == null && attempt != null) {
+                    completeResponse();
                 }
             }
         }
 
-        /** Keeps an answer whole up to a size, or passes it on as it comes. */
-        private void append(ByteBuf more) {
-            bodyBytes += more.readableBytes();
-            if (bodyBytes > Flow.MOST || head.status().code() != 200 && bodyBytes > Framing.MOST_BODY) {
-                spoilt();
+        /** Buffers a response up to a size, or streams it. */
+        private void appendBody(ByteBuf data) {
+            bodyBytes += data.readableBytes();
+            if (bodyBytes > BodyStream.MAX_BODY_BYTES || head.status().code() != 200 && bodyBytes > Framing.MOST_BODY) {
+                failResponse();
                 return;
             }
             if (download == null) {
-                if (stated > Framing.MOST_BODY || body.readableBytes() + more.readableBytes() > Framing.MOST_BODY) {
-                    begin();
+                if (statedLength > Framing.MOST_BODY
+                        || body.readableBytes() + data.readableBytes() > Framing.MOST_BODY) {
+                    startStreaming();
                 } else {
-                    if (stated < 0 && body.readableBytes() == 0 && more.isReadable()) {
-                        // Nobody knows how much there is: a slow one's first bytes are not kept for its last.
-                        Attempt of = current;
-                        loop.schedule(() -> beginIfSlow(of), BEGIN_MS, TimeUnit.MILLISECONDS);
+                    if (statedLength < 0 && body.readableBytes() == 0 && data.isReadable()) {
+                        // Of unknown length: the first bytes of a slow response don't wait for its last ones.
+                        Attempt receiving = attempt;
+                        loop.schedule(() -> streamIfSlow(receiving), STREAM_AFTER_MS, TimeUnit.MILLISECONDS);
                     }
-                    body.writeBytes(more);
+                    body.writeBytes(data);
                     return;
                 }
             }
             if (download != null) {
-                download.put(more.retain());
+                download.receive(data.retain());
             }
         }
 
-        private void beginIfSlow(Attempt of) {
-            if (current == of && outcome == null && download == null && body.isReadable()) {
-                begin();
+        private void streamIfSlow(Attempt receiving) {
+            if (attempt == receiving && outcome == null && download == null && body.isReadable()) {
+                startStreaming();
             }
         }
 
-        private void begin() {
-            byte[] first = new byte[body.readableBytes()];
-            body.readBytes(first);
-            Flow rest = new Flow(stated, 0, on -> channel.config().setAutoRead(on));
-            download = rest;
-            Attempt of = current;
-            if (!of.begin(new Answer(first, head.headers().get(HttpHeaderNames.CONTENT_TYPE), rest)) && !of.over) {
-                of.cancel();
+        private void startStreaming() {
+            byte[] firstPart = new byte[body.readableBytes()];
+            body.readBytes(firstPart);
+            BodyStream remainingBody =
+                    new BodyStream(statedLength, 0, reading -> channel.config().setAutoRead(reading));
+            download = remainingBody;
+            Attempt receiving = attempt;
+            if (!receiving.startStreaming(
+                            new Answer(firstPart, head.headers().get(HttpHeaderNames.CONTENT_TYPE), remainingBody))
+                    && !receiving.ended) {
+                receiving.cancel();
             }
         }
 
-        /** The attempt ends here and now: whoever takes its answer learns that there is no more of it. */
-        private void cut() {
+        /** Ends the streamed bodies of both directions early; a streamed response is reported as incomplete. */
+        private void endStreams() {
             if (download != null) {
-                Flow cut = download;
+                BodyStream responseBody = download;
                 download = null;
-                cut.end(false);
+                responseBody.end(false);
             }
             if (upload != null) {
-                Flow left = upload;
+                BodyStream requestBody = upload;
                 upload = null;
-                left.stop();
+                requestBody.discard();
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (upload != null) {
-                upload.want(channel.isWritable());
+                upload.setSinkReady(channel.isWritable());
             }
         }
 
-        private void begin(HttpResponse response) {
+        private void beginResponse(HttpResponse response) {
             head = response;
-            load = response.headers().get(LoadReport.HEADER);
+            loadReport = response.headers().get(LoadReport.HEADER);
             int status = response.status().code();
-            boolean interimToo = status < 200 && status != 101 && ++interim <= MOST_INTERIM;
+            boolean allowedInterim = status < 200 && status != 101 && ++interimResponses <= MAX_INTERIM_RESPONSES;
             bodyBytes = 0;
-            // An answer may also end with its connection, if it says that this ends (RFC 9112, 6.3).
-            boolean framed = Framing.statesLength(response.headers());
-            boolean endKnown = framed || !HttpUtil.isKeepAlive(response);
-            stated = Framing.length(response.headers());
-            if (!Framing.sound(response)
-                    || Framing.tooLong(response.headers())
-                    || status < 200 && !interimToo
+            // A response may also end with its connection, if its head announces the close (RFC 9112, 6.3).
+            boolean delimited = Framing.delimitsBody(response.headers());
+            boolean endKnown = delimited || !HttpUtil.isKeepAlive(response);
+            statedLength = Framing.contentLength(response.headers());
+            if (!Framing.isValid(response)
+                    || Framing.isBodyTooLarge(response.headers())
+                    || status < 200 && !allowedInterim
                     || status == 200 && !endKnown) {
-                spoilt();
-            } else if (status > 200 && !framed) {
-                whole();
+                failResponse();
+            } else if (status > 200 && !delimited) {
+                completeResponse();
                 reusable = false;
             }
         }
 
-        private void spoilt() {
+        private void failResponse() {
             outcome = Outcome.FAILED;
             reusable = false;
-            cut();
+            endStreams();
         }
 
-        /** Keeps the answer until the read is over: what follows it unasked ends the connection. */
-        private void whole() {
+        /** Completes a response. It is delivered after the read, so that unsolicited data behind it closes the connection. */
+        private void completeResponse() {
             int status = head.status().code();
             boolean notRun = (status == 503 || status == 504)
                     && "1".equals(head.headers().get("X-Not-Run"));
             outcome = status == 200 ? Outcome.OK : notRun ? Outcome.QUEUE_FULL : Outcome.FAILED;
-            reusable = HttpUtil.isKeepAlive(head) && current.written.isSuccess();
+            reusable = HttpUtil.isKeepAlive(head) && attempt.writeFuture.isSuccess();
             if (download != null) {
-                Flow done = download;
+                BodyStream finished = download;
                 download = null;
-                done.end(true);
+                finished.end(true);
             } else if (status == 200) {
                 byte[] bytes = new byte[body.readableBytes()];
                 body.readBytes(bytes);
@@ -680,45 +700,45 @@
         }
 
         private void deliver() {
-            Attempt ended = current;
-            Outcome how = outcome;
-            Answer what = answer;
-            String said = load;
-            load = null;
-            current = null;
+            Attempt endedAttempt = attempt;
+            Outcome finalOutcome = outcome;
+            Answer finalAnswer = answer;
+            String report = loadReport;
+            loadReport = null;
+            attempt = null;
             outcome = null;
             answer = null;
-            interim = 0;
+            interimResponses = 0;
             body.clear();
             if (upload != null) {
-                // Answered before its end: the rest has nowhere to go.
+                // Answered before the request's body was complete: the rest of it is dropped.
                 reusable = false;
-                cut();
+                endStreams();
             }
             channel.config().setAutoRead(true);
-            if (reusable && !decoder.holdsMore() && host.ready && leadsToHost() && channel.isActive()) {
-                idleAt = System.nanoTime();
-                host.resting.add(this);
+            if (reusable && !decoder.hasPartialMessage() && host.ready && leadsToEndpoint() && channel.isActive()) {
+                idleSinceNanos = System.nanoTime();
+                host.coolingDown.add(this);
                 idle.add(this);
-                if (idle.size() > mostIdle.getAsInt()) {
+                if (idle.size() > maxIdleConnections.getAsInt()) {
                     idle.iterator().next().close(Close.NO_ROOM);
                 }
             } else {
                 close(
-                        !host.ready || !leadsToHost()
+                        !host.ready || !leadsToEndpoint()
                                 ? Close.ENDPOINT_LEFT
                                 : channel.isActive() ? Close.NOT_REUSABLE : Close.BY_PEER);
             }
-            if (ended != null) {
-                if (ended.idleFor > 0) {
-                    learnIdle(ended.idleFor, false);
+            if (endedAttempt != null) {
+                if (endedAttempt.idleForNanos > 0) {
+                    adjustIdleLimit(endedAttempt.idleForNanos, false);
                 }
-                double held = LoadReport.held(said);
-                if (held >= 0) {
-                    ended.end.loadReported(held);
+                double outstanding = LoadReport.held(report);
+                if (outstanding >= 0) {
+                    endedAttempt.listener.loadReported(outstanding);
                 }
-                ended.connection = null;
-                ended.finish(how, what);
+                endedAttempt.connection = null;
+                endedAttempt.finish(finalOutcome, finalAnswer);
             }
         }
 
@@ -727,16 +747,16 @@
             close(Close.BY_PEER);
             if (outcome != null) {
                 deliver();
-            } else if (current != null) {
-                current.broken();
+            } else if (attempt != null) {
+                attempt.onConnectionBroken();
             }
         }
 
-        /** A reset, say: it costs this connection and its attempt, no more. */
+        /** An error such as a reset ends this connection and its attempt only. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (current != null && outcome == null) {
-                current.broken();
+            if (attempt != null && outcome == null) {
+                attempt.onConnectionBroken();
             }
             close(Close.ERROR);
         }
--- a/src/main/java/mulleinfront/proxy/AnswerBody.java
+++ b/src/main/java/mulleinfront/proxy/WatchBodyDecoder.java
@@ -9,23 +9,23 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Hands on what a watch's answer holds; any answer but 200, or its end, is the end of the watch. */
-final class AnswerBody extends MessageToMessageDecoder<HttpObject> {
-    AnswerBody() {
+/** Passes on the body of a watch's response. Any status but 200, and the end of the response, end the watch. */
+final class WatchBodyDecoder extends MessageToMessageDecoder<HttpObject> {
+    WatchBodyDecoder() {
         super(HttpObject.class);
     }
 
     @Override
-    protected void decode(ChannelHandlerContext ctx, HttpObject in, List<Object> out) throws IOException {
-        if (in.decoderResult().isFailure()
-                || in instanceof HttpResponse r && r.status().code() != 200) {
+    protected void decode(ChannelHandlerContext ctx, HttpObject message, List<Object> out) throws IOException {
+        if (message.decoderResult().isFailure()
+                || message instanceof HttpResponse response && response.status().code() != 200) {
             throw new IOException("discovery refused the watch");
         }
-        if (in instanceof HttpContent content && content.content().isReadable()) {
-            ctx.pipeline().get(AnswerSilence.class).begun(ctx);
+        if (message instanceof HttpContent content && content.content().isReadable()) {
+            ctx.pipeline().get(WatchReadTimeout.class).onBodyData(ctx);
             out.add(content.content().retain());
         }
-        if (in instanceof LastHttpContent) {
+        if (message instanceof LastHttpContent) {
             ctx.close();
         }
     }
--- a/src/main/java/mulleinfront/proxy/package-info.java
+++ b/src/main/java/mulleinfront/proxy/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The client proxy on sockets, on Netty: {@link mulleinfront.core} with the adapters that make it HTTP/1.1 on
- * both sides. {@link mulleinfront.proxy.ClientProxy} joins them; {@code Frontend} reads the application's
- * requests and hands them to the core, {@code Upstream} carries its attempts to hosts, {@code Discovery} brings
- * it lists. What is too large to be held goes from one connection to the other in a {@code Flow}, at the reader's pace.
+ * The client proxy on sockets, on Netty: {@link mulleinfront.core} with adapters for HTTP/1.1 on both sides. {@link
+ * mulleinfront.proxy.ClientProxy} connects them; {@code Frontend} reads the application's requests and passes them to the
+ * core, {@code Upstream} sends the core's attempts to endpoints, and {@code Discovery} supplies endpoint lists. Bodies too
+ * large to be buffered are streamed from one connection to the other by a {@code BodyStream}, at the reader's pace.
  *
- * <p>May import {@code core}, {@code manage}, {@code settings}, the module and Netty; nothing of the
- * emulator or the command line. One event-loop thread owns it all; nothing blocks and nothing is locked.
+ * <p>May import {@code core}, {@code manage}, {@code settings}, the balancer and Netty; nothing of the emulator or the
+ * command line. A single event-loop thread owns each proxy; nothing blocks and nothing is locked.
  */
 package mulleinfront.proxy;
