--- a/src/main/java/mulleinfront/proxy/Discovery.java
+++ b/src/main/java/mulleinfront/proxy/Discovery.java
@@ -371,7 +371,10 @@
             log.callEnded(callNumber, reason, readTimeout.bodyStarted(), elapsedMs(), version);
         }
 
-        /** Reports the failure. Only a watch that had worked is logged: calls keep failing while discovery is unreachable. */
+        /**
+         * Reports the failure. The message for people is only written for a watch that had worked, since calls keep failing
+         * while discovery is unreachable.
+         */
         void fail(Throwable cause) {
             if (watch == this) {
                 watch = null;
--- a/src/main/java/mulleinfront/proxy/Upstream.java
+++ b/src/main/java/mulleinfront/proxy/Upstream.java
@@ -287,9 +287,9 @@
             if (open.size() >= maxConnections && !idle.isEmpty()) {
                 idle.iterator().next().close(Close.NO_ROOM);
             }
-            Connection established;
+            Connection candidate;
             try {
-                established = new Connection(host);
+                candidate = new Connection(host);
             } catch (ChannelException noDescriptor) {
                 // A lack of descriptors here says nothing about the endpoint.
                 finish(Outcome.IGNORED, null);
@@ -297,18 +297,18 @@
             }
             ChannelFuture connectFuture = bootstrap
                     .clone()
-                    .channelFactory(() -> established.channel)
-                    .handler(established.pipeline())
-                    .connect(established.address);
+                    .channelFactory(() -> candidate.channel)
+                    .handler(candidate.pipeline())
+                    .connect(candidate.address);
             newConnections++;
-            open.add(established);
-            connectFuture.channel().closeFuture().addListener(completed -> open.remove(established));
+            open.add(candidate);
+            connectFuture.channel().closeFuture().addListener(completed -> open.remove(candidate));
             connecting = connectFuture;
             connectFuture.addListener(completed -> {
                 if (ended) {
                     connectFuture.channel().close();
                 } else if (completed.isSuccess()) {
-                    write(established, false);
+                    write(candidate, false);
                 } else if (isResetByPeer(completed.cause()) && newConnections < Wire.MAX_NEW_CONNECTIONS) {
                     connect();
                 } else {
