--- a/src/main/java/mulleinfront/kit/BlackHole.java
+++ b/src/main/java/mulleinfront/kit/BlackHole.java
@@ -8,25 +8,25 @@
 import java.util.List;
 
 /**
- * An address that is not there: connections to it never come up. Without privileges nothing can drop packets, but a
- * listener whose queue of connections is full and never emptied does (listen(2), tcp_abort_on_overflow is off): the
- * queue has room for one more than asked for, and it is filled at once.
+ * An unresponsive address: connection attempts to it time out. Dropping packets needs privileges, but a listener with a
+ * full accept queue has the same effect (listen(2), with tcp_abort_on_overflow off). The queue holds one connection
+ * more than the requested backlog; the constructor fills it, and nothing accepts from it.
  */
 final class BlackHole implements AutoCloseable {
-    private static final int FILL = 3;
+    private static final int FILLER_CONNECTIONS = 3;
 
     private final ServerSocketChannel listener;
-    private final List<SocketChannel> fill = new ArrayList<>();
+    private final List<SocketChannel> fillers = new ArrayList<>();
 
     BlackHole(InetSocketAddress address) throws IOException {
         listener = ServerSocketChannel.open();
         try {
             listener.bind(address, 1);
-            for (int i = 0; i < FILL; i++) {
-                SocketChannel one = SocketChannel.open();
-                fill.add(one);
-                one.configureBlocking(false);
-                one.connect(address);
+            for (int i = 0; i < FILLER_CONNECTIONS; i++) {
+                SocketChannel filler = SocketChannel.open();
+                fillers.add(filler);
+                filler.configureBlocking(false);
+                filler.connect(address);
             }
         } catch (IOException e) {
             close();
@@ -38,11 +38,11 @@
     public void close() {
         try {
             listener.close();
-            for (SocketChannel one : fill) {
-                one.close();
+            for (SocketChannel filler : fillers) {
+                filler.close();
             }
         } catch (IOException e) {
-            throw new IllegalStateException("a socket that can't be closed: " + e.getMessage(), e);
+            throw new IllegalStateException("can't close a socket: " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/mulleinfront/kit/ClientDriver.java
+++ b/src/main/java/mulleinfront/kit/ClientDriver.java
@@ -27,24 +27,25 @@
 import mulleinfront.emulator.Scenario;
 
 /**
- * The stage's clients on real sockets: an open loop, whose tries are sent when they are due and measured from then,
- * one request at a time on each connection, as many connections as that takes. On the world's event loop.
+ * Sends the simulated clients' requests over real sockets. The load is an open loop: each try is sent when it is due
+ * and measured from then. A connection carries one request at a time; connections are opened as needed. Runs on the
+ * simulation's event loop.
  */
 final class ClientDriver {
-    private static final int MOST_BODY = 256 * 1024;
+    private static final int MAX_BODY_BYTES = 256 * 1024;
 
-    private final WorldClock clock;
-    private final HybridSimulation stage;
-    private final Places places;
+    private final SimulationClock clock;
+    private final HybridSimulation simulation;
+    private final AddressPlan addresses;
     private final Scenario scenario;
     private final Bootstrap bootstrap;
     private final Map<Integer, ArrayDeque<Connection>> idle = new HashMap<>();
     private final Map<String, Connection> open = new HashMap<>();
 
-    ClientDriver(WorldClock clock, HybridSimulation stage, Places places, Scenario scenario) {
+    ClientDriver(SimulationClock clock, HybridSimulation simulation, AddressPlan addresses, Scenario scenario) {
         this.clock = clock;
-        this.stage = stage;
-        this.places = places;
+        this.simulation = simulation;
+        this.addresses = addresses;
         this.scenario = scenario;
         this.bootstrap = new Bootstrap()
                 .group(clock.loop)
@@ -54,93 +55,100 @@
     }
 
     /**
-     * A client sends a request.
+     * Sends a client's request to its proxy.
      *
-     * @param openOnly whether nobody connects any more: it goes on a connection that is open, if there is one
+     * @param openOnly whether to use only idle open connections, as for a proxy that no longer accepts new ones;
+     *     without such a connection the request counts as unanswered
      */
     void send(HybridSimulation.Outgoing request, boolean openOnly) {
-        ArrayDeque<Connection> rested = idle.computeIfAbsent(request.proxy(), p -> new ArrayDeque<>());
-        for (Connection c; (c = rested.poll()) != null; ) {
-            if (c.channel.isActive()) {
-                c.write(request, true);
+        ArrayDeque<Connection> idleConnections = idle.computeIfAbsent(request.proxy(), p -> new ArrayDeque<>());
+        for (Connection connection; (connection = idleConnections.poll()) != null; ) {
+            if (connection.channel.isActive()) {
+                connection.write(request, true);
                 return;
             }
         }
         if (openOnly) {
-            clock.run(() -> stage.unanswered(request.id(), false));
+            clock.run(() -> simulation.unanswered(request.id(), false));
         } else {
             connect(request);
         }
     }
 
-    /** So many clients connect to a client proxy and say nothing; they close after a while, if they are let. */
-    void crowd(int proxy, int connections, long forUs) {
+    /**
+     * Opens idle connections to a client proxy and closes them after the given time, unless the proxy did so before.
+     */
+    void floodConnections(int proxy, int connections, long durationUs) {
         for (int i = 0; i < connections; i++) {
-            Channel silent = bootstrap
+            Channel idleConnection = bootstrap
                     .clone()
                     .handler(new ChannelInboundHandlerAdapter())
-                    .connect(places.daemon(proxy))
+                    .connect(addresses.daemon(proxy))
                     .channel();
-            clock.loop.schedule(() -> silent.close(), forUs, TimeUnit.MICROSECONDS);
+            clock.loop.schedule(() -> idleConnection.close(), durationUs, TimeUnit.MICROSECONDS);
         }
     }
 
     private void connect(HybridSimulation.Outgoing request) {
-        Connection made = new Connection(request.proxy());
-        open.put(request.id(), made);
+        Connection connection = new Connection(request.proxy());
+        open.put(request.id(), connection);
         bootstrap
                 .clone()
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new HttpResponseDecoder(), new HttpObjectAggregator(MOST_BODY), made);
+                        ch.pipeline()
+                                .addLast(
+                                        new HttpResponseDecoder(),
+                                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                                        connection);
                     }
                 })
-                .connect(places.daemon(request.proxy()))
+                .connect(addresses.daemon(request.proxy()))
                 .addListener((ChannelFuture f) -> {
-                    made.channel = f.channel();
+                    connection.channel = f.channel();
                     if (!f.isSuccess()) {
                         open.remove(request.id());
-                        clock.run(() -> stage.unanswered(request.id(), false));
-                    } else if (open.get(request.id()) != made) {
+                        clock.run(() -> simulation.unanswered(request.id(), false));
+                    } else if (open.get(request.id()) != connection) {
                         f.channel().close();
                     } else {
-                        made.write(request, false);
+                        connection.write(request, false);
                     }
                 });
     }
 
-    /** The client waits no longer and closes its connection. */
-    void leave(String id) {
-        Connection c = open.remove(id);
-        if (c != null) {
-            c.current = null;
-            if (c.channel != null) {
-                c.channel.close();
+    /** Abandons a request: its client closes the connection. */
+    void abandon(String id) {
+        Connection connection = open.remove(id);
+        if (connection != null) {
+            connection.current = null;
+            if (connection.channel != null) {
+                connection.channel.close();
             }
         }
     }
 
-    private String encode(HybridSimulation.Outgoing r) {
-        RequestClass type = scenario.classes().get(r.classIndex()).type();
+    private String encode(HybridSimulation.Outgoing request) {
+        RequestClass type = scenario.classes().get(request.classIndex()).type();
         StringBuilder out = new StringBuilder(320);
         out.append(type.effect() == Effect.RETRYABLE ? "GET" : "POST")
                 .append(" /api HTTP/1.1\r\nHost: origin.svc")
                 .append("\r\nX-Request-Id: ")
-                .append(r.id())
+                .append(request.id())
                 .append("\r\nX-Class: ")
                 .append(type.name())
                 .append("\r\nX-Deadline-Ms: ")
-                .append(Math.max(1, r.deadlineUs() / 1000));
-        if (r.key() != null) {
-            out.append("\r\nX-Key: ").append(r.key());
+                .append(Math.max(1, request.deadlineUs() / 1000));
+        if (request.key() != null) {
+            out.append("\r\nX-Key: ").append(request.key());
         }
         if (!scenario.tenants().isEmpty()) {
             out.append("\r\nX-Tenant: ")
-                    .append(scenario.tenants().get(r.tenant()).name());
+                    .append(scenario.tenants().get(request.tenant()).name());
         }
         if (type.effect() == Effect.DEDUP) {
-            out.append("\r\nIdempotency-Key: ").append(r.effect());
+            out.append("\r\nIdempotency-Key: ").append(request.effect());
         }
         return out.append(type.effect() == Effect.RETRYABLE ? "\r\n\r\n" : "\r\nContent-Length: 0\r\n\r\n")
                 .toString();
@@ -151,8 +159,8 @@
         private final int proxy;
         private Channel channel;
         private HybridSimulation.Outgoing current;
-        /** The request that was answered last on it. */
-        private String last;
+        /** Identifier of the last request answered on this connection. */
+        private String lastAnsweredId;
 
         private boolean reused;
 
@@ -160,14 +168,14 @@
             this.proxy = proxy;
         }
 
-        void write(HybridSimulation.Outgoing request, boolean again) {
+        void write(HybridSimulation.Outgoing request, boolean reusing) {
             current = request;
-            reused = again;
+            reused = reusing;
             open.put(request.id(), this);
             channel.writeAndFlush(Unpooled.copiedBuffer(encode(request), StandardCharsets.US_ASCII))
                     .addListener(f -> {
                         if (f.isSuccess()) {
-                            clock.run(() -> stage.taken(request.id()));
+                            clock.run(() -> simulation.taken(request.id()));
                         }
                     });
         }
@@ -180,11 +188,11 @@
                 return;
             }
             if (answered == null) {
-                String id = last;
-                clock.run(() -> stage.answeredAgain(proxy, id));
+                String id = lastAnsweredId;
+                clock.run(() -> simulation.answeredAgain(proxy, id));
                 return;
             }
-            last = answered.id();
+            lastAnsweredId = answered.id();
             current = null;
             open.remove(answered.id());
             String body = in.content().toString(StandardCharsets.ISO_8859_1);
@@ -194,7 +202,7 @@
             } else {
                 ctx.close();
             }
-            clock.run(() -> stage.answered(answered.id(), status, retryAfterUs, body));
+            clock.run(() -> simulation.answered(answered.id(), status, retryAfterUs, body));
         }
 
         private static long retryAfterUs(String seconds) {
@@ -207,21 +215,23 @@
             }
         }
 
-        /** A client proxy may close between requests; one that this crosses is sent once more on a new connection. */
+        /**
+         * A proxy may close between requests; a request that races with the close is sent again on a new connection.
+         */
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             idle.getOrDefault(proxy, new ArrayDeque<>()).remove(this);
-            HybridSimulation.Outgoing lost = current;
+            HybridSimulation.Outgoing unanswered = current;
             current = null;
-            if (lost == null) {
+            if (unanswered == null) {
                 return;
             }
             if (reused) {
-                clock.run(() -> stage.crossed(lost.id()));
-                connect(lost);
+                clock.run(() -> simulation.crossed(unanswered.id()));
+                connect(unanswered);
             } else {
-                open.remove(lost.id());
-                clock.run(() -> stage.unanswered(lost.id(), true));
+                open.remove(unanswered.id());
+                clock.run(() -> simulation.unanswered(unanswered.id(), true));
             }
         }
 
--- a/src/main/java/mulleinfront/kit/DaemonProcess.java
+++ b/src/main/java/mulleinfront/kit/DaemonProcess.java
@@ -22,47 +22,47 @@
 import mulleinfront.settings.Version;
 
 /**
- * One client proxy as a process, started as the platform starts it: a shell command, {@code NODE_CONFIG}, a limit on
- * descriptors. It dies with the kit, however that ends: beside it a shell waits for the end of a pipe that only the
- * kit holds.
+ * A process started as the platform starts a client proxy: by a shell command, with {@code NODE_CONFIG} set and a limit
+ * on file descriptors. It ends when the kit ends, even if the kit is killed: a background shell waits for end of file
+ * on a pipe that only the kit holds open, and then kills the process.
  */
 final class DaemonProcess {
-    private static final int SOCKETS = 1024;
+    private static final int DESCRIPTOR_LIMIT = 1024;
     private static final int MEMORY_MB = 192;
-    private static final int ASK_MS = 1_000;
-    private static final int LONGEST_ANSWER = 4096;
+    private static final int READY_TIMEOUT_MS = 1_000;
+    private static final int MAX_RESPONSE_BYTES = 4096;
 
     private final int number;
     private final Process process;
     private final InetSocketAddress address;
     private final Path log;
-    private final Path file;
-    private volatile boolean told;
+    private final Path configFile;
+    private volatile boolean exitRequested;
     private volatile boolean killed;
 
     /**
-     * How it is a member of a fleet.
+     * Membership addresses of a client proxy in a fleet.
      *
-     * @param file the operators' file
+     * @param file the fleet file
      */
-    record Peering(InetSocketAddress listen, List<InetSocketAddress> peers, Path file) {}
+    record FleetMembership(InetSocketAddress listen, List<InetSocketAddress> peers, Path fleetFile) {}
 
-    /** How it is at a moment; descriptors and memory are of the process itself. */
+    /** Resource usage at an instant: open descriptors, resident memory, and total CPU time of the process itself. */
     record Sample(int descriptors, long residentKb, long cpuMs) {}
 
     DaemonProcess(int number, String command, Path root, Path folder, String config, InetSocketAddress address)
             throws IOException {
         this.number = number;
         this.address = address;
-        this.file = Files.writeString(folder.resolve("daemon-" + number + ".json"), config);
+        this.configFile = Files.writeString(folder.resolve("daemon-" + number + ".json"), config);
         this.log = folder.resolve("daemon-" + number + ".log");
-        String guarded = "trap '' INT; exec 3<&0; (cat <&3 >/dev/null; kill -9 $$ 2>/dev/null) & ulimit -n " + SOCKETS
-                + "; exec 3<&- </dev/null; " + command;
+        String guarded = "trap '' INT; exec 3<&0; (cat <&3 >/dev/null; kill -9 $$ 2>/dev/null) & ulimit -n "
+                + DESCRIPTOR_LIMIT + "; exec 3<&- </dev/null; " + command;
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", guarded)
                 .directory(root.toFile())
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
-        builder.environment().put("NODE_CONFIG", file.toAbsolutePath().toString());
+        builder.environment().put("NODE_CONFIG", configFile.toAbsolutePath().toString());
         builder.environment().put("NODE_NAME", "n" + number);
         builder.environment().put("NODE_LISTEN", NetUtil.toSocketAddressString(address));
         this.process = builder.start();
@@ -72,12 +72,12 @@
         return number;
     }
 
-    /** Whether its end is expected: it was told to end, or killed. */
-    boolean told() {
-        return told;
+    /** Whether the kit has requested the exit, by SIGTERM or SIGKILL. */
+    boolean exitRequested() {
+        return exitRequested;
     }
 
-    /** Whether it was killed outright, without having been told to end. */
+    /** Whether it was killed without a SIGTERM before. */
     boolean killed() {
         return killed;
     }
@@ -86,11 +86,11 @@
         return process.isAlive();
     }
 
-    /** Runs something when it has ended, on another thread; the code is its exit code. */
-    void onExit(IntConsumer then) {
+    /** Calls the consumer with the exit code when the process has exited, on another thread. */
+    void onExit(IntConsumer listener) {
         process.onExit().thenAccept(p -> {
             closeGuard();
-            then.accept(p.exitValue());
+            listener.accept(p.exitValue());
         });
     }
 
@@ -98,50 +98,51 @@
         try {
             process.getOutputStream().close();
         } catch (IOException e) {
-            // The pipe is closed either way.
+            // The pipe counts as closed even when closing it reports an error.
         }
     }
 
-    void end() {
-        told = true;
-        // Not the process's own destroy: that closes its pipe too, which is what the guard waits for.
+    void terminate() {
+        exitRequested = true;
+        // Process.destroy would also close the pipe, and the guard shell would then send SIGKILL.
         process.toHandle().destroy();
     }
 
     void kill() {
-        killed |= !told;
-        told = true;
+        killed |= !exitRequested;
+        exitRequested = true;
         process.destroyForcibly();
     }
 
-    /** Another configuration, and SIGHUP, on its way when this returns. */
+    /** Replaces the configuration file and sends SIGHUP; the signal may still be on its way on return. */
     void reload(String config) throws IOException {
-        // In one step: it may be reading the file for the configuration before.
-        Path next = Files.writeString(file.resolveSibling(file.getFileName() + ".next"), config);
-        Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
+        // Replaced atomically: the process may be reading the previous configuration.
+        Path next = Files.writeString(configFile.resolveSibling(configFile.getFileName() + ".next"), config);
+        Files.move(next, configFile, StandardCopyOption.ATOMIC_MOVE);
         new ProcessBuilder("kill", "-HUP", "" + process.pid()).start();
     }
 
-    /** SIGSTOP or SIGCONT, on its way when this returns. */
-    void stands(boolean still) throws IOException {
-        new ProcessBuilder("kill", still ? "-STOP" : "-CONT", "" + process.pid()).start();
+    /** Sends SIGSTOP or SIGCONT; the signal may still be on its way on return. */
+    void setPaused(boolean paused) throws IOException {
+        new ProcessBuilder("kill", paused ? "-STOP" : "-CONT", "" + process.pid()).start();
     }
 
-    /** Waits for its end; false if it goes on all the same. */
-    boolean ended(long millis) throws InterruptedException {
-        return process.waitFor(millis, TimeUnit.MILLISECONDS);
+    /** Waits for the process to exit; false if it still runs after the timeout. */
+    boolean awaitExit(long timeoutMs) throws InterruptedException {
+        return process.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Asks whether it is ready; the version that it says, or null if it is not. */
-    String ready() {
-        try (Socket s = new Socket()) {
-            s.connect(address, ASK_MS);
-            s.setSoTimeout(ASK_MS);
-            s.getOutputStream()
+    /** Queries the readiness endpoint; returns the version in the response, or null if the process is not ready. */
+    String readyVersion() {
+        try (Socket socket = new Socket()) {
+            socket.connect(address, READY_TIMEOUT_MS);
+            socket.setSoTimeout(READY_TIMEOUT_MS);
+            socket.getOutputStream()
                     .write("GET /-/ready HTTP/1.1\r\nHost: kit\r\nConnection: close\r\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
-            String answer = new String(s.getInputStream().readNBytes(LONGEST_ANSWER), StandardCharsets.ISO_8859_1);
-            String[] lines = answer.split("\r\n");
+            String response =
+                    new String(socket.getInputStream().readNBytes(MAX_RESPONSE_BYTES), StandardCharsets.ISO_8859_1);
+            String[] lines = response.split("\r\n");
             String version = "none";
             for (String line : lines) {
                 if (line.toLowerCase(Locale.ROOT).startsWith(Version.HEADER + ":")) {
@@ -154,8 +155,8 @@
         }
     }
 
-    /** The last lines that it wrote, in one. */
-    String lastWords() {
+    /** The last three lines of its log, joined into one. */
+    String lastLogLines() {
         try {
             List<String> lines = Files.readAllLines(log, StandardCharsets.ISO_8859_1);
             return String.join(" | ", lines.subList(Math.max(0, lines.size() - 3), lines.size()));
@@ -164,7 +165,7 @@
         }
     }
 
-    /** From {@code /proc}; null where there is none, or it has ended. */
+    /** Reads {@code /proc}; null if that is not available or the process has exited. */
     Sample sample() {
         Path proc = Path.of("/proc", "" + process.pid());
         try {
@@ -184,7 +185,7 @@
         }
     }
 
-    /** What the platform would tell it, as JSON. */
+    /** The JSON configuration that the platform would give the process. */
     static String config(
             Scenario scenario,
             int number,
@@ -192,9 +193,9 @@
             InetSocketAddress listen,
             InetSocketAddress discovery,
             String known,
-            Peering peering)
+            FleetMembership peering)
             throws IOException {
-        Settings s = scenario.settings();
+        Settings settings = scenario.settings();
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = new JsonFactory().createGenerator(bytes)) {
             out.writeStartObject();
@@ -205,7 +206,7 @@
             out.writeObjectFieldStart("limits");
             out.writeNumberField("cores", 1.0);
             out.writeNumberField("memory_mb", MEMORY_MB);
-            out.writeNumberField("sockets", SOCKETS);
+            out.writeNumberField("sockets", DESCRIPTOR_LIMIT);
             out.writeEndObject();
             if (peering != null) {
                 out.writeStringField("peer_listen", NetUtil.toSocketAddressString(peering.listen()));
@@ -214,20 +215,21 @@
                     out.writeString(NetUtil.toSocketAddressString(peer));
                 }
                 out.writeEndArray();
-                out.writeStringField("fleet", peering.file().toAbsolutePath().toString());
+                out.writeStringField(
+                        "fleet", peering.fleetFile().toAbsolutePath().toString());
             }
             out.writeFieldName("known");
             out.writeRawValue(known);
             out.writeObjectFieldStart("settings");
-            names(out, "azs", scenario.zones());
-            names(
+            writeNames(out, "azs", scenario.zones());
+            writeNames(
                     out,
                     "kinds",
                     scenario.servers().stream().map(Scenario.Servers::name).toList());
-            out.writeNumberField("balancers", s.instances());
+            out.writeNumberField("balancers", settings.instances());
             out.writeNumberField("me", number);
-            out.writeStringField("membershipMode", s.subscribe() ? "subscribe" : "automatic");
-            out.writeNumberField("overShareWorth", s.overShareWorth());
+            out.writeStringField("membershipMode", settings.subscribe() ? "subscribe" : "automatic");
+            out.writeNumberField("overShareWorth", settings.overShareWorth());
             out.writeArrayFieldStart("customers");
             for (Scenario.Tenant t : scenario.tenants()) {
                 out.writeStartObject();
@@ -237,26 +239,26 @@
             }
             out.writeEndArray();
             out.writeArrayFieldStart("classes");
-            for (RequestClass c : s.classes()) {
-                requestClass(out, c);
+            for (RequestClass c : settings.classes()) {
+                writeRequestClass(out, c);
             }
             out.writeEndArray();
             out.writeObjectFieldStart("prices");
-            out.writeNumberField("probe", s.probePrice());
+            out.writeNumberField("probe", settings.probePrice());
             out.writeEndObject();
             out.writeObjectFieldStart("limits");
-            out.writeNumberField("maxAttempts", s.limits().maxAttempts());
-            out.writeBooleanField("mayCancel", s.limits().mayCancel());
-            out.writeBooleanField("mayProbe", s.limits().mayProbe());
-            out.writeBooleanField("retryAfter", s.limits().maxRetryAfterUs() > 0);
-            out.writeNumberField("maxRetryAfterUs", s.limits().maxRetryAfterUs());
-            out.writeNumberField("connIdleUs", s.limits().connIdleUs());
+            out.writeNumberField("maxAttempts", settings.limits().maxAttempts());
+            out.writeBooleanField("mayCancel", settings.limits().mayCancel());
+            out.writeBooleanField("mayProbe", settings.limits().mayProbe());
+            out.writeBooleanField("retryAfter", settings.limits().maxRetryAfterUs() > 0);
+            out.writeNumberField("maxRetryAfterUs", settings.limits().maxRetryAfterUs());
+            out.writeNumberField("connIdleUs", settings.limits().connIdleUs());
             out.writeNumberField("dialTimeoutUs", scenario.limits().dialTimeoutUs());
             out.writeEndObject();
             out.writeObjectFieldStart("contract");
-            out.writeNumberField("askWithinUs", s.contract().askWithinUs());
-            out.writeNumberField("coldFrom", s.contract().coldFrom());
-            out.writeNumberField("coldUs", s.contract().coldUs());
+            out.writeNumberField("askWithinUs", settings.contract().askWithinUs());
+            out.writeNumberField("coldFrom", settings.contract().coldFrom());
+            out.writeNumberField("coldUs", settings.contract().coldUs());
             out.writeEndObject();
             out.writeEndObject();
             out.writeEndObject();
@@ -264,7 +266,7 @@
         return bytes.toString(StandardCharsets.UTF_8);
     }
 
-    private static void names(JsonGenerator out, String field, List<String> names) throws IOException {
+    private static void writeNames(JsonGenerator out, String field, List<String> names) throws IOException {
         out.writeArrayFieldStart(field);
         for (String name : names) {
             out.writeString(name);
@@ -272,19 +274,19 @@
         out.writeEndArray();
     }
 
-    private static void requestClass(JsonGenerator out, RequestClass c) throws IOException {
+    private static void writeRequestClass(JsonGenerator out, RequestClass type) throws IOException {
         out.writeStartObject();
-        out.writeStringField("name", c.name());
-        out.writeStringField("effect", c.effect().name().toLowerCase(Locale.ROOT));
-        if (c.scope() != null) {
-            out.writeStringField("dedupScope", c.scope().name().toLowerCase(Locale.ROOT));
+        out.writeStringField("name", type.name());
+        out.writeStringField("effect", type.effect().name().toLowerCase(Locale.ROOT));
+        if (type.scope() != null) {
+            out.writeStringField("dedupScope", type.scope().name().toLowerCase(Locale.ROOT));
         }
-        out.writeNumberField("dedupWindowUs", c.dedupWindowUs());
-        out.writeNumberField("worth", c.worth());
-        out.writeNumberField("lateWorth", c.lateWorth());
-        out.writeNumberField("onTimeUs", c.targetLatencyUs());
-        out.writeNumberField("aimStretch", c.targetStretch());
-        out.writeNumberField("deadlineUs", c.deadlineUs());
+        out.writeNumberField("dedupWindowUs", type.dedupWindowUs());
+        out.writeNumberField("worth", type.worth());
+        out.writeNumberField("lateWorth", type.lateWorth());
+        out.writeNumberField("onTimeUs", type.targetLatencyUs());
+        out.writeNumberField("aimStretch", type.targetStretch());
+        out.writeNumberField("deadlineUs", type.deadlineUs());
         out.writeEndObject();
     }
 }
--- a/src/main/java/mulleinfront/kit/FleetTimeline.java
+++ b/src/main/java/mulleinfront/kit/FleetTimeline.java
@@ -18,78 +18,78 @@
 import mulleinfront.fleet.MemberState;
 
 /**
- * What was done to processes and between them, as the kit did it, and what they said, as their event logs have it, in
- * one order, for the judge that also judges virtual time. All clocks are this machine's.
+ * Merges the faults that the kit injected with the processes' event logs into one time order, and replays them to the
+ * fleet auditor that also checks simulated fleets. All timestamps come from this machine's clock.
  */
 final class FleetTimeline {
     private static final JsonFactory JSON = new JsonFactory();
-    /** Parts of the bound after which the judge looks. */
-    private static final int LOOKS = 4;
+    /** Number of times that the auditor checks the views within one convergence bound. */
+    private static final int CHECKS_PER_BOUND = 4;
 
-    /** Something at an instant, milliseconds since 1970; those of one instant stay in the order in which they came. */
-    private record Event(long atMs, Runnable what) {}
+    /** An event at a Unix time in milliseconds; events of one instant stay in insertion order. */
+    private record Event(long atMs, Runnable action) {}
 
     private final long boundUs;
     private final List<Event> events = new ArrayList<>();
-    private final List<DatagramFaults.DatagramFault> cuts = new ArrayList<>();
-    private final FleetAuditor judge;
+    private final List<DatagramFaults.DatagramFault> partitions = new ArrayList<>();
+    private final FleetAuditor auditor;
     private long changes;
-    private long now;
+    private long nowUs;
 
-    /** @param boundUs how long what is wrong may last */
+    /** @param boundUs how long a view may differ from the truth */
     FleetTimeline(int members, long boundUs) {
         this.boundUs = boundUs;
-        this.judge = new FleetAuditor(members, boundUs, new FleetAuditor.Links() {
+        this.auditor = new FleetAuditor(members, boundUs, new FleetAuditor.Links() {
             @Override
             public boolean pass(int from, int to) {
-                return cuts.stream()
+                return partitions.stream()
                         .noneMatch(c -> (c.from() == null || c.from().get(from)) && (c.to() == null || c.to().get(to)));
             }
 
             @Override
             public boolean whole() {
-                return cuts.isEmpty();
+                return partitions.isEmpty();
             }
         });
     }
 
-    private synchronized void add(long atMs, Runnable what) {
-        events.add(new Event(atMs, what));
+    private synchronized void add(long atMs, Runnable action) {
+        events.add(new Event(atMs, action));
     }
 
-    private void add(Runnable what) {
-        add(System.currentTimeMillis(), what);
+    private void add(Runnable action) {
+        add(System.currentTimeMillis(), action);
     }
 
-    /** A process has ended. */
-    void ended(int member) {
-        add(() -> judge.ended(member, now));
+    /** Records that a process exited. */
+    void exited(int member) {
+        add(() -> auditor.ended(member, nowUs));
     }
 
-    /** A process was told to end. */
-    void leaves(int member) {
-        add(() -> judge.leaves(member, now));
+    /** Records that a process was sent SIGTERM. */
+    void terminated(int member) {
+        add(() -> auditor.leaves(member, nowUs));
     }
 
-    /** A process stands still, or goes on. */
-    void stands(int member, boolean on) {
-        add(() -> judge.stands(member, on, now));
+    /** Records that a process was paused or resumed. */
+    void paused(int member, boolean isPaused) {
+        add(() -> auditor.stands(member, isPaused, nowUs));
     }
 
-    void cut(DatagramFaults.DatagramFault trouble, boolean on) {
-        if (trouble.cut()) {
+    void faultChanged(DatagramFaults.DatagramFault fault, boolean active) {
+        if (fault.cut()) {
             add(() -> {
-                if (on) {
-                    cuts.add(trouble);
+                if (active) {
+                    partitions.add(fault);
                 } else {
-                    cuts.remove(trouble);
+                    partitions.remove(fault);
                 }
-                judge.linksChanged(now);
+                auditor.linksChanged(nowUs);
             });
         }
     }
 
-    /** Reads what one member's processes said. */
+    /** Reads one member's event log; the log covers all its processes, one after the other. */
     void read(int member, Path log) throws IOException {
         if (!Files.exists(log)) {
             return;
@@ -98,11 +98,11 @@
             Map<String, String> fields = fields(line);
             long at = Long.parseLong(fields.getOrDefault("timestamp", "0"));
             switch (fields.getOrDefault("message", "")) {
-                case "began" -> add(at, () -> judge.began(member, now));
+                case "began" -> add(at, () -> auditor.began(member, nowUs));
                 case "changed" ->
                     add(at, () -> {
                         changes++;
-                        judge.changed(member, change(fields, now));
+                        auditor.changed(member, change(fields, nowUs));
                     });
                 default -> {}
             }
@@ -125,55 +125,56 @@
         return fields;
     }
 
-    private static Change change(Map<String, String> f, long now) {
+    private static Change change(Map<String, String> fields, long now) {
         return new Change(
-                Long.parseLong(f.get("number")),
+                Long.parseLong(fields.get("number")),
                 now,
-                Integer.parseInt(f.get("member")),
-                state(f.get("from")),
-                state(f.get("to")),
-                Long.parseLong(f.get("incarnation")),
-                "1".equals(f.get("reborn")),
-                Integer.parseInt(f.get("word")),
-                Change.Cause.valueOf(f.get("cause").toUpperCase(Locale.ROOT).replace('-', '_')),
-                Long.parseLong(f.get("digest")));
+                Integer.parseInt(fields.get("member")),
+                state(fields.get("from")),
+                state(fields.get("to")),
+                Long.parseLong(fields.get("incarnation")),
+                "1".equals(fields.get("reborn")),
+                Integer.parseInt(fields.get("word")),
+                Change.Cause.valueOf(
+                        fields.get("cause").toUpperCase(Locale.ROOT).replace('-', '_')),
+                Long.parseLong(fields.get("digest")));
     }
 
-    private static MemberState state(String word) {
-        return MemberState.valueOf(word.toUpperCase(Locale.ROOT));
+    private static MemberState state(String outputName) {
+        return MemberState.valueOf(outputName.toUpperCase(Locale.ROOT));
     }
 
-    /** Plays all of it to the judge, up to an instant. */
-    FleetAuditor judged(long untilMs) {
+    /** Replays all events up to an instant to the auditor, and returns the auditor. */
+    FleetAuditor audit(long untilMs) {
         List<Event> all;
         synchronized (this) {
             all = new ArrayList<>(events);
         }
         all.sort(Comparator.comparingLong(Event::atMs));
         long start = all.isEmpty() ? untilMs : all.get(0).atMs();
-        long lookUs = boundUs / LOOKS;
-        long nextLook = lookUs;
-        for (Event e : all) {
-            if (e.atMs() > untilMs) {
-                // All are told to end then, and what they say of that is no belief to be judged.
+        long checkIntervalUs = boundUs / CHECKS_PER_BOUND;
+        long nextCheckUs = checkIntervalUs;
+        for (Event event : all) {
+            if (event.atMs() > untilMs) {
+                // All processes are sent SIGTERM at that instant; what they log about the shutdown is not checked.
                 break;
             }
-            long at = (e.atMs() - start) * 1_000;
-            for (; nextLook < at; nextLook += lookUs) {
-                now = nextLook;
-                judge.look(now);
+            long at = (event.atMs() - start) * 1_000;
+            for (; nextCheckUs < at; nextCheckUs += checkIntervalUs) {
+                nowUs = nextCheckUs;
+                auditor.look(nowUs);
             }
-            now = at;
-            e.what().run();
+            nowUs = at;
+            event.action().run();
         }
-        for (; nextLook < (untilMs - start) * 1_000; nextLook += lookUs) {
-            now = nextLook;
-            judge.look(now);
+        for (; nextCheckUs < (untilMs - start) * 1_000; nextCheckUs += checkIntervalUs) {
+            nowUs = nextCheckUs;
+            auditor.look(nowUs);
         }
-        return judge;
+        return auditor;
     }
 
-    /** Changes that were read. */
+    /** Number of membership changes replayed. */
     long changes() {
         return changes;
     }
--- a/src/main/java/mulleinfront/kit/KitResult.java
+++ b/src/main/java/mulleinfront/kit/KitResult.java
@@ -4,28 +4,28 @@
 import mulleinfront.emulator.World;
 
 /**
- * How a rehearsal went.
+ * The result of a fault-injection test.
  *
- * @param sockets the day on real sockets, or null if it was not played
- * @param virtual the same scenario and seed on virtual time, or null
- * @param failures what a client proxy did that is no broken rule: it never got ready, ended by itself, would not end
- * @param quarters how the processes were, quarter by quarter of the run
- * @param lateMs how late the stand-ins did what was due: the median, all but one in a hundred, the worst, milliseconds
- * @param daemonVersion the version that the client proxies said
- * @param kitVersion this program's
+ * @param sockets the run on real sockets, or null if it did not take place
+ * @param virtual the run of the same scenario and seed on virtual time, or null
+ * @param failures failures of client proxies other than rule violations: never ready, exited by itself, did not exit
+ * @param quarters resource usage of the processes in each quarter of the run
+ * @param lateMs how late the stand-ins handled due events: median, 99th percentile and maximum, in milliseconds
+ * @param daemonVersion the version that the client proxies reported
+ * @param kitVersion the version of this program
  */
 public record KitResult(
         World.Result sockets,
         World.Result virtual,
         List<String> failures,
         List<Quarter> quarters,
-        double[] lateMs,
+        double[] latenessMs,
         String daemonVersion,
         String kitVersion) {
-    /** A stand-in this late at one time in a hundred says little of the daemon, milliseconds. */
-    static final double BUSY_P99_MS = 20;
+    /** If the stand-ins' 99th percentile lateness exceeds this, the run says little about the proxies, milliseconds. */
+    static final double MAX_P99_LATENESS_MS = 20;
 
-    /** The verdict, in the order in which it is looked for. */
+    /** The overall verdict. */
     public enum Verdict {
         WRONG_VERSION,
         FAILED,
@@ -34,15 +34,15 @@
         KEPT
     }
 
-    /** The most of each over all client proxies in a quarter of the run, and the CPU that one used on the average. */
-    public record Quarter(int descriptors, long residentKb, double cpuPart) {}
+    /** Maximum descriptors and memory over all client proxies in a quarter of the run, and the mean CPU use of one. */
+    public record Quarter(int descriptors, long residentKb, double cpuShare) {}
 
-    /** The same with the day on virtual time beside it. */
+    /** Adds the result of the run on virtual time. */
     public KitResult beside(World.Result virtualDay) {
-        return new KitResult(sockets, virtualDay, failures, quarters, lateMs, daemonVersion, kitVersion);
+        return new KitResult(sockets, virtualDay, failures, quarters, latenessMs, daemonVersion, kitVersion);
     }
 
-    /** What it comes to. A broken rule counts also on a busy machine only if that could not have made it. */
+    /** The first verdict that applies. On a machine that was too busy, rule violations do not count. */
     public Verdict verdict(boolean anyVersion) {
         if (!anyVersion && !daemonVersion.equals(kitVersion)) {
             return Verdict.WRONG_VERSION;
@@ -50,7 +50,7 @@
         if (!failures.isEmpty()) {
             return Verdict.FAILED;
         }
-        if (lateMs[1] > BUSY_P99_MS) {
+        if (latenessMs[1] > MAX_P99_LATENESS_MS) {
             return Verdict.TOO_BUSY;
         }
         return sockets.broken() > 0 ? Verdict.RULE_BROKEN : Verdict.KEPT;
--- a/src/main/java/mulleinfront/kit/Views.java
+++ b/src/main/java/mulleinfront/kit/MemberView.java
@@ -5,27 +5,27 @@
 import java.util.Arrays;
 import java.util.Map;
 
-/** What one member believes of the others, read from its event log while that grows. */
-final class Views {
+/** One member's local view of the fleet, read incrementally from its event log. */
+final class MemberView {
     private final TailedLog log;
     private final String[] states;
     private final long[] sinceMs;
 
-    Views(Path log, int members) {
-        this.log = new TailedLog(log, this::take);
+    MemberView(Path log, int members) {
+        this.log = new TailedLog(log, this::apply);
         this.states = new String[members];
         this.sinceMs = new long[members];
         Arrays.fill(states, "unknown");
     }
 
-    /** Takes up what it says by now. */
+    /** Processes the lines added to the log since the last call. */
     void catchUp() throws IOException {
         log.catchUp();
     }
 
-    private void take(Map<String, String> fields) {
+    private void apply(Map<String, String> fields) {
         switch (fields.getOrDefault("message", "")) {
-            // A process of this member begins: it knows nothing yet.
+            // A new process of this member starts with an empty view.
             case "began" -> Arrays.fill(states, "unknown");
             case "changed" -> {
                 int member = Integer.parseInt(fields.get("member"));
@@ -40,7 +40,7 @@
         return states[member];
     }
 
-    /** When it came to that, milliseconds since 1970. */
+    /** When the member's recorded state last changed, Unix time in milliseconds. */
     long sinceMs(int member) {
         return sinceMs[member];
     }
--- a/src/main/java/mulleinfront/kit/SideRelay.java
+++ b/src/main/java/mulleinfront/kit/PartitionRelay.java
@@ -27,59 +27,59 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * What stands between the members of a large fleet, and between them and the control machines: two sides that can be cut
- * from each other without a word, and counters of what passes. A cut connection is neither closed nor read, as on a
- * network that drops what crosses; when the cut heals it goes on.
+ * Relays the traffic between the members of a large fleet and between members and control-plane nodes, counts it, and
+ * can silently partition the two sides. During a partition a connection across it is neither closed nor read, as on a
+ * network that drops packets; it continues when the partition heals.
  */
-final class SideRelay {
+final class PartitionRelay {
     private static final int CONNECT_MS = 1_000;
 
     private final EventLoopGroup group;
-    private final ScalePlaces places;
+    private final ScaleAddressPlan addresses;
     private final int members;
     private final IntUnaryOperator sideOf;
-    private final Channel[][] ways;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private final Channel[][] routes;
+    private final Map<InetSocketAddress, Integer> memberByAddress = new HashMap<>();
     private final AtomicLongArray datagrams;
     private final AtomicLongArray datagramBytes;
-    private final AtomicLongArray machineBytes;
-    private final Queue<Link> links = new ConcurrentLinkedQueue<>();
+    private final AtomicLongArray nodeBytes;
+    private final Queue<RelayedConnection> links = new ConcurrentLinkedQueue<>();
     private final Queue<Channel> listeners = new ConcurrentLinkedQueue<>();
-    private volatile boolean cut;
+    private volatile boolean partitioned;
     private volatile boolean closed;
 
     /**
      * @param sideOf the side of each member, from 0
-     * @param machines control machines, for their counters
+     * @param machines number of control-plane nodes
      */
-    SideRelay(EventLoopGroup group, ScalePlaces places, int members, int machines, IntUnaryOperator sideOf) {
+    PartitionRelay(EventLoopGroup group, ScaleAddressPlan addresses, int members, int nodes, IntUnaryOperator sideOf) {
         this.group = group;
-        this.places = places;
+        this.addresses = addresses;
         this.members = members;
         this.sideOf = sideOf;
-        this.ways = new Channel[ScalePlaces.SIDES][members];
+        this.routes = new Channel[ScaleAddressPlan.SIDES][members];
         this.datagrams = new AtomicLongArray(members);
         this.datagramBytes = new AtomicLongArray(members);
-        this.machineBytes = new AtomicLongArray(Math.max(1, machines));
+        this.nodeBytes = new AtomicLongArray(Math.max(1, nodes));
     }
 
-    /** Listens for datagrams on all addresses; not to be called on an event loop. */
+    /** Listens for datagrams on all addresses; blocks, so it must not be called on an event loop. */
     void open() throws IOException, InterruptedException {
         for (int m = 0; m < members; m++) {
-            numbers.put(places.peer(m), m);
+            memberByAddress.put(addresses.peer(m), m);
         }
-        for (int side = 0; side < ScalePlaces.SIDES; side++) {
+        for (int side = 0; side < ScaleAddressPlan.SIDES; side++) {
             for (int m = 0; m < members; m++) {
-                ways[side][m] = done(new Bootstrap()
+                routes[side][m] = awaitBound(new Bootstrap()
                         .group(group)
                         .channel(NioDatagramChannel.class)
-                        .handler(new Way(side, m))
-                        .bind(places.peerFrom(side, m)));
+                        .handler(new Route(side, m))
+                        .bind(addresses.peerFrom(side, m)));
             }
         }
     }
 
-    private Channel done(ChannelFuture bound) throws IOException, InterruptedException {
+    private Channel awaitBound(ChannelFuture bound) throws IOException, InterruptedException {
         if (!bound.await().isSuccess()) {
             throw new IOException(
                     "can't listen between members: " + bound.cause().getMessage());
@@ -88,13 +88,13 @@
     }
 
     /**
-     * Stands between those of a side and somebody of another or of the same.
+     * Relays connections from one side to an address on the other side or the same.
      *
-     * @param machine whose counter counts what goes to and from it; below 0: nobody's
+     * @param machine the control-plane node to count the bytes for; negative to count none
      */
-    void between(int fromSide, InetSocketAddress at, int toSide, InetSocketAddress to, int machine)
+    void relay(int fromSide, InetSocketAddress listen, int toSide, InetSocketAddress target, int node)
             throws IOException, InterruptedException {
-        listeners.add(done(new ServerBootstrap()
+        listeners.add(awaitBound(new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, members)
@@ -102,160 +102,161 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
-                        new Link(ch, fromSide != toSide, to, machine).open();
+                        new RelayedConnection(ch, fromSide != toSide, target, node).open();
                     }
                 })
-                .bind(at)));
+                .bind(listen)));
     }
 
-    /** From now on nothing crosses from one side to the other, or it does again. */
-    void cut(boolean on) {
-        cut = on;
-        links.forEach(l -> l.near.eventLoop().execute(l::read));
+    /** Starts or heals the network partition. */
+    void partitioned(boolean on) {
+        partitioned = on;
+        links.forEach(l -> l.accepted.eventLoop().execute(l::updateReading));
     }
 
     void close() {
         closed = true;
-        for (Channel[] side : ways) {
-            for (Channel way : side) {
-                if (way != null) {
-                    way.close();
+        for (Channel[] side : routes) {
+            for (Channel route : side) {
+                if (route != null) {
+                    route.close();
                 }
             }
         }
         listeners.forEach(Channel::close);
-        links.forEach(l -> l.near.close());
+        links.forEach(l -> l.accepted.close());
     }
 
-    /** Datagrams that all members have sent. */
+    /** Number of datagrams that all members have sent. */
     long datagrams() {
         return sum(datagrams);
     }
 
-    /** Bytes of them, their headers not counted. */
+    /** Payload bytes of the datagrams that all members have sent. */
     long datagramBytes() {
         return sum(datagramBytes);
     }
 
-    /** The most that one member has sent, bytes. */
-    long mostDatagramBytes() {
-        long most = 0;
+    /** The largest number of payload bytes that one member has sent. */
+    long maxDatagramBytes() {
+        long max = 0;
         for (int i = 0; i < members; i++) {
-            most = Math.max(most, datagramBytes.get(i));
+            max = Math.max(max, datagramBytes.get(i));
         }
-        return most;
+        return max;
     }
 
-    /** Bytes to and from a control machine by client proxies. */
-    long machineBytes(int machine) {
-        return machineBytes.get(machine);
+    /** Bytes between client proxies and a control-plane node, both directions. */
+    long nodeBytes(int node) {
+        return nodeBytes.get(node);
     }
 
     private static long sum(AtomicLongArray counters) {
-        long all = 0;
+        long total = 0;
         for (int i = 0; i < counters.length(); i++) {
-            all += counters.get(i);
+            total += counters.get(i);
         }
-        return all;
+        return total;
     }
 
-    /** The address under which those of one side know a member. */
-    private final class Way extends SimpleChannelInboundHandler<DatagramPacket> {
+    /** Receives the datagrams from one side to a member. */
+    private final class Route extends SimpleChannelInboundHandler<DatagramPacket> {
         private final int side;
         private final int to;
 
-        Way(int side, int to) {
+        Route(int side, int to) {
             this.side = side;
             this.to = to;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket in) {
-            Integer from = numbers.get(in.sender());
+            Integer from = memberByAddress.get(in.sender());
             if (from == null || sideOf.applyAsInt(from) != side) {
                 return;
             }
             datagrams.incrementAndGet(from);
             datagramBytes.addAndGet(from, in.content().readableBytes());
-            int there = sideOf.applyAsInt(to);
-            if (!closed && !(cut && there != side)) {
-                ways[there][from].writeAndFlush(new DatagramPacket(in.content().retain(), places.peer(to)));
+            int targetSide = sideOf.applyAsInt(to);
+            if (!closed && !(partitioned && targetSide != side)) {
+                routes[targetSide][from].writeAndFlush(
+                        new DatagramPacket(in.content().retain(), addresses.peer(to)));
             }
         }
 
-        /** A process that is not there: the system may say so, and nobody is to hear of it. */
+        /** Ignores ICMP errors, which the system reports when the receiving process does not run. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
     }
 
-    /** One connection and its other half. */
-    private final class Link {
-        private final Channel near;
+    /** An accepted connection and the connection to the target. */
+    private final class RelayedConnection {
+        private final Channel accepted;
         private final boolean crosses;
-        private final InetSocketAddress to;
-        private final int machine;
-        private Channel far;
+        private final InetSocketAddress target;
+        private final int node;
+        private Channel onward;
 
-        Link(Channel near, boolean crosses, InetSocketAddress to, int machine) {
-            this.near = near;
+        RelayedConnection(Channel accepted, boolean crosses, InetSocketAddress target, int node) {
+            this.accepted = accepted;
             this.crosses = crosses;
-            this.to = to;
-            this.machine = machine;
+            this.target = target;
+            this.node = node;
         }
 
-        /** Connects on as soon as it may. */
+        /** Connects to the target unless the partition is between them; then {@link #read} does so when it heals. */
         void open() {
             links.add(this);
-            near.closeFuture().addListener(f -> links.remove(this));
-            near.pipeline().addLast(new Half());
-            if (!(cut && crosses)) {
+            accepted.closeFuture().addListener(f -> links.remove(this));
+            accepted.pipeline().addLast(new ForwardingHandler());
+            if (!(partitioned && crosses)) {
                 connect();
             }
         }
 
         private void connect() {
             ChannelFuture connecting = new Bootstrap()
-                    .group(near.eventLoop())
+                    .group(accepted.eventLoop())
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.AUTO_READ, false)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                    .handler(new Half())
-                    .connect(to);
-            far = connecting.channel();
+                    .handler(new ForwardingHandler())
+                    .connect(target);
+            onward = connecting.channel();
             connecting.addListener((ChannelFutureListener) f -> {
-                if (f.isSuccess() && near.isActive()) {
-                    read();
+                if (f.isSuccess() && accepted.isActive()) {
+                    updateReading();
                 } else {
                     f.channel().close();
-                    near.close();
+                    accepted.close();
                 }
             });
         }
 
-        /** Goes on or stands still, as the cut has it. */
-        void read() {
-            boolean flows = !(cut && crosses);
-            if (far == null) {
-                if (flows && near.isActive()) {
+        /** Resumes or stops reading, depending on the partition. */
+        void updateReading() {
+            boolean flows = !(partitioned && crosses);
+            if (onward == null) {
+                if (flows && accepted.isActive()) {
                     connect();
                 }
                 return;
             }
-            near.config().setAutoRead(flows && far.isActive());
-            far.config().setAutoRead(flows);
+            accepted.config().setAutoRead(flows && onward.isActive());
+            onward.config().setAutoRead(flows);
         }
 
-        /** Hands on what one half reads; the end of one is the end of the other. */
-        private final class Half extends ChannelInboundHandlerAdapter {
+        /** Forwards bytes to the other connection, and closes it when this one closes. */
+        private final class ForwardingHandler extends ChannelInboundHandlerAdapter {
             private Channel other(ChannelHandlerContext ctx) {
-                return ctx.channel() == near ? far : near;
+                return ctx.channel() == accepted ? onward : accepted;
             }
 
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
                 ByteBuf bytes = (ByteBuf) message;
-                if (machine >= 0) {
-                    machineBytes.addAndGet(machine, bytes.readableBytes());
+                if (node >= 0) {
+                    nodeBytes.addAndGet(node, bytes.readableBytes());
                 }
                 other(ctx).writeAndFlush(bytes);
             }
@@ -263,7 +264,7 @@
             @Override
             public void channelWritabilityChanged(ChannelHandlerContext ctx) {
                 Channel other = other(ctx);
-                if (other != null && !(cut && crosses)) {
+                if (other != null && !(partitioned && crosses)) {
                     other.config().setAutoRead(ctx.channel().isWritable());
                 }
             }
@@ -271,7 +272,7 @@
             @Override
             public void channelInactive(ChannelHandlerContext ctx) {
                 Channel other = other(ctx);
-                // The end of one side is not heard across a cut, until it heals.
+                // Autoread is off during a partition, so a close by the peer is noticed only when it heals.
                 if (other != null) {
                     other.close();
                 }
--- a/src/main/java/mulleinfront/kit/PeerRelay.java
+++ b/src/main/java/mulleinfront/kit/PeerRelay.java
@@ -17,50 +17,50 @@
 import mulleinfront.settings.Range;
 
 /**
- * What stands between client proxies that run as processes: each knows each other under an address of its own, where
- * this relay listens. What comes to the address under which A knows B goes on to B, from the address under which B knows
- * A, or does not, by what is on for that way. A datagram from anywhere else is dropped, as a network would.
+ * Relays datagrams between client proxies that run as processes and applies the scenario's network faults. Each ordered
+ * pair of proxies has an address where this relay listens. A datagram that A sends to its address for B is forwarded to
+ * B from B's address for A, subject to the faults active on that route. A datagram from any other sender is dropped.
  */
 final class PeerRelay implements PeerFaults {
-    /** Told of cuts that begin and end, for the judge. */
+    /** Notified when a datagram fault begins or ends. */
     interface Listener {
-        void cut(DatagramFaults.DatagramFault trouble, boolean on);
+        void faultChanged(DatagramFaults.DatagramFault fault, boolean active);
     }
 
     private final EventLoop loop;
-    private final Places places;
-    private final Channel[][] ways;
-    private Channel nobody;
-    private final DatagramFaults troubles;
+    private final AddressPlan addresses;
+    private final Channel[][] routes;
+    private Channel unknownSender;
+    private final DatagramFaults faults;
     private final Listener listener;
     private boolean closed;
 
-    PeerRelay(EventLoop loop, Places places, int peers, DatagramFaults troubles, Listener listener) {
+    PeerRelay(EventLoop loop, AddressPlan addresses, int peers, DatagramFaults faults, Listener listener) {
         this.loop = loop;
-        this.places = places;
-        this.ways = new Channel[peers][peers];
-        this.troubles = troubles;
+        this.addresses = addresses;
+        this.routes = new Channel[peers][peers];
+        this.faults = faults;
         this.listener = listener;
     }
 
-    /** Listens on all addresses; not to be called on the event loop. */
+    /** Listens on all addresses; blocks, so it must not be called on the event loop. */
     void open() throws IOException, InterruptedException {
-        for (int a = 0; a < ways.length; a++) {
-            for (int b = 0; b < ways.length; b++) {
-                if (a != b) {
-                    ways[a][b] = bind(places.peer(a, b), new Way(a, b));
+        for (int from = 0; from < routes.length; from++) {
+            for (int to = 0; to < routes.length; to++) {
+                if (from != to) {
+                    routes[from][to] = bind(addresses.peer(from, to), new Route(from, to));
                 }
             }
         }
-        nobody = bind(new InetSocketAddress(places.peer(0, 0).getAddress(), 0), new Way(-1, -1));
+        unknownSender = bind(new InetSocketAddress(addresses.peer(0, 0).getAddress(), 0), new Route(-1, -1));
     }
 
-    private Channel bind(InetSocketAddress at, Way way) throws IOException, InterruptedException {
+    private Channel bind(InetSocketAddress address, Route handler) throws IOException, InterruptedException {
         var bound = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
-                .handler(way)
-                .bind(at)
+                .handler(handler)
+                .bind(address)
                 .await();
         if (!bound.isSuccess()) {
             throw new IOException(
@@ -71,36 +71,36 @@
 
     void close() {
         closed = true;
-        for (Channel[] from : ways) {
-            for (Channel way : from) {
-                if (way != null) {
-                    way.close();
+        for (Channel[] from : routes) {
+            for (Channel route : from) {
+                if (route != null) {
+                    route.close();
                 }
             }
         }
-        if (nobody != null) {
-            nobody.close();
+        if (unknownSender != null) {
+            unknownSender.close();
         }
     }
 
-    /** The address under which one knows another. */
-    private final class Way extends SimpleChannelInboundHandler<DatagramPacket> {
+    /** Receives the datagrams from one proxy to another. */
+    private final class Route extends SimpleChannelInboundHandler<DatagramPacket> {
         private final int from;
         private final int to;
 
-        Way(int from, int to) {
+        Route(int from, int to) {
             this.from = from;
             this.to = to;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket in) {
-            if (from < 0 || !in.sender().equals(places.peerListen(from))) {
+            if (from < 0 || !in.sender().equals(addresses.peerListen(from))) {
                 return;
             }
             byte[] bytes = new byte[in.content().readableBytes()];
             in.content().readBytes(bytes);
-            for (DatagramFaults.Copy copy : troubles.deliver(from, to, bytes, bytes.length)) {
+            for (DatagramFaults.Copy copy : faults.deliver(from, to, bytes, bytes.length)) {
                 if (copy.lateUs() == 0) {
                     deliver(from, to, copy.bytes());
                 } else {
@@ -110,40 +110,40 @@
             }
         }
 
-        /** A process that is not there: the system may say so, and nobody is to hear of it. */
+        /** Ignores ICMP errors, which the system reports when the receiving process does not run. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
     }
 
     private void deliver(int from, int to, byte[] bytes) {
         if (!closed) {
-            ways[to][from].writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), places.peerListen(to)));
+            routes[to][from].writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), addresses.peerListen(to)));
         }
     }
 
     @Override
     public End beginFault(
             BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late) {
-        DatagramFaults.DatagramFault t =
+        DatagramFaults.DatagramFault fault =
                 new DatagramFaults.DatagramFault(from, to, lose, twice, overtaken, change, late);
-        troubles.begin(t);
-        listener.cut(t, true);
+        faults.begin(fault);
+        listener.faultChanged(fault, true);
         return () -> {
-            troubles.end(t);
-            listener.cut(t, false);
+            faults.end(fault);
+            listener.faultChanged(fault, false);
         };
     }
 
     @Override
     public void repeat(long rememberUs, double perSecond, long us) {
-        troubles.remember(true);
+        faults.remember(true);
         loop.schedule(
                 () -> {
-                    troubles.remember(false);
-                    every(perSecond, us, () -> {
-                        DatagramFaults.Past p = troubles.past();
-                        if (p != null) {
-                            deliver(p.from(), p.to(), p.bytes());
+                    faults.remember(false);
+                    scheduleRepeatedly(perSecond, us, () -> {
+                        DatagramFaults.Past past = faults.past();
+                        if (past != null) {
+                            deliver(past.from(), past.to(), past.bytes());
                         }
                     });
                 },
@@ -153,30 +153,30 @@
 
     @Override
     public void strangers(double perSecond, long us) {
-        every(
+        scheduleRepeatedly(
                 perSecond,
                 us,
-                () -> nobody.writeAndFlush(new DatagramPacket(
-                        Unpooled.wrappedBuffer(troubles.randomBytes()),
-                        places.peerListen(troubles.anybody(ways.length)))));
+                () -> unknownSender.writeAndFlush(new DatagramPacket(
+                        Unpooled.wrappedBuffer(faults.randomBytes()),
+                        addresses.peerListen(faults.anybody(routes.length)))));
     }
 
-    private void every(double perSecond, long us, Runnable what) {
+    private void scheduleRepeatedly(double perSecond, long durationUs, Runnable action) {
         var task = loop.scheduleAtFixedRate(
                 () -> {
                     if (!closed) {
-                        what.run();
+                        action.run();
                     }
                 },
                 0,
                 (long) Math.max(1, 1e6 / perSecond),
                 TimeUnit.MICROSECONDS);
-        loop.schedule(() -> task.cancel(false), us, TimeUnit.MICROSECONDS);
+        loop.schedule(() -> task.cancel(false), durationUs, TimeUnit.MICROSECONDS);
     }
 
-    /** Nobody may set a clock here. */
+    /** Not supported: the kit can't set the clock of one process. */
     @Override
     public void clockJumps(int number, long ms) {
-        throw new UnsupportedOperationException("the clock of a process can't be made to jump");
+        throw new UnsupportedOperationException("the kit can't change the clock of a process");
     }
 }
--- a/src/main/java/mulleinfront/kit/RealRun.java
+++ b/src/main/java/mulleinfront/kit/RealRun.java
@@ -32,23 +32,23 @@
 import mulleinfront.settings.Range;
 import mulleinfront.settings.Version;
 
-/** One scenario on real sockets against client proxies that run as processes. Played once. */
+/** Runs one scenario on real sockets against client proxies that run as processes. An instance runs once. */
 public final class RealRun implements HybridSimulation.ExternalProxies {
-    /** Protocol: each time limit is 50 ms longer on sockets. */
-    private static final long SLACK_US = 50_000;
-    /** What the judge of the fleet grants for processes that wait for a core, microseconds. */
-    private static final long JUDGE_SLACK_US = 2_000_000;
+    /** Added to each time limit on sockets, as the protocol states. */
+    private static final long SOCKET_SLACK_US = 50_000;
+    /** Added to the convergence bound for processes that wait for a CPU core, microseconds. */
+    private static final long CONVERGENCE_SLACK_US = 2_000_000;
 
-    private static final long READY_MS = 60_000;
+    private static final long READY_TIMEOUT_MS = 60_000;
     private static final long READY_POLL_MS = 20;
-    private static final long END_MS = 10_000;
-    /** Growth of descriptors from quarter to quarter, in all of the first three, that is a leak. */
-    private static final double LEAK = 1.15;
+    private static final long EXIT_TIMEOUT_MS = 10_000;
+    /** Growth factor of descriptors per quarter that counts as a leak if the first three quarters all show it. */
+    private static final double LEAK_GROWTH = 1.15;
 
-    private static final int LEAK_LEAST = 16;
-    private static final long SAMPLE_MS = 250;
+    private static final int LEAK_MIN_DESCRIPTORS = 16;
+    private static final long SAMPLE_INTERVAL_MS = 250;
     private static final int QUARTERS = 4;
-    /** Memory that one client proxy may come to need. */
+    /** Memory that one client proxy may need. */
     private static final long PROXY_KB = 192 * 1024;
 
     private final Scenario scenario;
@@ -58,46 +58,49 @@
     private final Path folder;
     private final Consumer<String> progress;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final HybridSimulation stage;
-    private final WorldClock clock;
-    private final Places places;
+    private final HybridSimulation simulation;
+    private final SimulationClock clock;
+    private final AddressPlan addresses;
     private final StandInServers servers;
     private final StandInDiscovery discovery;
     private final ClientDriver clients;
-    /** What stands between client proxies, and what was done and said there; null where they do not know each other. */
+    /**
+     * Relays datagrams between client proxies; null if the scenario has no fleet, as are the timeline and the fleet
+     * file.
+     */
     private final PeerRelay relay;
 
     private final FleetTimeline timeline;
     private final Path fleetFile;
-    /** The present process of each client proxy; set on the event loop, or before that runs. */
+    /** The current process of each client proxy; set on the event loop. */
     private final DaemonProcess[] daemons;
-    /** Whether clients send to it; on the event loop. */
-    private final boolean[] up;
-    /** Whether it is ending and takes no new connections, while those that are open are used on; on the event loop. */
+    /** Whether clients send to a proxy; on the event loop. */
+    private final boolean[] accepting;
+    /** Whether a proxy is shutting down, so that clients use open connections only; on the event loop. */
     private final boolean[] openOnly;
-    /** Whether its discovery is at the second address; on the event loop. */
-    private final boolean[] moved;
-    /** How long one that was killed stays away; on the event loop. */
-    private final long[] away;
+    /** Whether a proxy's discovery is at the second address; on the event loop. */
+    private final boolean[] discoveryMoved;
+    /** Delay before a killed proxy is started again, microseconds; on the event loop. */
+    private final long[] restartDelayUs;
 
     private final List<String> failures = Collections.synchronizedList(new ArrayList<>());
     private final List<List<DaemonProcess.Sample>> samples = new ArrayList<>();
     private volatile boolean interrupted;
-    /** When what follows is no longer judged, milliseconds since 1970. */
-    private volatile long endedAtMs;
+    /** Unix time in milliseconds after which fleet events are no longer checked. */
+    private volatile long auditUntilMs;
 
-    private boolean playing;
+    private boolean running;
     private volatile boolean ending;
-    private long readyMs = READY_MS;
-    private long endMs = END_MS;
+    private long readyTimeoutMs = READY_TIMEOUT_MS;
+    private long exitTimeoutMs = EXIT_TIMEOUT_MS;
     private boolean anyVersion;
 
     /**
-     * @param command starts one client proxy, by {@code /bin/sh -c} from {@code root}; its last word should be an
-     *        {@code exec}, or signals reach the shell
+     * @param command shell command that starts one client proxy, run by {@code /bin/sh -c} in {@code root}; it should
+     *        {@code exec} the proxy, or signals reach the shell instead
      * @param folder for configurations and logs
-     * @param progress told of each step in a line
-     * @throws BadFileException if the scenario needs more than this machine has
+     * @param progress called with a line for each step
+     * @throws BadFileException if the scenario needs more than this machine has or the kit supports
      */
     public RealRun(Scenario scenario, long seed, String command, Path root, Path folder, Consumer<String> progress)
             throws BadFileException, IOException {
@@ -107,19 +110,19 @@
         this.root = root;
         this.folder = folder;
         this.progress = progress;
-        checkRoom(scenario);
+        checkResources(scenario);
         Files.createDirectories(folder);
-        this.places = new Places();
+        this.addresses = new AddressPlan();
         this.daemons = new DaemonProcess[scenario.proxies().count()];
-        this.up = new boolean[daemons.length];
+        this.accepting = new boolean[daemons.length];
         this.openOnly = new boolean[daemons.length];
-        this.away = new long[daemons.length];
-        this.moved = new boolean[daemons.length];
-        this.stage = new HybridSimulation(scenario, seed, SLACK_US, this);
-        this.clock = new WorldClock(group.next(), stage);
-        this.servers = new StandInServers(clock, stage, places, daemons.length);
-        this.discovery = new StandInDiscovery(clock, stage, places, scenario);
-        this.clients = new ClientDriver(clock, stage, places, scenario);
+        this.restartDelayUs = new long[daemons.length];
+        this.discoveryMoved = new boolean[daemons.length];
+        this.simulation = new HybridSimulation(scenario, seed, SOCKET_SLACK_US, this);
+        this.clock = new SimulationClock(group.next(), simulation);
+        this.servers = new StandInServers(clock, simulation, addresses, daemons.length);
+        this.discovery = new StandInDiscovery(clock, simulation, addresses, scenario);
+        this.clients = new ClientDriver(clock, simulation, addresses, scenario);
         if (scenario.peers() == null) {
             relay = null;
             timeline = null;
@@ -134,10 +137,10 @@
                                     period,
                                     scenario.peers().goneUs())
                             .convergenceBoundUs(daemons.length)
-                    + JUDGE_SLACK_US;
+                    + CONVERGENCE_SLACK_US;
             this.timeline = new FleetTimeline(daemons.length, bound);
-            DatagramFaults troubles = new DatagramFaults(Chance.of(seed, "datagrams"));
-            this.relay = new PeerRelay(group.next(), places, daemons.length, troubles, timeline::cut);
+            DatagramFaults faults = new DatagramFaults(Chance.of(seed, "datagrams"));
+            this.relay = new PeerRelay(group.next(), addresses, daemons.length, faults, timeline::faultChanged);
             this.fleetFile = Files.writeString(
                     folder.resolve("fleet.toml"),
                     String.format(
@@ -153,13 +156,13 @@
         }
     }
 
-    private static void checkRoom(Scenario scenario) throws BadFileException {
+    private static void checkResources(Scenario scenario) throws BadFileException {
         int proxies = scenario.proxies().count();
         long availableKb = availableKb();
-        if (proxies > Places.MOST_PROXIES) {
-            throw new BadFileException(
-                    scenario.name() + ": needs " + proxies + " client proxies as processes, and a run"
-                            + " on sockets has " + Places.MOST_PROXIES + " at most; emulate plays it on virtual time");
+        if (proxies > AddressPlan.MAX_PROXIES) {
+            throw new BadFileException(scenario.name() + ": needs " + proxies
+                    + " client proxies as processes, and a run" + " on sockets has " + AddressPlan.MAX_PROXIES
+                    + " at most; emulate plays it on virtual time");
         }
         if (proxies * PROXY_KB > availableKb) {
             throw new BadFileException(scenario.name() + ": needs " + proxies * PROXY_KB / 1024 + " MB for " + proxies
@@ -172,9 +175,9 @@
         if (scenario.peers() != null && scenario.peers().plain()) {
             throw new BadFileException(scenario.name() + ": peers.detector: processes have the full one alone");
         }
-        if (scenario.fleet() * proxies > Places.MOST_SERVERS / 4) {
+        if (scenario.fleet() * proxies > AddressPlan.MAX_SERVERS / 4) {
             throw new BadFileException(scenario.name() + ": needs " + scenario.fleet() * proxies + " listeners, an"
-                    + " address of each server for each client proxy; " + Places.MOST_SERVERS / 4 + " at most");
+                    + " address of each server for each client proxy; " + AddressPlan.MAX_SERVERS / 4 + " at most");
         }
     }
 
@@ -182,7 +185,7 @@
         return memoryKb("MemAvailable:");
     }
 
-    /** A figure of this machine's memory, kilobytes; the largest there is where it is not told. */
+    /** A field of {@code /proc/meminfo}, kilobytes; the largest long if it is not available. */
     static long memoryKb(String field) {
         try {
             for (String line : Files.readAllLines(Path.of("/proc/meminfo"))) {
@@ -191,42 +194,42 @@
                 }
             }
         } catch (IOException e) {
-            // Not told: then it is not bounded here.
+            // Not available on this system: memory is not limited here.
         }
         return Long.MAX_VALUE;
     }
 
-    /** Plays it to its end, or until {@link #interrupt}; no process is left when it returns. */
+    /** Runs the scenario to its end, or until {@link #interrupt}. All started processes are ended before it returns. */
     public KitResult play() throws IOException, InterruptedException {
         String version = Version.OWN;
         World.Result result = null;
         try {
-            version = begin();
+            version = startAll();
             if (failures.isEmpty() && (anyVersion || version.equals(Version.OWN))) {
                 onLoop(() -> {
-                    playing = true;
-                    Arrays.fill(up, true);
+                    running = true;
+                    Arrays.fill(accepting, true);
                     clock.start();
                     return null;
                 });
-                watch();
-                endedAtMs = System.currentTimeMillis();
+                monitor();
+                auditUntilMs = System.currentTimeMillis();
                 result = onLoop(() -> {
-                    World.Result r = stage.finish();
+                    World.Result r = simulation.finish();
                     clock.stop();
                     ending = true;
                     return r;
                 });
-                RuntimeException defect = onLoop(clock::defect);
+                RuntimeException defect = onLoop(clock::unexpectedException);
                 if (defect != null) {
                     failures.add("the kit: " + defect + " at " + defect.getStackTrace()[0]);
                 }
-                if (servers.broken() != null) {
-                    failures.add("the kit: " + servers.broken().getMessage());
+                if (servers.bindFailure() != null) {
+                    failures.add("the kit: " + servers.bindFailure().getMessage());
                 }
             }
         } finally {
-            endAll(onLoop(() -> {
+            terminateAll(onLoop(() -> {
                 clock.stop();
                 ending = true;
                 return Arrays.stream(daemons).filter(Objects::nonNull).toList();
@@ -242,45 +245,46 @@
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         }
         if (result != null && timeline != null) {
-            result = result.withFleet(judged());
+            result = result.withFleet(auditFleet());
         }
         List<KitResult.Quarter> quarters = quarters();
-        leaks(quarters);
+        checkLeaks(quarters);
         return new KitResult(
                 result,
                 null,
                 List.copyOf(failures),
                 quarters,
-                new double[] {clock.lateMs(50), clock.lateMs(99), clock.lateMs(100)},
+                new double[] {clock.latenessMs(50), clock.latenessMs(99), clock.latenessMs(100)},
                 version,
                 Version.OWN);
     }
 
-    private FleetReport judged() throws IOException {
+    private FleetReport auditFleet() throws IOException {
         for (int i = 0; i < daemons.length; i++) {
             timeline.read(i, folder.resolve("fleet-n" + i + ".json"));
         }
-        FleetAuditor judge = timeline.judged(endedAtMs);
+        FleetAuditor auditor = timeline.audit(auditUntilMs);
         if (timeline.changes() == 0) {
             failures.add("client proxies kept no event log: is the command that starts them one that knows fleets?");
         }
-        return new FleetReport(judge.breaches(), judge.breachCount(), null, daemons.length, stage.endsAt(), true);
+        return new FleetReport(
+                auditor.breaches(), auditor.breachCount(), null, daemons.length, simulation.endsAt(), true);
     }
 
-    /** Other bounds of the waits for a client proxy to be ready, and to end. */
-    RealRun patience(long forReadyMs, long forEndMs) {
-        readyMs = forReadyMs;
-        endMs = forEndMs;
+    /** Sets the timeouts for a client proxy to become ready and to exit. */
+    RealRun withTimeouts(long readyMs, long exitMs) {
+        readyTimeoutMs = readyMs;
+        exitTimeoutMs = exitMs;
         return this;
     }
 
-    /** Plays against client proxies of any version. */
+    /** Accepts client proxies of any version. */
     public RealRun anyVersion() {
         anyVersion = true;
         return this;
     }
 
-    /** Ends it early; what was seen until then is reported. */
+    /** Ends the run early; the result covers the time until then. */
     public void interrupt() {
         interrupted = true;
     }
@@ -293,16 +297,16 @@
         }
     }
 
-    /** Starts all and waits until they are ready; gives their version. */
-    private String begin() throws IOException, InterruptedException {
+    /** Starts the stand-ins and all client proxies, waits until the proxies are ready, and returns their version. */
+    private String startAll() throws IOException, InterruptedException {
         if (relay != null) {
             relay.open();
         }
         List<ChannelFuture> bound = new ArrayList<>();
         onLoop(() -> {
             for (int i = 0; i < daemons.length; i++) {
-                bound.add(discovery.listen(i, places.discovery(i)));
-                bound.add(discovery.listen(i, places.secondDiscovery(i)));
+                bound.add(discovery.listen(i, addresses.discovery(i)));
+                bound.add(discovery.listen(i, addresses.secondDiscovery(i)));
             }
             for (int a = 0; a < scenario.fleet(); a++) {
                 servers.changed(a);
@@ -317,18 +321,19 @@
         for (int i = 0; i < daemons.length; i++) {
             int number = i;
             onLoop(() -> {
-                launch(number, stage.begin(number));
+                launch(number, simulation.begin(number));
                 return null;
             });
         }
         progress.accept("waiting for " + daemons.length + " client proxies");
         String version = Version.OWN;
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(readyMs);
-        for (DaemonProcess d : daemons) {
-            String said = awaitReady(d, () -> System.nanoTime() < until && !interrupted);
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(readyTimeoutMs);
+        for (DaemonProcess daemon : daemons) {
+            String said = awaitReady(daemon, () -> System.nanoTime() < until && !interrupted);
             if (said == null) {
-                failures.add("client proxy " + d.number() + " never got ready" + (d.alive() ? "" : ": it ended")
-                        + (d.lastWords().isEmpty() ? "" : ": " + d.lastWords()));
+                failures.add(
+                        "client proxy " + daemon.number() + " never got ready" + (daemon.alive() ? "" : ": it ended")
+                                + (daemon.lastLogLines().isEmpty() ? "" : ": " + daemon.lastLogLines()));
                 return version;
             }
             version = said.equals(Version.OWN) ? version : said;
@@ -336,30 +341,30 @@
         return version;
     }
 
-    /** Asks one until it is ready; the version that it says, or null if it ended before or there is no time left. */
-    private static String awaitReady(DaemonProcess d, BooleanSupplier timeLeft) throws InterruptedException {
-        String said = d.ready();
-        while (said == null && d.alive() && timeLeft.getAsBoolean()) {
+    /** Polls a proxy until it is ready; returns its version, or null if it exited or no time is left. */
+    private static String awaitReady(DaemonProcess daemon, BooleanSupplier timeLeft) throws InterruptedException {
+        String said = daemon.readyVersion();
+        while (said == null && daemon.alive() && timeLeft.getAsBoolean()) {
             Thread.sleep(READY_POLL_MS);
-            said = d.ready();
+            said = daemon.readyVersion();
         }
         return said;
     }
 
-    private void watch() throws InterruptedException {
-        long length = stage.endsAt();
-        long said = 0;
-        for (long now; (now = clock.now()) < length && !interrupted; ) {
+    private void monitor() throws InterruptedException {
+        long length = simulation.endsAt();
+        long reportedTens = 0;
+        for (long now; (now = clock.nowUs()) < length && !interrupted; ) {
             List<DaemonProcess.Sample> all = new ArrayList<>();
-            for (DaemonProcess d : daemons) {
-                all.add(d.sample());
+            for (DaemonProcess daemon : daemons) {
+                all.add(daemon.sample());
             }
             samples.add(all);
-            if (now / 10_000_000 > said) {
-                said = now / 10_000_000;
+            if (now / 10_000_000 > reportedTens) {
+                reportedTens = now / 10_000_000;
                 progress.accept(String.format(Locale.ROOT, "%d of %d s", now / 1_000_000, length / 1_000_000));
             }
-            Thread.sleep(Math.min(SAMPLE_MS, Math.max(1, (length - now) / 1000)));
+            Thread.sleep(Math.min(SAMPLE_INTERVAL_MS, Math.max(1, (length - now) / 1000)));
         }
     }
 
@@ -382,7 +387,7 @@
                 DaemonProcess.Sample from = part.get(0).get(i);
                 DaemonProcess.Sample to = part.get(each - 1).get(i);
                 if (from != null && to != null && to.cpuMs() >= from.cpuMs()) {
-                    cpu += (to.cpuMs() - from.cpuMs()) / (double) (SAMPLE_MS * (each - 1));
+                    cpu += (to.cpuMs() - from.cpuMs()) / (double) (SAMPLE_INTERVAL_MS * (each - 1));
                     counted++;
                 }
             }
@@ -391,37 +396,43 @@
         return all;
     }
 
-    /** The last quarter holds the time after the load; growth in each of those before it is none of the load's doing. */
-    private void leaks(List<KitResult.Quarter> q) {
-        boolean grows = q.size() == QUARTERS;
+    /**
+     * Reports a leak if descriptors grow in each of the first three quarters. The last one includes the time after the
+     * load.
+     */
+    private void checkLeaks(List<KitResult.Quarter> quarters) {
+        boolean grows = quarters.size() == QUARTERS;
         for (int i = 1; grows && i < QUARTERS - 1; i++) {
-            grows = q.get(i).descriptors() > LEAK * q.get(i - 1).descriptors() + LEAK_LEAST;
+            grows = quarters.get(i).descriptors()
+                    > LEAK_GROWTH * quarters.get(i - 1).descriptors() + LEAK_MIN_DESCRIPTORS;
         }
         if (grows) {
-            failures.add("client proxies leak: at most " + q.get(0).descriptors() + ", "
-                    + q.get(1).descriptors() + ", " + q.get(2).descriptors()
+            failures.add("client proxies leak: at most " + quarters.get(0).descriptors() + ", "
+                    + quarters.get(1).descriptors() + ", " + quarters.get(2).descriptors()
                     + " descriptors in the first three quarters of the run");
         }
     }
 
-    private void endAll(List<DaemonProcess> all) throws InterruptedException {
-        all.forEach(DaemonProcess::end);
-        for (DaemonProcess d : all) {
-            if (!d.ended(endMs)) {
-                failures.add("client proxy " + d.number() + " did not end within " + endMs / 1000 + " s of SIGTERM");
+    private void terminateAll(List<DaemonProcess> all) throws InterruptedException {
+        all.forEach(DaemonProcess::terminate);
+        for (DaemonProcess daemon : all) {
+            if (!daemon.awaitExit(exitTimeoutMs)) {
+                failures.add("client proxy " + daemon.number() + " did not end within " + exitTimeoutMs / 1000
+                        + " s of SIGTERM");
             }
         }
         all.forEach(DaemonProcess::kill);
     }
 
-    // ---- what the world does; on the event loop --------------------------------------------------------
+    // ---- callbacks of the simulation; on the event loop --------------------------------------------------------
 
     private void launch(int proxy, HybridSimulation.ListUpdate known) throws IOException {
         known.servers().forEach(s -> servers.changed(s.address()));
-        DaemonProcess d = new DaemonProcess(proxy, command, root, folder, config(proxy, known), places.daemon(proxy));
-        daemons[proxy] = d;
+        DaemonProcess daemon =
+                new DaemonProcess(proxy, command, root, folder, config(proxy, known), addresses.daemon(proxy));
+        daemons[proxy] = daemon;
         openOnly[proxy] = false;
-        d.onExit(code -> clock.loop.execute(() -> exited(d, code)));
+        daemon.onExit(code -> clock.loop.execute(() -> exited(daemon, code)));
     }
 
     private String config(int proxy, HybridSimulation.ListUpdate known) throws IOException {
@@ -429,60 +440,61 @@
                 scenario,
                 proxy,
                 seed * 1_000_003 + proxy,
-                places.daemon(proxy),
-                moved[proxy] ? places.secondDiscovery(proxy) : places.discovery(proxy),
+                addresses.daemon(proxy),
+                discoveryMoved[proxy] ? addresses.secondDiscovery(proxy) : addresses.discovery(proxy),
                 discovery.line(proxy, known),
                 relay == null
                         ? null
-                        : new DaemonProcess.Peering(
-                                places.peerListen(proxy),
+                        : new DaemonProcess.FleetMembership(
+                                addresses.peerListen(proxy),
                                 IntStream.range(0, daemons.length)
-                                        .mapToObj(other -> places.peer(proxy, other))
+                                        .mapToObj(other -> addresses.peer(proxy, other))
                                         .toList(),
                                 fleetFile));
     }
 
-    private void exited(DaemonProcess d, int code) {
-        // Before the world begins the one who waits for it to be ready says so.
-        if (ending || !playing || daemons[d.number()] != d) {
+    private void exited(DaemonProcess daemon, int code) {
+        // Before the run starts, the code that waits for readiness reports the exit.
+        if (ending || !running || daemons[daemon.number()] != daemon) {
             return;
         }
-        if (!d.told()) {
-            failures.add("client proxy " + d.number() + " ended by itself, exit code " + code
-                    + (d.lastWords().isEmpty() ? "" : ": " + d.lastWords()));
+        if (!daemon.exitRequested()) {
+            failures.add("client proxy " + daemon.number() + " ended by itself, exit code " + code
+                    + (daemon.lastLogLines().isEmpty() ? "" : ": " + daemon.lastLogLines()));
         }
-        up[d.number()] = false;
+        accepting[daemon.number()] = false;
         if (timeline != null) {
-            timeline.ended(d.number());
+            timeline.exited(daemon.number());
         }
-        clock.run(() -> stage.ended(d.number(), d.killed(), () -> relaunch(d.number(), away[d.number()])));
+        clock.run(() -> simulation.ended(
+                daemon.number(), daemon.killed(), () -> relaunch(daemon.number(), restartDelayUs[daemon.number()])));
     }
 
-    private void relaunch(int proxy, long awayUs) {
-        away[proxy] = 0;
-        if (awayUs > 0) {
-            clock.loop.schedule(() -> relaunch(proxy, 0), awayUs, TimeUnit.MICROSECONDS);
+    private void relaunch(int proxy, long delayUs) {
+        restartDelayUs[proxy] = 0;
+        if (delayUs > 0) {
+            clock.loop.schedule(() -> relaunch(proxy, 0), delayUs, TimeUnit.MICROSECONDS);
             return;
         }
         if (ending) {
             return;
         }
         try {
-            launch(proxy, stage.begin(proxy));
-            DaemonProcess d = daemons[proxy];
-            Thread waits = new Thread(() -> becomeReady(d), "ready");
-            waits.setDaemon(true);
-            waits.start();
+            launch(proxy, simulation.begin(proxy));
+            DaemonProcess daemon = daemons[proxy];
+            Thread readinessPoll = new Thread(() -> acceptWhenReady(daemon), "ready");
+            readinessPoll.setDaemon(true);
+            readinessPoll.start();
         } catch (IOException e) {
             failures.add("client proxy " + proxy + " could not be started again: " + e.getMessage());
         }
     }
 
-    /** Protocol: the application begins to send once its client proxy has said that it is ready. */
-    private void becomeReady(DaemonProcess d) {
+    /** Lets clients send once the restarted proxy reports ready, as the protocol requires. */
+    private void acceptWhenReady(DaemonProcess daemon) {
         try {
-            if (awaitReady(d, () -> !ending) != null) {
-                clock.loop.execute(() -> up[d.number()] = daemons[d.number()] == d);
+            if (awaitReady(daemon, () -> !ending) != null) {
+                clock.loop.execute(() -> accepting[daemon.number()] = daemons[daemon.number()] == daemon);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -491,34 +503,35 @@
 
     @Override
     public boolean running(int proxy) {
-        return up[proxy];
+        return accepting[proxy];
     }
 
     @Override
     public void kill(int proxy, long awayUs) {
-        up[proxy] = false;
-        away[proxy] = awayUs;
+        accepting[proxy] = false;
+        restartDelayUs[proxy] = awayUs;
         daemons[proxy].kill();
     }
 
     @Override
     public void pause(int proxy, long us) {
-        DaemonProcess d = daemons[proxy];
-        stands(d, true);
-        clock.loop.schedule(() -> stands(d, false), us, TimeUnit.MICROSECONDS);
+        DaemonProcess daemon = daemons[proxy];
+        setPaused(daemon, true);
+        clock.loop.schedule(() -> setPaused(daemon, false), us, TimeUnit.MICROSECONDS);
     }
 
-    private void stands(DaemonProcess d, boolean still) {
+    private void setPaused(DaemonProcess daemon, boolean paused) {
         try {
-            if (!d.alive()) {
+            if (!daemon.alive()) {
                 return;
             }
             if (timeline != null) {
-                timeline.stands(d.number(), still);
+                timeline.paused(daemon.number(), paused);
             }
-            d.stands(still);
+            daemon.setPaused(paused);
         } catch (IOException e) {
-            failures.add("client proxy " + d.number() + " could not be stopped or set going again: " + e.getMessage());
+            failures.add(
+                    "client proxy " + daemon.number() + " could not be stopped or set going again: " + e.getMessage());
         }
     }
 
@@ -529,23 +542,23 @@
 
     @Override
     public void end(int proxy) {
-        DaemonProcess d = daemons[proxy];
+        DaemonProcess daemon = daemons[proxy];
         if (timeline != null) {
-            timeline.leaves(proxy);
+            timeline.terminated(proxy);
         }
-        d.end();
+        daemon.terminate();
         clock.loop.schedule(
                 () -> {
-                    openOnly[proxy] |= daemons[proxy] == d;
+                    openOnly[proxy] |= daemons[proxy] == daemon;
                 },
                 scenario.proxies().lateCallsUs(),
                 TimeUnit.MICROSECONDS);
         clock.loop.schedule(
                 () -> {
-                    if (daemons[proxy] == d && d.alive() && !ending) {
+                    if (daemons[proxy] == daemon && daemon.alive() && !ending) {
                         failures.add("client proxy " + proxy + " was still there "
                                 + scenario.proxies().killAfterUs() / 1000 + " ms after SIGTERM");
-                        d.kill();
+                        daemon.kill();
                     }
                 },
                 scenario.proxies().killAfterUs(),
@@ -554,16 +567,16 @@
 
     @Override
     public void floodConnections(int proxy, int connections, long forUs) {
-        if (up[proxy]) {
-            clients.crowd(proxy, connections, forUs);
+        if (accepting[proxy]) {
+            clients.floodConnections(proxy, connections, forUs);
         }
     }
 
     @Override
     public void reload(int proxy) {
         try {
-            if (up[proxy]) {
-                moved[proxy] = !moved[proxy];
+            if (accepting[proxy]) {
+                discoveryMoved[proxy] = !discoveryMoved[proxy];
                 daemons[proxy].reload(config(proxy, new HybridSimulation.ListUpdate(0, true, List.of())));
             }
         } catch (IOException e) {
@@ -578,7 +591,7 @@
 
     @Override
     public void leave(int proxy, String id) {
-        clients.leave(id);
+        clients.abandon(id);
     }
 
     @Override
--- a/src/main/java/mulleinfront/kit/Report.java
+++ b/src/main/java/mulleinfront/kit/Report.java
@@ -13,93 +13,99 @@
 import mulleinfront.emulator.Auditor;
 import mulleinfront.emulator.ReportWriter;
 
-/** A rehearsal as a page of text, as JSON with the same figures, and as JUnit's XML for whoever collects tests. */
+/** Writes the result of a fault-injection test as text, as JSON with the same metrics, and as JUnit XML. */
 public final class Report {
     private Report() {}
 
-    /** The page; the verdict comes last. */
-    public static String text(KitResult r, boolean anyVersion) {
+    /** The text report; the verdict is the last line. */
+    public static String text(KitResult result, boolean anyVersion) {
         StringBuilder out = new StringBuilder();
-        if (r.sockets() != null) {
-            out.append(ReportWriter.text(r.sockets())).append('\n');
-            if (r.virtual() != null) {
+        if (result.sockets() != null) {
+            out.append(ReportWriter.text(result.sockets())).append('\n');
+            if (result.virtual() != null) {
                 line(
                         out,
                         "service on sockets %.3f, on virtual time %.3f, difference %+.3f",
-                        r.sockets().service().service(),
-                        r.virtual().service().service(),
-                        r.sockets().service().service() - r.virtual().service().service());
+                        result.sockets().service().service(),
+                        result.virtual().service().service(),
+                        result.sockets().service().service()
+                                - result.virtual().service().service());
             }
             line(
                     out,
                     "stand-ins late: median %.1f ms, p99 %.1f ms, worst %.1f ms",
-                    r.lateMs()[0],
-                    r.lateMs()[1],
-                    r.lateMs()[2]);
+                    result.latenessMs()[0],
+                    result.latenessMs()[1],
+                    result.latenessMs()[2]);
             int quarter = 1;
-            for (KitResult.Quarter q : r.quarters()) {
+            for (KitResult.Quarter q : result.quarters()) {
                 line(
                         out,
                         "quarter %d: at most %d descriptors and %.1f MB in a client proxy, %.0f%% of a core each",
                         quarter++,
                         q.descriptors(),
                         q.residentKb() / 1024.0,
-                        100 * q.cpuPart());
+                        100 * q.cpuShare());
             }
         }
-        r.failures().forEach(f -> line(out, "failed: %s", f));
-        if (!r.daemonVersion().equals(r.kitVersion())) {
-            line(out, "versions differ: the daemon says %s, this kit is %s", r.daemonVersion(), r.kitVersion());
+        result.failures().forEach(f -> line(out, "failed: %s", f));
+        if (!result.daemonVersion().equals(result.kitVersion())) {
+            line(
+                    out,
+                    "versions differ: the daemon says %s, this kit is %s",
+                    result.daemonVersion(),
+                    result.kitVersion());
         }
-        line(out, "verdict: %s", words(r, anyVersion));
+        line(out, "verdict: %s", description(result, anyVersion));
         return out.toString();
     }
 
-    /** One object; {@code sockets} is the emulator's report, absent if nothing was played. */
-    public static void json(KitResult r, boolean anyVersion, OutputStream to) throws IOException {
+    /** Writes one JSON object; {@code sockets} is the emulator's report, absent if the run did not take place. */
+    public static void json(KitResult result, boolean anyVersion, OutputStream to) throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(to).useDefaultPrettyPrinter()) {
             out.writeStartObject();
             out.writeStringField(
                     "verdict",
-                    r.verdict(anyVersion).name().toLowerCase(Locale.ROOT).replace('_', '-'));
-            out.writeStringField("daemon_version", r.daemonVersion());
-            out.writeStringField("kit_version", r.kitVersion());
+                    result.verdict(anyVersion).name().toLowerCase(Locale.ROOT).replace('_', '-'));
+            out.writeStringField("daemon_version", result.daemonVersion());
+            out.writeStringField("kit_version", result.kitVersion());
             out.writeArrayFieldStart("failures");
-            for (String failure : r.failures()) {
+            for (String failure : result.failures()) {
                 out.writeString(failure);
             }
             out.writeEndArray();
             out.writeArrayFieldStart("quarters");
-            for (KitResult.Quarter q : r.quarters()) {
+            for (KitResult.Quarter q : result.quarters()) {
                 out.writeStartObject();
                 out.writeNumberField("descriptors", q.descriptors());
                 out.writeNumberField("resident_kb", q.residentKb());
-                out.writeNumberField("cpu_part", q.cpuPart());
+                out.writeNumberField("cpu_part", q.cpuShare());
                 out.writeEndObject();
             }
             out.writeEndArray();
             out.writeObjectFieldStart("late_ms");
-            out.writeNumberField("p50", r.lateMs()[0]);
-            out.writeNumberField("p99", r.lateMs()[1]);
-            out.writeNumberField("worst", r.lateMs()[2]);
+            out.writeNumberField("p50", result.latenessMs()[0]);
+            out.writeNumberField("p99", result.latenessMs()[1]);
+            out.writeNumberField("worst", result.latenessMs()[2]);
             out.writeEndObject();
-            if (r.virtual() != null) {
-                out.writeNumberField("virtual_service", r.virtual().service().service());
+            if (result.virtual() != null) {
+                out.writeNumberField(
+                        "virtual_service", result.virtual().service().service());
             }
-            if (r.sockets() != null) {
-                ByteArrayOutputStream day = new ByteArrayOutputStream();
-                ReportWriter.json(r.sockets(), day);
+            if (result.sockets() != null) {
+                ByteArrayOutputStream simulation = new ByteArrayOutputStream();
+                ReportWriter.json(result.sockets(), simulation);
                 out.writeFieldName("sockets");
-                out.writeRawValue(day.toString(StandardCharsets.UTF_8));
+                out.writeRawValue(simulation.toString(StandardCharsets.UTF_8));
             }
             out.writeEndObject();
         }
     }
 
-    /** A case for each rule, one for the processes and one for whether the run says anything. */
-    public static void junit(String name, KitResult r, boolean anyVersion, OutputStream to) throws IOException {
-        KitResult.Verdict verdict = r.verdict(anyVersion);
-        boolean judged = r.sockets() != null
+    /** Writes a test case for each rule, one for the processes, and one for whether the run was conclusive. */
+    public static void junit(String name, KitResult result, boolean anyVersion, OutputStream to) throws IOException {
+        KitResult.Verdict verdict = result.verdict(anyVersion);
+        boolean checked = result.sockets() != null
                 && verdict != KitResult.Verdict.TOO_BUSY
                 && verdict != KitResult.Verdict.WRONG_VERSION;
         try {
@@ -108,26 +114,26 @@
             out.writeStartElement("testsuite");
             out.writeAttribute("name", "rehearsal " + name);
             for (Auditor.Rule rule : Auditor.Rule.values()) {
-                String first = r.sockets() == null
+                String first = result.sockets() == null
                         ? null
-                        : r.sockets().breaches().stream()
+                        : result.sockets().breaches().stream()
                                 .filter(b -> b.rule() == rule)
                                 .map(Object::toString)
                                 .findFirst()
                                 .orElse(null);
-                one(out, name, rule.words(), first, judged || first != null);
+                testCase(out, name, rule.words(), first, checked || first != null);
             }
-            one(
+            testCase(
                     out,
                     name,
                     "client proxies start, stay and end",
-                    r.failures().isEmpty() ? null : String.join("; ", r.failures()),
+                    result.failures().isEmpty() ? null : String.join("; ", result.failures()),
                     true);
-            one(
+            testCase(
                     out,
                     name,
                     "the run says something",
-                    judged || verdict == KitResult.Verdict.FAILED ? null : words(r, anyVersion),
+                    checked || verdict == KitResult.Verdict.FAILED ? null : description(result, anyVersion),
                     true);
             out.writeEndElement();
             out.writeEndDocument();
@@ -137,7 +143,7 @@
         }
     }
 
-    private static void one(XMLStreamWriter out, String suite, String name, String failure, boolean judged)
+    private static void testCase(XMLStreamWriter out, String suite, String name, String failure, boolean checked)
             throws XMLStreamException {
         out.writeStartElement("testcase");
         out.writeAttribute("classname", suite);
@@ -146,30 +152,30 @@
             out.writeStartElement("failure");
             out.writeAttribute("message", failure);
             out.writeEndElement();
-        } else if (!judged) {
+        } else if (!checked) {
             out.writeEmptyElement("skipped");
         }
         out.writeEndElement();
     }
 
-    private static String words(KitResult r, boolean anyVersion) {
-        return switch (r.verdict(anyVersion)) {
+    private static String description(KitResult result, boolean anyVersion) {
+        return switch (result.verdict(anyVersion)) {
             case KEPT -> "all four rules kept";
-            case RULE_BROKEN -> r.sockets().broken() + " broken rules, the first of them above";
+            case RULE_BROKEN -> result.sockets().broken() + " broken rules, the first of them above";
             case FAILED -> "a client proxy failed";
             case TOO_BUSY ->
                 String.format(
                         Locale.ROOT,
                         "none: the machine was too busy (stand-ins %.1f ms late at p99,"
                                 + " %.0f ms at most); end what else runs, or take a smaller scenario",
-                        r.lateMs()[1],
-                        KitResult.BUSY_P99_MS);
+                        result.latenessMs()[1],
+                        KitResult.MAX_P99_LATENESS_MS);
             case WRONG_VERSION ->
                 "none: use the kit in the daemon's own jar (java -jar ITS-JAR kit ...), or" + " --any-version";
         };
     }
 
-    private static void line(StringBuilder out, String form, Object... values) {
-        out.append(String.format(Locale.ROOT, form, values)).append('\n');
+    private static void line(StringBuilder out, String format, Object... values) {
+        out.append(String.format(Locale.ROOT, format, values)).append('\n');
     }
 }
--- a/src/main/java/mulleinfront/kit/ScaleLists.java
+++ b/src/main/java/mulleinfront/kit/ScaleDiscovery.java
@@ -34,23 +34,24 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Discovery for a fleet of many services: one address for the callers of each, and the lists of just the services that
- * they call, as the protocol's watch has them. Beside it one listener that stands for all hosts and answers their probes.
+ * Stand-in discovery for a fleet of many services. The members of each service have a discovery address of their own
+ * and watch lists with the servers of the services that they call. One further listener acts as all servers and answers
+ * their probes.
  */
-final class ScaleLists {
+final class ScaleDiscovery {
     private static final long HEARTBEAT_MS = 2_000;
-    /** Services that each service calls: its list holds their hosts. */
-    static final int CALLED = 3;
+    /** Number of services that each service calls; its list contains their servers. */
+    static final int CALLED_SERVICES = 3;
 
-    private static final int LONGEST = 8192;
+    private static final int MAX_REQUEST_BYTES = 8192;
 
     private final EventLoopGroup group;
     private final EventLoop loop;
-    private final ScalePlaces places;
-    private final int hosts;
+    private final ScaleAddressPlan addresses;
+    private final int servers;
     private final int services;
-    /** What each host is now, by number: its incarnation and its state's word. On the loop. */
-    private final int[] starts;
+    /** Current incarnation and state of each server, by number; accessed on the event loop. */
+    private final int[] incarnations;
 
     private final String[] states;
     private long version = 1;
@@ -60,35 +61,35 @@
     private final AtomicLong bytes = new AtomicLong();
     private final AtomicLong calls = new AtomicLong();
 
-    ScaleLists(EventLoopGroup group, ScalePlaces places, int hosts, int services) {
+    ScaleDiscovery(EventLoopGroup group, ScaleAddressPlan addresses, int servers, int services) {
         this.group = group;
         this.loop = group.next();
-        this.places = places;
-        this.hosts = hosts;
+        this.addresses = addresses;
+        this.servers = servers;
         this.services = services;
-        this.starts = new int[hosts];
-        this.states = new String[hosts];
+        this.incarnations = new int[servers];
+        this.states = new String[servers];
         java.util.Arrays.fill(states, "in_service");
     }
 
-    /** The service that a host or member belongs to. */
+    /** The service that a server or member belongs to. */
     int service(int member) {
         return member % services;
     }
 
-    /** Listens; not to be called on an event loop. */
+    /** Starts listening; blocks, so it must not be called on an event loop. */
     void open() throws IOException, InterruptedException {
         for (int s = 0; s < services; s++) {
             int service = s;
-            listen(places.discovery(s), () -> new Watch(service));
+            listen(addresses.discovery(s), () -> new Watch(service));
         }
-        listen(new InetSocketAddress(places.hostPort()), Host::new);
+        listen(new InetSocketAddress(addresses.serverPort()), ServerHandler::new);
     }
 
     private void listen(
             InetSocketAddress at, java.util.function.Supplier<SimpleChannelInboundHandler<FullHttpRequest>> handler)
             throws IOException, InterruptedException {
-        // All calls on one event loop: it owns the lists.
+        // All connections are on one event loop, which owns the lists.
         ChannelFuture bound = new ServerBootstrap()
                 .group(group, loop)
                 .channel(NioServerSocketChannel.class)
@@ -97,7 +98,10 @@
                     @Override
                     protected void initChannel(SocketChannel ch) {
                         ch.pipeline()
-                                .addLast(new HttpRequestDecoder(), new HttpObjectAggregator(LONGEST), handler.get());
+                                .addLast(
+                                        new HttpRequestDecoder(),
+                                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                                        handler.get());
                     }
                 })
                 .bind(at)
@@ -112,37 +116,37 @@
         listeners.forEach(Channel::close);
     }
 
-    /** A host is something else from now on, and whoever calls its service is told. */
-    void changed(int host, String state, boolean anew) {
+    /** Changes a server's state and sends a delta to the watches of the services that call it. */
+    void changed(int server, String state, boolean newIncarnation) {
         loop.execute(() -> {
-            starts[host] += anew ? 1 : 0;
-            states[host] = state;
-            changes.put(++version, host);
-            String line = list(false, List.of(host)) + "\n";
-            for (Watch w : List.copyOf(watches)) {
-                if (calls(w.service, service(host))) {
-                    w.chunk(line);
+            incarnations[server] += newIncarnation ? 1 : 0;
+            states[server] = state;
+            changes.put(++version, server);
+            String line = list(false, List.of(server)) + "\n";
+            for (Watch watch : List.copyOf(watches)) {
+                if (calls(watch.service, service(server))) {
+                    watch.chunk(line);
                 }
             }
         });
     }
 
     private boolean calls(int caller, int called) {
-        int away = Math.floorMod(called - caller, services);
-        return away >= 1 && away <= CALLED;
+        int distance = Math.floorMod(called - caller, services);
+        return distance >= 1 && distance <= CALLED_SERVICES;
     }
 
-    /** Bytes of answers so far. */
+    /** Bytes of responses sent so far. */
     long bytes() {
         return bytes.get();
     }
 
-    /** Calls so far. */
+    /** Discovery calls received so far. */
     long calls() {
         return calls.get();
     }
 
-    private String list(boolean full, Iterable<Integer> which) {
+    private String list(boolean full, Iterable<Integer> serverNumbers) {
         StringBuilder line = new StringBuilder(160)
                 .append("{\"version\":")
                 .append(version)
@@ -150,14 +154,14 @@
                 .append(full)
                 .append(",\"servers\":[");
         String comma = "";
-        for (int h : which) {
+        for (int h : serverNumbers) {
             line.append(comma)
                     .append("{\"id\":\"h")
                     .append(h)
                     .append('-')
-                    .append(starts[h])
+                    .append(incarnations[h])
                     .append("\",\"addr\":\"")
-                    .append(NetUtil.toSocketAddressString(places.host(h)))
+                    .append(NetUtil.toSocketAddressString(addresses.server(h)))
                     .append("\",\"zone\":\"")
                     .append((char) ('a' + h % 5))
                     .append("\",\"kind\":\"host\",\"cell\":")
@@ -170,7 +174,7 @@
         return line.append("]}").toString();
     }
 
-    /** One call, and the watch that it becomes. */
+    /** Handles one discovery call and the watch that it opens. */
     private final class Watch extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final int service;
         private ChannelHandlerContext ctx;
@@ -193,7 +197,7 @@
             List<String> after = query.parameters().getOrDefault("after", List.of());
             TreeSet<Integer> wanted = new TreeSet<>();
             if (after.isEmpty()) {
-                for (int h = 0; h < hosts; h++) {
+                for (int h = 0; h < servers; h++) {
                     if (calls(service, service(h))) {
                         wanted.add(h);
                     }
@@ -229,8 +233,8 @@
         }
     }
 
-    /** Any host: it is there, and has nothing to do. */
-    private static final class Host extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Acts as any server: answers every request with 200 and an empty body. */
+    private static final class ServerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
             ctx.pipeline().addFirst(new HttpResponseEncoder());
--- a/src/main/java/mulleinfront/kit/ScaleReport.java
+++ b/src/main/java/mulleinfront/kit/ScaleReport.java
@@ -8,19 +8,19 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What a fleet at its size cost and how long it took, row by row, with the budgets that are given. */
+/** Results of a scale test: resource costs and durations, row by row, some with a budget. */
 public final class ScaleReport {
     /**
-     * One figure.
+     * One metric.
      *
-     * @param phase what was going on
-     * @param what of whom
-     * @param value the figure
+     * @param phase the phase of the test
+     * @param what the name of the metric
+     * @param value the measured value
      * @param unit its unit
-     * @param budget the most that it may be; NaN if nothing is given
+     * @param budget the upper limit of the value; NaN if there is none
      */
     public record Row(String phase, String what, double value, String unit, double budget) {
-        /** Whether it is over its budget. */
+        /** Whether the value exceeds its budget. */
         public boolean over() {
             return value > budget;
         }
@@ -37,37 +37,37 @@
         rows.add(new Row(phase, what, value, unit, budget));
     }
 
-    void fail(String what) {
-        failures.add(what);
+    void fail(String description) {
+        failures.add(description);
     }
 
-    /** All figures in the order in which they were taken. */
+    /** All metrics in the order in which they were added. */
     public List<Row> rows() {
         return List.copyOf(rows);
     }
 
-    /** What did not happen at all: a process that never got ready, a view that never came to be. */
+    /** Conditions that never came about, such as a process that never got ready or views that did not converge. */
     public List<String> failures() {
         return List.copyOf(failures);
     }
 
-    /** Whether a figure is over its budget. */
+    /** Whether any value exceeds its budget. */
     public boolean over() {
         return rows.stream().anyMatch(Row::over);
     }
 
-    /** For people. */
+    /** The report as text. */
     public String text() {
         StringBuilder out = new StringBuilder();
         String phase = "";
-        for (Row r : rows) {
-            if (!r.phase().equals(phase)) {
-                phase = r.phase();
+        for (Row row : rows) {
+            if (!row.phase().equals(phase)) {
+                phase = row.phase();
                 out.append(phase).append('\n');
             }
-            out.append(String.format(Locale.ROOT, "  %-62s %12.3f %-12s", r.what(), r.value(), r.unit()));
-            if (!Double.isNaN(r.budget())) {
-                out.append(String.format(Locale.ROOT, " budget %.3f%s", r.budget(), r.over() ? "  OVER" : ""));
+            out.append(String.format(Locale.ROOT, "  %-62s %12.3f %-12s", row.what(), row.value(), row.unit()));
+            if (!Double.isNaN(row.budget())) {
+                out.append(String.format(Locale.ROOT, " budget %.3f%s", row.budget(), row.over() ? "  OVER" : ""));
             }
             out.append('\n');
         }
@@ -77,20 +77,20 @@
                 .toString();
     }
 
-    /** The same as one JSON object. */
+    /** Writes the report as one JSON object. */
     public void json(OutputStream to) throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(to).useDefaultPrettyPrinter()) {
             out.writeStartObject();
             out.writeArrayFieldStart("rows");
-            for (Row r : rows) {
+            for (Row row : rows) {
                 out.writeStartObject();
-                out.writeStringField("phase", r.phase());
-                out.writeStringField("what", r.what());
-                out.writeNumberField("value", r.value());
-                out.writeStringField("unit", r.unit());
-                if (!Double.isNaN(r.budget())) {
-                    out.writeNumberField("budget", r.budget());
-                    out.writeBooleanField("over", r.over());
+                out.writeStringField("phase", row.phase());
+                out.writeStringField("what", row.what());
+                out.writeNumberField("value", row.value());
+                out.writeStringField("unit", row.unit());
+                if (!Double.isNaN(row.budget())) {
+                    out.writeNumberField("budget", row.budget());
+                    out.writeBooleanField("over", row.over());
                 }
                 out.writeEndObject();
             }
--- a/src/main/java/mulleinfront/kit/Soak.java
+++ b/src/main/java/mulleinfront/kit/Soak.java
@@ -13,11 +13,12 @@
 import mulleinfront.settings.BadFileException;
 
 /**
- * Days of random, overlapping faults over client proxies as processes, drawn by seed: a seed that fails plays again. They
- * are judged by the four rules, by what the processes do, and by the violations that they count themselves.
+ * Soak test: runs scenarios with random, overlapping faults against client proxies as processes. Each scenario is
+ * generated from a seed, so a failing one can be repeated. A run fails if it breaks one of the four rules, if a process
+ * fails, or if a process logs a violation of its own invariants.
  */
 public final class Soak {
-    /** What is said of a process's own violations. */
+    /** Marks a log line in which a process reports a violation of its own invariants. */
     private static final String VIOLATION = " event=violation ";
 
     private final Plan plan;
@@ -26,37 +27,37 @@
     private final Consumer<String> progress;
 
     /**
-     * What is played for each seed.
+     * Parameters of the scenario for each seed.
      *
-     * @param instances client proxies
-     * @param lengthS how long clients ask, seconds
-     * @param alsoListed draining servers that make whole lists long
+     * @param instances number of client proxies
+     * @param lengthS how long clients send requests, seconds
+     * @param alsoListed number of extra draining servers, which make full lists long
      */
     public record Plan(int instances, int lengthS, int alsoListed) {
-        /** Rejects what can't be played. */
+        /** Rejects parameters out of range. */
         public Plan {
-            need(instances >= 1, "--instances: at least 1");
-            need(
+            require(instances >= 1, "--instances: at least 1");
+            require(
                     lengthS >= GeneratedScenario.LEAST_SOAK_S,
                     "--length: at least " + GeneratedScenario.LEAST_SOAK_S + " seconds");
-            need(alsoListed >= 0, "--also-listed: at least 0");
+            require(alsoListed >= 0, "--also-listed: at least 0");
         }
 
-        private static void need(boolean ok, String otherwise) {
-            if (!ok) {
-                throw new IllegalArgumentException(otherwise);
+        private static void require(boolean condition, String message) {
+            if (!condition) {
+                throw new IllegalArgumentException(message);
             }
         }
     }
 
     /**
-     * How one seed went.
+     * The result for one seed.
      *
-     * @param rehearsal what the judge of the rules saw
-     * @param violations lines of the processes' logs in which they say that they broke a rule
+     * @param rehearsal the result of the run
+     * @param violations lines of the processes' logs that report an invariant violation
      */
     public record Played(long seed, KitResult rehearsal, List<String> violations) {
-        /** What failed, in lines; empty if nothing did. */
+        /** Descriptions of all failures; empty if there are none. */
         public List<String> failures() {
             List<String> all = new ArrayList<>(rehearsal.failures());
             if (rehearsal.sockets() != null) {
@@ -66,15 +67,15 @@
             return all;
         }
 
-        /** Whether the machine was too busy for its verdict to say anything. */
+        /** Whether the machine was too busy for a conclusive verdict. */
         public boolean tooBusy() {
             return rehearsal.verdict(true) == KitResult.Verdict.TOO_BUSY;
         }
     }
 
     /**
-     * @param command starts one client proxy, by {@code /bin/sh -c} from {@code root}
-     * @param progress told of each step in a line
+     * @param command shell command that starts one client proxy, run by {@code /bin/sh -c} in {@code root}
+     * @param progress called with a line for each step
      */
     public Soak(Plan plan, String command, Path root, Consumer<String> progress) {
         this.plan = plan;
@@ -84,7 +85,7 @@
     }
 
     /**
-     * Plays one seed.
+     * Runs the scenario of one seed.
      *
      * @param folder for its scenario, configurations and logs
      */
@@ -92,11 +93,11 @@
         Files.createDirectories(folder);
         Path file = folder.resolve("soak-" + seed + ".toml");
         Files.writeString(file, GeneratedScenario.soak(seed, plan.instances(), plan.lengthS(), plan.alsoListed()));
-        KitResult rehearsal = new RealRun(ScenarioReader.read(file), seed, command, root, folder, progress).play();
-        return new Played(seed, rehearsal, violations(folder));
+        KitResult result = new RealRun(ScenarioReader.read(file), seed, command, root, folder, progress).play();
+        return new Played(seed, result, violations(folder));
     }
 
-    /** What the processes whose logs are in a folder say that they broke. */
+    /** Finds the invariant violations in the process logs of a folder. */
     static List<String> violations(Path folder) throws IOException {
         List<String> found = new ArrayList<>();
         try (DirectoryStream<Path> logs = Files.newDirectoryStream(folder, "daemon-*.log")) {
--- a/src/main/java/mulleinfront/kit/StandInDiscovery.java
+++ b/src/main/java/mulleinfront/kit/StandInDiscovery.java
@@ -30,29 +30,31 @@
 import mulleinfront.emulator.HybridSimulation;
 import mulleinfront.emulator.Scenario;
 
-/** The stage's discovery as PROTOCOL has it, at an address of its own for each client proxy: lists, watches, heartbeats. */
+/**
+ * Serves the simulation's discovery over HTTP, with lists, watches and heartbeats, at an address for each client proxy.
+ */
 final class StandInDiscovery {
     private static final long HEARTBEAT_MS = 2_000;
     private static final JsonFactory JSON = new JsonFactory();
 
-    private final WorldClock clock;
-    private final HybridSimulation stage;
-    private final Places places;
+    private final SimulationClock clock;
+    private final HybridSimulation simulation;
+    private final AddressPlan addresses;
     private final Scenario scenario;
     private final List<Channel> listeners = new ArrayList<>();
 
-    StandInDiscovery(WorldClock clock, HybridSimulation stage, Places places, Scenario scenario) {
+    StandInDiscovery(SimulationClock clock, HybridSimulation simulation, AddressPlan addresses, Scenario scenario) {
         this.clock = clock;
-        this.stage = stage;
-        this.places = places;
+        this.simulation = simulation;
+        this.addresses = addresses;
         this.scenario = scenario;
     }
 
     /**
      * Listens for one client proxy.
      *
-     * @param address one of its addresses of discovery
-     * @return tells whether it could
+     * @param address one of the proxy's discovery addresses
+     * @return the result of the bind
      */
     ChannelFuture listen(int proxy, InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap()
@@ -74,53 +76,53 @@
         listeners.forEach(Channel::close);
     }
 
-    /** A list in discovery's form, one line without its end. */
-    String line(int proxy, HybridSimulation.ListUpdate told) {
+    /** A list update as one line of JSON without the line end. */
+    String line(int proxy, HybridSimulation.ListUpdate update) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
-            write(out, proxy, told);
+            write(out, proxy, update);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return bytes.toString(StandardCharsets.UTF_8);
     }
 
-    private void write(JsonGenerator out, int proxy, HybridSimulation.ListUpdate told) throws IOException {
+    private void write(JsonGenerator out, int proxy, HybridSimulation.ListUpdate update) throws IOException {
         out.writeStartObject();
-        out.writeNumberField("version", told.version());
-        out.writeBooleanField("full", told.full());
+        out.writeNumberField("version", update.version());
+        out.writeBooleanField("full", update.full());
         out.writeArrayFieldStart("servers");
-        for (HybridSimulation.Listed s : told.servers()) {
-            Endpoint e = s.endpoint();
+        for (HybridSimulation.Listed listed : update.servers()) {
+            Endpoint endpoint = listed.endpoint();
             out.writeStartObject();
-            out.writeStringField("id", e.id());
-            out.writeStringField("addr", NetUtil.toSocketAddressString(places.server(proxy, s.address())));
-            out.writeStringField("zone", scenario.zones().get(e.zone()));
-            out.writeStringField("kind", scenario.servers().get(e.kind()).name());
-            out.writeNumberField("cell", e.cell());
+            out.writeStringField("id", endpoint.id());
+            out.writeStringField("addr", NetUtil.toSocketAddressString(addresses.server(proxy, listed.address())));
+            out.writeStringField("zone", scenario.zones().get(endpoint.zone()));
+            out.writeStringField("kind", scenario.servers().get(endpoint.kind()).name());
+            out.writeNumberField("cell", endpoint.cell());
             out.writeStringField(
                     "state",
-                    switch (e.availability()) {
+                    switch (endpoint.availability()) {
                         case READY -> "in_service";
                         case DRAINING -> "terminating";
                         case GONE -> "terminated";
                     });
-            out.writeNumberField("weight", e.weight());
-            out.writeNumberField("started_ms", clock.unixMillis(e.startedAtUs()));
+            out.writeNumberField("weight", endpoint.weight());
+            out.writeNumberField("started_ms", clock.unixMillis(endpoint.startedAtUs()));
             out.writeEndObject();
         }
-        for (int i = 0; told.full() && i < scenario.discovery().alsoListed(); i++) {
-            alsoListed(out, proxy, i);
+        for (int i = 0; update.full() && i < scenario.discovery().alsoListed(); i++) {
+            writeExtraServer(out, proxy, i);
         }
         out.writeEndArray();
         out.writeEndObject();
     }
 
-    /** One of those that make a list long and are never to be sent to. */
-    private void alsoListed(JsonGenerator out, int proxy, int number) throws IOException {
+    /** Writes one of the extra draining servers, which lengthen the list and must receive no requests. */
+    private void writeExtraServer(JsonGenerator out, int proxy, int number) throws IOException {
         out.writeStartObject();
         out.writeStringField("id", "also-listed-" + number);
-        out.writeStringField("addr", NetUtil.toSocketAddressString(places.server(proxy, Integer.MAX_VALUE)));
+        out.writeStringField("addr", NetUtil.toSocketAddressString(addresses.server(proxy, Integer.MAX_VALUE)));
         out.writeStringField(
                 "zone", scenario.zones().get(number % scenario.zones().size()));
         out.writeStringField("state", "terminating");
@@ -129,7 +131,7 @@
         out.writeEndObject();
     }
 
-    /** One call, and the watch that it becomes. */
+    /** Handles one discovery call and the watch that it opens. */
     private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> implements HybridSimulation.Lines {
         private final int proxy;
         private ChannelHandlerContext ctx;
@@ -137,8 +139,8 @@
         private ScheduledFuture<?> heartbeat;
         private boolean answered;
         private boolean silent;
-        /** Characters of a list that were told, while it has stopped halfway. */
-        private int halfTold;
+        /** Number of characters sent of a list that paused halfway; 0 if none did. */
+        private int sentLength;
 
         Call(int proxy) {
             this.proxy = proxy;
@@ -154,7 +156,7 @@
             this.ctx = context;
             List<String> after = query.parameters().getOrDefault("after", List.of());
             long version = after.isEmpty() ? -1 : Long.parseLong(after.get(0));
-            clock.run(() -> watch = stage.watch(proxy, version, this));
+            clock.run(() -> watch = simulation.watch(proxy, version, this));
         }
 
         @Override
@@ -164,7 +166,7 @@
             heartbeat = ctx.executor()
                     .scheduleWithFixedDelay(
                             () -> {
-                                if (!silent && halfTold == 0) {
+                                if (!silent && sentLength == 0) {
                                     chunk("\n");
                                 }
                             },
@@ -176,14 +178,14 @@
         @Override
         public void begins(HybridSimulation.ListUpdate news) {
             String text = line(proxy, news);
-            halfTold = text.length() / 2;
-            chunk(text.substring(0, halfTold));
+            sentLength = text.length() / 2;
+            chunk(text.substring(0, sentLength));
         }
 
         @Override
         public void told(HybridSimulation.ListUpdate news) {
-            String rest = line(proxy, news).substring(halfTold) + "\n";
-            halfTold = 0;
+            String rest = line(proxy, news).substring(sentLength) + "\n";
+            sentLength = 0;
             chunk(rest);
         }
 
--- a/src/main/java/mulleinfront/kit/StandInServers.java
+++ b/src/main/java/mulleinfront/kit/StandInServers.java
@@ -29,75 +29,80 @@
 import mulleinfront.emulator.HybridSimulation.ConnectBehaviour;
 
 /**
- * The stage's servers on real sockets, as PROTOCOL has them: for each client proxy and server an address that listens,
- * refuses, or is silent as the world has it at the moment. On the world's event loop.
+ * Serves the simulation's servers on real sockets. For each pair of client proxy and server there is an address that
+ * accepts connections, refuses them or does not respond, as the simulation currently requires. Runs on the simulation's
+ * event loop.
  */
 final class StandInServers {
-    private static final int REBINDS = 200;
-    private static final int MOST_BODY = 256 * 1024;
+    private static final int MAX_REBINDS = 200;
+    private static final int MAX_BODY_BYTES = 256 * 1024;
 
-    private final WorldClock clock;
-    private final HybridSimulation stage;
-    private final Places places;
+    private final SimulationClock clock;
+    private final HybridSimulation simulation;
+    private final AddressPlan addresses;
     private final int proxies;
-    private final Map<Integer, Pair[]> byAddress = new HashMap<>();
-    private volatile IOException broken;
+    private final Map<Integer, ServerAddress[]> byAddress = new HashMap<>();
+    private volatile IOException bindFailure;
 
-    StandInServers(WorldClock clock, HybridSimulation stage, Places places, int proxies) {
+    StandInServers(SimulationClock clock, HybridSimulation simulation, AddressPlan addresses, int proxies) {
         this.clock = clock;
-        this.stage = stage;
-        this.places = places;
+        this.simulation = simulation;
+        this.addresses = addresses;
         this.proxies = proxies;
     }
 
-    /** What one client proxy finds at one server's address. */
-    private final class Pair {
+    /** The address of one server for one client proxy. */
+    private final class ServerAddress {
         private final int proxy;
         private final int address;
         private final Set<Channel> connections = new HashSet<>();
-        private ConnectBehaviour door = ConnectBehaviour.REFUSED;
+        private ConnectBehaviour behaviour = ConnectBehaviour.REFUSED;
         private Channel listener;
-        private BlackHole hole;
+        private BlackHole blackHole;
 
-        Pair(int proxy, int address) {
+        ServerAddress(int proxy, int address) {
             this.proxy = proxy;
             this.address = address;
         }
 
-        void become(ConnectBehaviour now) {
-            if (now == door) {
+        void apply(ConnectBehaviour wanted) {
+            if (wanted == behaviour) {
                 return;
             }
-            boolean back = door == ConnectBehaviour.SILENT && now == ConnectBehaviour.OPEN;
+            boolean reachableAgain = behaviour == ConnectBehaviour.SILENT && wanted == ConnectBehaviour.OPEN;
             shut();
-            door = now;
-            open(REBINDS);
-            if (back) {
+            behaviour = wanted;
+            open(MAX_REBINDS);
+            if (reachableAgain) {
                 reset();
             }
         }
 
-        /** A listener that was closed holds its port until the loop has been round once: then it is asked for again. */
+        /**
+         * Binds the address. A closed listener holds its port until the event loop's next iteration, so a failed bind
+         * is retried.
+         */
         private void open(int tries) {
-            ConnectBehaviour meant = door;
-            if (meant == ConnectBehaviour.SILENT) {
+            ConnectBehaviour wanted = behaviour;
+            if (wanted == ConnectBehaviour.SILENT) {
                 try {
-                    hole = new BlackHole(places.server(proxy, address));
+                    blackHole = new BlackHole(addresses.server(proxy, address));
                 } catch (IOException e) {
-                    again(meant, tries, e);
+                    retry(wanted, tries, e);
                 }
-            } else if (meant == ConnectBehaviour.OPEN) {
+            } else if (wanted == ConnectBehaviour.OPEN) {
                 listen(tries);
             }
         }
 
-        private void again(ConnectBehaviour meant, int tries, Throwable why) {
+        private void retry(ConnectBehaviour wanted, int tries, Throwable cause) {
             if (tries == 0) {
-                failed(new IOException("can't listen on " + places.server(proxy, address) + ": " + why.getMessage()));
+                recordFailure(new IOException(
+                        "can't listen on " + addresses.server(proxy, address) + ": " + cause.getMessage()));
             } else {
                 clock.loop.schedule(
                         () -> {
-                            if (door == meant && listener == null && hole == null) {
+                            if (behaviour == wanted && listener == null && blackHole == null) {
                                 open(tries - 1);
                             }
                         },
@@ -111,9 +116,9 @@
                 listener.close();
                 listener = null;
             }
-            if (hole != null) {
-                hole.close();
-                hole = null;
+            if (blackHole != null) {
+                blackHole.close();
+                blackHole = null;
             }
         }
 
@@ -128,18 +133,18 @@
                         protected void initChannel(SocketChannel ch) {
                             ch.pipeline()
                                     .addLast(
-                                            new Arrivals(Pair.this),
+                                            new ArrivalRecorder(ServerAddress.this),
                                             new HttpRequestDecoder(),
-                                            new HttpObjectAggregator(MOST_BODY),
-                                            new Server(Pair.this));
+                                            new HttpObjectAggregator(MAX_BODY_BYTES),
+                                            new ServerConnection(ServerAddress.this));
                         }
                     })
-                    .bind(places.server(proxy, address));
+                    .bind(addresses.server(proxy, address));
             listener = bound.channel();
             bound.addListener(f -> {
                 if (!f.isSuccess() && listener == bound.channel()) {
                     listener = null;
-                    again(ConnectBehaviour.OPEN, tries, f.cause());
+                    retry(ConnectBehaviour.OPEN, tries, f.cause());
                 }
             });
         }
@@ -151,41 +156,43 @@
         }
 
         boolean silent() {
-            return door == ConnectBehaviour.SILENT;
+            return behaviour == ConnectBehaviour.SILENT;
         }
     }
 
-    private void failed(IOException e) {
-        broken = broken == null ? e : broken;
+    private void recordFailure(IOException e) {
+        bindFailure = bindFailure == null ? e : bindFailure;
     }
 
     private static void reset(Channel c) {
         try {
             c.config().setOption(ChannelOption.SO_LINGER, 0);
         } catch (ChannelException e) {
-            // The other side has closed it already.
+            // The peer has already closed the connection.
         }
         c.close();
     }
 
-    /** Brings an address to what the world has it be; ones that a list has named are there from then on. */
+    /**
+     * Applies the simulation's connection behaviour to a server's addresses; an address stays bound once it was listed.
+     */
     void changed(int address) {
-        Pair[] pairs = byAddress.computeIfAbsent(address, a -> {
-            Pair[] made = new Pair[proxies];
+        ServerAddress[] pairs = byAddress.computeIfAbsent(address, a -> {
+            ServerAddress[] made = new ServerAddress[proxies];
             for (int i = 0; i < proxies; i++) {
-                made[i] = new Pair(i, a);
+                made[i] = new ServerAddress(i, a);
             }
             return made;
         });
-        for (Pair p : pairs) {
-            p.become(stage.connectBehaviour(p.proxy, address));
+        for (ServerAddress p : pairs) {
+            p.apply(simulation.connectBehaviour(p.proxy, address));
         }
     }
 
     void reset(int address) {
-        Pair[] pairs = byAddress.get(address);
+        ServerAddress[] pairs = byAddress.get(address);
         if (pairs != null) {
-            for (Pair p : pairs) {
+            for (ServerAddress p : pairs) {
                 if (!p.silent()) {
                     p.reset();
                 }
@@ -193,26 +200,26 @@
         }
     }
 
-    /** The first address that could not be had, or null. */
-    IOException broken() {
-        return broken;
+    /** The failure of the first address that could not be bound, or null. */
+    IOException bindFailure() {
+        return bindFailure;
     }
 
     void close() {
-        for (Pair[] pairs : byAddress.values()) {
-            for (Pair p : pairs) {
+        for (ServerAddress[] pairs : byAddress.values()) {
+            for (ServerAddress p : pairs) {
                 p.shut();
                 p.reset();
             }
         }
     }
 
-    /** Notes when a request's first byte came, and swallows what comes to a server that is off the net. */
-    private final class Arrivals extends ChannelInboundHandlerAdapter {
-        private final Pair pair;
+    /** Records when a request's first byte arrived, and discards input to a server that does not respond. */
+    private final class ArrivalRecorder extends ChannelInboundHandlerAdapter {
+        private final ServerAddress pair;
         private long firstByteAt = -1;
 
-        Arrivals(Pair pair) {
+        ArrivalRecorder(ServerAddress pair) {
             this.pair = pair;
         }
 
@@ -222,19 +229,19 @@
                 ReferenceCountUtil.release(in);
                 return;
             }
-            firstByteAt = firstByteAt < 0 ? clock.now() : firstByteAt;
+            firstByteAt = firstByteAt < 0 ? clock.nowUs() : firstByteAt;
             ctx.fireChannelRead(in);
         }
     }
 
-    /** One connection to a server. */
-    private final class Server extends ChannelInboundHandlerAdapter {
-        private final Pair pair;
-        private final List<FullHttpRequest> ahead = new ArrayList<>();
+    /** Handles the requests of one connection to a server. */
+    private final class ServerConnection extends ChannelInboundHandlerAdapter {
+        private final ServerAddress pair;
+        private final List<FullHttpRequest> pipelined = new ArrayList<>();
         private HybridSimulation.Connection connection;
         private boolean busy;
 
-        Server(Pair pair) {
+        ServerConnection(ServerAddress pair) {
             this.pair = pair;
         }
 
@@ -242,7 +249,7 @@
         public void channelActive(ChannelHandlerContext ctx) {
             pair.connections.add(ctx.channel());
             clock.run(() -> {
-                connection = stage.connect(pair.proxy, pair.address);
+                connection = simulation.connect(pair.proxy, pair.address);
                 if (connection == null) {
                     reset(ctx.channel());
                 }
@@ -251,17 +258,17 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object in) {
-            ahead.add((FullHttpRequest) in);
+            pipelined.add((FullHttpRequest) in);
             next(ctx);
         }
 
         private void next(ChannelHandlerContext ctx) {
-            if (busy || ahead.isEmpty() || connection == null) {
+            if (busy || pipelined.isEmpty() || connection == null) {
                 return;
             }
             busy = true;
-            FullHttpRequest request = ahead.remove(0);
-            Arrivals arrivals = ctx.pipeline().get(Arrivals.class);
+            FullHttpRequest request = pipelined.remove(0);
+            ArrivalRecorder arrivals = ctx.pipeline().get(ArrivalRecorder.class);
             long first = arrivals.firstByteAt;
             arrivals.firstByteAt = -1;
             String id = request.headers().get("X-Request-Id");
@@ -295,8 +302,8 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             pair.connections.remove(ctx.channel());
-            ahead.forEach(FullHttpRequest::release);
-            ahead.clear();
+            pipelined.forEach(FullHttpRequest::release);
+            pipelined.clear();
             if (connection != null) {
                 clock.run(connection::closed);
             }
@@ -308,7 +315,7 @@
         }
     }
 
-    /** An answer in one write; a served one's body is the id of the request that it was made for. */
+    /** Encodes a response; the body of a served request's response is the request's identifier. */
     private static ByteBuf encode(int status, boolean notRun, String body) {
         return Unpooled.copiedBuffer(
                 "HTTP/1.1 " + status + " x\r\nContent-Length: " + body.length() + (notRun ? "\r\nX-Not-Run: 1" : "")
--- a/src/main/java/mulleinfront/kit/TailedLog.java
+++ b/src/main/java/mulleinfront/kit/TailedLog.java
@@ -8,36 +8,36 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** An event log of JSON objects, one a line, read while it grows. */
+/** Reads an event log of JSON lines incrementally while it grows. */
 final class TailedLog {
     private final Path file;
-    private final Consumer<Map<String, String>> reader;
-    private long read;
+    private final Consumer<Map<String, String>> consumer;
+    private long position;
 
-    TailedLog(Path file, Consumer<Map<String, String>> reader) {
+    TailedLog(Path file, Consumer<Map<String, String>> consumer) {
         this.file = file;
-        this.reader = reader;
+        this.consumer = consumer;
     }
 
-    /** Hands on the lines that are whole by now and were not before. */
+    /** Passes the lines completed since the last call to the consumer. */
     void catchUp() throws IOException {
         if (!Files.exists(file)) {
             return;
         }
-        byte[] news;
+        byte[] added;
         try (RandomAccessFile in = new RandomAccessFile(file.toFile(), "r")) {
-            in.seek(read);
-            news = new byte[(int) Math.min(Integer.MAX_VALUE / 2, in.length() - read)];
-            in.readFully(news);
+            in.seek(position);
+            added = new byte[(int) Math.min(Integer.MAX_VALUE / 2, in.length() - position)];
+            in.readFully(added);
         }
-        int whole = news.length;
-        while (whole > 0 && news[whole - 1] != '\n') {
-            whole--;
+        int end = added.length;
+        while (end > 0 && added[end - 1] != '\n') {
+            end--;
         }
-        read += whole;
-        for (String line : new String(news, 0, whole, StandardCharsets.UTF_8).split("\n")) {
+        position += end;
+        for (String line : new String(added, 0, end, StandardCharsets.UTF_8).split("\n")) {
             if (!line.isEmpty()) {
-                reader.accept(FleetTimeline.fields(line));
+                consumer.accept(FleetTimeline.fields(line));
             }
         }
     }
--- a/src/test/java/mulleinfront/kit/BrokenDaemon.java
+++ b/src/test/java/mulleinfront/kit/BrokenDaemon.java
@@ -20,17 +20,17 @@
 import mulleinfront.settings.Version;
 
 /**
- * A client proxy as small as one can be, a thread for each connection, that goes by the list it was started with and is
- * broken in the way its argument says: that the kit can fail is shown by it.
+ * A minimal client proxy with a thread for each connection and the fixed list of its configuration. It misbehaves in
+ * the way its argument names, to prove that the kit detects such faults.
  */
 public final class BrokenDaemon {
-    private static final List<InetSocketAddress> HOSTS = new ArrayList<>();
+    private static final List<InetSocketAddress> SERVERS = new ArrayList<>();
     private static final List<Socket> LEAKED = new ArrayList<>();
     private static String fault;
 
     private BrokenDaemon() {}
 
-    /** The entry: {@code none} or the name of a fault. */
+    /** Starts the proxy; the argument is {@code none} or the name of a fault. */
     public static void main(String... args) throws Exception {
         fault = args[0];
         InetSocketAddress listen = read(Path.of(System.getenv("NODE_CONFIG")));
@@ -51,7 +51,7 @@
                 if (t == JsonToken.VALUE_STRING && "listen".equals(in.currentName())) {
                     listen = address(in.getText());
                 } else if (t == JsonToken.VALUE_STRING && "addr".equals(in.currentName())) {
-                    HOSTS.add(address(in.getText()));
+                    SERVERS.add(address(in.getText()));
                 }
             }
         }
@@ -76,14 +76,14 @@
                                     + "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
                     return;
                 }
-                String answer = pass(head);
+                String answer = forward(head);
                 write(client, answer);
                 if (fault.equals("answers-twice")) {
                     write(client, answer);
                 }
             }
         } catch (IOException e) {
-            // The client has gone.
+            // The client disconnected.
         }
     }
 
@@ -91,14 +91,14 @@
         to.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** One attempt, or three where it resends what may have run. */
-    private static String pass(String head) {
+    /** Forwards a request in one attempt, or in up to three with the fault that resends possibly executed requests. */
+    private static String forward(String head) {
         String status = "502";
         for (int tries = fault.equals("resends") ? 3 : 1; tries > 0; tries--) {
-            // The first of the list is one that a scenario may single out.
-            int at = fault.equals("floods") ? 0 : ThreadLocalRandom.current().nextInt(HOSTS.size());
+            // Scenarios inject their fault into the first server of the list.
+            int at = fault.equals("floods") ? 0 : ThreadLocalRandom.current().nextInt(SERVERS.size());
             try (Socket host = new Socket()) {
-                host.connect(HOSTS.get(at), 250);
+                host.connect(SERVERS.get(at), 250);
                 host.setSoTimeout(900);
                 write(host, head);
                 InputStream in = new BufferedInputStream(host.getInputStream());
@@ -107,7 +107,7 @@
                 if (fault.equals("leaks")) {
                     synchronized (LEAKED) {
                         LEAKED.add(new Socket(
-                                HOSTS.get(at).getAddress(), HOSTS.get(at).getPort()));
+                                SERVERS.get(at).getAddress(), SERVERS.get(at).getPort()));
                     }
                 }
                 if (answer.contains(" 200 ")) {
@@ -129,7 +129,7 @@
         return Integer.parseInt(head.substring(at + 16, head.indexOf('\r', at)));
     }
 
-    /** A message's head with its blank line, or nothing at the end; bodies of requests are empty here. */
+    /** Reads a message head with its blank line; empty at the end of input. Requests have no body here. */
     private static String head(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         int ends = 0;
--- a/src/test/java/mulleinfront/kit/FleetProcessesTest.java
+++ b/src/test/java/mulleinfront/kit/FleetProcessesTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * Processes of the program that know each other, with relays between them that lose, cut and pause. What they say is
- * judged by their event logs, as on virtual time. Nothing here goes by speed: the bounds are those of the settings.
+ * Fleet membership of real processes under datagram loss, a network partition and pauses. The auditor that checks
+ * simulated fleets checks their event logs. No assertion depends on speed: the bounds come from the settings.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class FleetProcessesTest {
@@ -35,14 +35,14 @@
                 .play();
     }
 
-    private List<String> said(int member, String what) throws Exception {
+    private List<String> logLines(int member, String what) throws Exception {
         return Files.readAllLines(folder.resolve("fleet-n" + member + ".json")).stream()
                 .filter(l -> l.contains(what))
                 .toList();
     }
 
     @Test
-    void nineProcessesThreeKilledAtOnceThenACutThatHeals() throws Exception {
+    void viewsConvergeAfterThreeKillsAndAHealedPartition() throws Exception {
         KitResult r = play("""
                 length = "42s"
                 settle = "3s"
@@ -74,15 +74,15 @@
         assertEquals(List.of(), r.failures());
         assertEquals(List.of(), r.sockets().breaches());
         assertEquals(List.of(), r.sockets().fleet().breaches());
-        // The judge had something to judge: deaths, a cut seen from both sides, and its end.
-        assertTrue(said(0, "\"to\":\"failed\"").size() >= 4, "n0 saw the other side fail");
-        assertTrue(said(7, "\"to\":\"failed\"").size() >= 5, "n7 saw the other side fail");
-        assertTrue(said(0, "\"reach\":\"majority\"").size() >= 1);
-        assertTrue(said(7, "\"reach\":\"minority\"").size() >= 1);
+        // The run exercised the auditor: crashes and a partition seen from both sides.
+        assertTrue(logLines(0, "\"to\":\"failed\"").size() >= 4, "n0 saw the other side fail");
+        assertTrue(logLines(7, "\"to\":\"failed\"").size() >= 5, "n7 saw the other side fail");
+        assertTrue(logLines(0, "\"reach\":\"majority\"").size() >= 1);
+        assertTrue(logLines(7, "\"reach\":\"minority\"").size() >= 1);
     }
 
     @Test
-    void theJudgeFindsAProcessThatLies() throws Exception {
+    void auditorFindsAFalsifiedLogLine() throws Exception {
         KitResult r = play("""
                 length = "16s"
                 settle = "1s"
@@ -94,8 +94,8 @@
                 period = "50ms"
                 """);
         assertEquals(List.of(), r.sockets().fleet().breaches());
-        whatIsSaidAfterTheEndIsNotJudged();
-        // One line of a log is not as it was: the same judge, the same processes.
+        eventsAfterTheEndAreNotChecked();
+        // The same logs with one falsified line must fail the audit.
         FleetTimeline timeline = new FleetTimeline(3, 1_000_000);
         Path lie = folder.resolve("lie.json");
         List<String> lines = Files.readAllLines(folder.resolve("fleet-n0.json"));
@@ -104,20 +104,20 @@
         timeline.read(0, lie);
         timeline.read(1, folder.resolve("fleet-n1.json"));
         timeline.read(2, folder.resolve("fleet-n2.json"));
-        FleetAuditor judge = timeline.judged(System.currentTimeMillis());
+        FleetAuditor judge = timeline.audit(System.currentTimeMillis());
         assertTrue(
                 judge.breaches().stream().anyMatch(b -> b.rule() == FleetAuditor.Rule.CALLED_FAILED),
                 judge.breaches().toString());
     }
 
-    /** All are told to end at the end: that others have left, and a line long after it, may stand in the logs too. */
-    private void whatIsSaidAfterTheEndIsNotJudged() throws Exception {
+    /** All processes get SIGTERM at the end of a run, so their logs may contain departures and later lines. */
+    private void eventsAfterTheEndAreNotChecked() throws Exception {
         List<String> lines = Files.readAllLines(folder.resolve("fleet-n1.json"));
-        String alive = said(1, "\"to\":\"alive\"").get(0);
+        String alive = logLines(1, "\"to\":\"alive\"").get(0);
         String timestamp = FleetTimeline.fields(alive).get("timestamp");
         long end = System.currentTimeMillis();
         for (int member = 0; member < 3; member++) {
-            for (String left : said(member, "\"to\":\"left\"")) {
+            for (String left : logLines(member, "\"to\":\"left\"")) {
                 end = Math.min(end, Long.parseLong(FleetTimeline.fields(left).get("timestamp")) - 1);
             }
         }
@@ -131,7 +131,7 @@
         timeline.read(1, longer);
         timeline.read(2, folder.resolve("fleet-n2.json"));
         assertTrue(
-                timeline.judged(end).breaches().stream()
+                timeline.audit(end).breaches().stream()
                         .noneMatch(b -> b.toString().contains(" left")),
                 "what came after the end");
     }
--- a/src/test/java/mulleinfront/kit/RealRunTest.java
+++ b/src/test/java/mulleinfront/kit/RealRunTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The kit against the daemon as a process, and against daemons that are broken. Nothing here goes by speed. */
+/** Runs the kit against the real daemon and against faulty daemons. No assertion depends on speed. */
 @Execution(ExecutionMode.CONCURRENT)
 class RealRunTest {
     private static final String JAVA = "'" + Path.of(System.getProperty("java.home"), "bin", "java")
@@ -49,20 +49,20 @@
         return new RealRun(scenario(lines), 1, command, Path.of("").toAbsolutePath(), folder, line -> {});
     }
 
-    private static void kept(KitResult r) {
+    private static void assertRulesKept(KitResult r) {
         assertEquals(List.of(), r.failures());
         assertEquals(List.of(), r.sockets().breaches());
         assertTrue(r.sockets().service().tries().get("served") > 0);
     }
 
     @Test
-    void aCalmDayKeepsTheRules() throws Exception {
-        kept(run(DAEMON, "length = \"4s\"\n[proxies]\ncount = 2\n[load]\nrate = \"60/s\"\n")
+    void keepsTheRulesWithoutFaults() throws Exception {
+        assertRulesKept(run(DAEMON, "length = \"4s\"\n[proxies]\ncount = 2\n[load]\nrate = \"60/s\"\n")
                 .play());
     }
 
     @Test
-    void aDayOfTroublesKeepsTheRulesAndServersDoWhatTheScenarioSays() throws Exception {
+    void keepsTheRulesUnderFaultsThatTakeEffect() throws Exception {
         KitResult r = run(DAEMON, """
                 length = "9s"
                 [proxies]
@@ -104,7 +104,7 @@
                 at = "4s"
                 proxy = 1
                 """).play();
-        kept(r);
+        assertRulesKept(r);
         assertEquals(4L, r.sockets().service().counts().get("client proxy starts"));
         assertEquals(
                 2,
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void twoRunsAtOnceDoNotMeet() throws Exception {
+    void concurrentRunsDoNotInterfere() throws Exception {
         ConcurrentLinkedQueue<Object> ended = new ConcurrentLinkedQueue<>();
         String lines = "length = \"2s\"\n[proxies]\ncount = 1\n[load]\nrate = \"40/s\"\n";
         Thread[] both = new Thread[2];
@@ -143,11 +143,11 @@
         assertEquals(2, ended.size());
         for (Object r : ended) {
             assertTrue(r instanceof KitResult, r.toString());
-            kept((KitResult) r);
+            assertRulesKept((KitResult) r);
         }
     }
 
-    /** The faults go with scenarios in which a daemon that is only simple, and not broken, breaks nothing. */
+    /** The scenario is one in which a minimal daemon without a fault breaks no rule. */
     @ParameterizedTest
     @CsvSource({
         "none,,",
@@ -155,7 +155,7 @@
         "calls-it-harmless,TWICE,refused though",
         "answers-twice,LOST,answered"
     })
-    void brokenDaemonsAreCaughtByName(String fault, Rule rule, String words) throws Exception {
+    void detectsTheRuleThatABrokenDaemonViolates(String fault, Rule rule, String words) throws Exception {
         KitResult r = run(BROKEN + fault, """
                 length = "3s"
                 [proxies]
@@ -169,7 +169,7 @@
                 part = "100%"
                 """).play();
         if (rule == null) {
-            kept(r);
+            assertRulesKept(r);
             return;
         }
         assertTrue(
@@ -199,8 +199,8 @@
     }
 
     @Test
-    void oneThatGoesOnSendingToADrainingServerIsCaught() throws Exception {
-        // It never listens to discovery: what discovery has to tell counts as told all the same.
+    void detectsRequestsToADrainingServer() throws Exception {
+        // This daemon never calls discovery; the propagation deadline applies all the same.
         KitResult r = run(BROKEN + "none", """
                 length = "14s"
                 [proxies]
@@ -218,7 +218,7 @@
     }
 
     @Test
-    void oneThatFloodsAColdServerIsCaught() throws Exception {
+    void detectsAFloodedColdServer() throws Exception {
         KitResult r = run(BROKEN + "floods", """
                 length = "7s"
                 [proxies]
@@ -235,7 +235,7 @@
     }
 
     @Test
-    void oneThatEndsAtOnceOnSigtermLosesWhatItHad() throws Exception {
+    void detectsRequestsLostByAnImmediateExit() throws Exception {
         KitResult r = run(BROKEN + "none", """
                 length = "4s"
                 [proxies]
@@ -259,7 +259,7 @@
     }
 
     @Test
-    void oneThatLeaksIsCaught() throws Exception {
+    void detectsADescriptorLeak() throws Exception {
         KitResult r = run(BROKEN + "leaks", "length = \"12s\"\n[proxies]\ncount = 1\n[load]\nrate = \"40/s\"\n")
                 .play();
         assertTrue(
@@ -268,7 +268,7 @@
     }
 
     @Test
-    void anotherVersionIsNotJudgedUnlessAskedTo() throws Exception {
+    void checksAnotherVersionOnlyOnRequest() throws Exception {
         String command = BROKEN + "other-version";
         String lines = "length = \"1s\"\n[proxies]\ncount = 1\n[load]\nrate = \"20/s\"\n";
         KitResult not = run(command, lines).play();
@@ -287,9 +287,10 @@
     }
 
     @Test
-    void aDaemonThatNeverGetsReadyEndsOrWillNotEndIsSaid() throws Exception {
+    void reportsADaemonThatIsNeverReadyExitsOrIgnoresSigterm() throws Exception {
         String lines = "length = \"3s\"\n[proxies]\ncount = 1\n[load]\nrate = \"20/s\"\n";
-        KitResult silent = run("exec sleep 600", lines).patience(1_000, 5_000).play();
+        KitResult silent =
+                run("exec sleep 600", lines).withTimeouts(1_000, 5_000).play();
         assertEquals(KitResult.Verdict.FAILED, silent.verdict(false));
         assertTrue(
                 silent.failures().get(0).startsWith("client proxy 0 never got ready"),
@@ -307,7 +308,7 @@
                 middle.failures().stream().anyMatch(f -> f.contains("ended by itself, exit code 137")),
                 middle.failures().toString());
         KitResult deaf = run("trap '' TERM; " + BROKEN + "none", lines)
-                .patience(60_000, 500)
+                .withTimeouts(60_000, 500)
                 .play();
         assertTrue(
                 deaf.failures().stream().anyMatch(f -> f.contains("did not end within")),
@@ -315,7 +316,7 @@
     }
 
     @Test
-    void whatTheMachineHasNotIsSaidBeforehand() throws Exception {
+    void rejectsMoreProxiesThanSupported() throws Exception {
         Scenario many = scenario("length = \"1s\"\n").withProxies(65);
         assertTrue(assertThrows(BadFileException.class, () -> new RealRun(many, 1, DAEMON, folder, folder, l -> {}))
                 .getMessage()
--- a/src/test/java/mulleinfront/kit/ScaleRunTest.java
+++ b/src/test/java/mulleinfront/kit/ScaleRunTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
-/** A fleet of real and hollow client proxies, in small. Order and outcome are judged; what it costs is only printed. */
+/** A small scale test with real and simulated members. Phases and outcome are asserted; costs are not. */
 @Execution(ExecutionMode.CONCURRENT)
 class ScaleRunTest {
     private static final String JAVA = "exec '" + Path.of(System.getProperty("java.home"), "bin", "java")
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void threeRealAndThirtyHollowOnesAgreeThroughAKillACutAndARestartOfAll() throws Exception {
+    void realAndSimulatedMembersConvergeThroughAllFaults() throws Exception {
         ScaleRun.Plan plan = new ScaleRun.Plan(3, 30, 15, 1, 2, 12, 200, true, EnumSet.allOf(ScaleRun.Fault.class));
         ScaleReport report = run(plan, JAVA + "serve").play();
         assertEquals(java.util.List.of(), report.failures(), report.text());
@@ -51,16 +51,16 @@
                         "the control machine is back",
                         "a release: a version a second")),
                 phases.toString());
-        // The cut was one: the real ones, one of them on the other side, took each other for failed, and back.
+        // The partition took effect: n0 recorded n1, a real client proxy on the other side, as failed.
         String events = Files.readString(folder.resolve("fleet-n0.json"));
         assertTrue(events.lines().anyMatch(l -> l.contains("\"member\":1,") && l.contains("\"to\":\"failed\"")));
-        // A hollow one is a member like any other: known by its name, and missed when its process was killed.
+        // Simulated members are full members: they are recorded as failed when their process is killed.
         assertTrue(
                 events.lines().filter(l -> l.contains("\"to\":\"failed\"")).count() >= 15, "hollow ones were missed");
     }
 
     @Test
-    void aRealOneThatNeverGetsReadyIsSaid() throws Exception {
+    void reportsAProxyThatNeverGetsReady() throws Exception {
         ScaleReport report = run(
                         new ScaleRun.Plan(1, 0, 1, 1, 1, 1, 200, false, Set.of()), "echo no such thing; exit 1")
                 .play();
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void whatDoesNotFitIsRefusedBeforeAnythingStarts() throws Exception {
+    void rejectsAnOversizedPlanBeforeStartingProcesses() throws Exception {
         assertTrue(assertThrows(
                         BadFileException.class,
                         () -> run(new ScaleRun.Plan(64, 400, 1, 1, 1, 1, 1000, false, Set.of()), JAVA + "serve"))
--- a/src/test/java/mulleinfront/kit/SoakTest.java
+++ b/src/test/java/mulleinfront/kit/SoakTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
-/** The soak, small and bounded: what is drawn, what is judged, and one seed on processes. */
+/** Scenario generation, verdicts, and short soak runs on processes. */
 @Execution(ExecutionMode.CONCURRENT)
 class SoakTest {
     private static final String JAVA = "exec '" + Path.of(System.getProperty("java.home"), "bin", "java")
@@ -34,27 +34,29 @@
     }
 
     @Test
-    void oneSeedOverFourProcessesKeepsTheRules() throws Exception {
+    void fourProcessesKeepTheRules() throws Exception {
         Soak.Played played = play("mulleinfront.Main serve", 2);
         assertEquals(List.of(), played.failures());
         assertTrue(played.rehearsal().sockets().service().tries().get("served") > 100, "it was served");
     }
 
     @Test
-    void aDaemonThatBreaksARuleFails() throws Exception {
+    void failsADaemonThatBreaksARule() throws Exception {
         Soak.Played played = play(BrokenDaemon.class.getName() + " answers-twice", 2);
         assertFalse(played.failures().isEmpty());
     }
 
-    /** Incident 2, planted: the soak before it drew no discovery slow enough to find this. */
+    /**
+     * A proxy that ignores the end of its watch keeps sending by the old list; only a slow enough discovery reveals it.
+     */
     @Test
-    void aDaemonThatIsDeafToTheEndOfItsWatchFails() throws Exception {
+    void failsADaemonThatIgnoresTheEndOfItsWatch() throws Exception {
         Soak.Played played = play(new Soak.Plan(6, 20, 0), DeafToEndsDaemon.class.getName(), 11);
         assertTrue(played.failures().stream().anyMatch(f -> f.contains("drains are kept")), "" + played.failures());
     }
 
     @Test
-    void equalSeedsDrawEqualDaysAndAllCanBeRead() throws Exception {
+    void equalSeedsGenerateEqualValidScenarios() throws Exception {
         for (long seed = 1; seed <= 50; seed++) {
             String text = GeneratedScenario.soak(seed, 24, 60, 0);
             assertEquals(text, GeneratedScenario.soak(seed, 24, 60, 0));
@@ -64,7 +66,7 @@
     }
 
     @Test
-    void whatAProcessSaysThatItBrokeIsAFailure() throws Exception {
+    void loggedViolationsAreFailures() throws Exception {
         Files.writeString(folder.resolve("daemon-0.log"), "mulleinfront: instance=0 event=metrics answers.served=1\n");
         assertEquals(List.of(), Soak.violations(folder));
         String line = "mulleinfront: instance=1 event=violation check=close_unanswered request=null";
@@ -73,7 +75,7 @@
     }
 
     @Test
-    void aPlanThatCanNotBePlayedIsRefusedByName() {
+    void rejectsAnInvalidPlanNamingTheFlag() {
         assertTrue(assertThrows(IllegalArgumentException.class, () -> new Soak.Plan(4, 3, 0))
                 .getMessage()
                 .startsWith("--length"));
--- a/src/test/java/mulleinfront/kit/StaleListTest.java
+++ b/src/test/java/mulleinfront/kit/StaleListTest.java
@@ -13,15 +13,16 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * Incident 1: processes whose watch of discovery is lost as servers drain go on sending there after the drain counts as
- * told. What is judged is what arrived at the servers, by the times that the settings state.
+ * Guards against requests to draining servers after the propagation deadline. The failure arises when the discovery
+ * watch ends while servers drain and the proxy keeps using its old list. The auditor checks the requests that arrive at
+ * the servers against the time limits of the settings.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class StaleListTest {
     private static final String DAEMON = "exec '" + Path.of(System.getProperty("java.home"), "bin", "java")
             + "' -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xmx96m -cp '" + System.getProperty("java.class.path")
             + "' mulleinfront.Main serve";
-    /** Requests have no keys, so that all processes send to all servers, those that drain too. */
+    /** Requests have no keys, so that all processes send to all servers, including the draining ones. */
     private static final String WORLD = """
             length = "20s"
             settle = "3s"
@@ -44,7 +45,7 @@
     @TempDir
     Path folder;
 
-    private void keepsDrains(String lines) throws Exception {
+    private void assertDrainsRespected(String lines) throws Exception {
         Path file = Files.writeString(
                 folder.resolve("day.toml"),
                 "[scenario]\ntitle = \"a test\"\nworld = \""
@@ -60,12 +61,12 @@
     }
 
     /**
-     * Discovery works through a call of each in 2.4 s, and watches end instead of telling of the drain: each process
-     * has to have asked within the settings' 1.8 s.
+     * Discovery needs 2.4 s for one call of each process, and watches end instead of sending the drain. Each process
+     * has to call discovery within the 1.8 s of the settings.
      */
     @Test
-    void whoseWatchEndedAsksWithinTheTimeOfTheSettings() throws Exception {
-        keepsDrains("""
+    void callsDiscoveryWithinTheConfiguredTimeAfterItsWatchEnds() throws Exception {
+        assertDrainsRespected("""
                 [discovery]
                 call = "400ms"
                 [rules]
@@ -77,10 +78,10 @@
                 """);
     }
 
-    /** Where the settings allow 10 s, it is 2 s after the end of the watch: a poll's wait is over then. */
+    /** The settings allow 10 s, but the limit is 2 s after the end of the watch, when the wait of a poll is over. */
     @Test
-    void whoseWatchEndedAsksWithinTwoSecondsOfItsEnd() throws Exception {
-        keepsDrains("""
+    void callsDiscoveryWithinTwoSecondsAfterItsWatchEnds() throws Exception {
+        assertDrainsRespected("""
                 [discovery]
                 call = "400ms"
                 [[fault]]
@@ -91,12 +92,12 @@
     }
 
     /**
-     * Incident 2: calls of all take 4.2 s, and discovery gives up those that wait for 2 s; the end of the watch counts all
-     * the same, though a call is out or was given up.
+     * One call of each process takes 4.2 s in total, and calls that wait for 2 s are abandoned. The end of the watch
+     * starts the deadline even if a call is pending or was abandoned.
      */
     @Test
-    void whoseCallWaitsOrIsGivenUpSendsNothingOnceItsListCountsAsOutOfDate() throws Exception {
-        keepsDrains("""
+    void sendsNothingByAnExpiredListWhileCallsWaitOrAreAbandoned() throws Exception {
+        assertDrainsRespected("""
                 [discovery]
                 call = "700ms"
                 [[fault]]
@@ -106,10 +107,10 @@
                 """);
     }
 
-    /** Incident 2: discovery answers 2.9 s after each call; one call of each suffices, and none is given up before. */
+    /** Discovery responds 2.9 s after each call; one call per process is enough, and none is abandoned before. */
     @Test
-    void whoseSlowCallIsNotAnsweredYetSendsNothingOnceItsListCountsAsOutOfDate() throws Exception {
-        keepsDrains("""
+    void sendsNothingByAnExpiredListWhileACallIsUnanswered() throws Exception {
+        assertDrainsRespected("""
                 [[fault]]
                 do = "discovery-late"
                 at = "7s"
@@ -122,10 +123,10 @@
                 """);
     }
 
-    /** Two calls of each are refused after that: each process has to have the drain 6 s after discovery had it. */
+    /** Two calls of each process are refused after the watch ends; it has to know of the drain within 6 s. */
     @Test
-    void whoseCallsWereRefusedTwiceHasTheListWithinSixSeconds() throws Exception {
-        keepsDrains("""
+    void hasTheListWithinSixSecondsAfterTwoRefusedCalls() throws Exception {
+        assertDrainsRespected("""
                 [[fault]]
                 do = "discovery-ends"
                 at = "7.5s"
@@ -137,10 +138,10 @@
                 """);
     }
 
-    /** The same where two lists in a row break off halfway. */
+    /** Two lists in a row are truncated; each process has to know of the drain within 6 s. */
     @Test
-    void whoseListsBrokeOffTwiceHasTheListWithinSixSeconds() throws Exception {
-        keepsDrains("""
+    void hasTheListWithinSixSecondsAfterTwoTruncatedLists() throws Exception {
+        assertDrainsRespected("""
                 [[fault]]
                 do = "discovery-cuts"
                 at = "7.5s"
