--- a/src/main/java/mulleinfront/bench/AddedTime.java
+++ b/src/main/java/mulleinfront/bench/AddedTime.java
@@ -17,40 +17,40 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The time that is added to each request on its way, request by request: what its client waited less what its
- * host says that it had it. Straight to hosts, over a plain relay and through the client proxy in turn, in an
- * open loop. What stands for added is that time through the client proxy less the median of the same straight
- * to the hosts: the loopback and the driver cost that much without anything between them, and all of the tail
- * is held against the client proxy.
+ * Measures the latency added to each request between client and server: the client's waiting time less the processing
+ * time that the server reports. An open loop sends directly to the servers, then over a plain relay, then through the
+ * client proxy. The added latency is the measured time less the median of the direct connections, which is the cost of
+ * the loopback and the driver. The whole tail thus counts against the client proxy.
  */
 public final class AddedTime {
-    private static final int HOSTS = 12;
+    private static final int SERVERS = 12;
     private static final int CONNECTIONS = 16;
-    private static final long HOST_MICROS = 1_000;
-    private static final int WARM_MS = 2_000;
+    private static final long SERVER_MEAN_US = 1_000;
+    private static final int WARM_UP_MS = 2_000;
     private static final AtomicLong IDS = new AtomicLong();
-    private static final long HIGHEST_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final long MAX_LATENCY_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final PrintWriter out;
 
-    /** @param out a line for each run, beside the slopes */
+    /** @param out receives a line for each run */
     public AddedTime(PrintWriter out) {
         this.out = out;
     }
 
     /**
-     * Measures some rates.
+     * Measures the added latency at several request rates.
      *
-     * @param rates requests a second, over all connections
-     * @param requests measured of each rate and way, at the least
+     * @param rates requests per second, over all connections
+     * @param requests minimum number of measured requests for each rate and route
      */
     public List<Slope> measure(int[] rates, int requests, String command) throws IOException, InterruptedException {
-        Measured m = new Measured("calls a second", command);
-        try (Child.Handle hosts =
-                        new Child.Handle("", List.of("-XX:+UseSerialGC"), "timed", "" + HOSTS, "" + HOST_MICROS);
-                Child.Handle relay = new Child.Handle("", Throughput.DEPLOYED, "relay", "" + hosts.ports.get(0));
-                Child.Handle proxy =
-                        new Child.Handle("", Throughput.DEPLOYED, "proxy", Throughput.config(hosts.ports), "1")) {
+        SlopeCollector results = new SlopeCollector("calls a second", command);
+        try (Child.Handle servers =
+                        new Child.Handle("", List.of("-XX:+UseSerialGC"), "timed", "" + SERVERS, "" + SERVER_MEAN_US);
+                Child.Handle relay =
+                        new Child.Handle("", Throughput.DEPLOYED_JVM_FLAGS, "relay", "" + servers.ports.get(0));
+                Child.Handle proxy = new Child.Handle(
+                        "", Throughput.DEPLOYED_JVM_FLAGS, "proxy", Throughput.config(servers.ports), "1")) {
             out.printf(
                     Locale.ROOT,
                     "%-14s %8s %8s %9s %9s %9s %9s %9s%n",
@@ -62,69 +62,75 @@
                     "p99.9 ms",
                     "cpu us",
                     "no 200");
-            // The way that is not counted brings all three parts' code up.
-            for (Child.Handle part : List.of(hosts, relay, proxy)) {
-                new Load(part.ports, rates[rates.length - 1]).run(WARM_MS, null);
+            // Warm-up: these runs are not counted, and let the JIT compile the code of all three parts.
+            for (Child.Handle part : List.of(servers, relay, proxy)) {
+                new Load(part.ports, rates[rates.length - 1]).run(WARM_UP_MS, null);
             }
             for (int rate : rates) {
                 long ms = Math.max(5_000, requests * 1_000L / rate);
-                Histogram direct = one("direct", rate, hosts, ms, m, null);
-                one("relay", rate, relay, ms, m, direct);
-                one("proxy", rate, proxy, ms, m, direct);
+                Histogram direct = measureRoute("direct", rate, servers, ms, results, null);
+                measureRoute("relay", rate, relay, ms, results, direct);
+                measureRoute("proxy", rate, proxy, ms, results, direct);
             }
         }
-        return m.slopes();
+        return results.slopes();
     }
 
-    private Histogram one(String way, int rate, Child.Handle part, long ms, Measured m, Histogram direct)
+    private Histogram measureRoute(
+            String route, int rate, Child.Handle part, long durationMs, SlopeCollector results, Histogram direct)
             throws IOException, InterruptedException {
-        Child.Figures[] used = new Child.Figures[1];
+        Child.ResourceUsage[] used = new Child.ResourceUsage[1];
         Load load = new Load(part.ports, rate);
-        Histogram times = load.run(ms, () -> used[0] = part.figures());
-        Child.Figures cpu = part.figures().since(used[0]);
-        double each = cpu.cpuNanos() / 1e3 / Math.max(1, times.getTotalCount());
+        Histogram times = load.run(durationMs, () -> used[0] = part.resourceUsage());
+        Child.ResourceUsage cpu = part.resourceUsage().since(used[0]);
+        double cpuMicrosPerRequest = cpu.cpuNanos() / 1e3 / Math.max(1, times.getTotalCount());
         out.printf(
                 Locale.ROOT,
                 "%-14s %8d %8d %9.3f %9.3f %9.3f %9.1f %9d%n",
-                way,
+                route,
                 rate,
                 times.getTotalCount(),
                 ms(times, 50),
                 ms(times, 99),
                 ms(times, 99.9),
-                direct == null ? 0 : each,
-                load.others.get());
+                direct == null ? 0 : cpuMicrosPerRequest,
+                load.failures.get());
         out.flush();
         if (direct != null) {
-            String name = "data." + way;
-            String of = way.equals("proxy") ? "the client proxy" : "the relay";
-            m.add(
+            String name = "data." + route;
+            String subject = route.equals("proxy") ? "the client proxy" : "the relay";
+            results.add(
                     rate,
                     name + ".p50",
-                    "added by " + of + " to half of the calls, at most",
+                    "added by " + subject + " to half of the calls, at most",
                     "s",
                     (ms(times, 50) - ms(direct, 50)) / 1e3);
-            m.add(
+            results.add(
                     rate,
                     name + ".p99",
-                    "added by " + of + " to 99 in 100 calls, at most",
+                    "added by " + subject + " to 99 in 100 calls, at most",
                     "s",
                     (ms(times, 99) - ms(direct, 50)) / 1e3);
-            m.add(
+            results.add(
                     rate,
                     name + ".p999",
-                    "added by " + of + " to 999 in 1,000 calls, at most",
+                    "added by " + subject + " to 999 in 1,000 calls, at most",
                     "s",
                     (ms(times, 99.9) - ms(direct, 50)) / 1e3);
-            m.add(rate, name + ".processor", "processor time of " + of, "of a core", cpu.cpuNanos() / 1e9 / (ms / 1e3));
+            results.add(
+                    rate,
+                    name + ".processor",
+                    "processor time of " + subject,
+                    "of a core",
+                    cpu.cpuNanos() / 1e9 / (durationMs / 1e3));
         } else {
-            m.add(
+            results.add(
                     rate,
                     "data.direct.p50",
                     "outside the hosts with nothing between, half of the calls",
                     "s",
                     ms(times, 50) / 1e3);
-            m.add(
+            results.add(
                     rate,
                     "data.direct.p99",
                     "outside the hosts with nothing between, 99 in 100 calls",
@@ -138,62 +144,62 @@
         return h.getValueAtPercentile(percentile) / 1e6;
     }
 
-    /** How long the host says that it had the request, nanoseconds; -1 if it is no answer of such a host. */
-    static long served(String answer) {
+    /** The processing time that a server reports, nanoseconds; -1 if the response does not contain one. */
+    static long reportedNanos(String answer) {
         String body = answer.substring(answer.indexOf("\r\n\r\n") + 4);
-        return answer.startsWith("HTTP/1.1 200") && body.matches("[0-9]{" + TimedHost.DIGITS + "}")
+        return answer.startsWith("HTTP/1.1 200") && body.matches("[0-9]{" + TimedServer.BODY_DIGITS + "}")
                 ? Long.parseLong(body)
                 : -1;
     }
 
     /**
-     * Connections with a thread each; a request that is due while the one before it is out counts from when
-     * it was due.
+     * Sends an open-loop load over connections with a thread each. A request that is due while the previous one is open
+     * is measured from when it was due.
      */
     private static final class Load {
         private final List<Integer> ports;
-        private final long everyNanos;
-        private final AtomicLong others = new AtomicLong();
-        private final Histogram times = new ConcurrentHistogram(HIGHEST_NANOS, 3);
-        private volatile boolean counted;
-        private volatile boolean over;
+        private final long intervalNanos;
+        private final AtomicLong failures = new AtomicLong();
+        private final Histogram times = new ConcurrentHistogram(MAX_LATENCY_NANOS, 3);
+        private volatile boolean measuring;
+        private volatile boolean stopped;
 
         Load(List<Integer> ports, double perSecond) {
             this.ports = ports;
-            this.everyNanos = (long) (1e9 * CONNECTIONS / perSecond);
+            this.intervalNanos = (long) (1e9 * CONNECTIONS / perSecond);
         }
 
         Histogram run(long ms, Runnable atBegin) throws InterruptedException, IOException {
             List<Thread> all = new ArrayList<>();
             long begin = System.nanoTime();
             for (int i = 0; i < CONNECTIONS; i++) {
-                Socket s = new Socket(InetAddress.getLoopbackAddress(), ports.get(i % ports.size()));
-                s.setTcpNoDelay(true);
-                long first = begin + everyNanos * i / CONNECTIONS;
-                Thread one = new Thread(() -> send(s, first), "client " + i);
+                Socket socket = new Socket(InetAddress.getLoopbackAddress(), ports.get(i % ports.size()));
+                socket.setTcpNoDelay(true);
+                long first = begin + intervalNanos * i / CONNECTIONS;
+                Thread one = new Thread(() -> send(socket, first), "client " + i);
                 one.start();
                 all.add(one);
             }
             if (atBegin != null) {
-                Thread.sleep(WARM_MS);
+                Thread.sleep(WARM_UP_MS);
                 atBegin.run();
             }
-            counted = true;
+            measuring = true;
             Thread.sleep(ms);
-            counted = false;
-            over = true;
+            measuring = false;
+            stopped = true;
             for (Thread t : all) {
                 t.join();
             }
             return times;
         }
 
-        private void send(Socket s, long first) {
+        private void send(Socket socket, long first) {
             byte[] buffer = new byte[4096];
-            try (s) {
-                for (long due = first; !over; due += everyNanos) {
+            try (socket) {
+                for (long due = first; !stopped; due += intervalNanos) {
                     boolean late = System.nanoTime() > due;
-                    while (!over && System.nanoTime() < due) {
+                    while (!stopped && System.nanoTime() < due) {
                         LockSupport.parkNanos(due - System.nanoTime());
                     }
                     long id = IDS.incrementAndGet();
@@ -202,17 +208,17 @@
                                     + "\r\nX-Deadline-Ms: 5000\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII);
                     long from = late ? due : System.nanoTime();
-                    s.getOutputStream().write(request);
-                    String head = answer(s, buffer);
+                    socket.getOutputStream().write(request);
+                    String head = readResponse(socket, buffer);
                     long waited = System.nanoTime() - from;
-                    if (!counted) {
+                    if (!measuring) {
                         continue;
                     }
-                    long served = served(head);
+                    long served = reportedNanos(head);
                     if (served < 0) {
-                        others.incrementAndGet();
+                        failures.incrementAndGet();
                     } else {
-                        times.recordValue(Math.min(HIGHEST_NANOS, Math.max(0, waited - served)));
+                        times.recordValue(Math.min(MAX_LATENCY_NANOS, Math.max(0, waited - served)));
                     }
                 }
             } catch (IOException e) {
@@ -220,11 +226,11 @@
             }
         }
 
-        /** Answers come one at a time and end with their body, whose length they say. */
-        private static String answer(Socket s, byte[] buffer) throws IOException {
+        /** Reads one response; responses are not pipelined and have a Content-Length. */
+        private static String readResponse(Socket socket, byte[] buffer) throws IOException {
             int length = 0;
             while (true) {
-                int more = s.getInputStream().read(buffer, length, buffer.length - length);
+                int more = socket.getInputStream().read(buffer, length, buffer.length - length);
                 if (more <= 0) {
                     throw new IOException("a connection ended in the middle");
                 }
--- a/src/main/java/mulleinfront/bench/CapacityFile.java
+++ b/src/main/java/mulleinfront/bench/CapacityFile.java
@@ -24,7 +24,9 @@
 import mulleinfront.capacity.Slope;
 import mulleinfront.settings.BadFileException;
 
-/** docs/capacity.json: the size, the slopes as measured, the rows and the mechanisms; one of each a line. */
+/**
+ * Reads and writes docs/capacity.json: the size, the measured slopes, the rows and the mechanisms, one entry a line.
+ */
 public final class CapacityFile {
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -34,16 +36,16 @@
         this.file = file;
     }
 
-    /** @throws BadFileException with file, line and reason */
+    /** @throws BadFileException with file, line and reason if the file is invalid */
     public static Capacity read(Path file) throws BadFileException {
         return new CapacityFile(file).read();
     }
 
     private Capacity read() throws BadFileException {
-        Table root;
+        JsonObject root;
         try (JsonParser in = JSON.createParser(Files.readAllBytes(file))) {
             in.nextToken();
-            if (!(value(in) instanceof Table t) || in.nextToken() != null) {
+            if (!(value(in) instanceof JsonObject t) || in.nextToken() != null) {
                 throw new BadFileException(file + ": must be one object");
             }
             root = t;
@@ -54,64 +56,64 @@
             throw new BadFileException(file + ": can't be read");
         }
         Map<String, Double> size = new LinkedHashMap<>();
-        Table given = root.table("size");
+        JsonObject given = root.object("size");
         for (String name : given.names()) {
             size.put(name, given.number(name));
         }
         List<Slope> slopes = new ArrayList<>();
-        for (Table t : root.tables("slopes")) {
+        for (JsonObject t : root.objects("slopes")) {
             List<Fit.Point> points = new ArrayList<>();
             for (Object p : t.list("points")) {
                 if (!(p instanceof List<?> two
                         && two.size() == 2
                         && two.get(0) instanceof Double x
                         && two.get(1) instanceof Double y)) {
-                    throw t.wrong("points must be pairs of size and figure");
+                    throw t.error("points must be pairs of size and figure");
                 }
                 points.add(new Fit.Point(x, y));
             }
-            slopes.add(t.made(() ->
+            slopes.add(t.build(() ->
                     new Slope(t.text("id"), t.text("what"), t.text("unit"), t.text("per"), points, t.text("command"))));
         }
         List<Row> rows = new ArrayList<>();
-        for (Table t : root.tables("rows")) {
+        for (JsonObject t : root.objects("rows")) {
             List<Row.Cell> cells = new ArrayList<>();
-            for (Table c : t.tables("cells")) {
+            for (JsonObject c : t.objects("cells")) {
                 cells.add(cell(c));
             }
             rows.add(new Row(t.text("role"), t.text("part"), t.text("when"), t.text("mechanism"), cells));
-            t.done();
+            t.rejectUnknownKeys();
         }
         List<Need> needs = new ArrayList<>();
-        for (Table t : root.tables("needs")) {
+        for (JsonObject t : root.objects("needs")) {
             needs.add(new Need(t.text("name"), t.text("rows"), t.texts("faults"), t.text("why")));
-            t.done();
+            t.rejectUnknownKeys();
         }
-        root.has("figures"); // written for readers, worked out anew
-        root.done();
-        return root.made(() -> new Capacity(new Size(size), slopes, rows, needs));
+        root.has("figures"); // Written for people; computed again when the file is read.
+        root.rejectUnknownKeys();
+        return root.build(() -> new Capacity(new Size(size), slopes, rows, needs));
     }
 
-    private static Row.Cell cell(Table c) throws BadFileException {
+    private static Row.Cell cell(JsonObject c) throws BadFileException {
         List<Row.Term> terms = new ArrayList<>();
-        for (Table t : c.has("terms") ? c.tables("terms") : List.<Table>of()) {
+        for (JsonObject t : c.has("terms") ? c.objects("terms") : List.<JsonObject>of()) {
             terms.add(new Row.Term(t.text("slope"), t.text("at"), t.has("times") ? t.texts("times") : List.of()));
-            t.done();
+            t.rejectUnknownKeys();
         }
-        Row.Cell cell = c.made(() -> new Row.Cell(
+        Row.Cell cell = c.build(() -> new Row.Cell(
                 Row.Measure.of(c.text("measure")),
                 terms,
                 c.has("budget") ? c.text("budget") : null,
                 c.has("source") ? c.text("source") : null,
                 c.has("given") ? c.number("given") : Double.NaN));
         if (!Double.isNaN(cell.given()) && (cell.source() == null)) {
-            throw c.wrong("a given figure needs its source");
+            throw c.error("a given figure needs its source");
         }
-        c.done();
+        c.rejectUnknownKeys();
         return cell;
     }
 
-    /** Writes all of it, with the figures that follow beside the rows. */
+    /** Writes the whole file, including the values computed from the rows. */
     public static void write(Path file, Capacity all) throws IOException {
         Files.writeString(file, text(all));
     }
@@ -223,7 +225,7 @@
         out.writeEndArray();
     }
 
-    /** A number as short as it can be; what is not known is null. */
+    /** Writes a number in its shortest form, and null for an unknown one. */
     private static void number(JsonGenerator out, double value) throws IOException {
         if (!Double.isFinite(value)) {
             out.writeNull();
@@ -258,7 +260,7 @@
     private Object value(JsonParser in) throws IOException {
         switch (in.currentToken()) {
             case START_OBJECT -> {
-                Table table = new Table(in.currentLocation().getLineNr());
+                JsonObject table = new JsonObject(in.currentLocation().getLineNr());
                 while (in.nextToken() == JsonToken.FIELD_NAME) {
                     String name = in.currentName();
                     in.nextToken();
@@ -285,30 +287,30 @@
         }
     }
 
-    /** Makes something of a table's fields. */
-    private interface Maker<T> {
-        T make() throws BadFileException;
+    /** Builds an object from the fields of a JSON object. */
+    private interface Builder<T> {
+        T build() throws BadFileException;
     }
 
-    /** An object of the file and the line that it begins on. */
-    private final class Table {
+    /** A JSON object of the file, with the line where it begins and the keys read so far. */
+    private final class JsonObject {
         private final int line;
         private final Map<String, Object> fields = new LinkedHashMap<>();
-        private final Set<String> seen = new HashSet<>();
+        private final Set<String> readKeys = new HashSet<>();
 
-        Table(int line) {
+        JsonObject(int line) {
             this.line = line;
         }
 
-        BadFileException wrong(String what) {
+        BadFileException error(String what) {
             return new BadFileException(file + ":" + line + ": " + what);
         }
 
-        <T> T made(Maker<T> maker) throws BadFileException {
+        <T> T build(Builder<T> maker) throws BadFileException {
             try {
-                return maker.make();
+                return maker.build();
             } catch (IllegalArgumentException e) {
-                throw wrong(e.getMessage());
+                throw error(e.getMessage());
             }
         }
 
@@ -317,7 +319,7 @@
         }
 
         boolean has(String name) {
-            seen.add(name);
+            readKeys.add(name);
             return fields.containsKey(name);
         }
 
@@ -325,35 +327,35 @@
             if (has(name) && fields.get(name) instanceof String s) {
                 return s;
             }
-            throw wrong(name + " must be a text");
+            throw error(name + " must be a text");
         }
 
         double number(String name) throws BadFileException {
             if (has(name) && fields.get(name) instanceof Double d) {
                 return d;
             }
-            throw wrong(name + " must be a number");
+            throw error(name + " must be a number");
         }
 
-        Table table(String name) throws BadFileException {
-            if (has(name) && fields.get(name) instanceof Table t) {
+        JsonObject object(String name) throws BadFileException {
+            if (has(name) && fields.get(name) instanceof JsonObject t) {
                 return t;
             }
-            throw wrong(name + " must be an object");
+            throw error(name + " must be an object");
         }
 
         List<?> list(String name) throws BadFileException {
             if (has(name) && fields.get(name) instanceof List<?> l) {
                 return l;
             }
-            throw wrong(name + " must be a list");
+            throw error(name + " must be a list");
         }
 
-        List<Table> tables(String name) throws BadFileException {
-            List<Table> all = new ArrayList<>();
+        List<JsonObject> objects(String name) throws BadFileException {
+            List<JsonObject> all = new ArrayList<>();
             for (Object o : list(name)) {
-                if (!(o instanceof Table t)) {
-                    throw wrong(name + " must hold objects");
+                if (!(o instanceof JsonObject t)) {
+                    throw error(name + " must hold objects");
                 }
                 all.add(t);
             }
@@ -364,17 +366,17 @@
             List<String> all = new ArrayList<>();
             for (Object o : list(name)) {
                 if (!(o instanceof String s)) {
-                    throw wrong(name + " must hold texts");
+                    throw error(name + " must hold texts");
                 }
                 all.add(s);
             }
             return all;
         }
 
-        void done() throws BadFileException {
+        void rejectUnknownKeys() throws BadFileException {
             for (String name : fields.keySet()) {
-                if (!seen.contains(name)) {
-                    throw wrong("unknown key " + name);
+                if (!readKeys.contains(name)) {
+                    throw error("unknown key " + name);
                 }
             }
         }
--- a/src/main/java/mulleinfront/bench/Child.java
+++ b/src/main/java/mulleinfront/bench/Child.java
@@ -19,21 +19,21 @@
 import mulleinfront.settings.ProcessSettings;
 
 /**
- * One part of a measurement as a process: it says where it listens, answers each line on its standard input with its
- * own figures, and ends when that closes. {@link Handle} is the other side.
+ * One part of a benchmark as a process. It prints the ports where it listens, responds to each line on standard input
+ * with its own resource usage, and exits when standard input closes. {@link Handle} is the parent's side.
  */
 public final class Child {
     private Child() {}
 
-    /** What a process has used since it began. */
-    record Figures(long cpuNanos, long allocatedBytes) {
-        Figures since(Figures before) {
-            return new Figures(cpuNanos - before.cpuNanos, allocatedBytes - before.allocatedBytes);
+    /** Resources that a process has used since its start. */
+    record ResourceUsage(long cpuNanos, long allocatedBytes) {
+        ResourceUsage since(ResourceUsage before) {
+            return new ResourceUsage(cpuNanos - before.cpuNanos, allocatedBytes - before.allocatedBytes);
         }
     }
 
     /**
-     * The process's entry.
+     * Runs the part that the arguments name.
      *
      * @param args {@code hosts COUNT MICROS}, {@code timed COUNT MICROS}, {@code relay PORT} or
      *        {@code proxy CONFIG-JSON LOOPS}
@@ -48,8 +48,8 @@
                     long micros = Long.parseLong(args[2]);
                     all.add(""
                             + (args[0].equals("timed")
-                                    ? TimedHost.listen(group, micros)
-                                    : StandIn.host(group, micros)));
+                                    ? TimedServer.listen(group, micros)
+                                    : StandIn.server(group, micros)));
                 }
                 ports = String.join(",", all);
             }
@@ -84,7 +84,7 @@
         System.exit(0);
     }
 
-    /** A child from its parent's side. */
+    /** A child process as its parent sees it. */
     static final class Handle implements AutoCloseable {
         private final Process process;
         private final BufferedReader out;
@@ -93,7 +93,7 @@
         /**
          * Starts a part.
          *
-         * @param cpus the processors to keep it on, or empty; kept to only where {@code taskset} is installed
+         * @param cpus processors to pin the process to, or empty; applied only where {@code taskset} is installed
          */
         Handle(String cpus, List<String> jvm, String... args) throws IOException {
             List<String> command = new ArrayList<>();
@@ -110,7 +110,7 @@
             out = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.US_ASCII));
             String line = out.readLine();
             while (line != null && !line.matches("[0-9,]+")) {
-                line = out.readLine(); // a JVM's own word, as of a profiler
+                line = out.readLine(); // Skips output of the JVM itself, such as a profiler's.
             }
             if (line == null) {
                 throw new IOException("the " + args[0] + " did not start");
@@ -120,12 +120,12 @@
             }
         }
 
-        Figures figures() {
+        ResourceUsage resourceUsage() {
             try {
                 process.getOutputStream().write('\n');
                 process.getOutputStream().flush();
                 String[] words = out.readLine().split(" ");
-                return new Figures(Long.parseLong(words[0]), Long.parseLong(words[1]));
+                return new ResourceUsage(Long.parseLong(words[0]), Long.parseLong(words[1]));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
--- a/src/main/java/mulleinfront/bench/Decisions.java
+++ b/src/main/java/mulleinfront/bench/Decisions.java
@@ -21,19 +21,19 @@
 import mulleinfront.Balancer.Source;
 import mulleinfront.core.NoOpActions;
 
-/** What the decision module costs by itself as hosts become more: a request, a host gone and back, a whole list. */
+/** Measures the cost of the balancer alone by number of endpoints: a request, a replaced endpoint, a full list. */
 public final class Decisions {
-    private static final int OPEN = 8;
+    private static final int OPEN_ATTEMPTS = 8;
     private static final long STEP_US = 500;
-    private static final long ANSWER_US = 4_000;
+    private static final long LATENCY_US = 4_000;
 
     private final PrintWriter out;
     private final int requests;
     private final int changes;
 
     /**
-     * @param requests counted requests of each size
-     * @param changes counted changes of the list, each one host gone and one come
+     * @param requests measured requests for each number of endpoints
+     * @param changes measured deltas, each of which removes one endpoint and adds another
      */
     public Decisions(PrintWriter out, int requests, int changes) {
         this.out = out;
@@ -41,26 +41,26 @@
         this.changes = changes;
     }
 
-    /** Measures a fleet of so many hosts. */
-    public void measure(int hosts) {
-        Driver driver = new Driver(hosts);
-        driver.requests(requests / 2);
-        driver.change(changes / 2);
+    /** Measures with the given number of endpoints. */
+    public void measure(int endpoints) {
+        Driver driver = new Driver(endpoints);
+        driver.sendRequests(requests / 2);
+        driver.replaceEndpoints(changes / 2);
         long from = System.nanoTime();
         long allocated = allocated();
-        driver.requests(requests);
+        driver.sendRequests(requests);
         double request = (System.nanoTime() - from) / 1e3 / requests;
         double bytes = (double) (allocated() - allocated) / requests;
         from = System.nanoTime();
-        driver.change(changes);
+        driver.replaceEndpoints(changes);
         double change = (System.nanoTime() - from) / 1e3 / changes;
         from = System.nanoTime();
-        int lists = Math.max(3, 100_000 / hosts);
+        int lists = Math.max(3, 100_000 / endpoints);
         for (int i = 0; i < lists; i++) {
-            driver.whole();
+            driver.applyFullList();
         }
         double whole = (System.nanoTime() - from) / 1e3 / lists;
-        out.printf(Locale.ROOT, "%8d %12.2f %12.0f %14.1f %14.1f%n", hosts, request, bytes, change, whole);
+        out.printf(Locale.ROOT, "%8d %12.2f %12.0f %14.1f %14.1f%n", endpoints, request, bytes, change, whole);
         out.flush();
     }
 
@@ -69,19 +69,19 @@
                 .getThreadAllocatedBytes(Thread.currentThread().getId());
     }
 
-    /** A module and whoever carries out what it decides: each attempt is answered after some others. */
+    /** Drives a balancer and ends each attempt after some later ones have started. */
     private static final class Driver extends NoOpActions {
-        private final ArrayDeque<AttemptEnd> out = new ArrayDeque<>();
+        private final ArrayDeque<AttemptEnd> openAttempts = new ArrayDeque<>();
         private final List<Endpoint> list = new ArrayList<>();
-        private final Balancer module;
-        private long now = 1_000_000;
-        private long next;
-        private int named;
-        private int turn;
+        private final Balancer balancer;
+        private long nowUs = 1_000_000;
+        private long requestNumber;
+        private int createdEndpoints;
+        private int changeNumber;
 
         Driver(int hosts) {
             RequestClass lookup = new RequestClass("lookup", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 2_000_000);
-            module = Balancer.create(
+            balancer = Balancer.create(
                     new Settings(
                             List.of(lookup),
                             List.of(),
@@ -93,46 +93,56 @@
                             new Limits(3, true, false, 0, 15_000_000),
                             new Contract(10_000_000, 0.2, 20_000_000)),
                     1,
-                    now,
+                    nowUs,
                     this);
             for (int i = 0; i < hosts; i++) {
-                list.add(host());
+                list.add(newEndpoint());
             }
-            whole();
+            applyFullList();
         }
 
-        private Endpoint host() {
-            return new Endpoint("host-" + named++, named % 3, 0, named % 2, Availability.READY, 1, 0);
+        private Endpoint newEndpoint() {
+            return new Endpoint(
+                    "host-" + createdEndpoints++,
+                    createdEndpoints % 3,
+                    0,
+                    createdEndpoints % 2,
+                    Availability.READY,
+                    1,
+                    0);
         }
 
-        void whole() {
-            module.onEndpoints(now, Source.FULL, list);
+        void applyFullList() {
+            balancer.onEndpoints(nowUs, Source.FULL, list);
         }
 
-        void requests(int count) {
+        void sendRequests(int count) {
             for (int i = 0; i < count; i++) {
-                now += STEP_US;
-                module.onRequest(now, new Request("r" + next, 0, "k" + next * 7919 % 10_000, 2_000_000, 0, 0, false));
-                next++;
-                if (out.size() > OPEN) {
-                    module.onAttemptEnded(now, out.poll());
+                nowUs += STEP_US;
+                balancer.onRequest(
+                        nowUs,
+                        new Request(
+                                "r" + requestNumber, 0, "k" + requestNumber * 7919 % 10_000, 2_000_000, 0, 0, false));
+                requestNumber++;
+                if (openAttempts.size() > OPEN_ATTEMPTS) {
+                    balancer.onAttemptEnded(nowUs, openAttempts.poll());
                 }
                 if (i % 100 == 0) {
-                    module.onTimer(now);
+                    balancer.onTimer(nowUs);
                 }
             }
         }
 
-        /** One host goes and another comes, as a deploy has it, in one list of two entries. */
-        void change(int count) {
+        /** Replaces one endpoint at a time by a delta with two entries, as a deployment does. */
+        void replaceEndpoints(int count) {
             for (int i = 0; i < count; i++) {
-                now += 1_000;
-                int at = turn++ % list.size();
+                nowUs += 1_000;
+                int at = changeNumber++ % list.size();
                 Endpoint old = list.get(at);
-                Endpoint fresh = host();
+                Endpoint fresh = newEndpoint();
                 list.set(at, fresh);
-                module.onEndpoints(
-                        now,
+                balancer.onEndpoints(
+                        nowUs,
                         Source.DELTA,
                         List.of(
                                 new Endpoint(
@@ -149,7 +159,7 @@
 
         @Override
         public void send(String requestId, String endpointId, long timeoutUs) {
-            out.add(new AttemptEnd(requestId, 0, Outcome.OK, true, ANSWER_US));
+            openAttempts.add(new AttemptEnd(requestId, 0, Outcome.OK, true, LATENCY_US));
         }
     }
 }
--- a/src/main/java/mulleinfront/bench/Driver.java
+++ b/src/main/java/mulleinfront/bench/Driver.java
@@ -23,31 +23,31 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Sends requests over a number of connections, one at a time on each, and measures the time to each answer. */
+/** Sends requests over several connections, one at a time on each, and measures the time to each response. */
 final class Driver implements AutoCloseable {
-    private static final long HIGHEST_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final long MAX_LATENCY_NANOS = TimeUnit.SECONDS.toNanos(60);
     private static final int THREADS = 2;
     private static final AtomicLong IDS = new AtomicLong();
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
     private final List<Connection> connections = new ArrayList<>();
     private volatile Histogram times = histogram();
-    private final AtomicLong others = new AtomicLong();
-    /** Nanoseconds between two sends of one connection; 0: a closed loop. */
-    private volatile long everyNanos;
+    private final AtomicLong failures = new AtomicLong();
+    /** Nanoseconds between two requests on one connection; 0 for a closed loop. */
+    private volatile long intervalNanos;
 
-    /** Answers in a stretch of time: how many each second, with which latencies, and how many were no 200. */
-    record Result(double perSecond, Histogram times, long others) {
+    /** Responses per second, their latencies, and the number of responses with a status other than 200. */
+    record Result(double perSecond, Histogram times, long failures) {
         double ms(double percentile) {
             return times.getValueAtPercentile(percentile) / 1e6;
         }
     }
 
     private static Histogram histogram() {
-        return new ConcurrentHistogram(HIGHEST_NANOS, 3);
+        return new ConcurrentHistogram(MAX_LATENCY_NANOS, 3);
     }
 
-    /** Connects to the ports in turn. */
+    /** Opens the connections, round robin over the ports. */
     Driver(int count, List<Integer> ports) throws InterruptedException {
         for (int i = 0; i < count; i++) {
             Connection c = new Connection(i);
@@ -69,27 +69,27 @@
     }
 
     /**
-     * Sends for a while, measures the latter part of it.
+     * Sends requests, and measures after the warm-up time.
      *
-     * @param perSecond requests a second over all connections, each measured from when it was due (open loop); 0:
-     *        each connection sends when it has its answer
+     * @param perSecond requests per second over all connections, each measured from when it was due (open loop); 0:
+     *     each connection sends the next request when it has its response (closed loop)
      */
     Result run(long warmMs, long measuredMs, double perSecond, Runnable atBegin) throws InterruptedException {
-        everyNanos = perSecond == 0 ? 0 : (long) (1e9 * connections.size() / perSecond);
+        intervalNanos = perSecond == 0 ? 0 : (long) (1e9 * connections.size() / perSecond);
         connections.forEach(c -> c.channel.eventLoop().execute(c::begin));
         Thread.sleep(warmMs);
         Histogram measured = histogram();
-        others.set(0);
+        failures.set(0);
         times = measured;
         atBegin.run();
         long from = System.nanoTime();
         Thread.sleep(measuredMs);
         times = histogram();
         double seconds = (System.nanoTime() - from) / 1e9;
-        long wrong = others.get();
+        long failed = failures.get();
         connections.forEach(c -> c.running = false);
-        Histogram still = measured.copy();
-        return new Result(still.getTotalCount() / seconds, still, wrong);
+        Histogram snapshot = measured.copy();
+        return new Result(snapshot.getTotalCount() / seconds, snapshot, failed);
     }
 
     @Override
@@ -103,14 +103,14 @@
         private Channel channel;
         private volatile boolean running;
         private boolean open;
-        private long sentAt;
+        private long measuredFromNanos;
         private long nextDue;
-        /** Sends that are due and wait for the answer before them. */
-        private final ArrayDeque<Long> due = new ArrayDeque<>();
+        /** Due times of requests that wait for the previous response. */
+        private final ArrayDeque<Long> dueTimes = new ArrayDeque<>();
 
         private final StringBuilder head = new StringBuilder();
         private int bodyLeft = -1;
-        private boolean served;
+        private boolean succeeded;
 
         Connection(int number) {
             this.number = number;
@@ -118,12 +118,12 @@
 
         void begin() {
             running = true;
-            if (everyNanos == 0) {
+            if (intervalNanos == 0) {
                 if (!open) {
                     send(System.nanoTime());
                 }
             } else {
-                nextDue = System.nanoTime() + everyNanos * number / connections.size();
+                nextDue = System.nanoTime() + intervalNanos * number / connections.size();
                 tick();
             }
         }
@@ -133,22 +133,22 @@
                 return;
             }
             long now = System.nanoTime();
-            for (; nextDue <= now; nextDue += everyNanos) {
-                due.add(nextDue);
+            for (; nextDue <= now; nextDue += intervalNanos) {
+                dueTimes.add(nextDue);
             }
-            next();
+            sendNextDue();
             channel.eventLoop().schedule(this::tick, nextDue - now, TimeUnit.NANOSECONDS);
         }
 
-        private void next() {
-            if (!open && !due.isEmpty()) {
-                send(due.poll());
+        private void sendNextDue() {
+            if (!open && !dueTimes.isEmpty()) {
+                send(dueTimes.poll());
             }
         }
 
         private void send(long at) {
             open = true;
-            sentAt = at;
+            measuredFromNanos = at;
             long id = IDS.incrementAndGet();
             channel.writeAndFlush(Unpooled.copiedBuffer(
                     "GET /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: b"
@@ -157,7 +157,7 @@
                     StandardCharsets.US_ASCII));
         }
 
-        /** Answers have a Content-Length and come one at a time. */
+        /** Reads responses; they have a Content-Length and are not pipelined. */
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) {
             while (in.isReadable()) {
@@ -169,7 +169,7 @@
                     head.append((char) in.readByte());
                     int length = head.length();
                     if (length >= 4 && head.charAt(length - 1) == '\n' && head.charAt(length - 3) == '\n') {
-                        served = head.indexOf(" 200 ") > 0;
+                        succeeded = head.indexOf(" 200 ") > 0;
                         bodyLeft = contentLength();
                         head.setLength(0);
                     }
@@ -189,15 +189,15 @@
 
         private void answered() {
             long now = System.nanoTime();
-            times.recordValue(Math.min(HIGHEST_NANOS, Math.max(0, now - sentAt)));
-            if (!served) {
-                others.incrementAndGet();
+            times.recordValue(Math.min(MAX_LATENCY_NANOS, Math.max(0, now - measuredFromNanos)));
+            if (!succeeded) {
+                failures.incrementAndGet();
             }
             open = false;
-            if (running && everyNanos == 0) {
+            if (running && intervalNanos == 0) {
                 send(now);
             } else {
-                next();
+                sendNextDue();
             }
         }
     }
--- a/src/main/java/mulleinfront/bench/IdleCost.java
+++ b/src/main/java/mulleinfront/bench/IdleCost.java
@@ -14,16 +14,16 @@
 import mulleinfront.capacity.Slope;
 
 /**
- * What a client proxy costs as a process that holds a list and has nothing to do: memory, processor, its
- * watch's bytes.
+ * Measures an idle client proxy process with a list of servers: memory, CPU time, and the traffic of its discovery
+ * watch.
  */
 public final class IdleCost {
     private static final int SETTLE_MS = 8_000;
     private static final int MEASURED_MS = 12_000;
     private static final int HEARTBEAT_MS = 2_000;
     private static final int TICK_MS = 10;
-    /** The deployed run line's flags that bear on memory and processor. */
-    private static final List<String> DEPLOYED = List.of(
+    /** The JVM flags of the deployed command line that affect memory and CPU time. */
+    private static final List<String> DEPLOYED_JVM_FLAGS = List.of(
             "-Djava.net.preferIPv4Stack=true",
             "-Dio.netty.jfr.enabled=false",
             "-XX:+UseSerialGC",
@@ -38,22 +38,22 @@
 
     private IdleCost() {}
 
-    /** Measures one process after the other, with lists of these sizes. */
+    /** Measures one process after the other, with lists of the given sizes. */
     public static List<Slope> measure(int[] sizes, String command) throws IOException, InterruptedException {
-        Measured out = new Measured("hosts", command);
-        for (int n : sizes) {
-            one(n, out);
+        SlopeCollector out = new SlopeCollector("hosts", command);
+        for (int size : sizes) {
+            measureProcess(size, out);
         }
         return out.slopes();
     }
 
-    private static void one(int hosts, Measured out) throws IOException, InterruptedException {
+    private static void measureProcess(int servers, SlopeCollector out) throws IOException, InterruptedException {
         Path file = Files.createTempFile("idle", ".json");
-        try (Watched discovery = new Watched(ListCost.whole(hosts))) {
+        try (StandInDiscovery discovery = new StandInDiscovery(ListCost.fullList(servers))) {
             Files.writeString(file, config(discovery.port()));
             List<String> command = new ArrayList<>();
             command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-            command.addAll(DEPLOYED);
+            command.addAll(DEPLOYED_JVM_FLAGS);
             command.addAll(List.of("-cp", System.getProperty("java.class.path"), "mulleinfront.Main", "serve"));
             ProcessBuilder builder = new ProcessBuilder(command)
                     .redirectErrorStream(true)
@@ -67,25 +67,30 @@
                 }
                 long bytes = discovery.bytes.get();
                 long messages = discovery.messages.get();
-                long ticks = ticks(process);
+                long ticks = cpuTicks(process);
                 long from = System.nanoTime();
                 Thread.sleep(MEASURED_MS);
                 double seconds = (System.nanoTime() - from) / 1e9;
                 out.add(
-                        hosts,
+                        servers,
                         "idle.processor",
                         "processor time of an idle client proxy",
                         "of a core",
-                        (ticks(process) - ticks) * TICK_MS / 1e3 / seconds);
-                out.add(hosts, "idle.memory", "resident memory of an idle client proxy", "bytes", resident(process));
+                        (cpuTicks(process) - ticks) * TICK_MS / 1e3 / seconds);
                 out.add(
-                        hosts,
+                        servers,
+                        "idle.memory",
+                        "resident memory of an idle client proxy",
+                        "bytes",
+                        residentBytes(process));
+                out.add(
+                        servers,
                         "idle.bytes",
                         "bytes of a quiet watch of discovery",
                         "bytes/s",
                         (discovery.bytes.get() - bytes) / seconds);
                 out.add(
-                        hosts,
+                        servers,
                         "idle.messages",
                         "heartbeats of a quiet watch of discovery",
                         "/s",
@@ -98,13 +103,13 @@
         }
     }
 
-    private static long ticks(Process process) throws IOException {
+    private static long cpuTicks(Process process) throws IOException {
         String stat = Files.readString(Path.of("/proc", "" + process.pid(), "stat"));
         String[] words = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
         return Long.parseLong(words[11]) + Long.parseLong(words[12]);
     }
 
-    private static long resident(Process process) throws IOException {
+    private static long residentBytes(Process process) throws IOException {
         String status = Files.readString(Path.of("/proc", "" + process.pid(), "status"));
         int at = status.indexOf("VmRSS:");
         return 1024
@@ -123,15 +128,15 @@
                 + "\"contract\":{\"askWithinUs\":10000000}}}";
     }
 
-    /** Discovery for one: the whole list, then heartbeats. */
-    private static final class Watched implements AutoCloseable {
+    /** Stand-in discovery for one client proxy: sends the full list, then heartbeats. */
+    private static final class StandInDiscovery implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
         private final byte[] list;
         private final AtomicLong bytes = new AtomicLong();
         private final AtomicLong messages = new AtomicLong();
         private final AtomicLong calls = new AtomicLong();
 
-        Watched(byte[] list) throws IOException {
+        StandInDiscovery(byte[] list) throws IOException {
             this.list = list;
             Thread accepting = new Thread(this::accept, "discovery");
             accepting.setDaemon(true);
@@ -145,24 +150,24 @@
         private void accept() {
             while (!server.isClosed()) {
                 try {
-                    Socket s = server.accept();
-                    Thread one = new Thread(() -> answer(s), "watch");
+                    Socket socket = server.accept();
+                    Thread one = new Thread(() -> serve(socket), "watch");
                     one.setDaemon(true);
                     one.start();
                 } catch (IOException e) {
-                    return; // closed: the measurement is over
+                    return; // The server socket was closed: the measurement is over.
                 }
             }
         }
 
-        private void answer(Socket s) {
-            try (s) {
+        private void serve(Socket socket) {
+            try (socket) {
                 byte[] request = new byte[4096];
-                if (s.getInputStream().read(request) < 0) {
+                if (socket.getInputStream().read(request) < 0) {
                     return;
                 }
                 calls.incrementAndGet();
-                OutputStream out = s.getOutputStream();
+                OutputStream out = socket.getOutputStream();
                 write(
                         out,
                         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -175,7 +180,7 @@
                     write(out, "1\r\n\n\r\n".getBytes(StandardCharsets.US_ASCII));
                 }
             } catch (IOException | InterruptedException e) {
-                // Its client went: the measurement of it is over.
+                // The client proxy disconnected: its measurement is over.
             }
         }
 
--- a/src/main/java/mulleinfront/bench/ListCost.java
+++ b/src/main/java/mulleinfront/bench/ListCost.java
@@ -17,25 +17,24 @@
 import mulleinfront.settings.Listing;
 
 /**
- * What a list of hosts costs as they become more: its bytes, and the time to read it and take it into the
- * module.
+ * Measures the cost of endpoint lists by number of servers: their size, and the CPU time to parse and apply them.
  */
 public final class ListCost {
-    private static final int LEAST_ROUNDS = 20;
-    private static final int HOSTS_READ = 200_000;
+    private static final int MIN_ROUNDS = 20;
+    private static final int ENTRIES_READ = 200_000;
 
     private ListCost() {}
 
-    /** One host in discovery's form, with names as long as the sites' own. */
-    private static String entry(int i, int life, String state) {
-        return "{\"id\":\"server-" + i + "-" + life + "\",\"addr\":\"10." + i / 60000 + "." + i / 250 % 240
+    /** One list entry as discovery writes it, with names of a realistic length. */
+    private static String entry(int i, int incarnation, String state) {
+        return "{\"id\":\"server-" + i + "-" + incarnation + "\",\"addr\":\"10." + i / 60000 + "." + i / 250 % 240
                 + "."
                 + (1 + i % 250) + ":9001\",\"zone\":\"zone-a\",\"kind\":\"new\",\"cell\":" + i % 8
                 + ",\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":1796083200000}";
     }
 
-    /** A whole list in discovery's form. */
-    static byte[] whole(int hosts) {
+    /** A full list as discovery writes it. */
+    static byte[] fullList(int hosts) {
         List<String> all = new ArrayList<>();
         for (int i = 0; i < hosts; i++) {
             all.add(entry(i, 0, "in_service"));
@@ -43,9 +42,12 @@
         return list(1, true, all);
     }
 
-    /** A change in the same form: the process on one host is gone, and the next one there. */
-    private static byte[] change(int version, int host, int life) {
-        return list(version, false, List.of(entry(host, life - 1, "terminated"), entry(host, life, "in_service")));
+    /** A delta as discovery writes it that replaces one server by its next incarnation. */
+    private static byte[] replacement(int version, int host, int incarnation) {
+        return list(
+                version,
+                false,
+                List.of(entry(host, incarnation - 1, "terminated"), entry(host, incarnation, "in_service")));
     }
 
     private static byte[] list(int version, boolean full, List<String> entries) {
@@ -53,75 +55,75 @@
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Measures lists of these sizes. */
+    /** Measures lists of the given sizes. */
     public static List<Slope> measure(int[] sizes, String command) throws java.io.IOException {
-        Measured out = new Measured("hosts", command);
-        one(sizes[0], new Measured("", ""));
-        for (int n : sizes) {
-            one(n, out);
+        SlopeCollector out = new SlopeCollector("hosts", command);
+        measureSize(sizes[0], new SlopeCollector("", ""));
+        for (int size : sizes) {
+            measureSize(size, out);
         }
         return out.slopes();
     }
 
-    private static void one(int hosts, Measured out) throws java.io.IOException {
-        byte[] whole = whole(hosts);
-        out.add(hosts, "lists.full.bytes", "a whole list", "bytes", whole.length);
-        out.add(hosts, "lists.change.bytes", "one host replaced", "bytes", change(2, hosts - 1, 1).length);
-        Balancer module = module();
+    private static void measureSize(int servers, SlopeCollector out) throws java.io.IOException {
+        byte[] full = fullList(servers);
+        out.add(servers, "lists.full.bytes", "a whole list", "bytes", full.length);
+        out.add(servers, "lists.change.bytes", "one host replaced", "bytes", replacement(2, servers - 1, 1).length);
+        Balancer balancer = newBalancer();
         long now = 1_000_000;
-        int rounds = Math.max(LEAST_ROUNDS, HOSTS_READ / hosts);
+        int rounds = Math.max(MIN_ROUNDS, ENTRIES_READ / servers);
         long from = 0;
         for (int i = -rounds / 4; i < rounds; i++) {
             from = i == 0 ? cpu() : from;
             now += 1_000;
-            module.onEndpoints(now, Source.FULL, endpoints(Listing.parse(whole)));
+            balancer.onEndpoints(now, Source.FULL, endpoints(Listing.parse(full)));
         }
         out.add(
-                hosts,
+                servers,
                 "lists.full.processor",
                 "processor time to read and take a whole list",
                 "s",
                 (cpu() - from) / 1e9 / rounds);
         byte[][] changes = new byte[rounds][];
         for (int i = 0; i < rounds; i++) {
-            changes[i] = change(2 + i, i % hosts, 1 + i / hosts);
+            changes[i] = replacement(2 + i, i % servers, 1 + i / servers);
         }
         from = cpu();
         for (int i = 0; i < rounds; i++) {
             now += 1_000;
-            module.onEndpoints(now, Source.DELTA, endpoints(Listing.parse(changes[i])));
+            balancer.onEndpoints(now, Source.DELTA, endpoints(Listing.parse(changes[i])));
         }
         out.add(
-                hosts,
+                servers,
                 "lists.change.processor",
                 "processor time to read and take one host replaced",
                 "s",
                 (cpu() - from) / 1e9 / rounds);
-        double within = last(hosts);
-        out.add(hosts, "lists.asked", "until all have asked discovery once, a list at hand", "s", within);
-        out.add(hosts, "lists.calls", "calls to discovery by all at once, a list at hand", "/s", hosts / within);
+        double within = secondsUntilLastCall(servers);
+        out.add(servers, "lists.asked", "until all have asked discovery once, a list at hand", "s", within);
+        out.add(servers, "lists.calls", "calls to discovery by all at once, a list at hand", "/s", servers / within);
     }
 
-    /** When the last of so many that begin at one moment with a list calls, by its own module, seconds. */
-    private static double last(int instances) {
-        long last = 1;
+    /** Seconds until the last of the instances calls discovery, if all start at once with a cached list. */
+    private static double secondsUntilLastCall(int instances) {
+        long lastUs = 1;
         for (int i = 0; i < instances; i++) {
-            Caller caller = new Caller();
-            Balancer module = module(instances, i, caller, true);
-            module.onEndpoints(
+            CallRecorder caller = new CallRecorder();
+            Balancer balancer = newBalancer(instances, i, caller, true);
+            balancer.onEndpoints(
                     0, Source.CACHED, List.of(new Endpoint("h", 0, 0, 0, Balancer.Availability.READY, 1, 0)));
-            for (long now = 0; !caller.called && caller.at < Long.MAX_VALUE; now = caller.at) {
-                module.onTimer(now);
-                last = Math.max(last, now);
+            for (long nowUs = 0; !caller.called && caller.wakeAtUs < Long.MAX_VALUE; nowUs = caller.wakeAtUs) {
+                balancer.onTimer(nowUs);
+                lastUs = Math.max(lastUs, nowUs);
             }
         }
-        return last / 1e6;
+        return lastUs / 1e6;
     }
 
-    /** Notes when a module wants to be woken, and that it called. */
-    private static final class Caller extends NoOpActions {
+    /** Records the next timer of a balancer and whether it has called discovery. */
+    private static final class CallRecorder extends NoOpActions {
         private boolean called;
-        private long at;
+        private long wakeAtUs;
 
         @Override
         public void subscribe() {
@@ -130,7 +132,7 @@
 
         @Override
         public void wakeAt(long atUs) {
-            at = Math.max(at + 1, atUs);
+            wakeAtUs = Math.max(wakeAtUs + 1, atUs);
         }
     }
 
@@ -142,11 +144,11 @@
         return all;
     }
 
-    private static Balancer module() {
-        return module(1, 0, new NoOpActions(), false);
+    private static Balancer newBalancer() {
+        return newBalancer(1, 0, new NoOpActions(), false);
     }
 
-    private static Balancer module(int instances, int number, Balancer.Actions actions, boolean asks) {
+    private static Balancer newBalancer(int instances, int number, Balancer.Actions actions, boolean subscribes) {
         RequestClass lookup = new RequestClass("lookup", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 2_000_000);
         return Balancer.create(
                 new Settings(
@@ -155,13 +157,13 @@
                         1,
                         instances,
                         0,
-                        asks,
+                        subscribes,
                         false,
                         new Limits(3, true, false, 0, 15_000_000),
                         new Contract(10_000_000, 0.2, 20_000_000),
                         number),
                 1 + number,
-                asks ? 0 : 1_000_000,
+                subscribes ? 0 : 1_000_000,
                 actions);
     }
 
--- a/src/main/java/mulleinfront/bench/Measured.java
+++ b/src/main/java/mulleinfront/bench/SlopeCollector.java
@@ -9,34 +9,34 @@
 import mulleinfront.capacity.Fit;
 import mulleinfront.capacity.Slope;
 
-/** Figures as they are measured, by slope and size. */
-final class Measured {
-    private static final MathContext DIGITS = new MathContext(4);
+/** Collects measured values by slope and size. */
+final class SlopeCollector {
+    private static final MathContext PRECISION = new MathContext(4);
 
     private final String per;
     private final String command;
-    private final Map<String, String[]> words = new LinkedHashMap<>();
+    private final Map<String, String[]> labels = new LinkedHashMap<>();
     private final Map<String, List<Fit.Point>> points = new LinkedHashMap<>();
 
     /**
-     * @param per what the sizes count
-     * @param command what measures them again
+     * @param per the unit of the sizes
+     * @param command the command that repeats the measurement
      */
-    Measured(String per, String command) {
+    SlopeCollector(String per, String command) {
         this.per = per;
         this.command = command;
     }
 
-    /** Takes down one figure at one size. */
-    void add(double size, String id, String what, String unit, double figure) {
-        words.put(id, new String[] {what, unit});
+    /** Adds one measured value at one size. */
+    void add(double size, String id, String what, String unit, double value) {
+        labels.put(id, new String[] {what, unit});
         points.computeIfAbsent(id, i -> new ArrayList<>())
-                .add(new Fit.Point(size, new BigDecimal(figure).round(DIGITS).doubleValue()));
+                .add(new Fit.Point(size, new BigDecimal(value).round(PRECISION).doubleValue()));
     }
 
     List<Slope> slopes() {
         List<Slope> all = new ArrayList<>();
-        words.forEach((id, w) -> all.add(new Slope(id, w[0], w[1], per, points.get(id), command)));
+        labels.forEach((id, w) -> all.add(new Slope(id, w[0], w[1], per, points.get(id), command)));
         return all;
     }
 }
--- a/src/main/java/mulleinfront/bench/SnapshotCost.java
+++ b/src/main/java/mulleinfront/bench/SnapshotCost.java
@@ -15,8 +15,8 @@
 import mulleinfront.settings.SettingsReader;
 
 /**
- * What the settings of several services weigh as they are written today, one service's after the other: what
- * a configuration for all of them would have to bring to a client proxy, whole or one service's part.
+ * Measures the size and parsing time of the concatenated settings of several services: what a configuration for all
+ * services would send to a client proxy, as a whole or for one service.
  */
 public final class SnapshotCost {
     private static final int ROUNDS = 20_000;
@@ -24,34 +24,39 @@
     private SnapshotCost() {}
 
     /**
-     * Measures so many services.
+     * Measures the given numbers of services.
      *
-     * @param sample a client proxy's configuration; its settings stand for each service's
+     * @param sample a client proxy's configuration; its settings are used for every service
      */
     public static List<Slope> measure(int[] services, Path sample, String command) throws IOException {
-        byte[] one = settings(Files.readAllBytes(sample));
-        Measured out = new Measured("services", command);
-        read(one, 1);
-        for (int n : services) {
+        byte[] service = settings(Files.readAllBytes(sample));
+        SlopeCollector out = new SlopeCollector("services", command);
+        secondsToRead(service, 1);
+        for (int count : services) {
             ByteArrayOutputStream whole = new ByteArrayOutputStream();
-            for (int i = 0; i < n; i++) {
+            for (int i = 0; i < count; i++) {
                 whole.write(("{\"service\":\"service-" + i + "\",\"settings\":").getBytes(StandardCharsets.US_ASCII));
-                whole.write(one);
+                whole.write(service);
                 whole.write("}\n".getBytes(StandardCharsets.US_ASCII));
             }
-            out.add(n, "configuration.whole.bytes", "the settings of all services", "bytes", whole.size());
-            out.add(n, "configuration.change.bytes", "the settings of one service", "bytes", whole.size() / (double) n);
+            out.add(count, "configuration.whole.bytes", "the settings of all services", "bytes", whole.size());
             out.add(
-                    n,
+                    count,
+                    "configuration.change.bytes",
+                    "the settings of one service",
+                    "bytes",
+                    whole.size() / (double) count);
+            out.add(
+                    count,
                     "configuration.whole.processor",
                     "processor time to read the settings of all services",
                     "s",
-                    read(one, n));
+                    secondsToRead(service, count));
         }
         return out.slopes();
     }
 
-    /** The settings object alone, without white space. */
+    /** The settings object of a configuration, without white space. */
     private static byte[] settings(byte[] configuration) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonParser in = Listing.JSON.createParser(configuration);
@@ -73,13 +78,13 @@
         return bytes.toByteArray();
     }
 
-    private static double read(byte[] one, int services) throws IOException {
+    private static double secondsToRead(byte[] service, int services) throws IOException {
         int rounds = Math.max(10, ROUNDS / services);
         long from = 0;
         for (int i = -rounds / 2; i < rounds; i++) {
             from = i == 0 ? cpu() : from;
             for (int s = 0; s < services; s++) {
-                try (JsonParser in = Listing.JSON.createParser(one)) {
+                try (JsonParser in = Listing.JSON.createParser(service)) {
                     in.nextToken();
                     SettingsReader.read(in).toSettings();
                 }
--- a/src/main/java/mulleinfront/bench/StandIn.java
+++ b/src/main/java/mulleinfront/bench/StandIn.java
@@ -21,9 +21,9 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** Servers that answer every request after a while, and a relay that passes bytes on: as little as can be. */
+/** Minimal stand-in servers that respond to every request after a delay, and a minimal byte relay. */
 final class StandIn {
-    private static final byte[] ANSWER =
+    private static final byte[] RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII);
 
     private StandIn() {}
@@ -41,7 +41,7 @@
         return ((InetSocketAddress) server.localAddress()).getPort();
     }
 
-    private static ChannelInitializer<SocketChannel> each(java.util.function.Supplier<ChannelHandler> handler) {
+    private static ChannelInitializer<SocketChannel> initializer(java.util.function.Supplier<ChannelHandler> handler) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(SocketChannel ch) {
@@ -51,18 +51,18 @@
     }
 
     /**
-     * A host.
+     * Starts a server.
      *
-     * @param micros mean time to an answer, each drawn between half and one and a half of it; 0: at once
-     * @return its port
+     * @param micros mean response time; each is drawn from 0.5 to 1.5 times the mean; 0 to respond at once
+     * @return the port
      */
-    static int host(EventLoopGroup group, long micros) throws InterruptedException {
+    static int server(EventLoopGroup group, long micros) throws InterruptedException {
         SplittableRandom random = new SplittableRandom(1);
-        return listen(group, each(() -> new SimpleChannelInboundHandler<ByteBuf>() {
+        return listen(group, initializer(() -> new SimpleChannelInboundHandler<ByteBuf>() {
             private final SplittableRandom own = split(random);
             private int seen;
 
-            /** Requests have no body here, so each ends with its head: a blank line. */
+            /** Counts requests; they have no body, so each ends with a blank line. */
             @Override
             protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) {
                 int answers = 0;
@@ -76,11 +76,11 @@
                 }
                 for (; answers > 0; answers--) {
                     if (micros == 0) {
-                        ctx.write(Unpooled.wrappedBuffer(ANSWER));
+                        ctx.write(Unpooled.wrappedBuffer(RESPONSE));
                     } else {
                         ctx.executor()
                                 .schedule(
-                                        () -> ctx.writeAndFlush(Unpooled.wrappedBuffer(ANSWER)),
+                                        () -> ctx.writeAndFlush(Unpooled.wrappedBuffer(RESPONSE)),
                                         (long) (micros * (0.5 + own.nextDouble())),
                                         TimeUnit.MICROSECONDS);
                     }
@@ -98,13 +98,13 @@
         return random.split();
     }
 
-    /** A relay of bytes to one port, on one thread, a connection for each; returns its port. */
+    /** Starts a byte relay to a port, with one onward connection for each accepted one; returns the relay's port. */
     static int relay(EventLoopGroup group, int to) throws InterruptedException {
-        return listen(group, each(() -> new Pass() {
+        return listen(group, initializer(() -> new ForwardingHandler() {
             @Override
             public void channelActive(ChannelHandlerContext ctx) {
                 ctx.channel().config().setAutoRead(false);
-                Pass back = new Pass();
+                ForwardingHandler back = new ForwardingHandler();
                 back.other = ctx.channel();
                 other = new Bootstrap()
                         .group(ctx.channel().eventLoop())
@@ -118,8 +118,8 @@
         }));
     }
 
-    /** One way of a relay: what comes here goes to the other channel, and so does the end. */
-    private static class Pass extends ChannelInboundHandlerAdapter {
+    /** One direction of a relay: forwards bytes and the close of this channel to the other channel. */
+    private static class ForwardingHandler extends ChannelInboundHandlerAdapter {
         Channel other;
 
         @Override
--- a/src/main/java/mulleinfront/bench/Throughput.java
+++ b/src/main/java/mulleinfront/bench/Throughput.java
@@ -5,13 +5,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import mulleinfront.bench.Child.Figures;
+import mulleinfront.bench.Child.ResourceUsage;
 
-/** Direct, relay and client proxy in turn, under the same load in the same run, and the ratios between them. */
+/** Compares direct connections, the relay and the client proxy under the same load, and prints their ratios. */
 public final class Throughput {
-    private static final int HOSTS = 12;
-    /** As in the deployed run line: small heap, first compiler only, one collector thread. */
-    static final List<String> DEPLOYED = List.of(
+    private static final int SERVERS = 12;
+    /** JVM flags of the deployed command line: small heap, C1 compiler only, serial garbage collector. */
+    static final List<String> DEPLOYED_JVM_FLAGS = List.of(
             "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms24m", "-Xmx96m", "-Dio.netty.jfr.enabled=false");
 
     private final PrintWriter out;
@@ -21,11 +21,11 @@
     private final List<String> proxyJvm;
 
     /**
-     * @param cpus the processors that relay and client proxy are kept on, or empty
-     * @param proxyJvm further flags of the client proxy's JVM: a profiler's, say
+     * @param cpus processors to pin the relay and the client proxy to, or empty
+     * @param proxyJvm further JVM flags of the client proxy, such as a profiler's
      */
     public Throughput(PrintWriter out, long warmMs, long measuredMs, String cpus, List<String> proxyJvm) {
-        this.proxyJvm = new ArrayList<>(DEPLOYED);
+        this.proxyJvm = new ArrayList<>(DEPLOYED_JVM_FLAGS);
         this.proxyJvm.addAll(proxyJvm);
         this.out = out;
         this.warmMs = warmMs;
@@ -33,19 +33,21 @@
         this.cpus = cpus;
     }
 
-    /** One line of a table. */
-    private record Row(String name, Driver.Result result, double cpuMicros, double bytes) {}
+    /** One row of the table. */
+    private record Row(String name, Driver.Result result, double cpuMicros, double allocatedBytes) {}
 
     /**
-     * Measures one kind of hosts under some numbers of connections.
+     * Measures with several numbers of connections.
      *
-     * @param micros mean time to a host's answer; 0: at once
-     * @param open share of the direct rate at which an open loop is run too; 0: none
+     * @param micros mean response time of the servers; 0 to respond at once
+     * @param open rate of the additional open loop, as a share of the lower of the relay's and the client proxy's
+     *     closed-loop rates; 0 for none
      */
-    public void measure(long micros, int[] connections, double open) throws IOException, InterruptedException {
-        try (Child.Handle hosts = new Child.Handle("", List.of("-XX:+UseSerialGC"), "hosts", "" + HOSTS, "" + micros);
-                Child.Handle relay = new Child.Handle(cpus, DEPLOYED, "relay", "" + hosts.ports.get(0));
-                Child.Handle proxy = new Child.Handle(cpus, proxyJvm, "proxy", config(hosts.ports), "1")) {
+    public void measure(long micros, int[] connections, double openLoopShare) throws IOException, InterruptedException {
+        try (Child.Handle servers =
+                        new Child.Handle("", List.of("-XX:+UseSerialGC"), "hosts", "" + SERVERS, "" + micros);
+                Child.Handle relay = new Child.Handle(cpus, DEPLOYED_JVM_FLAGS, "relay", "" + servers.ports.get(0));
+                Child.Handle proxy = new Child.Handle(cpus, proxyJvm, "proxy", config(servers.ports), "1")) {
             for (int count : connections) {
                 out.printf(
                         Locale.ROOT,
@@ -60,34 +62,35 @@
                         "no 200",
                         "cpu us",
                         "bytes");
-                Row direct = row("direct", count, hosts.ports, null, 0);
-                Row by = row("relay", count, relay.ports, relay, 0);
-                Row through = row("client proxy", count, proxy.ports, proxy, 0);
+                Row direct = measureRow("direct", count, servers.ports, null, 0);
+                Row relayed = measureRow("relay", count, relay.ports, relay, 0);
+                Row through = measureRow("client proxy", count, proxy.ports, proxy, 0);
                 out.printf(
                         Locale.ROOT,
                         "client proxy: %.0f%% of direct, %.0f%% of the relay, p99 %+.1f ms over direct,"
                                 + " cpu %.1f times the relay's%n",
                         100 * through.result.perSecond() / direct.result.perSecond(),
-                        100 * through.result.perSecond() / by.result.perSecond(),
+                        100 * through.result.perSecond() / relayed.result.perSecond(),
                         through.result.ms(99) - direct.result.ms(99),
-                        through.cpuMicros / by.cpuMicros);
-                if (open > 0) {
-                    double rate = open * Math.min(by.result.perSecond(), through.result.perSecond());
-                    row("direct, open loop", count, hosts.ports, null, rate);
-                    row("relay, open loop", count, relay.ports, relay, rate);
-                    row("proxy, open loop", count, proxy.ports, proxy, rate);
+                        through.cpuMicros / relayed.cpuMicros);
+                if (openLoopShare > 0) {
+                    double rate = openLoopShare * Math.min(relayed.result.perSecond(), through.result.perSecond());
+                    measureRow("direct, open loop", count, servers.ports, null, rate);
+                    measureRow("relay, open loop", count, relay.ports, relay, rate);
+                    measureRow("proxy, open loop", count, proxy.ports, proxy, rate);
                 }
             }
         }
     }
 
     /**
-     * Measures the client proxy with several event loops against itself with the first number of them.
+     * Measures the client proxy with several numbers of event loops, relative to the first number.
      *
-     * @param micros mean time to a host's answer; 0: at once
+     * @param micros mean response time of the servers; 0 to respond at once
      */
     public void measureLoops(long micros, int count, int[] loops) throws IOException, InterruptedException {
-        try (Child.Handle hosts = new Child.Handle("", List.of("-XX:+UseSerialGC"), "hosts", "" + HOSTS, "" + micros)) {
+        try (Child.Handle servers =
+                new Child.Handle("", List.of("-XX:+UseSerialGC"), "hosts", "" + SERVERS, "" + micros)) {
             out.printf(
                     Locale.ROOT,
                     "%nhosts of %.1f ms, %d connections%n%-22s %11s %9s %9s %9s %9s %9s %9s%n",
@@ -101,28 +104,35 @@
                     "no 200",
                     "cpu us",
                     "bytes");
-            double first = 0;
-            for (int many : loops) {
-                try (Child.Handle proxy = new Child.Handle(cpus, proxyJvm, "proxy", config(hosts.ports), "" + many)) {
-                    Row row = row(many + (many == 1 ? " event loop" : " event loops"), count, proxy.ports, proxy, 0);
-                    first = first == 0 ? row.result.perSecond() : first;
-                    out.printf(Locale.ROOT, "  %.2f times the first%n", row.result.perSecond() / first);
+            double baseline = 0;
+            for (int loopCount : loops) {
+                try (Child.Handle proxy =
+                        new Child.Handle(cpus, proxyJvm, "proxy", config(servers.ports), "" + loopCount)) {
+                    Row row = measureRow(
+                            loopCount + (loopCount == 1 ? " event loop" : " event loops"),
+                            count,
+                            proxy.ports,
+                            proxy,
+                            0);
+                    baseline = baseline == 0 ? row.result.perSecond() : baseline;
+                    out.printf(Locale.ROOT, "  %.2f times the first%n", row.result.perSecond() / baseline);
                 }
             }
         }
     }
 
-    private Row row(String name, int connections, List<Integer> ports, Child.Handle measured, double perSecond)
+    private Row measureRow(String name, int connections, List<Integer> ports, Child.Handle measured, double perSecond)
             throws InterruptedException {
-        Figures[] at = new Figures[1];
+        ResourceUsage[] at = new ResourceUsage[1];
         try (Driver driver = new Driver(connections, ports)) {
             Driver.Result result = driver.run(warmMs, measuredMs, perSecond, () -> {
                 if (measured != null) {
-                    at[0] = measured.figures();
+                    at[0] = measured.resourceUsage();
                 }
             });
-            Figures used =
-                    measured == null ? new Figures(0, 0) : measured.figures().since(at[0]);
+            ResourceUsage used = measured == null
+                    ? new ResourceUsage(0, 0)
+                    : measured.resourceUsage().since(at[0]);
             double requests = Math.max(1, result.times().getTotalCount());
             Row row = new Row(name, result, used.cpuNanos() / 1e3 / requests, used.allocatedBytes() / requests);
             out.printf(
@@ -133,9 +143,9 @@
                     result.ms(50),
                     result.ms(99),
                     result.ms(99.9),
-                    result.others(),
+                    result.failures(),
                     row.cpuMicros,
-                    row.bytes);
+                    row.allocatedBytes);
             out.flush();
             return row;
         }
--- a/src/main/java/mulleinfront/bench/TimedHost.java
+++ b/src/main/java/mulleinfront/bench/TimedServer.java
@@ -18,29 +18,31 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A host that says with each answer how long it had the request: all other time was spent on the way. */
-final class TimedHost extends SimpleChannelInboundHandler<ByteBuf> {
+/**
+ * A stand-in server that reports its processing time in each response; the rest of the latency was spent in transit.
+ */
+final class TimedServer extends SimpleChannelInboundHandler<ByteBuf> {
     /**
-     * The body is the nanoseconds from the request's last byte to the answer's first, in so many digits: a
-     * client proxy passes bodies on as they are, and not every header.
+     * Length of the body, which is the time from the request's last byte to the response's first in nanoseconds. It is
+     * in the body because a client proxy passes bodies on unchanged, but not every header.
      */
-    static final int DIGITS = 12;
+    static final int BODY_DIGITS = 12;
 
     private static final AtomicLong SEEDS = new AtomicLong(1);
 
     private final long micros;
     private final SplittableRandom random = new SplittableRandom(SEEDS.getAndIncrement());
-    private int seen;
+    private int lineEnds;
 
-    private TimedHost(long micros) {
+    private TimedServer(long micros) {
         this.micros = micros;
     }
 
     /**
-     * Listens.
+     * Starts a server.
      *
-     * @param micros mean time to an answer, each drawn between half and one and a half of it
-     * @return its port
+     * @param micros mean processing time; each is drawn from 0.5 to 1.5 times the mean
+     * @return the port
      */
     static int listen(EventLoopGroup group, long micros) throws InterruptedException {
         return ((InetSocketAddress) new ServerBootstrap()
@@ -50,7 +52,7 @@
                         .childHandler(new ChannelInitializer<SocketChannel>() {
                             @Override
                             protected void initChannel(SocketChannel ch) {
-                                ch.pipeline().addLast(new TimedHost(micros));
+                                ch.pipeline().addLast(new TimedServer(micros));
                             }
                         })
                         .bind(InetAddress.getLoopbackAddress(), 0)
@@ -60,22 +62,22 @@
                 .getPort();
     }
 
-    /** Requests have no body here and come one at a time, so each ends with a blank line. */
+    /** Reads requests; they have no body and are not pipelined, so each ends with a blank line. */
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) {
         long now = System.nanoTime();
         while (in.isReadable()) {
             byte b = in.readByte();
-            seen = b == '\n' ? seen + 1 : b == '\r' ? seen : 0;
-            if (seen == 2) {
-                seen = 0;
+            lineEnds = b == '\n' ? lineEnds + 1 : b == '\r' ? lineEnds : 0;
+            if (lineEnds == 2) {
+                lineEnds = 0;
                 ctx.executor()
                         .schedule(
                                 () -> ctx.writeAndFlush(Unpooled.copiedBuffer(
                                         String.format(
                                                 Locale.ROOT,
-                                                "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%0" + DIGITS + "d",
-                                                DIGITS,
+                                                "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%0" + BODY_DIGITS + "d",
+                                                BODY_DIGITS,
                                                 System.nanoTime() - now),
                                         StandardCharsets.US_ASCII)),
                                 (long) (micros * (0.5 + random.nextDouble())),
--- a/src/main/java/mulleinfront/bench/package-info.java
+++ b/src/main/java/mulleinfront/bench/package-info.java
@@ -1,11 +1,12 @@
 /**
- * Measurements of the client proxy on sockets: stand-in servers that answer after a stated time, a plain byte relay
- * to compare with, and a load driver with closed and open loops. Everything listens on loopback, each part in a
- * process of its own so that its CPU can be told apart.
+ * Benchmarks of the client proxy on sockets: stand-in servers that respond after a given time, a plain byte relay for
+ * comparison, and a load driver with closed and open loops. Everything listens on loopback. Each part is a process of
+ * its own so that its CPU time can be measured separately.
  *
- * <p>The way of data: {@code Throughput} starts {@code Child} processes (hosts, relay, client proxy), {@code Driver}
- * sends to one after the other, and the children tell their own CPU and allocation when asked.
+ * <p>Data flow: {@code Throughput} starts {@code Child} processes (servers, relay, client proxy), {@code Driver} sends
+ * to one after the other, and the children report their own CPU time and allocation on request.
  *
- * <p>May import {@code proxy}, Netty and HdrHistogram; on the command line's side of everything that serves.
+ * <p>May import {@code proxy}, Netty and HdrHistogram. Only the command line uses it; nothing that serves depends on
+ * it.
  */
 package mulleinfront.bench;
--- a/src/test/java/mulleinfront/bench/CapacityMeasuresTest.java
+++ b/src/test/java/mulleinfront/bench/CapacityMeasuresTest.java
@@ -17,7 +17,10 @@
 import mulleinfront.settings.BadFileException;
 import org.junit.jupiter.api.Test;
 
-/** What needs no quiet machine is measured in small: which slopes come of it and how they lie, never how fast. */
+/**
+ * Runs the capacity measurements at small sizes and checks which slopes they give and how these relate, not their
+ * speed.
+ */
 class CapacityMeasuresTest {
     private static final int[] SIZES = {12, 18, 24, 30};
 
@@ -25,7 +28,7 @@
         return slopes.stream().collect(Collectors.toMap(Slope::id, Function.identity()));
     }
 
-    /** All slopes of a kind that the page's file holds are measured again by the command that it names. */
+    /** Asserts that a measurement gives all slopes of its kind in the capacity file. */
     private static Map<String, Slope> all(String kind, List<Slope> measured) throws BadFileException {
         Set<String> held = new TreeSet<>();
         CapacityFile.read(Path.of("docs/capacity.json")).slopes().stream()
@@ -38,19 +41,19 @@
         return by;
     }
 
-    private static double at(Map<String, Slope> by, String id, int place) {
-        return by.get(id).points().get(place).y();
+    private static double at(Map<String, Slope> by, String id, int point) {
+        return by.get(id).points().get(point).y();
     }
 
     @Test
-    void aListGrowsWithItsHostsAndAChangeDoesNot() throws IOException, BadFileException {
+    void fullListsGrowWithServersAndDeltasDoNot() throws IOException, BadFileException {
         Map<String, Slope> by = all("lists", ListCost.measure(SIZES, "bench capacity"));
         assertTrue(at(by, "lists.full.bytes", 3) > 2 * at(by, "lists.full.bytes", 0));
         assertEquals(at(by, "lists.change.bytes", 0), at(by, "lists.change.bytes", 3), 4);
     }
 
     @Test
-    void aConfigurationGrowsWithItsServices() throws IOException, BadFileException {
+    void configurationGrowsWithServices() throws IOException, BadFileException {
         Map<String, Slope> by = all(
                 "configuration", SnapshotCost.measure(SIZES, Path.of("deploy/sample-config.json"), "bench capacity"));
         assertTrue(at(by, "configuration.whole.bytes", 3) > 2 * at(by, "configuration.whole.bytes", 0));
@@ -58,14 +61,14 @@
     }
 
     @Test
-    void anAnswerThatDoesNotSayHowLongItsHostHadItIsNotTakenForNoTime() {
-        assertEquals(1_234_567, AddedTime.served("HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\n000001234567"));
-        assertEquals(-1, AddedTime.served("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"));
-        assertEquals(-1, AddedTime.served("HTTP/1.1 503 x\r\nContent-Length: 12\r\n\r\n000001234567"));
+    void responseWithoutAReportedTimeIsNotCounted() {
+        assertEquals(1_234_567, AddedTime.reportedNanos("HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\n000001234567"));
+        assertEquals(-1, AddedTime.reportedNanos("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"));
+        assertEquals(-1, AddedTime.reportedNanos("HTTP/1.1 503 x\r\nContent-Length: 12\r\n\r\n000001234567"));
     }
 
     @Test
-    void eachFaultOfAFleetIsKnownAndCosts() throws BadFileException {
+    void everyFleetFaultIsDetectedAndMeasured() throws BadFileException {
         PrintWriter nobody = new PrintWriter(Writer.nullWriter());
         Map<String, Slope> by = all("membership", MembershipCost.measure(nobody, SIZES, 1, 0.1, 5, "bench capacity"));
         for (String fault : List.of("host", "rack", "zone")) {
--- a/src/test/java/mulleinfront/bench/CapacityPageTest.java
+++ b/src/test/java/mulleinfront/bench/CapacityPageTest.java
@@ -21,12 +21,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The page and the slopes that are committed with it say the same. */
+/** Checks that the capacity page agrees with the committed slopes. */
 class CapacityPageTest {
     private static final Path PAGE = Path.of("docs/CAPACITY.md");
     private static final Path FILE = Path.of("docs/capacity.json");
 
-    /** For a slope that is not measured yet. */
+    /** Points used for a slope without measurements. */
     private static final List<Fit.Point> FOUR =
             List.of(new Fit.Point(1, 1), new Fit.Point(2, 2), new Fit.Point(3, 3), new Fit.Point(4, 4));
 
@@ -34,7 +34,7 @@
     private Path folder;
 
     @Test
-    void thePagesFiguresAreWhatTheCommittedSlopesGive() throws IOException, BadFileException {
+    void pageMatchesTheCommittedSlopes() throws IOException, BadFileException {
         String page = Files.readString(PAGE);
         assertEquals(
                 new Page(CapacityFile.read(FILE)).fill(page),
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aChangedSlopeWithoutAChangedPageIsFound() throws IOException, BadFileException {
+    void changedSlopeChangesThePage() throws IOException, BadFileException {
         String page = Files.readString(PAGE);
         Capacity held = CapacityFile.read(FILE);
         Set<String> used = held.rows().stream()
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void eachSlopeSaysWhichCommandMeasuresIt() throws IOException, BadFileException {
+    void everySlopeNamesItsCommand() throws IOException, BadFileException {
         for (Slope s : CapacityFile.read(FILE).slopes()) {
             assertTrue(
                     s.command().startsWith("bench capacity")
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void whatComesFromAConstantIsThatConstant() throws BadFileException {
+    void valueFromAConstantEqualsThatConstant() throws BadFileException {
         List<Row.Cell> silences = CapacityFile.read(FILE).rows().stream()
                 .flatMap(r -> r.cells().stream())
                 .filter(c -> "Wire.SILENCE_US".equals(c.source()))
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void whatIsReadIsWrittenBack() throws IOException, BadFileException {
+    void writesBackWhatItRead() throws IOException, BadFileException {
         Path copy = folder.resolve("copy.json");
         Capacity held = CapacityFile.read(FILE);
         CapacityFile.write(copy, held);
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aBadFileIsOneLineWithItsPlace() throws IOException {
+    void reportsABadFileInOneLineWithItsPosition() throws IOException {
         String good = Files.readString(FILE);
         String[][] cases = {
             {"\"hosts\":670", "\"hosts\":0", "hosts must be above 0"},
--- a/src/test/java/mulleinfront/kit/FleetProcessesTest.java
+++ b/src/test/java/mulleinfront/kit/FleetProcessesTest.java
@@ -104,10 +104,10 @@
         timeline.read(0, lie);
         timeline.read(1, folder.resolve("fleet-n1.json"));
         timeline.read(2, folder.resolve("fleet-n2.json"));
-        FleetAuditor judge = timeline.audit(System.currentTimeMillis());
+        FleetAuditor auditor = timeline.audit(System.currentTimeMillis());
         assertTrue(
-                judge.breaches().stream().anyMatch(b -> b.rule() == FleetAuditor.Rule.CALLED_FAILED),
-                judge.breaches().toString());
+                auditor.breaches().stream().anyMatch(b -> b.rule() == FleetAuditor.Rule.CALLED_FAILED),
+                auditor.breaches().toString());
     }
 
     /** All processes get SIGTERM at the end of a run, so their logs may contain departures and later lines. */
