--- a/src/main/java/mulleinfront/emulator/Account.java
+++ b/src/main/java/mulleinfront/emulator/Account.java
@@ -15,33 +15,35 @@
 import mulleinfront.settings.Section;
 
 /**
- * The account of every loss: what was asked for and not served within its aim, each request under the one
- * cause that began it. Had that not happened, its first try would have been answered in time, so what went
- * wrong first counts, not what came of it.
+ * Loss attribution: each request that was not answered within its target latency is assigned to the one cause that
+ * began its loss. Without that cause its first try would have been answered in time, so the first fault counts and
+ * not its consequences.
  *
- * <p>It sees the world as it truly was when a request was sent or refused, which no client proxy does.
+ * <p>It reads the true state of the simulation when a request was sent or refused, which no client proxy knows.
  */
 final class Account {
-    /** Width of the account's windows, microseconds. */
+    /** Width of the report's windows. */
     static final long WINDOW_US = 10_000_000;
 
     private final World world;
     private final Map<String, Story> stories = new HashMap<>();
     private final Map<Cause, LossReport.Loss> byCause = new TreeMap<>();
     private final List<Map<String, Map<Cause, Double>>> parts = new ArrayList<>();
-    /** Requests whose clients still wait for them. */
+    /** Requests whose clients are still waiting. */
     private final Set<Clients.Ask> open = new LinkedHashSet<>();
 
     private double lost;
-    /** Told of each request that is over, with the cause if it lost something; null: nobody asks. */
+    /**
+     * Called with each completed request and the cause of its loss, or null if nothing was lost; null: no listener.
+     */
     private BiConsumer<Clients.Ask, Cause> listener;
 
-    /** What happened to one try. */
+    /** The history of one try. */
     static final class Story {
         private final Clients.Try t;
         private final List<Step> steps = new ArrayList<>(1);
         private long takenAt = -1;
-        /** What there was to a refusal before any attempt. */
+        /** The cause of a refusal before any attempt. */
         private Cause refusal;
 
         private long endedAt;
@@ -51,7 +53,7 @@
         }
     }
 
-    /** One attempt: where it went and how that server truly was. */
+    /** One attempt: its server and that server's true state. */
     private static final class Step {
         private final int number;
         private final Host host;
@@ -112,7 +114,7 @@
             return;
         }
         if (s.steps.isEmpty() || last(s).number != number) {
-            // Nothing was written: the connection never came up.
+            // Nothing was written because no connection was established.
             Cause how = host == null ? Cause.UNREACHABLE : state(s.t, host);
             s.steps.add(new Step(number, host, world.queue.now(), how));
         }
@@ -127,7 +129,7 @@
         }
     }
 
-    /** How a server truly is at this moment, for a request that goes there. */
+    /** The true state of a server now, as a cause of loss for a request that goes to it. */
     private Cause state(Clients.Try t, Host h) {
         if (h.vanished || !world.network.passes(t.ask.proxy, world.zoneOf(t.ask.proxy), h)) {
             return Cause.UNREACHABLE;
@@ -146,7 +148,7 @@
                 : h.life.held() >= h.life.machine().cores() ? Cause.CROWDED : Cause.LONG_WORK;
     }
 
-    /** Whether somebody could have had a request at once that was refused. */
+    /** The cause of a refusal, by whether any server could have run the refused request at once. */
     private Cause room(Clients.Try t) {
         if (!world.proxies.get(t.ask.proxy).knowsServers()) {
             return Cause.NO_LIST;
@@ -169,7 +171,7 @@
         return cold ? Cause.REFUSED_WITH_COLD_ROOM : Cause.REFUSED_RIGHTLY;
     }
 
-    /** A request is over for its client: its worth that was not earned goes to the cause. */
+    /** Completes a request for its client and assigns its lost value to a cause. */
     void over(Clients.Ask a, double worthLost, long now) {
         open.remove(a);
         Cause cause = worthLost > 0 ? cause(a, now) : null;
@@ -221,7 +223,7 @@
         return Cause.HELD;
     }
 
-    /** What went wrong first in one try; null if that was nothing of its own. */
+    /** The first cause of loss in one try; null if there was none. */
     private Cause first(Story s, long now) {
         if (s.refusal != null) {
             return s.refusal;
@@ -236,19 +238,19 @@
             return step.how;
         }
         if (s.steps.isEmpty()) {
-            // Refused at once, say, because its time was over when it came.
+            // A try may be refused at once, for example because its deadline had passed on arrival.
             return s.takenAt < 0 ? null : Cause.HELD;
         }
         Step served = last(s);
         return served.at - s.takenAt > now - served.at ? Cause.HELD : served.how;
     }
 
-    /** Asks to be told of each request that is over. */
+    /** Sets the listener that is called with each completed request. */
     void listen(BiConsumer<Clients.Ask, Cause> who) {
         listener = who;
     }
 
-    /** The client's word on a try. */
+    /** Records when a try ended for its client. */
     void ended(Clients.Try t) {
         Story s = stories.get(t.call.id());
         if (s != null) {
@@ -256,7 +258,7 @@
         }
     }
 
-    /** What happened to a request, try by try; while it is being told that the request is over. */
+    /** The history of a request, try by try; may only be called while the listener runs for that request. */
     List<String> tell(Clients.Ask a) {
         List<String> lines = new ArrayList<>();
         lines.add(String.format(
@@ -319,7 +321,7 @@
 
     // ---- the report ----------------------------------------------------------------------------------
 
-    /** The account so far; what is open by now has not been served. */
+    /** The report so far; requests that are still open count as not served. */
     LossReport report() {
         List.copyOf(open).forEach(a -> over(a, world.tally.worth(a), world.queue.now()));
         Map<LossReport.Part, Map<String, Map<Cause, Double>>> named = new LinkedHashMap<>();
--- a/src/main/java/mulleinfront/emulator/Answer.java
+++ b/src/main/java/mulleinfront/emulator/Answer.java
@@ -1,9 +1,9 @@
 package mulleinfront.emulator;
 
 /**
- * A server's answer.
+ * A server's response.
  *
- * @param requestId the request that it was made for
- * @param host the server
+ * @param requestId id of the request that the response is for
+ * @param host id of the server
  */
 record Answer(String requestId, String host) {}
--- a/src/main/java/mulleinfront/emulator/Auditor.java
+++ b/src/main/java/mulleinfront/emulator/Auditor.java
@@ -18,17 +18,17 @@
 import mulleinfront.Balancer.Source;
 
 /**
- * Judges the four rules by what passed: requests taken and answered, first bytes to servers and how attempts
- * ended on the wire, effects run, lists told. It never sees a module's or a core's state, so a defect there
- * can't hide itself here.
+ * Checks the four invariants from observed events: requests accepted and answered, first bytes to servers, ends of
+ * attempts on the wire, effects run and list updates. It never reads the state of a balancer or a core, so a defect
+ * there cannot hide itself here.
  */
 public final class Auditor {
-    /** Breaches that are kept with their stories; all are counted. */
+    /** Violations that are recorded in full; all are counted. */
     private static final int MOST_KEPT = 100;
 
     private final Scenario scenario;
     private final Map<String, Taken> requests = new HashMap<>();
-    /** By the time after which nothing more can be said of them. */
+    /** Accepted requests in the order in which they arrived, to be checked after their deadline. */
     private final ArrayDeque<Taken> oldest = new ArrayDeque<>();
 
     private final Map<Integer, Told> proxies = new HashMap<>();
@@ -38,12 +38,12 @@
     private final Map<String, Cold> cold = new HashMap<>();
     private final List<Breach> breaches = new ArrayList<>();
     private int breachCount;
-    /** Entries of all lists and changes told to client proxies. */
+    /** Entries of all lists and deltas sent to client proxies. */
     long entriesTold;
 
     private long leaveSlackUs;
 
-    /** The four rules, by the names that the operators use. */
+    /** The four invariants. */
     public enum Rule {
         LOST("no request is lost"),
         TWICE("no effect happens twice"),
@@ -56,19 +56,20 @@
             this.words = words;
         }
 
-        /** The rule in words. */
+        /** Description of the invariant. */
         public String words() {
             return words;
         }
     }
 
     /**
-     * A broken rule.
+     * A violation of an invariant.
      *
-     * @param atUs when it was broken
-     * @param proxy number of the client proxy that broke it, -1 if it is no single one's doing
-     * @param request the request, or null
-     * @param what what happened
+     * @param rule the violated invariant
+     * @param atUs when it was violated
+     * @param proxy number of the client proxy at fault, -1 if no single proxy is
+     * @param request id of the request, or null
+     * @param what description of the violation
      */
     public record Breach(Rule rule, long atUs, int proxy, String request, String what) {
         @Override
@@ -79,7 +80,7 @@
         }
     }
 
-    /** Where a server stands: what decides who drops repeats. */
+    /** Location of a server, which determines its deduplication group. */
     private record Place(int zone, int cell) {}
 
     /** A request that a client proxy has accepted, with its attempts so far. */
@@ -90,7 +91,7 @@
         final long deadlineAt;
         final List<Sent> attempts = new ArrayList<>(1);
         boolean ended;
-        /** Its client proxy stood still while it was open: nobody can answer then. */
+        /** The client proxy was paused while the request was open, so it could not answer in time. */
         boolean excused;
 
         long endedAt;
@@ -104,7 +105,7 @@
         }
     }
 
-    /** One attempt of a request, and its outcome once it is known. */
+    /** One attempt of a request, and its outcome once known. */
     private static final class Sent {
         final int number;
         final String host;
@@ -122,19 +123,19 @@
         }
     }
 
-    /** What one process of a client proxy was told of one server. */
+    /** What discovery has sent to one process of a client proxy about one server. */
     private static final class Heard {
         long version;
         long drainedAt = -1;
         long startedAt;
     }
 
-    /** What one process of a client proxy was told. */
+    /** What discovery has sent to one process of a client proxy. */
     private static final class Told {
         final Map<String, Heard> servers = new HashMap<>();
     }
 
-    /** A server that started during the day. */
+    /** A server that started during the run. */
     private static final class Cold {
         final long startedAt;
         final Host.Budget budget;
@@ -146,7 +147,7 @@
         }
     }
 
-    /** What discovery has to tell of a server that is not to be sent to. */
+    /** By server, since when discovery lists it as draining or removed. */
     private final Map<String, Long> drainListedAt = new HashMap<>();
 
     Auditor(Scenario scenario) {
@@ -154,7 +155,7 @@
         this.deadlines = new ToldDeadlines(scenario.rules().askWithinUs());
     }
 
-    /** The broken rules, the first hundred of them in the order in which they were seen. */
+    /** The first 100 violations, in the order in which they were detected. */
     public List<Breach> breaches() {
         return List.copyOf(breaches);
     }
@@ -163,7 +164,7 @@
         return breachCount;
     }
 
-    /** A core caught an exception. */
+    /** Records an exception that a core caught. */
     void defect(Throwable e) {
         breach(Rule.LOST, 0, -1, null, "an event or action threw " + e);
     }
@@ -188,12 +189,15 @@
         }
     }
 
-    /** How long a client proxy may take to learn that a client has gone: on sockets the word crosses what it sends. */
+    /**
+     * Sets how long a proxy may take to notice that a client has disconnected: on sockets the close may cross data
+     * that the proxy sends.
+     */
     void leaveSlack(long us) {
         leaveSlackUs = us;
     }
 
-    /** It was not taken after all: its connection closed before anybody read it. */
+    /** Forgets a request that was never accepted: its connection closed before the proxy read it. */
     void untaken(String id) {
         Taken t = requests.remove(id);
         if (t != null) {
@@ -201,7 +205,7 @@
         }
     }
 
-    /** The last that is said of a request. */
+    /** Makes the final check of a request and forgets it. */
     private void judge(Taken t) {
         if (!t.ended && !t.excused) {
             breach(Rule.LOST, t.deadlineAt, t.proxy, t.id, "never answered");
@@ -209,7 +213,7 @@
         requests.remove(t.id);
     }
 
-    /** The request's final answer, or its end without one; null if nothing more is owed and it is known. */
+    /** Records the final answer of a request. Returns the request, or null if it is unknown. */
     private Taken end(int proxy, String id, long now, String how) {
         Taken t = requests.get(id);
         if (t == null) {
@@ -259,7 +263,7 @@
         end(proxy, id, now, "failed");
     }
 
-    /** Its client has gone. */
+    /** Records that a request's client disconnected. */
     void left(int proxy, String id, long now) {
         Taken t = requests.get(id);
         if (t != null && !t.ended) {
@@ -273,7 +277,7 @@
 
     // ---- attempts ------------------------------------------------------------------------------------
 
-    /** The first byte of an attempt leaves; the same attempt may begin anew on a fresh connection. */
+    /** Checks an attempt when its first byte is sent; the same attempt may start again on a new connection. */
     void sent(int proxy, String id, int number, String host, long now) {
         drains(proxy, id, host, now);
         Taken t = requests.get(id);
@@ -342,7 +346,9 @@
                 || p != null && q != null && (scope == DedupScope.ZONE ? p.zone() == q.zone() : p.cell() == q.cell());
     }
 
-    /** A server begins to run a request; {@code dropped} if it knows that effect and does nothing. */
+    /**
+     * Records that a server begins to run a request; {@code dropped} if it knows the effect and does not apply it.
+     */
     void ran(String id, String host, boolean dropped, long now) {
         Taken t = requests.get(id);
         if (t == null || dropped) {
@@ -361,7 +367,7 @@
         deadlines.started(proxy, now);
     }
 
-    /** Killed outright: what it held is its clients' to retry. */
+    /** Records that a proxy was killed; its clients must retry the requests it had accepted. */
     void proxyKilled(int proxy) {
         for (Taken t : requests.values()) {
             if (t.proxy == proxy) {
@@ -370,7 +376,9 @@
         }
     }
 
-    /** It stands still, or goes on: what is open meanwhile can't be answered in time by anybody. */
+    /**
+     * Records that a proxy is paused or resumes; requests that are open during a pause need not be answered in time.
+     */
     void stands(int proxy, boolean still, long now) {
         deadlines.reaches(proxy, !still, now);
         if (still ? standing.add(proxy) : standing.remove(proxy)) {
@@ -378,7 +386,7 @@
         }
     }
 
-    /** It ended by itself, after it was told to: what it had taken is lost if it was not answered. */
+    /** Records that a proxy ended after SIGTERM; accepted requests that it had not answered are lost. */
     void proxyEnded(int proxy, long now) {
         List<Taken> lost = new ArrayList<>();
         for (Taken t : requests.values()) {
@@ -401,12 +409,12 @@
         deadlines.watching(proxy);
     }
 
-    /** A watch has ended, or a call before it became one. */
+    /** Records that a watch ended, or that a discovery call failed before it became a watch. */
     void watchFailed(int proxy, long now, boolean inOrder) {
         deadlines.ended(proxy, now, inOrder);
     }
 
-    /** When changes count as told to who has not been told them. */
+    /** Propagation deadlines of list changes. */
     ToldDeadlines deadlines() {
         return deadlines;
     }
@@ -436,7 +444,7 @@
         }
     }
 
-    /** What discovery has to tell from now on, to whoever asks. */
+    /** Records what discovery lists from now on. */
     void listedByDiscovery(Endpoint e, long now) {
         places.put(e.id(), new Place(e.zone(), e.cell()));
         if (e.availability() == Availability.READY) {
@@ -482,7 +490,7 @@
 
     // ---- cold servers --------------------------------------------------------------------------------
 
-    /** A server's process has started, cold. */
+    /** Records that a server's process has started cold. */
     void started(String host, long now) {
         cold.put(
                 host,
@@ -492,7 +500,7 @@
                                 scenario.rules().coldForUs(), scenario.rules().coldMultiple())));
     }
 
-    /** Work has come to a cold server that can do {@code capacity} in a microsecond now. */
+    /** Records work that reached a cold server; {@code capacity} is the work that it can do per microsecond now. */
     void arrivedCold(String host, int proxy, String id, double work, double capacity, long now) {
         Cold c = cold.get(host);
         if (c == null) {
@@ -516,7 +524,7 @@
         }
     }
 
-    /** The world is over: whatever is owed by now is lost. */
+    /** Ends the run: accepted requests that are past their deadline and unanswered are lost. */
     void finish(long now) {
         while (!oldest.isEmpty()) {
             Taken t = oldest.poll();
--- a/src/main/java/mulleinfront/emulator/Call.java
+++ b/src/main/java/mulleinfront/emulator/Call.java
@@ -1,14 +1,14 @@
 package mulleinfront.emulator;
 
 /**
- * A request as the emulated wire carries it.
+ * A request message as the emulated wire carries it.
  *
- * @param id the request's id, new with each try
- * @param classIndex its class
- * @param work work that it makes at a server
- * @param key what it is about, or null
- * @param effect what its effect goes by: the same for all tries of one request
- * @param windowUs how long repeats of it are dropped; 0: they are not
- * @param hop the call of a graph that it is; null: none
+ * @param id id of the try, which the message has as its request id
+ * @param classIndex index of the request class
+ * @param work work at a server
+ * @param key the request's key, or null
+ * @param effect identity of the effect, equal for all tries of one request
+ * @param windowUs how long servers drop repeats; 0: repeats are not dropped
+ * @param hop the call of a call graph that the request is; null: none
  */
 record Call(String id, int classIndex, double work, String key, String effect, long windowUs, Hop hop) {}
--- a/src/main/java/mulleinfront/emulator/Cause.java
+++ b/src/main/java/mulleinfront/emulator/Cause.java
@@ -2,37 +2,37 @@
 
 import java.util.Locale;
 
-/** Why worth was not served within its aim: each request that was not has exactly one of these. */
+/** The cause of a loss; each request not answered within its target latency has exactly one. */
 public enum Cause {
-    /** Refused with no attempt made, though a server that might have had it stood idle within reach. */
+    /** Refused without an attempt, though a suitable reachable server was idle. */
     REFUSED_WITH_ROOM("refused while room was elsewhere"),
-    /** Refused with no attempt made, and of the servers within reach only cold ones stood idle. */
+    /** Refused without an attempt, and only cold servers were idle among the reachable ones. */
     REFUSED_WITH_COLD_ROOM("refused while a cold server was idle"),
-    /** Refused with no attempt made, and every server within reach was busy. */
+    /** Refused without an attempt, and every reachable server was busy. */
     REFUSED_RIGHTLY("refused and rightly: all were busy"),
-    /** Refused because its client proxy knew of no server that was ready. */
+    /** Refused because the client proxy knew no ready server. */
     NO_LIST("no list of servers"),
-    /** Its answer came too late, and most of that time its client proxy had kept it without an attempt. */
+    /** The response came too late, and for most of that time the request was queued in the client proxy. */
     HELD("held too long"),
-    /** An attempt went to a server that takes requests and answers none. */
+    /** An attempt went to a server that accepts requests and answers none. */
     HANGING("tried at a hanging server"),
     /** An attempt went to a server that had just started. */
     COLD("tried at a cold server"),
-    /** An attempt went to one that was slow, shared its machine or failed. */
+    /** An attempt went to a server that was slow, had a noisy neighbour or returned errors. */
     BAD("tried at a bad server"),
-    /** An attempt went to one that had vanished or was cut off. */
+    /** An attempt went to a server that was disconnected or partitioned. */
     UNREACHABLE("tried at an unreachable server"),
-    /** An attempt went to one that drained or was gone. */
+    /** An attempt went to a server that was draining or stopped. */
     DRAINED("tried at a drained server"),
-    /** An attempt went to a healthy server with more work than it could do in time. */
+    /** An attempt went to a healthy server with more work than it could finish in time. */
     CROWDED("tried at a crowded server"),
-    /** The work itself took longer than the aim, on a healthy server at once. */
+    /** The work took longer than the target latency, on a healthy server that began it at once. */
     LONG_WORK("work longer than its aim"),
-    /** The answer was lost on its way, and the request may not be repeated. */
+    /** The response was lost on its way, and the request may not be repeated. */
     ANSWER_LOST("answer lost and not repeatable"),
-    /** Its client proxy was not there, or ended with the request open. */
+    /** The client proxy was not running, or ended while the request was open. */
     OWN_RESTART("own restart"),
-    /** Its client went away. */
+    /** The client disconnected. */
     CLIENT_GONE("client gone");
 
     private final String words;
@@ -41,12 +41,12 @@
         this.words = words;
     }
 
-    /** In words, for people. */
+    /** Description for people. */
     public String words() {
         return words;
     }
 
-    /** The name in files. */
+    /** The output name in files. */
     public String word() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/src/main/java/mulleinfront/emulator/Chance.java
+++ b/src/main/java/mulleinfront/emulator/Chance.java
@@ -3,9 +3,9 @@
 import java.util.SplittableRandom;
 
 /**
- * All chance in a world, from its one seed: each concern draws from a stream of its own name, so that a fault
- * more or a server less does not shift the draws of the others. Logarithms are {@link StrictMath}'s, which
- * gives the same bits on every machine.
+ * A random stream of a simulation. Each concern draws from a stream of its own name under the simulation's seed, so
+ * that an additional fault or a missing server does not shift the draws of other concerns. Logarithms are those of
+ * {@link StrictMath}, which give the same bits on every machine.
  */
 public final class Chance {
     private final SplittableRandom random;
@@ -33,7 +33,7 @@
         return random.nextLong();
     }
 
-    /** In [0, 1). */
+    /** A uniform value in [0, 1). */
     public double unit() {
         return random.nextDouble();
     }
@@ -42,7 +42,7 @@
         return probability > 0 && (probability >= 1 || random.nextDouble() < probability);
     }
 
-    /** In [0, bound). */
+    /** A uniform value in [0, bound). */
     public int below(int bound) {
         return random.nextInt(bound);
     }
@@ -60,13 +60,17 @@
         return StrictMath.sqrt(-2 * StrictMath.log(u)) * StrictMath.cos(2 * Math.PI * random.nextDouble());
     }
 
-    /** Of the given mean and coefficient of variation. */
+    /** A log-normal value with the given mean and coefficient of variation. */
     public double lognormal(double mean, double cv) {
         double s2 = StrictMath.log(1 + cv * cv);
         return mean * StrictMath.exp(StrictMath.sqrt(s2) * normal() - s2 / 2);
     }
 
-    /** The place that a draw falls on, by weights that are already summed up: the last is their sum. */
+    /**
+     * An index drawn by weight.
+     *
+     * @param summed cumulative weights; the last is their sum
+     */
     public int place(double[] summed) {
         double at = random.nextDouble() * summed[summed.length - 1];
         int low = 0;
@@ -82,7 +86,7 @@
         return low;
     }
 
-    /** Sums weights up for {@link #place}. */
+    /** Cumulative weights for {@link #place}. */
     public static double[] sum(double[] weights) {
         double[] summed = weights.clone();
         for (int i = 1; i < summed.length; i++) {
@@ -91,7 +95,7 @@
         return summed;
     }
 
-    /** Weights of the places 1 to n by Zipf's law: the k-th has 1 / k^exponent. */
+    /** Weights of the ranks 1 to n by Zipf's law: rank k has 1 / k^exponent. */
     public static double[] zipf(int n, double exponent) {
         double[] weights = new double[n];
         for (int k = 0; k < n; k++) {
--- a/src/main/java/mulleinfront/emulator/Clients.java
+++ b/src/main/java/mulleinfront/emulator/Clients.java
@@ -7,11 +7,11 @@
 import mulleinfront.core.Time;
 
 /**
- * The applications: an open loop of requests, drawn whether or not earlier ones were answered, each with its
- * tries at the client proxy beside it.
+ * The applications: an open-loop load generator, which sends requests whether or not earlier ones were answered. Each
+ * request makes one or more tries at the local client proxy.
  */
 final class Clients {
-    /** Allowance of a tenant that may be saved up, as time at its share. */
+    /** Burst of a tenant's token bucket, as seconds at the tenant's share. */
     private static final double SAVED_S = 5;
 
     private final World world;
@@ -31,7 +31,7 @@
     private final long[] allowedAt;
     private long ids;
 
-    /** How a try ended, as its client sees it. */
+    /** The result of a try as the client sees it. */
     enum How {
         SERVED,
         REFUSED,
@@ -42,7 +42,7 @@
         LEFT
     }
 
-    /** What a client wants: one request with all its tries. */
+    /** One client request with all its tries. */
     static final class Ask {
         final int classIndex;
         final RequestClass type;
@@ -55,13 +55,13 @@
         final int proxy;
         final double patience;
         final boolean honours;
-        /** Ids of its tries so far. */
+        /** Ids of the tries so far. */
         final List<String> tried = new ArrayList<>(1);
 
         int tries;
-        /** What it counts for beside all; null: nothing. */
+        /** Additional statistics that the request counts for; null: none. */
         Tally.Sum start;
-        /** The call of a graph that it is; null: none. */
+        /** The call of a call graph that this request is; null: none. */
         final Hop hop;
 
         private Ask(
@@ -96,7 +96,7 @@
         }
     }
 
-    /** One try: a request with an id of its own. */
+    /** One try: a request message with its own id. */
     static final class Try {
         final Ask ask;
         final Call call;
@@ -104,7 +104,7 @@
         final long deadlineAt;
         private boolean over;
         private Time.Timer patience;
-        /** How it ended; null while it is open. */
+        /** The result; null while the try is open. */
         How how;
 
         private Try(Ask ask, Call call, long sentAt, long deadlineAt) {
@@ -158,7 +158,7 @@
         surged = tenants[tenants.length - 1] / plain;
     }
 
-    /** A tenant, or all, ask so many times as much from now on; 1 ends it. */
+    /** Multiplies the load of one tenant, or of all if {@code tenant} is negative; 1 ends the surge. */
     void surge(int tenant, double factor) {
         for (int i = 0; i < surge.length; i++) {
             surge[i] = tenant < 0 || tenant == i ? factor : surge[i];
@@ -173,7 +173,7 @@
         world.queue.after(at, this::next);
     }
 
-    /** Bursts and lulls take turns. */
+    /** Switches between burst and lull after a drawn time. */
     private void turn() {
         burst = !burst;
         world.queue.after((long) arrivals.exponential(scenario.load().burstUs()), this::turn);
@@ -192,7 +192,10 @@
         return rate * surged;
     }
 
-    /** The next arrival. Where the rate changes meanwhile, a look-ahead of a second bounds the error. */
+    /**
+     * Schedules the next arrival. The rate is re-read at least once per second, which bounds the error when it
+     * changes.
+     */
     private void next() {
         double rate = rate();
         double gap = rate <= 0 ? 2e6 : arrivals.exponential(1e6 / rate);
@@ -207,7 +210,7 @@
         });
     }
 
-    /** One request, of a class, tenant, key and client proxy drawn. */
+    /** Sends one request with a drawn class, tenant, key and client proxy. */
     void ask() {
         int c = arrivals.place(classes);
         Scenario.ClassSpec spec = scenario.classes().get(c);
@@ -233,7 +236,7 @@
         attempt(ask);
     }
 
-    /** A call that a larger world makes in place of the clients. */
+    /** Sends a call of the graph simulation, which replaces the generated load. */
     void call(Hop hop, int proxy, int tenant, String key, double work) {
         Ask ask = new Ask(
                 hop.classIndex,
@@ -253,7 +256,7 @@
         attempt(ask);
     }
 
-    /** The application gives a call up. */
+    /** The application cancels a call. */
     void giveUp(Try t) {
         leave(t, How.LEFT);
     }
@@ -315,7 +318,7 @@
         return (long) scenario.network().client().draw(habits::between);
     }
 
-    /** The client waits no longer and closes its connection. */
+    /** The client stops waiting and closes its connection. */
     private void leave(Try t, How how) {
         if (!t.over) {
             t.over = true;
@@ -324,7 +327,7 @@
         }
     }
 
-    /** The client proxy's word is on its way to the client. */
+    /** Delivers the client proxy's result to the client after the network delay. */
     void answered(Try t, How how, long retryAfterUs) {
         world.queue.after(way(), () -> {
             if (!t.over) {
@@ -335,7 +338,7 @@
         });
     }
 
-    /** What the client makes of it: a further try, where that is harmless and there is time. */
+    /** Processes a try's result in the client: it makes a further try if a repeat is safe and time is left. */
     private void ended(Try t, How how, long retryAfterUs) {
         Ask ask = t.ask;
         long now = world.queue.now();
@@ -367,7 +370,7 @@
         });
     }
 
-    /** No further try follows. */
+    /** Completes a request; no further try follows. */
     private void over(Ask ask, How how) {
         double lost = world.tally.over(ask, how == How.SERVED, world.queue.now());
         world.account.over(ask, lost, world.queue.now());
--- a/src/main/java/mulleinfront/emulator/Compared.java
+++ b/src/main/java/mulleinfront/emulator/Compared.java
@@ -6,15 +6,15 @@
 import mulleinfront.emulator.reference.Reference;
 
 /**
- * The product or a reference balancer over some seeds of one scenario.
+ * Results of the product or a reference balancer over several seeds of one scenario.
  *
- * @param name what it is called
- * @param reference which one it is; null: the product
- * @param worlds what came of each seed
+ * @param name the balancer's name
+ * @param reference the reference balancer; null: the product
+ * @param worlds the result for each seed
  */
 public record Compared(String name, Reference reference, List<Sweep.SeedResult> worlds) {
 
-    /** The product first, then each reference in the order of what it sees. */
+    /** Runs the product first, then each reference balancer in order. */
     public static List<Compared> play(Scenario scenario, long from, long to, int jobs) throws InterruptedException {
         List<Compared> all = new ArrayList<>();
         all.add(new Compared("mulleinfront", null, Sweep.play(scenario, from, to, jobs, null, p -> {})));
@@ -32,12 +32,12 @@
         return worlds.stream().mapToDouble(Sweep.SeedResult::service).min().orElse(0);
     }
 
-    /** Seeds under which a rule was broken. */
+    /** Number of seeds with a violation. */
     public int broken() {
         return (int) worlds.stream().filter(p -> p.breaches() > 0).count();
     }
 
-    /** The least part of another's service that this one has on one seed. */
+    /** The lowest ratio of this balancer's service score to another's on the same seed. */
     double leastPartOf(Compared other) {
         double least = Double.POSITIVE_INFINITY;
         for (int i = 0; i < worlds.size(); i++) {
@@ -48,7 +48,10 @@
         return least;
     }
 
-    /** One line each, and the product's part of the two that see more than anybody can. */
+    /**
+     * A table with a line for each balancer, followed by the product's ratio to the references that know the servers'
+     * true state.
+     */
     public static String table(Scenario scenario, long from, long to, List<Compared> all) {
         StringBuilder out = new StringBuilder();
         out.append(String.format(
--- a/src/main/java/mulleinfront/emulator/DiscoveryClient.java
+++ b/src/main/java/mulleinfront/emulator/DiscoveryClient.java
@@ -15,7 +15,7 @@
 import mulleinfront.core.Time;
 import mulleinfront.core.Wire;
 
-/** A client proxy's side of discovery: its watch and its list, by the same steps as on sockets. */
+/** A client proxy's side of discovery: its watch and its list, by the same steps as the socket implementation. */
 final class DiscoveryClient {
     private final World world;
     private final Time time;
@@ -45,7 +45,7 @@
         return addresses.get(hostId);
     }
 
-    /** Asks for what changed and for all changes to come, unless that is asked for already. */
+    /** Opens a watch for changes since the current version, unless one is open. */
     void watch(long patienceUs) {
         if (watch == null) {
             watch = new Watch(patienceUs);
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Discovery is elsewhere from now on, and is asked there at once. */
+    /** Switches to a discovery service at a new address and calls it at once. */
     void move() {
         if (watch != null) {
             stop();
@@ -73,7 +73,7 @@
         watch(Wire.movedCallTimeoutUs(world.scenario.rules().askWithinUs()));
     }
 
-    /** Takes over a list, first for the wire and then for the module. */
+    /** Applies a list update, first to the wire and then to the balancer. */
     void take(Registry.News news, Source source) {
         world.audit.told(proxy, news.version(), source, news.entries(), time.now());
         boolean whole = source != Source.DELTA;
@@ -96,16 +96,16 @@
         world.fitting.listed(core, source, endpoints, time);
     }
 
-    /** The emulated one. */
+    /** A watch, or the call that opens it. */
     final class Watch extends Watcher {
         private Time.Timer patience;
         private boolean over;
-        /** This side has given it up. */
+        /** Whether this side ended the watch by a timeout. */
         private boolean givenUp;
 
         private boolean heard;
         private boolean listed;
-        /** When it was last heard of, heartbeats too, if it has fallen silent since. */
+        /** When the last data or heartbeat came, if the watch has become unresponsive since; otherwise 0. */
         private long heardAt;
 
         private final long patienceUs;
--- a/src/main/java/mulleinfront/emulator/EmulatedWire.java
+++ b/src/main/java/mulleinfront/emulator/EmulatedWire.java
@@ -12,12 +12,12 @@
 import mulleinfront.core.Wire;
 
 /**
- * Connections of one client proxy to servers, and the attempts made on them, on the emulated network: the
- * same steps as on sockets (an idle connection that has rested, or a new one; the whole request or surely
- * not; one end), with every delay and break drawn.
+ * The connections of one client proxy to servers, and its attempts, on the emulated network. They follow the steps of
+ * the socket implementation (an idle connection after its cool-down, or a new one; a request that is sent whole or
+ * surely not executed; exactly one end), with every delay and connection reset drawn.
  */
 final class EmulatedWire implements Wire<Call, Answer> {
-    /** Messages of a handshake, each way, before a request may be sent. */
+    /** Round trips of a connection handshake before a request can be sent. */
     static final int HANDSHAKE_TRIPS = 2;
 
     private final World world;
@@ -35,15 +35,15 @@
     private final IntSupplier mostIdle;
     private boolean sweeping;
 
-    /** The process that reads what comes to it, which may stand still. */
+    /** The process that reads incoming data; it may be paused. */
     interface Reader {
-        /** Runs at once, or when the process goes on; not at all if it ends. */
+        /** Runs a task at once or when the process resumes; never if the process ends first. */
         void reads(Runnable what);
     }
 
     /**
-     * @param process when it reads what comes
-     * @param mostIdle idle connections to keep at most
+     * @param process the process that reads incoming data
+     * @param mostIdle maximum number of idle connections
      */
     EmulatedWire(
             World world,
@@ -104,7 +104,7 @@
         discovery.watch(patienceUs);
     }
 
-    /** Closes the idle connections to an address that is listed no more. */
+    /** Closes the idle connections to an address that is no longer listed. */
     void hangUp(int address) {
         ArrayDeque<Link> links = idleAt.remove(address);
         if (links != null) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /** The process is gone: its machine resets all its connections. */
+    /** Resets all connections after the process has died. */
     void die() {
         for (Link link : List.copyOf(all)) {
             if (link.current != null) {
@@ -122,7 +122,10 @@
         }
     }
 
-    /** Closes our end; the server learns of it a moment later, and stops what it did for us. */
+    /**
+     * Closes the proxy's end of a connection; after the network delay the server notices and cancels the request on
+     * it.
+     */
     private void close(Link link) {
         if (!link.open) {
             return;
@@ -155,7 +158,7 @@
         }
     }
 
-    /** A reset has come from the server's side. */
+    /** Processes a reset from the server's side. */
     void broken(Link link) {
         process.reads(() -> reset(link));
     }
@@ -198,7 +201,7 @@
         sweep();
     }
 
-    /** Closes what has been idle for long, when the first of them has. */
+    /** Closes connections past the idle timeout, when the first of them reaches it. */
     private void sweep() {
         if (!sweeping && !idle.isEmpty()) {
             sweeping = true;
@@ -212,13 +215,13 @@
         }
     }
 
-    /** One attempt; ends exactly once, with what can be vouched for. */
+    /** One attempt. It ends exactly once, with an outcome that is certain. */
     final class Attempt implements Wire.Attempt {
         private final String requestId;
         private final int number;
         private final int address;
         private final Call call;
-        /** The call of a graph that it is for; null: none. */
+        /** The call of a call graph that the attempt is for; null: none. */
         private final Hop hop;
 
         private final BooleanSupplier wanted;
@@ -228,9 +231,9 @@
         private Time.Timer dial;
         private Link link;
         private ServerModel.Job job;
-        /** The further calls that the server makes for it; null: none yet. */
+        /** The server's handling of the request with its further calls; null: not started. */
         private Handling handling;
-        /** The server knows that nobody waits for it. */
+        /** The server has noticed that the caller no longer waits. */
         private boolean unwanted;
 
         private int fresh;
@@ -276,8 +279,8 @@
             fresh++;
             dial = time.after(world.scenario.limits().dialTimeoutUs(), () -> finish(Outcome.CONNECT_ERROR, null));
             Host host = world.at(address);
-            // An address without a machine, or none on the way to it, is silence; one without a process
-            // refuses.
+            // An unused or unreachable address gives no response, so the dial times out; a reachable machine without
+            // a process refuses the connection.
             if (host == null || !world.network.passes(proxy, zone, host)) {
                 return;
             }
@@ -313,7 +316,10 @@
             });
         }
 
-        /** The one place where a request goes out: not if it is no longer wanted, whatever was decided. */
+        /**
+         * Sends the request, the only place that does. A request that is no longer wanted is not sent, whatever was
+         * decided earlier.
+         */
         private void write(Link to) {
             cancel(dial);
             link = to;
@@ -332,7 +338,8 @@
                 hop.written(number, fresh > 0, zone, host.zone, time.now());
             }
             if (host.chance.happens(host.resetBefore)) {
-                // The host took the connection and not the whole request: that surely did not run.
+                // The server accepted the connection and reset it before the whole request arrived, so the request
+                // surely did not run.
                 close(to);
                 link = null;
                 if (fresh < MAX_NEW_CONNECTIONS) {
@@ -348,7 +355,7 @@
             }
         }
 
-        /** The last byte is at the server, if that still has the connection. */
+        /** Delivers the request to the server, if its process still has the connection. */
         private void arrive(Link to) {
             Host host = to.host;
             if (!world.network.passes(proxy, zone, host) || to.life.stopped() || !to.accepted) {
@@ -388,7 +395,9 @@
             }
         }
 
-        /** The server's own work is done: where it is a part of a graph, its further calls come before its answer. */
+        /**
+         * Continues when the server's own work is done: in a call graph its further calls come before its response.
+         */
         private void worked(Link to, ServerModel.End how, int inflight) {
             if (hop == null || how != ServerModel.End.SERVED) {
                 back(to, how, inflight);
@@ -398,7 +407,7 @@
             }
         }
 
-        /** Word has come to the server that nobody waits any more. */
+        /** Cancels the server's further calls once it notices that the caller no longer waits. */
         private void stopBelow() {
             unwanted = true;
             if (handling != null) {
@@ -406,7 +415,7 @@
             }
         }
 
-        /** The server answers. */
+        /** Sends the server's response. */
         private void back(Link to, ServerModel.End how, int inflight) {
             Host host = to.host;
             to.servedAt = world.queue.now();
@@ -463,7 +472,7 @@
             finish(written ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
         }
 
-        /** The client proxy is no more: nobody is told. */
+        /** Drops the attempt without calling its listener, because the client proxy's process has died. */
         private void forget() {
             over = true;
             cancel(timer);
--- a/src/main/java/mulleinfront/emulator/EventQueue.java
+++ b/src/main/java/mulleinfront/emulator/EventQueue.java
@@ -4,16 +4,19 @@
 import mulleinfront.core.Time;
 
 /**
- * Virtual time: tasks in the order of their instants and, at one instant, in the order in which they were
- * asked for. Nothing else orders them, so a world's course depends on its seed alone.
+ * Virtual time: tasks run in the order of their due times and, at equal times, in the order in which they were
+ * scheduled. Nothing else affects the order, so a simulation's course depends on its seed alone.
  */
 public final class EventQueue implements Time {
-    /** Children of a place in the heap: four lie in one line of the cache and halve its depth. */
+    /** Children of each heap node: four share one cache line and halve the depth of the heap. */
     private static final int WAYS = 4;
-    /** Cancelled tasks fewer than this are left to come up by themselves. */
+    /** Number of cancelled tasks up to which none are swept. */
     private static final int FEW = 256;
 
-    /** A heap by instant and order; what decides is kept beside the events, since it is read far more often. */
+    /**
+     * A heap ordered by due time and sequence number; both are in arrays beside the events, since they are read far
+     * more often.
+     */
     private long[] at = new long[1024];
 
     private long[] order = new long[1024];
@@ -24,7 +27,10 @@
     private long ran;
     private int cancelled;
 
-    /** One task; a cancelled one stays until its instant comes, or until they are half of all. */
+    /**
+     * One scheduled task. A cancelled task stays in the heap until its due time or the next sweep, which comes when
+     * more than half of all tasks are cancelled.
+     */
     private final class Event implements Timer {
         private Runnable task;
 
@@ -48,12 +54,12 @@
         return now;
     }
 
-    /** Instant of the next task, also of one that was cancelled; {@code Long.MAX_VALUE}: there is none. */
+    /** Due time of the next task, cancelled ones included; {@code Long.MAX_VALUE} if there is none. */
     public long nextAt() {
         return size == 0 ? Long.MAX_VALUE : at[0];
     }
 
-    /** Tasks run so far. */
+    /** Number of tasks run so far. */
     public long ran() {
         return ran;
     }
@@ -70,7 +76,7 @@
         return e;
     }
 
-    /** Runs all that is due up to an instant, that instant included; time then stands there. */
+    /** Runs all tasks due up to and including an instant, and then sets the time to it. */
     public void runUntil(long instant) {
         while (size > 0 && at[0] <= instant) {
             Event e = events[0];
@@ -107,7 +113,7 @@
     private void up(int place, long when, long number, Event e) {
         while (place > 0) {
             int parent = (place - 1) / WAYS;
-            // A later one of the same instant stays below.
+            // At equal due times the task that was scheduled later stays below.
             if (at[parent] < when || at[parent] == when && order[parent] < number) {
                 break;
             }
@@ -135,7 +141,10 @@
         put(place, when, number, e);
     }
 
-    /** Drops the cancelled: guards of seconds, cancelled within milliseconds, would be most of the heap. */
+    /**
+     * Removes cancelled tasks: deadline timers of several seconds are mostly cancelled within milliseconds and would
+     * fill most of the heap.
+     */
     private void sweep() {
         int kept = 0;
         for (int i = 0; i < size; i++) {
--- a/src/main/java/mulleinfront/emulator/Explain.java
+++ b/src/main/java/mulleinfront/emulator/Explain.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What happened to single requests of a world: one by its id, or the first that were lost by a cause. */
+/** Explains single requests of a simulation: one by its id, or the first that were lost by a cause. */
 public final class Explain {
     private Explain() {}
 
     /**
-     * Plays a world and tells of a request.
+     * Runs a simulation and describes one request.
      *
-     * @param id of any of its tries
-     * @return lines, none if there was no such request
+     * @param id the id of any of its tries
+     * @return lines of text, none if there was no such request
      */
     public static List<String> request(Scenario scenario, long seed, String id) {
         List<String> lines = new ArrayList<>();
@@ -27,10 +27,10 @@
     }
 
     /**
-     * Plays a world and tells of the first requests that a cause has lost.
+     * Runs a simulation and describes the first requests that were lost by a cause.
      *
-     * @param from only of requests that were asked for at or after this, microseconds
-     * @param most so many at most
+     * @param from earliest arrival time of these requests, microseconds
+     * @param most maximum number of requests
      */
     public static List<String> cause(Scenario scenario, long seed, Cause wanted, long from, int most) {
         List<String> lines = new ArrayList<>();
--- a/src/main/java/mulleinfront/emulator/Fitting.java
+++ b/src/main/java/mulleinfront/emulator/Fitting.java
@@ -9,23 +9,23 @@
 import mulleinfront.core.Wire;
 
 /**
- * How a core is fitted into its client proxy. The plain one joins the parts as they are; one that is broken on
- * purpose shows that the auditor can fail.
+ * How a core is connected to the other parts of its client proxy. {@link #PLAIN} connects them unchanged; tests use
+ * deliberately faulty ones to show that the auditor detects violations.
  */
 interface Fitting {
     Fitting PLAIN = new Fitting() {};
 
-    /** What the core sends by. */
+    /** The wire that the core sends on. */
     default Wire<Call, Answer> wire(Wire<Call, Answer> wire, Time time) {
         return wire;
     }
 
-    /** Whom the core answers. */
+    /** The handler of the core's responses. */
     default ResponseHandler<Call, Answer> caller(ResponseHandler<Call, Answer> caller, Time time) {
         return caller;
     }
 
-    /** A list on its way to the core. */
+    /** Passes a list update to the core. */
     default void listed(Core<Call, Answer> core, Source source, List<Endpoint> endpoints, Time time) {
         core.onEndpointList(source, endpoints);
     }
--- a/src/main/java/mulleinfront/emulator/Handling.java
+++ b/src/main/java/mulleinfront/emulator/Handling.java
@@ -5,17 +5,17 @@
 import java.util.Set;
 
 /**
- * A request at an application whose own work on it is done: the calls that it makes of other services, and
- * its answer when those have ended. While it waits for them it holds no core and no slot.
+ * A request at an application after the application's own work on it: the calls that the application makes to other
+ * services, followed by its response. While it waits for those calls the request uses no core and no slot.
  */
 final class Handling {
-    /** The request from outside that it is a part of. */
+    /** The external request that it is a part of. */
     final GraphRequest request;
-    /** The call that brought it; null: it came from outside. */
+    /** The incoming call; null if it is the external request itself. */
     final Hop above;
 
     final GraphMachine machine;
-    /** When nobody waits for its answer any more. */
+    /** When the caller stops waiting. */
     final long endsAt;
 
     final int depth;
@@ -25,12 +25,12 @@
     private final Set<Hop> open = new LinkedHashSet<>();
     private int next;
     private int pending;
-    /** When its answer was given or it was given up; -1: it is open. */
+    /** When it was answered or cancelled; -1 while it is open. */
     private long overAt = -1;
 
-    /** The application's answer. */
+    /** Receives the application's response. */
     interface Done {
-        /** Served, or an error. */
+        /** Called with {@code SERVED} or {@code ERROR}. */
         void done(ServerModel.End end);
     }
 
@@ -78,7 +78,7 @@
         graph.call(hop, machine);
     }
 
-    /** One of its calls has ended. */
+    /** Processes the end of one of its calls. */
     void ended(Hop hop, Clients.How how) {
         open.remove(hop);
         if (overAt >= 0) {
@@ -98,7 +98,10 @@
         done.done(end);
     }
 
-    /** Nobody waits for it any more, or its process is gone: its own calls are given up too. */
+    /**
+     * Cancels it because the caller no longer waits or its process has ended. Its own calls are cancelled too, if the
+     * application passes cancellation on.
+     */
     void cancel() {
         if (overAt < 0) {
             over(graph.application.cancelsBelow());
--- a/src/main/java/mulleinfront/emulator/Histogram.java
+++ b/src/main/java/mulleinfront/emulator/Histogram.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Times in buckets of 0.8% of their value at most, microseconds; exact below 128 us. */
+/** A histogram of times in microseconds, in buckets at most 0.8% of their value wide; exact below 128 us. */
 final class Histogram {
     private static final int BITS = 7;
     private static final int PER = 1 << BITS;
@@ -49,7 +49,10 @@
         return count == 0 ? 0 : sum / count;
     }
 
-    /** The least value that at least this part is no more than, to within a bucket; -1: there is none. */
+    /**
+     * The smallest value that at least this fraction of the values does not exceed, to within a bucket; -1 if there
+     * are no values.
+     */
     long at(double quantile) {
         long rank = (long) Math.ceil(quantile * count);
         long seen = 0;
@@ -62,7 +65,7 @@
         return -1;
     }
 
-    /** Part of the values that are above one, to within a bucket. */
+    /** Fraction of the values that are above the given one, to within a bucket. */
     double above(long us) {
         long seen = 0;
         for (int i = 0; i < counts.length && low(i) <= us; i++) {
--- a/src/main/java/mulleinfront/emulator/Host.java
+++ b/src/main/java/mulleinfront/emulator/Host.java
@@ -6,7 +6,7 @@
 import mulleinfront.Balancer.Availability;
 import mulleinfront.Balancer.Endpoint;
 
-/** A server under its id: where it is, its present process, and the connections that end there. */
+/** A server, identified by its id: its location, its current process and the connections to that process. */
 final class Host {
     final String id;
     final int zone;
@@ -14,20 +14,20 @@
     final int cell;
     final double weight;
     final ServerModel.Machine machine;
-    /** Open connections to the present process, in the order in which they came. */
+    /** Open connections to the current process, in the order in which they were accepted. */
     final Set<Link> links = new LinkedHashSet<>();
-    /** Where it listens; another number is another address. */
+    /** The address on which the server listens; a server that moves gets a new number. */
     int address;
-    /** The present process; null while there is none. */
+    /** The current process; null while there is none. */
     ServerModel life;
-    /** When that started; 0: long ago. */
+    /** When the current process started; 0 if before the run. */
     long startedAt;
-    /** The machine is off the net and says nothing. */
+    /** Whether the machine is disconnected from the network. */
     boolean vanished;
 
     double resetBefore;
     double resetAfter;
-    /** Work sent within the last moments while cold: what pushes it over. */
+    /** Work received within the recent window while cold, by which a cold server crashes. */
     final Budget budget;
 
     final Chance chance;
@@ -59,7 +59,7 @@
         return new Endpoint(id, zone, cell, kind, availability, weight, startedAt);
     }
 
-    /** Work within a window of time, against what a cold server bears. */
+    /** Work within a time window, compared with the sustainable load of a cold server. */
     static final class Budget {
         private final long windowUs;
         private final double multiple;
@@ -74,10 +74,11 @@
         }
 
         /**
-         * Notes work that came.
+         * Adds work that arrived.
          *
-         * @param capacity work that the server can do in a microsecond at this moment
-         * @return whether that is more than it bears
+         * @param mark whether the work counts towards {@link #markedPart}
+         * @param capacity work that the server can do per microsecond now
+         * @return whether the work in the window exceeds the sustainable load
          */
         boolean over(long now, double work, boolean mark, double capacity) {
             sent.add(new double[] {now, work, mark ? work : 0});
@@ -92,12 +93,12 @@
             return sum > bears;
         }
 
-        /** The most that was sent within a window, as a part of what the server bore then. */
+        /** The highest work within a window, as a fraction of the sustainable load at that time. */
         double most() {
             return most;
         }
 
-        /** Part of the work within the window that was marked. */
+        /** Fraction of the work within the window that is marked. */
         double markedPart() {
             return sum <= 0 ? 0 : marked / sum;
         }
--- a/src/main/java/mulleinfront/emulator/Instance.java
+++ b/src/main/java/mulleinfront/emulator/Instance.java
@@ -1,16 +1,16 @@
 package mulleinfront.emulator;
 
-/** A client proxy as its world sees it: emulated here, or a process somewhere else. */
+/** A client proxy as seen by the simulation: simulated, or an external process. */
 abstract class Instance {
-    /** Processes that have begun. */
+    /** Number of processes started so far. */
     int starts;
-    /** When the one that runs began to take requests, microseconds. */
+    /** When the current process began to accept requests, microseconds. */
     long readyAt;
 
-    /** Whether a try can be handed to it; if not, its client could not connect. */
+    /** Whether the proxy accepts connections; if not, its clients cannot connect. */
     abstract boolean running();
 
-    /** Whether it knows of any server that is ready; of processes elsewhere nobody can tell. */
+    /** Whether the proxy knows a ready server; unknown for external processes, which count as knowing one. */
     boolean knowsServers() {
         return true;
     }
@@ -18,25 +18,25 @@
     /**
      * SIGKILL.
      *
-     * @param awayUs how long it stays away beyond the time that a start takes
+     * @param awayUs additional time before the restart, beyond the time that a start takes
      */
     abstract void kill(long awayUs);
 
-    /** SIGSTOP, and SIGCONT after so long. */
+    /** SIGSTOP, and SIGCONT after the given time. */
     abstract void pause(long us);
 
     /** SIGTERM. */
     abstract void end();
 
-    /** SIGHUP, with a configuration in which discovery is elsewhere. */
+    /** SIGHUP, with a configuration that has a new discovery address. */
     abstract void reload();
 
-    /** So many clients connect and say nothing, for so long; where connections are not counted that is nothing. */
+    /** Opens idle client connections for a time; no effect where client connections are not simulated. */
     void crowd(int connections, long forUs) {}
 
-    /** A try's last byte has come. */
+    /** Accepts a try whose last byte has arrived. */
     abstract void take(Clients.Try t);
 
-    /** The client of a try has gone. */
+    /** Reports that the client of a try has disconnected. */
     abstract void gone(Clients.Try t);
 }
--- a/src/main/java/mulleinfront/emulator/LossReport.java
+++ b/src/main/java/mulleinfront/emulator/LossReport.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * What was lost in a world, by its cause.
+ * The losses of a simulation, by cause.
  *
- * @param lost worth that was asked for and not earned
- * @param causes that by cause
- * @param parts that by cause for each instance, zone, class, tenant and window of 10 s, by name
+ * @param lost value that was offered and not earned
+ * @param causes losses by cause
+ * @param parts lost value by cause for each instance, zone, class, tenant and window of 10 s, by name
  */
 public record LossReport(double lost, Map<Cause, Loss> causes, Map<Part, Map<String, Map<Cause, Double>>> parts) {
 
-    /** What losses are told apart by beside their causes. */
+    /** The dimensions by which losses are reported in addition to their causes. */
     public enum Part {
         INSTANCE,
         ZONE,
@@ -20,13 +20,13 @@
         TENANT,
         WINDOW;
 
-        /** The name in files. */
+        /** The output name in files. */
         public String word() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
-    /** Requests and their worth. */
+    /** A number of requests and their value. */
     public static final class Loss {
         private long requests;
         private double worth;
--- a/src/main/java/mulleinfront/emulator/Network.java
+++ b/src/main/java/mulleinfront/emulator/Network.java
@@ -6,24 +6,24 @@
 import java.util.Map;
 import java.util.Set;
 
-/** How long messages are under way, and which never arrive. */
+/** Message delays between zones, and which messages are lost to partitions. */
 final class Network {
     private final long[][] oneWay;
     private final double jitter;
     private final Chance chance;
     private final int[] cutZones;
     private final Set<Host> cutHosts = new HashSet<>();
-    /** For client proxies that are cut from zones by themselves: how often from each; null: none is. */
+    /** Partitions of single client proxies: by proxy, a count for each zone; null: none. */
     private Map<Integer, int[]> cutProxies;
-    /** Pairs of zones that are cut from each other: how often; null: none is. */
+    /** Partitions between pairs of zones, as counts; null: none. */
     private int[][] cutPairs;
-    /** Client proxies whose machine is off the net. */
+    /** Client proxies whose machine is disconnected from the network. */
     private final BitSet away = new BitSet();
 
     /**
-     * Of a part of a larger world, which has drawn the ways between its zones.
+     * The network of one service in a graph simulation, whose zones have the delays of the whole simulation.
      *
-     * @param oneWay from and to each zone, microseconds
+     * @param oneWay delay from and to each zone, microseconds
      */
     Network(long[][] oneWay, double jitter, Chance chance) {
         this.jitter = jitter;
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Time that one message takes, microseconds, at least 1. */
+    /** Delay of one message, microseconds, at least 1. */
     long delay(int from, int to) {
         double us = oneWay[from][to] * (1 + jitter * chance.unit());
         return Math.max(1, (long) us);
@@ -60,7 +60,10 @@
                 && (cutPairs == null || cutPairs[zone][host.zone] == 0);
     }
 
-    /** The same for a client proxy, which may be cut off by itself. */
+    /**
+     * Whether a message between a client proxy and a server would arrive now, including partitions of the single
+     * proxy.
+     */
     boolean passes(int proxy, int zone, Host host) {
         return passes(zone, host)
                 && !away.get(proxy)
@@ -69,20 +72,20 @@
                         || cutProxies.get(proxy)[host.zone] == 0);
     }
 
-    /** One client proxy and the servers of a zone. */
+    /** Begins or ends a partition between one client proxy and the servers of a zone. */
     void cut(int proxy, int zone, boolean on) {
         cutProxies = cutProxies == null ? new HashMap<>() : cutProxies;
         cutProxies.computeIfAbsent(proxy, p -> new int[cutZones.length])[zone] += on ? 1 : -1;
     }
 
-    /** Two zones from each other. */
+    /** Begins or ends a partition between two zones. */
     void cutPair(int a, int b, boolean on) {
         cutPairs = cutPairs == null ? new int[oneWay.length][oneWay.length] : cutPairs;
         cutPairs[a][b] += on ? 1 : -1;
         cutPairs[b][a] += on ? 1 : -1;
     }
 
-    /** The machine of a client proxy is off the net, or back. */
+    /** Disconnects a client proxy's machine from the network, or reconnects it. */
     void away(int proxy, boolean on) {
         away.set(proxy, on);
     }
--- a/src/main/java/mulleinfront/emulator/Proxy.java
+++ b/src/main/java/mulleinfront/emulator/Proxy.java
@@ -15,9 +15,12 @@
 import mulleinfront.fleet.Change;
 import mulleinfront.fleet.Fleet;
 
-/** A client proxy's machine: one process after another, each with a core, a module and connections anew. */
+/**
+ * The machine of a simulated client proxy. It runs one process after another, each with a new core, balancer and set
+ * of connections.
+ */
 final class Proxy extends Instance {
-    /** How often it looks how many live, beside whenever that changes, microseconds. */
+    /** Interval at which a proxy reads the number of live members, in addition to every membership change. */
     private static final long SHARE_US = 1_000_000;
 
     private final World world;
@@ -53,7 +56,7 @@
         return life == null ? 0 : life.wire.connections();
     }
 
-    /** A process begins and takes requests. */
+    /** Starts a process, which accepts requests at once. */
     void start(Registry.News known) {
         if (life == null) {
             starts++;
@@ -72,7 +75,10 @@
         }
     }
 
-    /** SIGKILL: what it held is its clients' to retry. It starts again after its time. */
+    /**
+     * SIGKILL: clients must retry the requests that were open. The proxy restarts after its start time and {@code
+     * awayUs}.
+     */
     @Override
     void kill(long awayUs) {
         if (life != null) {
@@ -91,7 +97,7 @@
         world.queue.after(world.scenario.proxies().startUs() + awayUs, () -> start(world.known()));
     }
 
-    /** SIGSTOP: nothing is read and no timer fires until it goes on. */
+    /** SIGSTOP: no input is read and no timer fires until the process resumes. */
     @Override
     void pause(long us) {
         if (life == null || life.still) {
@@ -114,7 +120,7 @@
         });
     }
 
-    /** SIGTERM: it takes what still comes for a moment, finishes what it has and ends. */
+    /** SIGTERM: the process accepts late requests for a short time, finishes its open requests and ends. */
     @Override
     void end() {
         if (life == null || life.ending) {
@@ -141,7 +147,7 @@
         });
     }
 
-    /** The address of discovery is no part of this world: what is left of a move is that it is asked anew. */
+    /** Discovery has no address in the simulation, so a move only makes the proxy open a new watch. */
     @Override
     void reload() {
         if (life != null && !life.ending && world.scenario.discovery().asked()) {
@@ -150,7 +156,10 @@
         }
     }
 
-    /** A try's last byte has come; whoever sent it hears how it ended, or nothing if that process dies. */
+    /**
+     * Accepts a try whose last byte has arrived. The client is notified of the result, or of a broken connection if
+     * the process dies.
+     */
     @Override
     void take(Clients.Try t) {
         life.take(t);
@@ -163,7 +172,7 @@
         }
     }
 
-    /** One process. */
+    /** One process of the client proxy. */
     private final class Life implements Time, EmulatedWire.Reader, Fleet.Listener {
         private final DiscoveryClient discovery = new DiscoveryClient(world, this, number, zone);
         private final EmulatedWire wire = new EmulatedWire(world, this, this, number, zone, discovery, this::mostIdle);
@@ -173,15 +182,15 @@
                 world.fitting.wire(wire, this),
                 world.audit::defect);
         private final Map<Clients.Try, Core.RequestHandle<Call, Answer>> open = new LinkedHashMap<>();
-        /** Tries that wait for the CPU before the core hears of them. */
+        /** Tries that wait for CPU time before they reach the core. */
         private final Set<Clients.Try> waiting = new LinkedHashSet<>();
-        /** Tries whose answers wait for it. */
+        /** Tries whose responses wait for CPU time. */
         private final Set<Clients.Try> answering = new LinkedHashSet<>();
 
         private final Scenario.Cpu cpu = world.scenario.proxies().cpu();
         private long cpuFreeAt;
         private long requests;
-        /** What comes while it stands still. */
+        /** Input and timers that become due while the process is paused. */
         private final ArrayDeque<Runnable> unread = new ArrayDeque<>();
 
         private boolean still;
@@ -209,7 +218,7 @@
             return world.queue.now();
         }
 
-        /** Timers die with the process. */
+        /** Schedules a timer that is dropped when the process ends. */
         @Override
         public Timer after(long delayUs, Runnable task) {
             if (!world.pauses) {
@@ -219,7 +228,7 @@
                     }
                 });
             }
-            // One that is due while it stands still may be cancelled by what is read first when it goes on.
+            // A timer that becomes due during a pause may still be cancelled by input that is read first on resume.
             boolean[] cancelled = {false};
             Timer timer = world.queue.after(
                     delayUs,
@@ -250,7 +259,7 @@
             }
         }
 
-        /** Whoever lives has a part of what the hosts bear. */
+        /** Reports the number of live members, among which the servers' sustainable load is divided. */
         private void share() {
             core.setLiveInstances(world.fleet.member(number).liveMembers(now()));
             after(SHARE_US, this::share);
@@ -280,7 +289,7 @@
             });
         }
 
-        /** Work of the one thread, after what was there before it. */
+        /** Runs a task after {@code us} of CPU time on the single thread, behind earlier work. */
         private void onCpu(long us, Runnable then) {
             if (us == 0) {
                 then.run();
--- a/src/main/java/mulleinfront/emulator/Registry.java
+++ b/src/main/java/mulleinfront/emulator/Registry.java
@@ -14,28 +14,29 @@
 import mulleinfront.settings.Range;
 
 /**
- * Discovery: what it knows of the servers, later than it happens, and those who watch it. A call takes its time
- * and waits for those before it; one that would wait too long fails, and so does any while discovery is down.
+ * The discovery service: its list of servers, which lags behind the servers' real state, and the watches on it. Calls
+ * are processed one after another; a call that would wait longer than the timeout fails, as does any call while
+ * discovery is down.
  */
 final class Registry {
-    /** A server as listed. */
+    /** A server as discovery lists it. */
     record Entry(Endpoint endpoint, int address) {}
 
-    /** A list on its way: all of it, or what changed. */
+    /** A list update: the full list or a delta. */
     record News(long version, boolean full, List<Entry> entries) {}
 
-    /** Heartbeats on a watch come this often. */
+    /** Interval of heartbeats on a watch. */
     static final long HEARTBEAT_US = 2_000_000;
 
     private final World world;
     private final Scenario.Discovery spec;
     private final Chance chance;
-    /** Every change, in order; an entry's place is its version less one. */
+    /** All changes in order; an entry's index is its version minus one. */
     private final List<Entry> log = new ArrayList<>();
 
     private final List<Long> loggedAt = new ArrayList<>();
     private final Map<String, Entry> present = new LinkedHashMap<>();
-    /** All of that as it is told, made when first asked for after a change: thousands may ask. */
+    /** The full list, cached after the first request following a change, since thousands of watches may need it. */
     private News whole;
 
     private final Set<Watcher> watches = new LinkedHashSet<>();
@@ -44,14 +45,17 @@
     private double crowd;
     private boolean down;
     private boolean silent;
-    /** Client proxies that are cut off from it, each for itself. */
+    /** Client proxies that are individually partitioned from discovery. */
     private final Set<Integer> cut = new HashSet<>();
-    /** Calls that are still to be refused, lists to be cut short, and watches to end instead of telling. */
+    /**
+     * Remaining faults by client proxy: calls to refuse, lists to truncate, and watches to end instead of sending an
+     * update.
+     */
     private final Map<Integer, Integer> refusals = new HashMap<>();
 
     private final Map<Integer, Integer> cutShort = new HashMap<>();
     private final Map<Integer, Integer> endings = new HashMap<>();
-    /** Lists that are still to stop halfway, and for how long. */
+    /** Remaining lists to stop halfway, by client proxy; {@code pause} is how long they stop. */
     private final Map<Integer, Integer> pauses = new HashMap<>();
 
     private Range pause = Range.of(0);
@@ -67,7 +71,7 @@
         this.chance = chance;
     }
 
-    /** Something happened to a server; discovery will know after a while. */
+    /** Reports a change of a server's state; discovery notices it after a drawn delay. */
     void happened(Host host, Availability availability, boolean silently) {
         Entry entry = new Entry(host.listed(availability), host.address);
         Range notice =
@@ -75,9 +79,9 @@
         world.queue.after((long) notice.draw(chance::between), () -> know(entry));
     }
 
-    /** Known at once: how the world is at its start. */
+    /** Records a change at once, as for the state at the start of the run. */
     void know(Entry entry) {
-        // What is told of an older life of a server comes too late.
+        // A change of an earlier incarnation of the server is ignored.
         Entry held = present.get(entry.endpoint().id());
         if (held != null && entry.endpoint().startedAtUs() < held.endpoint().startedAtUs()) {
             return;
@@ -110,7 +114,7 @@
         return log.size();
     }
 
-    /** The whole list as it is. */
+    /** The current full list. */
     News whole() {
         if (whole == null) {
             whole = new News(version(), true, List.copyOf(present.values()));
@@ -118,7 +122,7 @@
         return whole;
     }
 
-    /** The whole list as it was at an instant. */
+    /** The full list as it was at an instant. */
     News at(long instant) {
         Map<String, Entry> then = new LinkedHashMap<>();
         long version = 0;
@@ -134,7 +138,7 @@
         return new News(version, true, List.copyOf(then.values()));
     }
 
-    /** Tells a watch what it has not been told. */
+    /** Sends a watch the changes after the version it has. */
     private void tell(Watcher w) {
         long from = w.toldTo;
         if (down || silent || cut.contains(w.proxy()) || w.pausing || from >= version() && from >= 0) {
@@ -172,7 +176,7 @@
         }
     }
 
-    /** The rest of a list that had stopped halfway is told, and then what has changed meanwhile. */
+    /** Sends the rest of a list that had stopped halfway, and then later changes. */
     private void goesOn(Watcher w, News news) {
         w.pausing = false;
         if (!w.over()) {
@@ -193,7 +197,7 @@
         shuffled.clear();
     }
 
-    /** Others call too, so many a second; they have patience to the end. */
+    /** Adds load from other callers, in calls per second; queued callers do not give up. */
     void crowd(double perSecond) {
         boolean begins = crowd == 0 && perSecond > 0;
         crowd = perSecond;
@@ -211,7 +215,7 @@
         }
     }
 
-    /** A call that asks for a watch. */
+    /** Processes a discovery call that opens a watch. */
     void call(Watcher w) {
         calls++;
         long now = world.queue.now();
@@ -233,7 +237,7 @@
             world.queue.after(world.network.delay(w.zone(), 0), w::fail);
             return;
         }
-        // What was begun is worked through, also for one who has given up meanwhile.
+        // A call that has begun takes its processing time even if the caller has given up.
         busyUntil += cost;
         if (busyUntil - now > spec.timeoutUs()) {
             failedCalls++;
@@ -247,7 +251,7 @@
                 watches.add(w);
                 w.begin();
                 if (w.toldTo >= version()) {
-                    // Nothing changed: the answer says so.
+                    // Nothing changed since the caller's version, so the response is an empty delta.
                     w.hear(new News(version(), false, List.of()));
                 } else {
                     tell(w);
@@ -260,7 +264,7 @@
         watches.remove(w);
     }
 
-    /** Whether there is one left for a client proxy; takes it. */
+    /** Consumes one remaining fault of a client proxy; false if none is left. */
     private static boolean due(Map<Integer, Integer> left, int proxy) {
         int n = left.getOrDefault(proxy, 0);
         if (n > 0) {
@@ -275,28 +279,28 @@
         }
     }
 
-    /** The next so many calls of each client proxy are refused at once. */
+    /** Refuses the next {@code each} calls of each client proxy at once. */
     void refuseCalls(int each) {
         setForAll(refusals, each);
     }
 
-    /** The next so many lists to each client proxy break off before their end, and the watch with them. */
+    /** Truncates the next {@code each} lists to each client proxy and ends the watch with them. */
     void cutLists(int each) {
         setForAll(cutShort, each);
     }
 
-    /** The next so many lists to each client proxy stop halfway for a while and go on. */
+    /** Stops the next {@code each} lists to each client proxy halfway for a drawn time, then sends the rest. */
     void pauseLists(int each, Range forUs) {
         pause = forUs;
         setForAll(pauses, each);
     }
 
-    /** The next so many times that there is something to tell to a client proxy its watch ends instead. */
+    /** Ends each client proxy's watch instead of sending an update, for its next {@code each} updates. */
     void endInsteadOfTelling(int each) {
         setForAll(endings, each);
     }
 
-    /** Down: watches end, calls fail. */
+    /** Sets whether discovery is down: watches end and calls fail. */
     void down(boolean on) {
         down = on;
         world.audit.deadlines().reachable(!down && !silent, world.queue.now());
@@ -305,7 +309,7 @@
         }
     }
 
-    /** What is open is reset; new calls are answered as before. */
+    /** Resets all open watches; new calls are answered as before. */
     void watchesEnd() {
         for (Watcher w : List.copyOf(watches)) {
             w.reset = true;
@@ -314,13 +318,16 @@
         watches.clear();
     }
 
-    /** What is open stays open and never says anything again; new calls are answered as before. */
+    /** Stops sending on all open watches without closing them; new calls are answered as before. */
     void watchesFallSilent() {
         List.copyOf(watches).forEach(w -> silent(w, true));
         watches.clear();
     }
 
-    /** Silent: what is open stays open and says nothing, not even that it is there. */
+    /**
+     * Sets whether discovery is unresponsive: watches stay open without data or heartbeats, and calls get no
+     * response.
+     */
     void silent(boolean on) {
         silent = on;
         world.audit.deadlines().reachable(!down && !silent, world.queue.now());
@@ -338,7 +345,7 @@
         }
     }
 
-    /** The same for one client proxy alone: what it calls is not answered. */
+    /** Partitions one client proxy from discovery: its watch gets no data and its calls get no response. */
     void cut(int proxy, boolean on) {
         if (on ? cut.add(proxy) : cut.remove(proxy)) {
             world.audit.deadlines().reaches(proxy, !on, world.queue.now());
@@ -346,12 +353,12 @@
         }
     }
 
-    /** What is told takes this much longer. */
+    /** Delays list updates by an additional drawn time. */
     void late(Range by) {
         late = by;
     }
 
-    /** The next so many lists are told in any order; 0 ends it. */
+    /** Delivers list updates in random order, in batches of this size; 0 ends the fault. */
     void shuffle(int lists) {
         shuffle = lists;
         if (lists == 0) {
--- a/src/main/java/mulleinfront/emulator/ServerModel.java
+++ b/src/main/java/mulleinfront/emulator/ServerModel.java
@@ -9,32 +9,33 @@
 import mulleinfront.settings.Range;
 
 /**
- * One life of a factoring server's process, from its start to its end: a waiting room before some slots,
- * whose requests share the cores. It knows no network and no clock but the {@link Time} it is given, so it
- * runs on virtual time here and may run on a real clock elsewhere.
+ * One process of a simulated server, from its start to its end: a bounded queue in front of a number of slots, whose
+ * requests share the cores. It uses no network and no clock except the {@link Time} it is given, so it runs in
+ * virtual time here and can run on a real clock elsewhere.
  *
- * <p>Every running request progresses at one rate, so the work that each has had since the start is one
- * figure ({@code attained}) and a request ends when that figure reaches its own mark. Whatever changes the
- * rate (a start, an end, a pause, a neighbour, warming up) first brings {@code attained} up to date.
+ * <p>All running requests progress at the same rate, so one number ({@code attained}) is the work that each of them
+ * would have received since the process started, and a request ends when {@code attained} reaches the request's own
+ * end mark. Each event that changes the rate (a start, an end, a pause, a noisy neighbour, warming up) first advances
+ * {@code attained} to the current time.
  *
- * <p>Work is counted in microseconds of one core of speed 1.
+ * <p>The unit of work is one microsecond of a core of speed 1.
  */
 public final class ServerModel {
-    /** How often what changes steadily (warmth, crowding over a while) is looked at, microseconds. */
+    /** Interval at which continuously changing state (warmth, mean load) is re-evaluated. */
     private static final long LOOK_US = 50_000;
-    /** Part of a request's work that it takes to see that it is a repeat and to give the kept answer. */
+    /** Fraction of a request's work needed to recognise a repeat and return the stored response. */
     private static final double REPEAT_WORK = 0.05;
-    /** Kept effects beyond which those that are over are looked for. */
+    /** Number of stored effects above which expired ones are removed. */
     private static final int MANY_KEPT = 1024;
 
-    /** How a request ended at the server. */
+    /** The result of a request at the server. */
     public enum End {
         SERVED,
         ERROR,
         NOT_RUN
     }
 
-    /** When work that nobody waits for stops. */
+    /** Which cancelled requests the server stops working on. */
     public enum Stops {
         NONE,
         QUEUED,
@@ -42,33 +43,33 @@
     }
 
     /**
-     * One machine, as drawn.
+     * The parameters of one server's machine, as drawn from the scenario.
      *
      * @param cores number of cores
-     * @param speed work a core does in a microsecond
-     * @param slots requests in work at once
-     * @param room requests that wait at most; beyond it they are turned away
-     * @param mostConnections open connections at most
-     * @param handshakeWork work that a new connection adds to the first request on it
-     * @param idleCloseUs idle time after which it closes a connection
-     * @param errors probability that an answer is an error
-     * @param reportEveryUs age after which its load report is made anew
+     * @param speed work that a core does per microsecond
+     * @param slots maximum number of requests that run at once
+     * @param room queue capacity; requests beyond it are rejected
+     * @param mostConnections maximum number of open connections
+     * @param handshakeWork work that a new connection adds to its first request
+     * @param idleCloseUs idle time after which the server closes a connection
+     * @param errors probability that a response is an error
+     * @param reportEveryUs age at which the load report is renewed
      * @param probeWork work of a probe
-     * @param mostProbes probes at once at most
-     * @param deepProbes whether probes wait and are served like requests
-     * @param coldFrom share of its capacity with which it starts, in (0, 1]
-     * @param coldForUs time from there to the full capacity; 0: warm at once
-     * @param coldWork work from there to the full capacity; above 0 it warms by work, not by time
+     * @param mostProbes maximum number of concurrent probes
+     * @param deepProbes whether probes are queued and served like requests
+     * @param coldFrom fraction of the capacity at the start, in (0, 1]
+     * @param coldForUs time from the start to the full capacity; 0: warm at once
+     * @param coldWork work from the start to the full capacity; above 0 the server warms up by work, not by time
      * @param pauseEveryUs mean time between pauses; 0: none
      * @param pauseUs shortest and longest pause
-     * @param crowdAt requests held per core beyond which it gets less efficient; 0: never
-     * @param crowdLoss part of its efficiency that is lost at twice that many, and at most
-     * @param linger what makes it slow for a while after it was crowded; null: nothing
-     * @param stops when work stops that nobody waits for
-     * @param dropsExpired whether a request whose time is up when its turn comes is turned away
-     * @param keyMemoryUs how long it remembers a key; 0: not at all
-     * @param keySaving part of the work that it is spared by a key it remembers
-     * @param keysKept keys that it remembers at most
+     * @param crowdAt requests in flight per core above which efficiency falls; 0: never
+     * @param crowdLoss fraction of the efficiency that is lost at twice that number, which is also the maximum loss
+     * @param linger parameters of a metastable slowdown after overload; null: none
+     * @param stops which cancelled requests the server stops working on
+     * @param dropsExpired whether a request that has expired when it leaves the queue is rejected
+     * @param keyMemoryUs how long the server caches a key; 0: no cache
+     * @param keySaving fraction of the work that a cached key saves
+     * @param keysKept maximum number of cached keys
      */
     public record Machine(
             int cores,
@@ -96,21 +97,22 @@
             long keyMemoryUs,
             double keySaving,
             int keysKept) {
-        /** Work that it can do in a microsecond when warm and undisturbed. */
+        /** Work that the server can do per microsecond when warm and undisturbed. */
         public double capacity() {
             return cores * speed;
         }
     }
 
     /**
-     * Slowness that stays when the load has passed.
+     * A metastable slowdown: the server stays slow after the overload that caused it has ended.
      *
-     * @param at it begins when, in the mean of {@code afterUs}, more than cores + at x root of cores are held
-     * @param afterUs time over which that mean is taken
-     * @param slower how many times slower it then is
-     * @param below it ends when the cores were busy under this share ...
-     * @param restUs ... in the mean of this time,
-     * @param mostUs or after this time
+     * @param at it begins when the mean number of requests in flight over {@code afterUs} exceeds cores + at *
+     *     sqrt(cores)
+     * @param afterUs time constant of that mean
+     * @param slower factor by which the server is then slower
+     * @param below it ends when the mean core utilisation is below this fraction
+     * @param restUs time constant of the mean utilisation
+     * @param mostUs longest duration of the slowdown
      */
     public record Linger(double at, long afterUs, double slower, double below, long restUs, long mostUs) {}
 
@@ -129,13 +131,13 @@
         private int state;
 
         /**
-         * @param requestId its id
-         * @param work its work without what memory of keys spares
-         * @param key what it is about, or null
-         * @param effect what identifies its effect among repeats (an idempotency key), or null
-         * @param windowUs how long repeats of the effect are dropped; 0: they are not
-         * @param expiresAt when nobody will wait for it any more
-         * @param done told once how it ended, unless it was cancelled or the process died
+         * @param requestId the request's id
+         * @param work work without what the key cache saves
+         * @param key the request's key, or null
+         * @param effect the identity of its effect among repeats (an idempotency key), or null
+         * @param windowUs how long repeats of the effect are dropped; 0: repeats are not dropped
+         * @param expiresAt when the caller stops waiting
+         * @param done called once with the result, unless the request was cancelled or the process died
          */
         public Job(String requestId, double work, String key, String effect, long windowUs, long expiresAt, Done done) {
             this.requestId = requestId;
@@ -153,19 +155,22 @@
     private static final int RUNNING = 2;
     private static final int OVER = 3;
 
-    /** The end of a request or probe at the server. */
+    /** Receives the result of a request or probe. */
     public interface Done {
-        /** {@code inflight}: the load report, a little old. */
+        /** Called with the result; {@code inflight} is the load report, which may be slightly out of date. */
         void done(End end, int inflight);
     }
 
-    /** Told of each effect when its request begins to run. */
+    /** Called with each effect when its request begins to run. */
     public interface Effects {
-        /** {@code dropped}: it was a repeat that the server's group knew, and did nothing again. */
+        /**
+         * Called when a job begins; {@code dropped} if its deduplication group knew the effect, so that the server
+         * did not apply it again.
+         */
         void ran(Job job, boolean dropped);
     }
 
-    /** Until when each effect is known, in a group of servers that drop repeats. */
+    /** Expiry times of the effects known to a deduplication group. */
     public static final class Group {
         private final Map<String, Long> knownUntil = new LinkedHashMap<>();
 
@@ -174,7 +179,7 @@
                 return false;
             }
             if (knownUntil.size() > MANY_KEPT) {
-                // In the order in which they ran: the first that is fresh ends the search.
+                // Effects are in the order in which they ran, so the first unexpired one ends the search.
                 var oldest = knownUntil.values().iterator();
                 while (oldest.hasNext() && now > oldest.next()) {
                     oldest.remove();
@@ -190,7 +195,7 @@
         }
     }
 
-    /** What the server saw and did; times in microseconds. */
+    /** Counters of one or more processes of a server; times in microseconds. */
     public static final class Figures {
         public long offered;
         public long begun;
@@ -215,7 +220,7 @@
         public double busyCoreUs;
         public double heldSumUs;
 
-        /** Adds what another life of the same server saw. */
+        /** Adds the counters of another process of the same server. */
         public void add(Figures o) {
             offered += o.offered;
             begun += o.begun;
@@ -280,9 +285,9 @@
     private long reportedAt = Long.MIN_VALUE / 2;
 
     /**
-     * A process that starts now.
+     * Starts a process.
      *
-     * @param startsCold whether it has just been started, rather than long ago
+     * @param startsCold whether the process has just been started; otherwise it counts as long running
      */
     public ServerModel(Machine machine, Time time, Chance chance, Group group, Effects effects, boolean startsCold) {
         this.machine = machine;
@@ -309,7 +314,7 @@
         return figures;
     }
 
-    /** Requests in work and waiting. */
+    /** Number of requests running and queued. */
     public int held() {
         return held;
     }
@@ -322,7 +327,7 @@
         return draining;
     }
 
-    /** Share of its capacity that it has warmed up to, 1 when warm. */
+    /** Fraction of the full capacity reached by warming up; 1 when warm. */
     public double warmth() {
         if (!cold) {
             return 1;
@@ -333,9 +338,7 @@
         return Math.min(1, machine.coldFrom() + (1 - machine.coldFrom()) * part);
     }
 
-    /**
-     * Work that is still to be done of the requests that it holds, without what memory of keys will spare.
-     */
+    /** Remaining work of the requests in flight, without the savings of the key cache. */
     double workAhead() {
         advance();
         double ahead = 0;
@@ -348,7 +351,7 @@
         return ahead;
     }
 
-    /** Work that a core does in a microsecond at this moment; 0 while it answers nothing. */
+    /** Work that a core does per microsecond now; 0 while the server does not respond. */
     double coreSpeed() {
         return hung || pauses > 0 || stopped
                 ? 0
@@ -360,15 +363,15 @@
                         / (lingering ? machine.linger().slower() : 1);
     }
 
-    /** Part of a request's work that is left where its key was met lately; 1 where not. */
+    /** Fraction of a request's work that remains if its key is cached; 1 if it is not cached. */
     double workLeftOf(String key) {
         Long last = key == null || machine.keyMemoryUs() == 0 ? null : keys.get(key);
         return last != null && time.now() - last <= machine.keyMemoryUs() ? 1 - machine.keySaving() : 1;
     }
 
     /**
-     * Whether something is wrong with it beside load and cold: it hangs, is slowed, shares its machine, or
-     * errs.
+     * Whether the server is faulty apart from load and cold start: it hangs, is slowed down, has a noisy neighbour,
+     * or returns additional errors.
      */
     boolean troubled() {
         return hung || slow > 1 || taken > 0 || lingering || errors > machine.errors();
@@ -380,7 +383,7 @@
 
     // ---- connections and probes ----------------------------------------------------------------------
 
-    /** A client connects; false if it holds all the connections that it takes. */
+    /** Accepts a connection; false if the server has its maximum number of connections. */
     public boolean connect() {
         if (connections >= machine.mostConnections()) {
             figures.connectionsRefused++;
@@ -401,7 +404,7 @@
         return machine.handshakeWork();
     }
 
-    /** Asks how it is: a shallow probe is answered beside the queue and shows little but that it runs. */
+    /** Runs a probe. A shallow probe bypasses the queue and shows little more than that the process runs. */
     public void probe(Done done) {
         figures.probes++;
         if (probes >= machine.mostProbes() || draining) {
@@ -422,7 +425,7 @@
 
     // ---- requests ------------------------------------------------------------------------------------
 
-    /** Takes a request whose last byte has come; it may end before this returns. */
+    /** Accepts a request whose last byte has arrived; the request may end before this method returns. */
     public void offer(Job job) {
         if (stopped) {
             return;
@@ -445,7 +448,7 @@
         settle();
     }
 
-    /** Nobody waits for it any more; unknown or ended requests are ignored. */
+    /** Cancels a request that its caller no longer waits for; unknown or ended requests are ignored. */
     public void cancel(Job job) {
         if (stopped
                 || job.state == NEW
@@ -517,19 +520,19 @@
         return report;
     }
 
-    // ---- troubles ------------------------------------------------------------------------------------
+    // ---- faults ----------------------------------------------------------------------------------------
 
-    /** It does its work this many times slower; 1 ends it. */
+    /** Slows the server down by this factor; 1 ends the fault. */
     public void slow(double factor) {
         change(() -> slow = factor);
     }
 
-    /** Another program takes this part of the machine; 0 ends it. */
+    /** A noisy neighbour takes this fraction of the machine; 0 ends the fault. */
     public void neighbour(double part) {
         change(() -> taken = part);
     }
 
-    /** Takes requests and answers none, until it is told otherwise. */
+    /** While on, the server accepts requests and answers none. */
     public void hang(boolean on) {
         change(() -> {
             hung = on;
@@ -537,30 +540,30 @@
         });
     }
 
-    /** Answers with an error this often; the requests have run. */
+    /** Sets the probability of an error response; the failed requests have run. */
     public void errors(double probability) {
         errors = Math.max(machine.errors(), probability);
     }
 
-    /** Finishes what it has and turns away what is new. */
+    /** Starts a drain: the server finishes the accepted requests and rejects new ones. */
     public void drain() {
         draining = true;
     }
 
-    /** Stands still. */
+    /** Pauses the process. */
     public void pause(long us) {
         change(() -> pauses++);
         figures.pausedUs += us;
         time.after(us, () -> change(() -> pauses--));
     }
 
-    /** Pushed over while cold. */
+    /** Crashes the process from overload while cold. */
     public void fall() {
         figures.fell = true;
         stop();
     }
 
-    /** The process ends: nothing that it holds is answered. */
+    /** Ends the process; requests in flight get no response. */
     public void stop() {
         advance();
         stopped = true;
@@ -597,7 +600,7 @@
 
     // ---- progress ------------------------------------------------------------------------------------
 
-    /** Brings all figures up to now, at the rate that held since the last time. */
+    /** Advances all counters to the current time, at the rate since the last change. */
     private void advance() {
         long now = time.now();
         double passed = now - at;
@@ -623,14 +626,15 @@
         return value + (mean - value) * StrictMath.exp(-passed / over);
     }
 
-    /** Sets the rate that holds from now on, and when the next request ends by it. */
+    /** Sets the current rate and schedules the end of the next request by it. */
     private void settle() {
         double all = coreSpeed();
         rate = running.isEmpty() ? 0 : all * Math.min(1.0, (double) machine.cores() / running.size());
         if (rate > 0) {
             double left = Math.max(0, running.peek().mark - attained) / rate;
             long endsAt = at + (long) Math.ceil(Math.min(left, 1e15));
-            // Most arrivals change neither the rate nor who ends next; a microsecond is rounding.
+            // Most arrivals change neither the rate nor the next request to end; a difference of one microsecond is
+            // rounding.
             if (next == null || Math.abs(endsAt - nextAt) > 1) {
                 cancel(next);
                 nextAt = endsAt;
@@ -654,7 +658,7 @@
     private void ended() {
         next = null;
         advance();
-        // A rounded microsecond may leave a hair of work: whoever is this close has ended.
+        // Rounding to microseconds may leave a tiny remainder of work; requests within 1e-6 of their end have ended.
         double reached = attained + 1e-6;
         while (!running.isEmpty() && running.peek().mark <= reached) {
             Job job = running.poll();
@@ -673,7 +677,7 @@
         settle();
     }
 
-    /** Looks again in a moment, as long as there is something that changes by itself. */
+    /** Schedules the next re-evaluation while any state changes with time. */
     private void watch() {
         boolean crowdedLately = machine.linger() != null && (lingering || held > 0 || heldMean > 0.5);
         if (look == null && !stopped && (cold || crowdedLately)) {
@@ -702,7 +706,7 @@
         }
     }
 
-    /** Whether it is slow from load that may have passed. */
+    /** Whether the server is slow from an overload that may have passed. */
     public boolean lingering() {
         return lingering;
     }
--- a/src/main/java/mulleinfront/emulator/Sweep.java
+++ b/src/main/java/mulleinfront/emulator/Sweep.java
@@ -13,18 +13,18 @@
 import mulleinfront.settings.BadFileException;
 
 /**
- * One scenario under many seeds. Each world is played whole on one thread and shares nothing with the others,
- * and what is said of them goes by their seeds, so nothing depends on how many are played at once.
+ * Runs of one scenario under many seeds. Each simulation runs on one thread and shares no state with the others, and
+ * results are ordered by seed, so the number of concurrent runs has no effect on them.
  */
 public final class Sweep {
     private Sweep() {}
 
     /**
-     * What is kept of one world.
+     * The result of one simulation.
      *
      * @param goodput see {@link World.Result#goodput}
-     * @param fell servers that fell over
-     * @param breach its first broken rule in words, or null
+     * @param fell number of servers that crashed from overload
+     * @param breach description of the first violation, or null
      * @param starts see {@link ServiceReport#starts}
      */
     public record SeedResult(
@@ -37,11 +37,11 @@
             String sha256,
             List<ServiceReport.Starts> starts) {}
 
-    /** What is played under a seed: one scenario under all of them, or one that the seed draws. */
+    /** The scenario of a seed: a fixed one, or one generated from the seed. */
     public interface Source {
         Scenario of(long seed);
 
-        /** Deployments of a family. */
+        /** Generated scenarios of one family. */
         static Source drawn(GeneratedScenario.Family family, int instances, long startUs) {
             return seed -> {
                 try {
@@ -56,11 +56,11 @@
     }
 
     /**
-     * Plays seeds {@code from} to {@code to}, both included.
+     * Runs the seeds {@code from} to {@code to}, both included.
      *
-     * @param balancer the reference balancer to play with, or null: the product
-     * @param jobs worlds at once, at least 1
-     * @param progress told of each world when it is done, in the order of the seeds
+     * @param balancer the reference balancer, or null: the product
+     * @param jobs number of concurrent simulations, at least 1
+     * @param progress called with each result, in the order of the seeds
      */
     public static List<SeedResult> play(
             Scenario scenario, long from, long to, int jobs, Reference balancer, Consumer<SeedResult> progress)
@@ -68,7 +68,7 @@
         return play(seed -> scenario, from, to, jobs, balancer, progress);
     }
 
-    /** The same of scenarios that may differ by seed. */
+    /** Runs the seeds {@code from} to {@code to} of scenarios that may differ by seed. */
     public static List<SeedResult> play(
             Source source, long from, long to, int jobs, Reference balancer, Consumer<SeedResult> progress)
             throws InterruptedException {
@@ -111,7 +111,7 @@
                 r.service().starts());
     }
 
-    /** The seeds of least service, the worst first. */
+    /** The seeds with the lowest service scores, the worst first. */
     public static List<SeedResult> worst(List<SeedResult> all, int count) {
         return all.stream()
                 .sorted(Comparator.comparingDouble(SeedResult::service).thenComparingLong(SeedResult::seed))
@@ -120,7 +120,7 @@
     }
 
     /**
-     * A line for each kind of start, over all worlds: its part of the worth served, its part of tries
+     * A line for each type of start over all simulations: the fraction of value served and the fraction of tries
      * refused.
      */
     public static List<String> starts(List<SeedResult> all) {
--- a/src/main/java/mulleinfront/emulator/Tally.java
+++ b/src/main/java/mulleinfront/emulator/Tally.java
@@ -11,9 +11,9 @@
 import mulleinfront.core.UnservedCounts;
 import mulleinfront.settings.Section;
 
-/** Counts what a service report needs, as it happens. */
+/** Collects the statistics of a service report during a run. */
 final class Tally {
-    /** Width of the report's windows, microseconds. */
+    /** Width of the report's windows. */
     static final long WINDOW_US = 5_000_000;
 
     private final Scenario scenario;
@@ -33,19 +33,20 @@
     private int mostConnections;
     long probes;
     /**
-     * Requests to client proxies that were started again, in their first seconds, and to others at that time.
+     * Requests to restarted client proxies in their first seconds ({@code restarted}), and to the other proxies at
+     * the same time ({@code stayed}).
      */
     private final Sum restarted = new Sum();
 
     private final Sum stayed = new Sum();
     private long startsFrom = Long.MAX_VALUE;
     private long startsTo;
-    /** Why client proxies gave requests up, in all and by window. */
+    /** Why client proxies left requests unserved, in total and by window. */
     private final UnservedCounts unserved;
 
     private final List<UnservedCounts> unservedIn = new ArrayList<>();
 
-    /** Worth asked for and earned, and times to the answer. */
+    /** Value offered and earned, and response times. */
     static final class Sum {
         private long tries;
         private long refused;
@@ -111,13 +112,13 @@
         happened.add(new ServiceReport.Happened(now, f.forUs(), Section.form(f.kind()) + whom));
     }
 
-    /** A client proxy was started again. */
+    /** Records the restart of a client proxy. */
     void startedAgain(long now) {
         startsFrom = Math.min(startsFrom, now);
         startsTo = now + UnservedCounts.RECENT_START_US;
     }
 
-    /** Which of the two a request counts for beside all; null: neither. */
+    /** The restart statistics that a request counts for; null: neither. */
     private Sum startOf(Instance proxy, long now) {
         if (now < startsFrom || now > startsTo) {
             return null;
@@ -164,9 +165,9 @@
     }
 
     /**
-     * A request is over for its client, by this answer or without one.
+     * Records the end of a request for its client, with or without a response.
      *
-     * @return what it was worth and has not earned
+     * @return the value of the request that was not earned
      */
     double over(Clients.Ask a, boolean served, long now) {
         RequestClass type = a.type;
@@ -288,7 +289,10 @@
         return new ServiceReport.Starts(name, s.count, s.onTime, s.share(), s.tries, s.refused);
     }
 
-    /** The worst stretch of the stated length, by steps of half of it, where enough was asked to judge. */
+    /**
+     * The lowest fraction of value earned in any run of whole windows of this length that has enough offered load to
+     * be significant.
+     */
     private double worstWindow(long lengthUs) {
         int wide = (int) Math.max(1, lengthUs / WINDOW_US);
         double worst = 1;
--- a/src/main/java/mulleinfront/emulator/ToldDeadlines.java
+++ b/src/main/java/mulleinfront/emulator/ToldDeadlines.java
@@ -4,24 +4,25 @@
 import java.util.Map;
 
 /**
- * From when a change that discovery has counts as told to a client proxy, though it has not been told it. An open watch
- * is told when it is written to. One without a watch counts as told
+ * Propagation deadlines: the time from which a change in discovery's list counts as known to a client proxy that has
+ * not received it. A proxy with an open watch knows a change once it is sent on the watch. There is no deadline while
+ * discovery is unreachable for the proxy. For a proxy without a watch the deadline is the earliest of
  *
  * <ul>
- * <li>2 s after the end of its watch, if that ended in order, as a poll whose wait is over; whether or not it has called
- * since, unless discovery could not be reached meanwhile;
- * <li>the settings' time for asking after the change, the end of its watch, its last call or its start, four times as long
- * if that call failed;
- * <li>6 s after discovery had the change and could be reached, whatever calls failed. A watch that fell silent counts as
- * lost from then.
+ * <li>2 s after the later of the change and the end of its watch, if discovery ended the watch in order, like a poll
+ * whose wait is over. This holds whether or not the proxy has called since, unless discovery was unreachable meanwhile;
+ * <li>{@code askWithinUs} after the latest of the change, the time since which discovery has been reachable, the end of
+ * its watch, and its last call or start; four times as long if that call failed;
+ * <li>6 s after the later of the change and the time since which discovery has been reachable, whatever calls failed. A
+ * watch that became unresponsive counts as lost from that time.
  * </ul>
  */
 final class ToldDeadlines {
-    /** Told at the latest so long after discovery had a change and could be reached, whatever calls failed. */
+    /** Latest propagation deadline after discovery had a change and was reachable, whatever calls failed. */
     static final long REACHABLE_US = 6_000_000;
-    /** A watch that has ended is a poll whose wait is over: what it missed counts as told so long after. */
+    /** Propagation deadline after discovery ended a watch in order, like a poll whose wait is over. */
     static final long WATCH_ENDED_US = 2_000_000;
-    /** A call that failed binds for this many times as long. */
+    /** Factor on {@code askWithinUs} after a failed call. */
     private static final int AFTER_FAILURE = 4;
 
     private static final long NEVER = Long.MAX_VALUE;
@@ -31,17 +32,20 @@
     private boolean reachable = true;
     private long reachableSince;
 
-    /** What is known of one process of a client proxy. */
+    /** Discovery state of one process of a client proxy. */
     private static final class Told {
         private boolean watching;
         private boolean failed;
         private long calledAt;
         private long silentSince = NEVER;
-        /** When its last watch was over, and when discovery ended it in order; {@link #NEVER} if it did not. */
+        /**
+         * When the last watch ended ({@code lostAt}), and when discovery ended it in order ({@code endedAt}), or
+         * {@link #NEVER} if it did not.
+         */
         private long lostAt = -NEVER;
 
         private long endedAt = NEVER;
-        /** It can reach discovery itself, and runs. */
+        /** Whether the proxy runs and is not partitioned from discovery. */
         private boolean reaches = true;
 
         private long reachesSince;
@@ -76,17 +80,17 @@
         told.endedAt = NEVER;
     }
 
-    /** Its watch says nothing any more, also where its connection stays open. */
+    /** Records that the proxy's watch gets no data any more, even if its connection stays open. */
     void silent(int proxy, long now) {
         Told told = of(proxy);
         told.silentSince = Math.min(told.silentSince, now);
     }
 
     /**
-     * A call has failed, or a watch has ended: which of both goes by whether there was a watch.
+     * Records the end of a watch if the proxy had one, otherwise a failed call.
      *
-     * @param inOrder whether discovery ended its answer, so that a poll's wait was over; else the connection broke, or the
-     *        client proxy ended it
+     * @param inOrder whether discovery ended its response, so that a poll's wait was over; otherwise the connection
+     *     broke, or the client proxy closed it
      */
     void ended(int proxy, long now, boolean inOrder) {
         Told told = of(proxy);
@@ -98,20 +102,23 @@
         told.watching = false;
     }
 
-    /** Whether discovery can be reached by anybody, from now on. */
+    /** Records whether discovery is reachable for any proxy from now on. */
     void reachable(boolean can, long now) {
         reachable = can;
         reachableSince = now;
     }
 
-    /** Whether one client proxy runs and is not cut off from discovery, from now on. */
+    /** Records whether one client proxy runs and is not partitioned from discovery from now on. */
     void reaches(int proxy, boolean can, long now) {
         Told told = of(proxy);
         told.reaches = can;
         told.reachesSince = now;
     }
 
-    /** When a change that discovery has since an instant counts as told, if it is not told before. */
+    /**
+     * The propagation deadline of a change that discovery has had since {@code listedAt}; {@link #NEVER} if none
+     * applies now.
+     */
     long toldAt(int proxy, long listedAt) {
         Told told = of(proxy);
         if (!reachable || !told.reaches || told.watching && told.silentSince == NEVER) {
@@ -129,7 +136,7 @@
         return Math.min(since + REACHABLE_US, Math.min(asked, ended));
     }
 
-    /** When it last called, or started; for the words of a breach. */
+    /** When the proxy last called discovery, or started; for the text of a violation. */
     long calledAt(int proxy) {
         return of(proxy).calledAt;
     }
--- a/src/main/java/mulleinfront/emulator/Trace.java
+++ b/src/main/java/mulleinfront/emulator/Trace.java
@@ -21,9 +21,9 @@
 import mulleinfront.fleet.Change;
 
 /**
- * The decision trace: one line for each event that a decision module was told and for each of its actions, in
- * their order, with the virtual time and the client proxy's number; and SHA-256 over all lines. Two runs with
- * one digest made the same decisions.
+ * The decision trace: one line for each event that a balancer received and each of its actions, in order, with the
+ * virtual time and the client proxy's number, and the SHA-256 of all lines. Two runs with equal digests made the same
+ * decisions.
  *
  * <pre>
  *   1250000 p3 request q17 class=1 key=k9 budget=2465000 tenant=4
@@ -41,9 +41,7 @@
     private int used;
     private long lines;
 
-    /**
-     * @param file where the lines go too, or null
-     */
+    /** @param file also receives the lines, or null */
     Trace(OutputStream file) {
         try {
             this.digest = MessageDigest.getInstance("SHA-256");
@@ -53,7 +51,7 @@
         this.file = file;
     }
 
-    /** The digest so far, in hex; the trace goes on. */
+    /** The hex digest so far; the trace continues. */
     String sha256() {
         flush();
         try {
@@ -90,7 +88,7 @@
         return word(what);
     }
 
-    /** What one client proxy believes of another, and did not before. */
+    /** Records a change in one client proxy's view of another. */
     void fleet(int proxy, Change c) {
         begin(c.atUs(), proxy, "fleet")
                 .word(c.number())
@@ -164,7 +162,7 @@
         return this;
     }
 
-    /** Why a request was given up: for readers of the file only, since it is no decision. */
+    /** Records why a request was left unserved, in the file only: it is no decision, so the digest leaves it out. */
     void why(long now, int proxy, UnservedReason r) {
         if (file == null) {
             return;
@@ -188,7 +186,7 @@
         }
     }
 
-    /** A maker whose modules and their actions are written down under a client proxy's number. */
+    /** A factory whose balancers are traced, with their actions, under a client proxy's number. */
     Core.BalancerFactory around(Core.BalancerFactory maker, int proxy, EventQueue time) {
         return (settings, seed, now, actions) -> {
             begin(now, proxy, "start").word(seed).end();
@@ -196,7 +194,7 @@
         };
     }
 
-    /** Events on their way to the module. */
+    /** Traces the events for a balancer. */
     private final class Told implements Balancer {
         private final Balancer module;
         private final int proxy;
@@ -323,7 +321,7 @@
         }
     }
 
-    /** Actions on their way to the core. */
+    /** Traces a balancer's actions. */
     private final class Decided implements Actions {
         private final Actions actions;
         private final int proxy;
--- a/src/main/java/mulleinfront/emulator/TrueState.java
+++ b/src/main/java/mulleinfront/emulator/TrueState.java
@@ -6,8 +6,8 @@
 import mulleinfront.emulator.reference.ServerKnowledge;
 
 /**
- * The true state of a world's servers, now or as it was some time ago. What it was is written down at even
- * steps, so a late look is up to one step later than it says.
+ * The true state of a simulation's servers, now or some time ago. Past states are recorded at regular intervals, so a
+ * past state may be up to one interval older than requested.
  */
 final class TrueState {
     private static final long STEP_US = 50_000;
@@ -17,15 +17,16 @@
     private final Map<String, Host> byId = new HashMap<>();
     private int known;
     /**
-     * What was seen at each step, the oldest first; the first is as old as is asked for, or the first of all.
+     * Recorded states, the oldest first; the first is the oldest that was at most {@code lateUs} old at the last
+     * recording.
      */
     private final ArrayDeque<Look> looks = new ArrayDeque<>();
 
-    /** How one server was. */
+    /** The state of one server. */
     private record Seen(boolean answers, double workAhead, double coreSpeed, int cores, int held) {
         private static final Seen AWAY = new Seen(false, 0, 0, 1, 0);
 
-        /** Time until work of this much would be done there, microseconds. */
+        /** Time until this much work would be finished there, microseconds. */
         double answerUs(double work) {
             if (!answers || coreSpeed <= 0) {
                 return ServerKnowledge.NEVER;
@@ -34,7 +35,7 @@
         }
     }
 
-    /** The state of every server as recorded at one instant. */
+    /** The state of every server at one instant. */
     private record Look(long at, Map<Host, Seen> servers) {}
 
     TrueState(World world, long lateUs) {
@@ -70,7 +71,7 @@
         return byId.get(id);
     }
 
-    /** What a client proxy in a zone would meet; ways to it are seen as they are. */
+    /** Server knowledge for the client proxies of a zone; network reachability is always the current one. */
     ServerKnowledge from(int zone) {
         return (server, key, classIndex) -> {
             Host h = host(server);
--- a/src/main/java/mulleinfront/emulator/Watcher.java
+++ b/src/main/java/mulleinfront/emulator/Watcher.java
@@ -1,38 +1,38 @@
 package mulleinfront.emulator;
 
-/** Whoever watches discovery: one call and the watch that it becomes. It fails once, however it ends. */
+/** A discovery call and the watch that it becomes. It fails exactly once, however it ends. */
 abstract class Watcher {
-    /** Version up to which it has been told. */
+    /** List version that the watch was last sent. */
     long toldTo;
 
-    /** The zone that it calls from. */
+    /** The zone of the caller. */
     abstract int zone();
 
-    /** The client proxy that calls. */
+    /** The number of the calling client proxy. */
     abstract int proxy();
 
     abstract boolean over();
 
-    /** It is answered, and heartbeats come. */
+    /** The response begins, or data and heartbeats resume. */
     abstract void begin();
 
-    /** Nothing comes from now on; the last heartbeat was so long ago. */
+    /** No data or heartbeat follows; the last heartbeat was {@code agoUs} ago. */
     abstract void silence(long agoUs);
 
     abstract void hear(Registry.News news);
 
-    /** The first half of a list comes; all of it is heard later. */
+    /** The first half of a list arrives; {@link #hear} follows with all of it. */
     void begins(Registry.News news) {}
 
     abstract void fail();
 
-    /** A list breaks off before its end, and what carries it with it. */
+    /** A list is truncated and its watch ends with it. */
     abstract void cutShort(Registry.News news);
 
-    /** A list has stopped halfway. */
+    /** Whether a list on the watch has stopped halfway. */
     boolean pausing;
-    /** Nobody was there to take the call. */
+    /** Whether discovery was down, so that the connection failed. */
     boolean unreachable;
-    /** Its connection breaks, and is not ended in order. */
+    /** Whether the connection broke rather than being ended in order. */
     boolean reset;
 }
--- a/src/main/java/mulleinfront/emulator/World.java
+++ b/src/main/java/mulleinfront/emulator/World.java
@@ -17,12 +17,12 @@
 import mulleinfront.settings.Range;
 
 /**
- * A world on virtual time: client proxies (the real core and module, sharing nothing), servers, clients,
- * network and discovery on one queue of events and one seed. It is played once, on one thread.
+ * A simulation in virtual time: client proxies (the production core and decision module, sharing no state), servers,
+ * clients, network and discovery on one event queue and one seed. A simulation runs once, on one thread.
  */
 public final class World {
     final Scenario scenario;
-    /** What each client proxy is told of the scenario. */
+    /** The client proxies' common settings, from which each proxy derives its own. */
     final Balancer.Settings settings;
 
     final EventQueue queue;
@@ -36,45 +36,45 @@
     final List<Instance> proxies = new ArrayList<>();
     final Clients clients;
     final Fitting fitting;
-    /** The client proxies as a fleet; null where they do not know each other, or are elsewhere. */
+    /**
+     * Gossip membership of the client proxies; null if the scenario has none or the proxies are external processes.
+     */
     final FleetRun fleet;
-    /** Whether client proxies may stand still. */
+    /** Whether the scenario pauses client proxies. */
     final boolean pauses;
 
     private final HybridSimulation outside;
-    /** What it takes from the larger world that it is a part of; null: it stands alone. */
+    /** The graph simulation that contains this one; null if this simulation is standalone. */
     private final Part part;
 
     private final long seed;
     private final List<Host> byAddress = new ArrayList<>();
     private final Map<Object, ServerModel.Group> groups = new LinkedHashMap<>();
 
-    /** Makes the modules of a world's client proxies. */
+    /** Creates the balancer factories of a simulation's client proxies. */
     interface Makers {
-        /** What makes the module of one of them, in its zone, at each of its starts. */
+        /** The factory that creates the balancer at each start of a client proxy in this zone. */
         Core.BalancerFactory in(World world, int zone);
     }
 
     /**
-     * @param trace where the decisions go
-     * @param maker makes each client proxy's module; a test's own can be broken on purpose
-     * @param fitting joins each core with its parts; a test's own can be broken on purpose
+     * @param trace records the decisions
+     * @param maker creates each client proxy's balancer; tests pass deliberately faulty ones
+     * @param fitting connects each core to its wire and clients; tests pass deliberately faulty ones
      */
     World(Scenario scenario, long seed, Trace trace, Core.BalancerFactory maker, Fitting fitting) {
         this(scenario, seed, trace, (world, zone) -> maker, fitting, null);
     }
 
     /**
-     * @param outside where the client proxies are and servers listen, or null: all of it is in here
+     * @param outside the external client proxies and the sockets on which servers listen, or null if everything is
+     *     simulated here
      */
     World(Scenario scenario, long seed, Trace trace, Makers makers, Fitting fitting, HybridSimulation outside) {
         this(scenario, seed, trace, makers, fitting, outside, null);
     }
 
-    /**
-     * @param part what it takes from the larger world that it is a part of, which makes its calls and its faults; or
-     *        null: it stands alone
-     */
+    /** @param part the graph simulation that contains this one and starts its calls and faults; null if standalone */
     World(
             Scenario scenario,
             long seed,
@@ -115,12 +115,12 @@
         }
     }
 
-    /** A world as it is shipped: with the real module. */
+    /** A simulation with the production balancer. */
     public static World of(Scenario scenario, long seed, OutputStream traceFile) {
         return new World(scenario, seed, new Trace(traceFile), Balancer::create, Fitting.PLAIN);
     }
 
-    /** The same with a reference balancer in place of the module. */
+    /** A simulation with a reference balancer in place of the production one. */
     public static World under(Reference balancer, Scenario scenario, long seed) {
         return new World(scenario, seed, new Trace(null), makers(balancer), Fitting.PLAIN, null);
     }
@@ -129,7 +129,7 @@
         if (balancer.seesLateUs() < 0) {
             return (world, zone) -> (settings, seed, now, actions) -> balancer.make(settings, seed, actions, null);
         }
-        // One look at the servers is for all that see them.
+        // All proxies that see the servers' true state share one record of it.
         TrueState[] state = {null};
         return (world, zone) -> {
             state[0] = state[0] == null ? new TrueState(world, balancer.seesLateUs()) : state[0];
@@ -138,7 +138,7 @@
         };
     }
 
-    /** What makes things happen between them; null where nothing can. */
+    /** Faults between the client proxies; null if they do not know each other. */
     PeerFaults peerFaults() {
         return outside == null ? fleet : outside.peerFaults();
     }
@@ -188,7 +188,10 @@
         }
     }
 
-    /** A machine of a group, drawn under its name, with an address and no process yet. */
+    /**
+     * Adds a server whose parameters are drawn from the random stream of its name; it has an address and no process
+     * yet.
+     */
     Host add(String id, int zone, int kind, int cell, Scenario.Servers group) {
         Chance chance = chance("server " + id);
         ServerModel.Machine machine = new ServerModel.Machine(
@@ -232,7 +235,7 @@
         return host;
     }
 
-    /** The zone that a client proxy is in: they are spread over all in turn. */
+    /** The zone of a client proxy; proxies are spread over the zones round-robin. */
     int zoneOf(int proxy) {
         return part == null ? proxy % scenario.zones().size() : part.zoneOfProxy(proxy);
     }
@@ -253,7 +256,7 @@
         }
     }
 
-    /** The list that a client proxy finds at its start. */
+    /** The cached endpoint list that a client proxy starts with. */
     Registry.News known() {
         Scenario.Proxies spec = scenario.proxies();
         switch (spec.known()) {
@@ -269,7 +272,8 @@
                                     "ghost-" + i, i % scenario.zones().size(), 0, 0, Availability.READY, 1, 0),
                             Integer.MAX_VALUE - i));
                 }
-                // Discovery no longer tells of changes that long ago: who has ghosts is sent the whole list.
+                // Discovery has no delta from a list that names unreachable servers, so such a proxy is sent the full
+                // list.
                 return new Registry.News(spec.ghosts() > 0 ? -1 : old.version(), true, entries);
             }
             default -> {
@@ -280,12 +284,14 @@
 
     // ---- servers -------------------------------------------------------------------------------------
 
-    /** The machine at an address, also one that has left it; null where there never was one. */
+    /**
+     * The server at an address, including a server that has moved away from it; null if the address was never used.
+     */
     Host at(int address) {
         return address < byAddress.size() ? byAddress.get(address) : null;
     }
 
-    /** Begins a process on a machine. */
+    /** Starts a process on a server's machine. */
     ServerModel process(Host host, boolean cold) {
         host.budget.clear();
         ServerModel life = new ServerModel(
@@ -318,7 +324,7 @@
         return groups.computeIfAbsent(group, g -> new ServerModel.Group());
     }
 
-    /** The process of a server starts, cold, at its address or at a new one. */
+    /** Starts a server's process, cold, at its current address or at a new one. */
     void start(Host host, boolean moved) {
         if (moved) {
             host.address = byAddress.size();
@@ -331,7 +337,7 @@
         registry.happened(host, Availability.READY, false);
     }
 
-    /** A server is told to end: it finishes what it has. */
+    /** Starts a server's drain: it finishes the requests it has accepted. */
     void drain(Host host) {
         if (host.alive()) {
             host.life.drain();
@@ -339,7 +345,7 @@
         }
     }
 
-    /** A process ends: its connections are reset. */
+    /** Ends a server's process; its connections are reset. */
     void stop(Host host) {
         if (host.life != null) {
             host.life.stop();
@@ -348,7 +354,7 @@
         resetAll(host);
     }
 
-    /** Whether a server listens, or who reaches it, may have changed. */
+    /** Reports that a server's listening state or its reachability may have changed. */
     void changed(Host host) {
         if (outside != null) {
             outside.changed(host);
@@ -365,7 +371,7 @@
         List.copyOf(host.links).forEach(this::reset);
     }
 
-    /** The server's end of a connection is gone, and its client hears of it. */
+    /** Resets a connection at the server's end; the client proxy learns of it after the network delay. */
     void reset(Link link) {
         release(link);
         if (network.passes(link.owner.proxy(), link.owner.zone(), link.host)) {
@@ -373,7 +379,7 @@
         }
     }
 
-    /** The server's end of a connection closes. */
+    /** Closes the server's end of a connection. */
     void release(Link link) {
         if (link.accepted) {
             link.accepted = false;
@@ -382,7 +388,7 @@
         }
     }
 
-    /** Work came to a server; a cold one may fall over by it and stays down. */
+    /** Counts work that reached a server; a cold server may crash from it and stays stopped. */
     void arrived(Host host, int proxy, String requestId, double work) {
         ServerModel life = host.life;
         tally.arrived(work);
@@ -399,7 +405,7 @@
         }
     }
 
-    /** A client proxy has given a request up, and says why. */
+    /** Records why a client proxy left a request unserved. */
     void unserved(int proxy, long now, UnservedReason why) {
         tally.unserved(now, why);
         if (part != null) {
@@ -410,7 +416,7 @@
 
     // ---- running -------------------------------------------------------------------------------------
 
-    /** Plays it to its end. */
+    /** Runs the simulation to its end. */
     public Result play() {
         playUntil(scenario.lengthUs() + scenario.settleUs());
         return finish();
@@ -439,16 +445,16 @@
     }
 
     /**
-     * How a world went.
+     * The result of a simulation.
      *
-     * @param service what clients had of it
-     * @param breaches the first broken rules, by time
-     * @param breachCount all of them
-     * @param sha256 the digest of all decisions
+     * @param service service as the clients saw it
+     * @param breaches the first violations, in time order
+     * @param breachCount number of all violations
+     * @param sha256 digest of all decisions
      * @param decisions lines of the decision trace
-     * @param events tasks that the world's queue ran
-     * @param capacity work that the servers of the start can do in a microsecond, warm and undisturbed
-     * @param fleet how the client proxies knew each other; null: not at all
+     * @param events tasks that the event queue ran
+     * @param capacity work that the servers present at the start can do per microsecond, warm and undisturbed
+     * @param fleet result of the client proxies' membership; null if there was none
      */
     public record Result(
             Scenario scenario,
@@ -462,13 +468,13 @@
             double capacity,
             FleetReport fleet) {
 
-        /** The same with what a judge found of the fleet where the client proxies are elsewhere. */
+        /** A copy with the fleet auditor's report, for client proxies that are external processes. */
         public Result withFleet(FleetReport found) {
             return new Result(
                     scenario, seed, service, breaches, breachCount, sha256, decisions, events, capacity, found);
         }
 
-        /** The first broken rule, in words; null if there is none. */
+        /** Description of the first violation; null if there is none. */
         public String firstBroken() {
             return !breaches.isEmpty()
                     ? breaches.get(0).toString()
@@ -477,13 +483,13 @@
                             : null;
         }
 
-        /** Broken rules of requests and of the fleet. */
+        /** Number of violations by requests and by the fleet. */
         public int broken() {
             return breachCount + (fleet == null ? 0 : fleet.breachCount());
         }
 
         /**
-         * Work of the answers that clients were given, as a part of all that the servers can do warm and
+         * Work of the responses that clients received, as a fraction of the work that the servers can do warm and
          * undisturbed.
          */
         public double goodput() {
@@ -495,7 +501,7 @@
             return work / (capacity * scenario.lengthUs());
         }
 
-        /** Servers that fell over. */
+        /** Number of servers that crashed from overload. */
         public int crashedServers() {
             return (int)
                     service.servers().stream().filter(s -> s.figures().fell).count();
