--- a/src/main/java/mulleinfront/emulator/Auditor.java
+++ b/src/main/java/mulleinfront/emulator/Auditor.java
@@ -24,24 +24,24 @@
  */
 public final class Auditor {
     /** Violations that are recorded in full; all are counted. */
-    private static final int MOST_KEPT = 100;
+    private static final int MAX_RECORDED = 100;
 
     private final Scenario scenario;
-    private final Map<String, Taken> requests = new HashMap<>();
+    private final Map<String, AcceptedRequest> requests = new HashMap<>();
     /** Accepted requests in the order in which they arrived, to be checked after their deadline. */
-    private final ArrayDeque<Taken> oldest = new ArrayDeque<>();
+    private final ArrayDeque<AcceptedRequest> byArrival = new ArrayDeque<>();
 
-    private final Map<Integer, Told> proxies = new HashMap<>();
+    private final Map<Integer, ProxyView> views = new HashMap<>();
     private final ToldDeadlines deadlines;
-    private final Set<Integer> standing = new HashSet<>();
-    private final Map<String, Place> places = new HashMap<>();
-    private final Map<String, Cold> cold = new HashMap<>();
+    private final Set<Integer> pausedProxies = new HashSet<>();
+    private final Map<String, Location> locations = new HashMap<>();
+    private final Map<String, ColdServer> coldServers = new HashMap<>();
     private final List<Breach> breaches = new ArrayList<>();
     private int breachCount;
     /** Entries of all lists and deltas sent to client proxies. */
     long entriesTold;
 
-    private long leaveSlackUs;
+    private long disconnectSlackUs;
 
     /** The four invariants. */
     public enum Rule {
@@ -81,15 +81,15 @@
     }
 
     /** Location of a server, which determines its deduplication group. */
-    private record Place(int zone, int cell) {}
+    private record Location(int zone, int cell) {}
 
     /** A request that a client proxy has accepted, with its attempts so far. */
-    private static final class Taken {
+    private static final class AcceptedRequest {
         final String id;
         final int proxy;
         final RequestClass type;
         final long deadlineAt;
-        final List<Sent> attempts = new ArrayList<>(1);
+        final List<SentAttempt> attempts = new ArrayList<>(1);
         boolean ended;
         /** The client proxy was paused while the request was open, so it could not answer in time. */
         boolean excused;
@@ -97,7 +97,7 @@
         long endedAt;
         int ran;
 
-        Taken(String id, int proxy, RequestClass type, long deadlineAt) {
+        AcceptedRequest(String id, int proxy, RequestClass type, long deadlineAt) {
             this.id = id;
             this.proxy = proxy;
             this.type = type;
@@ -106,13 +106,13 @@
     }
 
     /** One attempt of a request, and its outcome once known. */
-    private static final class Sent {
+    private static final class SentAttempt {
         final int number;
         final String host;
         final long at;
         Outcome outcome;
 
-        Sent(int number, String host, long at) {
+        SentAttempt(int number, String host, long at) {
             this.number = number;
             this.host = host;
             this.at = at;
@@ -124,24 +124,24 @@
     }
 
     /** What discovery has sent to one process of a client proxy about one server. */
-    private static final class Heard {
+    private static final class ListedServer {
         long version;
         long drainedAt = -1;
         long startedAt;
     }
 
     /** What discovery has sent to one process of a client proxy. */
-    private static final class Told {
-        final Map<String, Heard> servers = new HashMap<>();
+    private static final class ProxyView {
+        final Map<String, ListedServer> servers = new HashMap<>();
     }
 
     /** A server that started during the run. */
-    private static final class Cold {
+    private static final class ColdServer {
         final long startedAt;
-        final Host.Budget budget;
-        boolean fell;
+        final Host.LoadWindow budget;
+        boolean overloaded;
 
-        Cold(long startedAt, Host.Budget budget) {
+        ColdServer(long startedAt, Host.LoadWindow budget) {
             this.startedAt = startedAt;
             this.budget = budget;
         }
@@ -165,13 +165,13 @@
     }
 
     /** Records an exception that a core caught. */
-    void defect(Throwable e) {
-        breach(Rule.LOST, 0, -1, null, "an event or action threw " + e);
+    void unexpectedException(Throwable e) {
+        addBreach(Rule.LOST, 0, -1, null, "an event or action threw " + e);
     }
 
-    private void breach(Rule rule, long at, int proxy, String request, String what) {
+    private void addBreach(Rule rule, long at, int proxy, String request, String what) {
         breachCount++;
-        if (breaches.size() < MOST_KEPT) {
+        if (breaches.size() < MAX_RECORDED) {
             breaches.add(new Breach(rule, at, proxy, request, what));
         }
     }
@@ -179,13 +179,14 @@
     // ---- requests ------------------------------------------------------------------------------------
 
     void taken(int proxy, String id, int classIndex, long now, long deadlineAt) {
-        Taken t = new Taken(id, proxy, scenario.classes().get(classIndex).type(), deadlineAt);
-        t.excused = standing.contains(proxy);
-        requests.put(id, t);
-        oldest.add(t);
-        long over = now - scenario.rules().answerSlackUs() - 60_000_000;
-        while (oldest.peek().deadlineAt < over) {
-            judge(oldest.poll());
+        AcceptedRequest request = new AcceptedRequest(
+                id, proxy, scenario.classes().get(classIndex).type(), deadlineAt);
+        request.excused = pausedProxies.contains(proxy);
+        requests.put(id, request);
+        byArrival.add(request);
+        long expiredBefore = now - scenario.rules().answerSlackUs() - 60_000_000;
+        while (byArrival.peek().deadlineAt < expiredBefore) {
+            checkAnswered(byArrival.poll());
         }
     }
 
@@ -194,68 +195,68 @@
      * that the proxy sends.
      */
     void leaveSlack(long us) {
-        leaveSlackUs = us;
+        disconnectSlackUs = us;
     }
 
     /** Forgets a request that was never accepted: its connection closed before the proxy read it. */
     void untaken(String id) {
-        Taken t = requests.remove(id);
-        if (t != null) {
-            t.ended = true;
+        AcceptedRequest request = requests.remove(id);
+        if (request != null) {
+            request.ended = true;
         }
     }
 
     /** Makes the final check of a request and forgets it. */
-    private void judge(Taken t) {
-        if (!t.ended && !t.excused) {
-            breach(Rule.LOST, t.deadlineAt, t.proxy, t.id, "never answered");
+    private void checkAnswered(AcceptedRequest request) {
+        if (!request.ended && !request.excused) {
+            addBreach(Rule.LOST, request.deadlineAt, request.proxy, request.id, "never answered");
         }
-        requests.remove(t.id);
+        requests.remove(request.id);
     }
 
     /** Records the final answer of a request. Returns the request, or null if it is unknown. */
-    private Taken end(int proxy, String id, long now, String how) {
-        Taken t = requests.get(id);
-        if (t == null) {
-            breach(Rule.LOST, now, proxy, id, how + " what was not asked");
-        } else if (t.ended) {
-            breach(Rule.LOST, now, proxy, id, "answered twice (" + how + ")");
+    private AcceptedRequest end(int proxy, String id, long now, String how) {
+        AcceptedRequest request = requests.get(id);
+        if (request == null) {
+            addBreach(Rule.LOST, now, proxy, id, how + " what was not asked");
+        } else if (request.ended) {
+            addBreach(Rule.LOST, now, proxy, id, "answered twice (" + how + ")");
         } else {
-            t.ended = true;
-            t.endedAt = now;
-            if (now > t.deadlineAt + scenario.rules().answerSlackUs() && !t.excused) {
-                breach(Rule.LOST, now, proxy, id, how + " " + (now - t.deadlineAt) + " us after its deadline");
+            request.ended = true;
+            request.endedAt = now;
+            if (now > request.deadlineAt + scenario.rules().answerSlackUs() && !request.excused) {
+                addBreach(Rule.LOST, now, proxy, id, how + " " + (now - request.deadlineAt) + " us after its deadline");
             }
         }
-        return t;
+        return request;
     }
 
     void served(int proxy, String id, String answerOf, long now) {
         end(proxy, id, now, "served");
         if (!id.equals(answerOf)) {
-            breach(Rule.LOST, now, proxy, id, "served with the answer to " + answerOf);
+            addBreach(Rule.LOST, now, proxy, id, "served with the answer to " + answerOf);
         }
     }
 
     void refused(int proxy, String id, long now) {
-        Taken t = end(proxy, id, now, "refused");
-        if (t == null || Scenario.refusable(t.type)) {
+        AcceptedRequest request = end(proxy, id, now, "refused");
+        if (request == null || Scenario.refusable(request.type)) {
             return;
         }
-        for (Sent a : t.attempts) {
-            if (a.mayHaveRun()) {
-                breach(
+        for (SentAttempt attempt : request.attempts) {
+            if (attempt.mayHaveRun()) {
+                addBreach(
                         Rule.TWICE,
                         now,
                         proxy,
                         id,
-                        "refused though attempt " + a.number + " at " + a.host + " may have run ("
-                                + (a.outcome == null ? "still out" : a.outcome) + ")");
+                        "refused though attempt " + attempt.number + " at " + attempt.host + " may have run ("
+                                + (attempt.outcome == null ? "still out" : attempt.outcome) + ")");
                 return;
             }
         }
-        if (t.ran > 0) {
-            breach(Rule.TWICE, now, proxy, id, "refused though it ran");
+        if (request.ran > 0) {
+            addBreach(Rule.TWICE, now, proxy, id, "refused though it ran");
         }
     }
 
@@ -265,12 +266,12 @@
 
     /** Records that a request's client disconnected. */
     void left(int proxy, String id, long now) {
-        Taken t = requests.get(id);
-        if (t != null && !t.ended) {
-            t.ended = true;
-            t.endedAt = now + leaveSlackUs;
-            if (now > t.deadlineAt + scenario.rules().answerSlackUs() - 1 && !t.excused) {
-                breach(Rule.LOST, now, proxy, id, "not answered in its client's time");
+        AcceptedRequest request = requests.get(id);
+        if (request != null && !request.ended) {
+            request.ended = true;
+            request.endedAt = now + disconnectSlackUs;
+            if (now > request.deadlineAt + scenario.rules().answerSlackUs() - 1 && !request.excused) {
+                addBreach(Rule.LOST, now, proxy, id, "not answered in its client's time");
             }
         }
     }
@@ -279,99 +280,108 @@
 
     /** Checks an attempt when its first byte is sent; the same attempt may start again on a new connection. */
     void sent(int proxy, String id, int number, String host, long now) {
-        drains(proxy, id, host, now);
-        Taken t = requests.get(id);
-        if (t == null) {
-            breach(Rule.LOST, now, proxy, id, "sent though nobody asked for it");
+        checkDrain(proxy, id, host, now);
+        AcceptedRequest request = requests.get(id);
+        if (request == null) {
+            addBreach(Rule.LOST, now, proxy, id, "sent though nobody asked for it");
             return;
         }
-        if (t.ended && now >= t.endedAt) {
-            breach(Rule.LOST, now, proxy, id, "sent to " + host + " after its end");
+        if (request.ended && now >= request.endedAt) {
+            addBreach(Rule.LOST, now, proxy, id, "sent to " + host + " after its end");
         }
-        Sent bond = null;
-        for (Sent a : t.attempts) {
-            if (a.number == number) {
+        SentAttempt pinned = null;
+        for (SentAttempt attempt : request.attempts) {
+            if (attempt.number == number) {
                 continue;
             }
-            if (a.outcome == null) {
-                breach(Rule.TWICE, now, proxy, id, "attempt " + number + " while " + a.number + " is out");
+            if (attempt.outcome == null) {
+                addBreach(Rule.TWICE, now, proxy, id, "attempt " + number + " while " + attempt.number + " is out");
             }
-            bond = bond == null && a.mayHaveRun() ? a : bond;
+            pinned = pinned == null && attempt.mayHaveRun() ? attempt : pinned;
         }
-        if (bond != null && t.type.effect() == Effect.FRAGILE) {
-            breach(
+        if (pinned != null && request.type.effect() == Effect.FRAGILE) {
+            addBreach(
                     Rule.TWICE,
                     now,
                     proxy,
                     id,
-                    "sent again though attempt " + bond.number + " at " + bond.host + " may have run");
-        } else if (bond != null && t.type.effect() == Effect.DEDUP) {
-            if (!sameGroup(t.type.scope(), bond.host, host)) {
-                breach(
+                    "sent again though attempt " + pinned.number + " at " + pinned.host + " may have run");
+        } else if (pinned != null && request.type.effect() == Effect.DEDUP) {
+            if (!sameGroup(request.type.scope(), pinned.host, host)) {
+                addBreach(
                         Rule.TWICE,
                         now,
                         proxy,
                         id,
-                        "sent again to " + host + ", outside the group of " + bond.host + ", which may have run it");
+                        "sent again to " + host + ", outside the group of " + pinned.host + ", which may have run it");
             }
-            if (now > bond.at + t.type.dedupWindowUs()) {
-                breach(
+            if (now > pinned.at + request.type.dedupWindowUs()) {
+                addBreach(
                         Rule.TWICE,
                         now,
                         proxy,
                         id,
-                        "sent again " + (now - bond.at) + " us after an attempt that may have run");
+                        "sent again " + (now - pinned.at) + " us after an attempt that may have run");
             }
         }
-        if (t.attempts.isEmpty() || t.attempts.get(t.attempts.size() - 1).number != number) {
-            t.attempts.add(new Sent(number, host, now));
+        if (request.attempts.isEmpty() || request.attempts.get(request.attempts.size() - 1).number != number) {
+            request.attempts.add(new SentAttempt(number, host, now));
         }
     }
 
     void attemptEnded(int proxy, String id, int number, Outcome outcome, long now) {
-        Taken t = requests.get(id);
-        if (t != null) {
-            for (Sent a : t.attempts) {
-                if (a.number == number) {
-                    a.outcome = outcome;
+        AcceptedRequest request = requests.get(id);
+        if (request != null) {
+            for (SentAttempt attempt : request.attempts) {
+                if (attempt.number == number) {
+                    attempt.outcome = outcome;
                 }
             }
         }
     }
 
-    private boolean sameGroup(DedupScope scope, String a, String b) {
-        Place p = places.get(a);
-        Place q = places.get(b);
+    private boolean sameGroup(DedupScope scope, String firstHost, String secondHost) {
+        Location firstLocation = locations.get(firstHost);
+        Location secondLocation = locations.get(secondHost);
         return scope == DedupScope.ALL
-                || p != null && q != null && (scope == DedupScope.ZONE ? p.zone() == q.zone() : p.cell() == q.cell());
+                || firstLocation != null
+                        && secondLocation != null
+                        && (scope == DedupScope.ZONE
+                                ? firstLocation.zone() == secondLocation.zone()
+                                : firstLocation.cell() == secondLocation.cell());
     }
 
     /**
      * Records that a server begins to run a request; {@code dropped} if it knows the effect and does not apply it.
      */
-    void ran(String id, String host, boolean dropped, long now) {
-        Taken t = requests.get(id);
-        if (t == null || dropped) {
+    void effectRan(String id, String host, boolean dropped, long now) {
+        AcceptedRequest request = requests.get(id);
+        if (request == null || dropped) {
             return;
         }
-        t.ran++;
-        if (t.ran > 1 && t.type.effect() != Effect.RETRYABLE) {
-            breach(Rule.TWICE, now, t.proxy, id, "its effect ran " + t.ran + " times, the last at " + host);
+        request.ran++;
+        if (request.ran > 1 && request.type.effect() != Effect.RETRYABLE) {
+            addBreach(
+                    Rule.TWICE,
+                    now,
+                    request.proxy,
+                    id,
+                    "its effect ran " + request.ran + " times, the last at " + host);
         }
     }
 
     // ---- lists ---------------------------------------------------------------------------------------
 
     void proxyStarted(int proxy, long now) {
-        proxies.put(proxy, new Told());
-        deadlines.started(proxy, now);
+        views.put(proxy, new ProxyView());
+        deadlines.proxyStarted(proxy, now);
     }
 
     /** Records that a proxy was killed; its clients must retry the requests it had accepted. */
     void proxyKilled(int proxy) {
-        for (Taken t : requests.values()) {
-            if (t.proxy == proxy) {
-                t.ended = true;
+        for (AcceptedRequest request : requests.values()) {
+            if (request.proxy == proxy) {
+                request.ended = true;
             }
         }
     }
@@ -379,30 +389,32 @@
     /**
      * Records that a proxy is paused or resumes; requests that are open during a pause need not be answered in time.
      */
-    void stands(int proxy, boolean still, long now) {
-        deadlines.reaches(proxy, !still, now);
-        if (still ? standing.add(proxy) : standing.remove(proxy)) {
-            requests.values().stream().filter(t -> t.proxy == proxy && !t.ended).forEach(t -> t.excused = true);
+    void stands(int proxy, boolean paused, long now) {
+        deadlines.proxyConnected(proxy, !paused, now);
+        if (paused ? pausedProxies.add(proxy) : pausedProxies.remove(proxy)) {
+            requests.values().stream()
+                    .filter(request -> request.proxy == proxy && !request.ended)
+                    .forEach(request -> request.excused = true);
         }
     }
 
     /** Records that a proxy ended after SIGTERM; accepted requests that it had not answered are lost. */
     void proxyEnded(int proxy, long now) {
-        List<Taken> lost = new ArrayList<>();
-        for (Taken t : requests.values()) {
-            if (t.proxy == proxy && !t.ended) {
-                lost.add(t);
+        List<AcceptedRequest> lost = new ArrayList<>();
+        for (AcceptedRequest request : requests.values()) {
+            if (request.proxy == proxy && !request.ended) {
+                lost.add(request);
             }
         }
-        lost.sort(Comparator.comparing(t -> t.id));
-        for (Taken t : lost) {
-            t.ended = true;
-            breach(Rule.LOST, now, proxy, t.id, "not answered when its client proxy ended");
+        lost.sort(Comparator.comparing(request -> request.id));
+        for (AcceptedRequest request : lost) {
+            request.ended = true;
+            addBreach(Rule.LOST, now, proxy, request.id, "not answered when its client proxy ended");
         }
     }
 
     void asked(int proxy, long now) {
-        deadlines.called(proxy, now);
+        deadlines.discoveryCalled(proxy, now);
     }
 
     void watching(int proxy) {
@@ -411,7 +423,7 @@
 
     /** Records that a watch ended, or that a discovery call failed before it became a watch. */
     void watchFailed(int proxy, long now, boolean inOrder) {
-        deadlines.ended(proxy, now, inOrder);
+        deadlines.watchEnded(proxy, now, inOrder);
     }
 
     /** Propagation deadlines of list changes. */
@@ -421,67 +433,68 @@
 
     void told(int proxy, long version, Source source, List<Registry.Entry> entries, long now) {
         entriesTold += entries.size();
-        Map<String, Heard> servers = proxies.get(proxy).servers;
+        Map<String, ListedServer> servers = views.get(proxy).servers;
         if (source != Source.DELTA) {
-            for (Heard h : servers.values()) {
-                h.drainedAt = h.drainedAt < 0 ? now : h.drainedAt;
-                h.version = Math.min(h.version, version);
+            for (ListedServer server : servers.values()) {
+                server.drainedAt = server.drainedAt < 0 ? now : server.drainedAt;
+                server.version = Math.min(server.version, version);
             }
         }
         for (Registry.Entry entry : entries) {
-            Endpoint e = entry.endpoint();
-            Heard h = servers.computeIfAbsent(e.id(), id -> new Heard());
-            if (version < h.version) {
+            Endpoint endpoint = entry.endpoint();
+            ListedServer server = servers.computeIfAbsent(endpoint.id(), id -> new ListedServer());
+            if (version < server.version) {
                 continue;
             }
-            h.version = version;
-            h.startedAt = e.startedAtUs();
-            if (e.availability() == Availability.READY) {
-                h.drainedAt = -1;
-            } else if (h.drainedAt < 0) {
-                h.drainedAt = now;
+            server.version = version;
+            server.startedAt = endpoint.startedAtUs();
+            if (endpoint.availability() == Availability.READY) {
+                server.drainedAt = -1;
+            } else if (server.drainedAt < 0) {
+                server.drainedAt = now;
             }
         }
     }
 
     /** Records what discovery lists from now on. */
-    void listedByDiscovery(Endpoint e, long now) {
-        places.put(e.id(), new Place(e.zone(), e.cell()));
-        if (e.availability() == Availability.READY) {
-            drainListedAt.remove(e.id());
+    void listedByDiscovery(Endpoint endpoint, long now) {
+        locations.put(endpoint.id(), new Location(endpoint.zone(), endpoint.cell()));
+        if (endpoint.availability() == Availability.READY) {
+            drainListedAt.remove(endpoint.id());
         } else {
-            drainListedAt.putIfAbsent(e.id(), now);
+            drainListedAt.putIfAbsent(endpoint.id(), now);
         }
     }
 
-    private void drains(int proxy, String id, String host, long now) {
-        Told told = proxies.get(proxy);
-        Heard h = told.servers.get(host);
-        if (h == null) {
-            breach(Rule.DRAINS, now, proxy, id, "sent to " + host + ", which no list has named");
+    private void checkDrain(int proxy, String id, String host, long now) {
+        ProxyView view = views.get(proxy);
+        ListedServer server = view.servers.get(host);
+        if (server == null) {
+            addBreach(Rule.DRAINS, now, proxy, id, "sent to " + host + ", which no list has named");
             return;
         }
         long grace = scenario.rules().drainUs();
-        if (h.drainedAt >= 0 && now > h.drainedAt + grace) {
-            breach(
+        if (server.drainedAt >= 0 && now > server.drainedAt + grace) {
+            addBreach(
                     Rule.DRAINS,
                     now,
                     proxy,
                     id,
-                    "sent to " + host + " " + (now - h.drainedAt) + " us after being told that it drains or is gone");
+                    "sent to " + host + " " + (now - server.drainedAt)
+                            + " us after being told that it drains or is gone");
             return;
         }
-        Long listed = drainListedAt.get(host);
-        if (scenario.discovery().asked() && listed != null) {
-            long toldAt = deadlines.toldAt(proxy, listed);
-            if (toldAt < now - grace) {
-                breach(
+        Long listedAt = drainListedAt.get(host);
+        if (scenario.discovery().asked() && listedAt != null) {
+            long deadline = deadlines.deadline(proxy, listedAt);
+            if (deadline < now - grace) {
+                addBreach(
                         Rule.DRAINS,
                         now,
                         proxy,
                         id,
-                        "sent to " + host + " " + (now - toldAt) + " us after it counts as"
-                                + " told to be gone: discovery has it for " + (now - listed)
+                        "sent to " + host + " " + (now - deadline) + " us after it counts as"
+                                + " told to be gone: discovery has it for " + (now - listedAt)
                                 + " us, and was last asked "
                                 + (now - deadlines.calledAt(proxy)) + " us ago");
             }
@@ -491,45 +504,47 @@
     // ---- cold servers --------------------------------------------------------------------------------
 
     /** Records that a server's process has started cold. */
-    void started(String host, long now) {
-        cold.put(
+    void serverStarted(String host, long now) {
+        coldServers.put(
                 host,
-                new Cold(
+                new ColdServer(
                         now,
-                        new Host.Budget(
+                        new Host.LoadWindow(
                                 scenario.rules().coldForUs(), scenario.rules().coldMultiple())));
     }
 
     /** Records work that reached a cold server; {@code capacity} is the work that it can do per microsecond now. */
-    void arrivedCold(String host, int proxy, String id, double work, double capacity, long now) {
-        Cold c = cold.get(host);
-        if (c == null) {
+    void workArrivedCold(String host, int proxy, String id, double work, double capacity, long now) {
+        ColdServer coldServer = coldServers.get(host);
+        if (coldServer == null) {
             return;
         }
-        Heard h = proxies.containsKey(proxy) ? proxies.get(proxy).servers.get(host) : null;
-        boolean told = h != null && h.startedAt == c.startedAt;
-        if (!c.budget.over(now, work, told, capacity) || c.fell) {
+        ListedServer server =
+                views.containsKey(proxy) ? views.get(proxy).servers.get(host) : null;
+        boolean startKnown = server != null && server.startedAt == coldServer.startedAt;
+        if (!coldServer.budget.add(now, work, startKnown, capacity) || coldServer.overloaded) {
             return;
         }
-        c.fell = true;
-        if (c.budget.markedPart() >= 2.0 / 3) {
-            breach(
+        coldServer.overloaded = true;
+        if (coldServer.budget.markedFraction() >= 2.0 / 3) {
+            addBreach(
                     Rule.COLD,
                     now,
                     proxy,
                     id,
                     host + " was sent more than "
                             + scenario.rules().coldMultiple() + " times what it can do while cold, "
-                            + Math.round(100 * c.budget.markedPart()) + "% of it by those who were told of its start");
+                            + Math.round(100 * coldServer.budget.markedFraction())
+                            + "% of it by those who were told of its start");
         }
     }
 
     /** Ends the run: accepted requests that are past their deadline and unanswered are lost. */
     void finish(long now) {
-        while (!oldest.isEmpty()) {
-            Taken t = oldest.poll();
-            if (t.deadlineAt + scenario.rules().answerSlackUs() < now || t.ended) {
-                judge(t);
+        while (!byArrival.isEmpty()) {
+            AcceptedRequest request = byArrival.poll();
+            if (request.deadlineAt + scenario.rules().answerSlackUs() < now || request.ended) {
+                checkAnswered(request);
             }
         }
     }
--- a/src/main/java/mulleinfront/emulator/Chance.java
+++ b/src/main/java/mulleinfront/emulator/Chance.java
@@ -16,11 +16,11 @@
 
     /** The stream of a name under a seed. */
     public static Chance of(long seed, String name) {
-        long h = 0xcbf29ce484222325L ^ seed * 0x9e3779b97f4a7c15L;
+        long hash = 0xcbf29ce484222325L ^ seed * 0x9e3779b97f4a7c15L;
         for (int i = 0; i < name.length(); i++) {
-            h = (h ^ name.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ name.charAt(i)) * 0x100000001b3L;
         }
-        return new Chance(mix(h));
+        return new Chance(mix(hash));
     }
 
     private static long mix(long z) {
@@ -62,8 +62,8 @@
 
     /** A log-normal value with the given mean and coefficient of variation. */
     public double lognormal(double mean, double cv) {
-        double s2 = StrictMath.log(1 + cv * cv);
-        return mean * StrictMath.exp(StrictMath.sqrt(s2) * normal() - s2 / 2);
+        double variance = StrictMath.log(1 + cv * cv);
+        return mean * StrictMath.exp(StrictMath.sqrt(variance) * normal() - variance / 2);
     }
 
     /**
@@ -96,10 +96,10 @@
     }
 
     /** Weights of the ranks 1 to n by Zipf's law: rank k has 1 / k^exponent. */
-    public static double[] zipf(int n, double exponent) {
-        double[] weights = new double[n];
-        for (int k = 0; k < n; k++) {
-            weights[k] = StrictMath.pow(k + 1, -exponent);
+    public static double[] zipf(int ranks, double exponent) {
+        double[] weights = new double[ranks];
+        for (int rank = 0; rank < ranks; rank++) {
+            weights[rank] = StrictMath.pow(rank + 1, -exponent);
         }
         return weights;
     }
--- a/src/main/java/mulleinfront/emulator/Clients.java
+++ b/src/main/java/mulleinfront/emulator/Clients.java
@@ -12,24 +12,24 @@
  */
 final class Clients {
     /** Burst of a tenant's token bucket, as seconds at the tenant's share. */
-    private static final double SAVED_S = 5;
+    private static final double BURST_S = 5;
 
     private final World world;
     private final Scenario scenario;
     private final Chance arrivals;
-    private final Chance habits;
-    private final double[] proxies;
-    private final double[] classes;
-    private final double[] keys;
-    private final double[] tenantWeight;
+    private final Chance behaviour;
+    private final double[] cumulativeProxyWeights;
+    private final double[] cumulativeClassWeights;
+    private final double[] cumulativeKeyWeights;
+    private final double[] tenantWeights;
     private final double[] surge;
-    private double[] tenants;
-    private double surged = 1;
+    private double[] cumulativeTenantWeights;
+    private double surgeLoadFactor = 1;
     private boolean burst;
-    private final double[] allowance;
-    private final double[] allowancePerUs;
-    private final long[] allowedAt;
-    private long ids;
+    private final double[] tokens;
+    private final double[] tokensPerUs;
+    private final long[] refilledAt;
+    private long nextId;
 
     /** The result of a try as the client sees it. */
     enum How {
@@ -43,7 +43,7 @@
     }
 
     /** One client request with all its tries. */
-    static final class Ask {
+    static final class ClientRequest {
         final int classIndex;
         final RequestClass type;
         final int tenant;
@@ -51,20 +51,20 @@
         final String effect;
         final double work;
         final boolean overShare;
-        final long bornAt;
+        final long arrivedAt;
         final int proxy;
-        final double patience;
-        final boolean honours;
+        final double deadlineFactor;
+        final boolean honoursRetryAfter;
         /** Ids of the tries so far. */
-        final List<String> tried = new ArrayList<>(1);
+        final List<String> tryIds = new ArrayList<>(1);
 
         int tries;
         /** Additional statistics that the request counts for; null: none. */
-        Tally.Sum start;
+        ServiceStatistics.Sum restartStatistics;
         /** The call of a call graph that this request is; null: none. */
         final Hop hop;
 
-        private Ask(
+        private ClientRequest(
                 int classIndex,
                 RequestClass type,
                 int tenant,
@@ -72,10 +72,10 @@
                 String effect,
                 double work,
                 boolean overShare,
-                long bornAt,
+                long arrivedAt,
                 int proxy,
-                double patience,
-                boolean honours,
+                double deadlineFactor,
+                boolean honoursRetryAfter,
                 Hop hop) {
             this.classIndex = classIndex;
             this.type = type;
@@ -84,31 +84,31 @@
             this.effect = effect;
             this.work = work;
             this.overShare = overShare;
-            this.bornAt = bornAt;
+            this.arrivedAt = arrivedAt;
             this.proxy = proxy;
-            this.patience = patience;
-            this.honours = honours;
+            this.deadlineFactor = deadlineFactor;
+            this.honoursRetryAfter = honoursRetryAfter;
             this.hop = hop;
         }
 
-        long aimAt() {
-            return bornAt + type.targetLatencyUs();
+        long targetAt() {
+            return arrivedAt + type.targetLatencyUs();
         }
     }
 
     /** One try: a request message with its own id. */
     static final class Try {
-        final Ask ask;
+        final ClientRequest ask;
         final Call call;
         final long sentAt;
         final long deadlineAt;
         private boolean over;
-        private Time.Timer patience;
+        private Time.Timer timeout;
         /** The result; null while the try is open. */
-        How how;
+        How result;
 
-        private Try(Ask ask, Call call, long sentAt, long deadlineAt) {
-            this.ask = ask;
+        private Try(ClientRequest request, Call call, long sentAt, long deadlineAt) {
+            this.ask = request;
             this.call = call;
             this.sentAt = sentAt;
             this.deadlineAt = deadlineAt;
@@ -119,43 +119,43 @@
         this.world = world;
         this.scenario = world.scenario;
         this.arrivals = world.chance("arrivals");
-        this.habits = world.chance("habits");
+        this.behaviour = world.chance("habits");
         double[] weights =
                 Chance.zipf(scenario.proxies().count(), scenario.proxies().spread());
-        this.proxies = Chance.sum(weights);
-        this.classes = Chance.sum(scenario.classes().stream()
+        this.cumulativeProxyWeights = Chance.sum(weights);
+        this.cumulativeClassWeights = Chance.sum(scenario.classes().stream()
                 .mapToDouble(Scenario.ClassSpec::share)
                 .toArray());
-        this.keys = scenario.load().keys() == 0
+        this.cumulativeKeyWeights = scenario.load().keys() == 0
                 ? null
                 : Chance.sum(Chance.zipf(scenario.load().keys(), scenario.load().zipf()));
         int count = Math.max(1, scenario.tenants().size());
-        this.tenantWeight = new double[count];
+        this.tenantWeights = new double[count];
         this.surge = new double[count];
-        this.allowance = new double[count];
-        this.allowancePerUs = new double[count];
-        this.allowedAt = new long[count];
-        Arrays.fill(tenantWeight, 1);
+        this.tokens = new double[count];
+        this.tokensPerUs = new double[count];
+        this.refilledAt = new long[count];
+        Arrays.fill(tenantWeights, 1);
         Arrays.fill(surge, 1);
-        Arrays.fill(allowancePerUs, 1e9);
+        Arrays.fill(tokensPerUs, 1e9);
         double fullPerUs = scenario.fullRate() / 1e6 * scenario.service().shareOfCapacity();
         for (int i = 0; i < scenario.tenants().size(); i++) {
-            Scenario.Tenant t = scenario.tenants().get(i);
-            tenantWeight[i] = t.share() * t.usage();
-            allowancePerUs[i] = fullPerUs * t.share();
+            Scenario.Tenant tenant = scenario.tenants().get(i);
+            tenantWeights[i] = tenant.share() * tenant.usage();
+            tokensPerUs[i] = fullPerUs * tenant.share();
         }
-        Arrays.setAll(allowance, i -> SAVED_S * 1e6 * allowancePerUs[i]);
-        weighTenants();
+        Arrays.setAll(tokens, i -> BURST_S * 1e6 * tokensPerUs[i]);
+        updateTenantWeights();
     }
 
-    private void weighTenants() {
-        double[] weights = tenantWeight.clone();
-        double plain = Arrays.stream(weights).sum();
+    private void updateTenantWeights() {
+        double[] weights = tenantWeights.clone();
+        double withoutSurge = Arrays.stream(weights).sum();
         for (int i = 0; i < weights.length; i++) {
             weights[i] *= surge[i];
         }
-        tenants = Chance.sum(weights);
-        surged = tenants[tenants.length - 1] / plain;
+        cumulativeTenantWeights = Chance.sum(weights);
+        surgeLoadFactor = cumulativeTenantWeights[cumulativeTenantWeights.length - 1] / withoutSurge;
     }
 
     /** Multiplies the load of one tenant, or of all if {@code tenant} is negative; 1 ends the surge. */
@@ -163,20 +163,20 @@
         for (int i = 0; i < surge.length; i++) {
             surge[i] = tenant < 0 || tenant == i ? factor : surge[i];
         }
-        weighTenants();
+        updateTenantWeights();
     }
 
     void begin(long at) {
         if (scenario.load().shape() == Scenario.Shape.BURSTY) {
-            world.queue.after(at, this::turn);
+            world.queue.after(at, this::toggleBurst);
         }
-        world.queue.after(at, this::next);
+        world.queue.after(at, this::scheduleArrival);
     }
 
     /** Switches between burst and lull after a drawn time. */
-    private void turn() {
+    private void toggleBurst() {
         burst = !burst;
-        world.queue.after((long) arrivals.exponential(scenario.load().burstUs()), this::turn);
+        world.queue.after((long) arrivals.exponential(scenario.load().burstUs()), this::toggleBurst);
     }
 
     private double rate() {
@@ -189,56 +189,56 @@
                         + (load.endPerSecond() - load.perSecond())
                                 * Math.min(1.0, (double) world.queue.now() / scenario.lengthUs());
         };
-        return rate * surged;
+        return rate * surgeLoadFactor;
     }
 
     /**
      * Schedules the next arrival. The rate is re-read at least once per second, which bounds the error when it
      * changes.
      */
-    private void next() {
+    private void scheduleArrival() {
         double rate = rate();
         double gap = rate <= 0 ? 2e6 : arrivals.exponential(1e6 / rate);
-        boolean comes = gap < 1e6;
+        boolean arrives = gap < 1e6;
         world.queue.after((long) Math.min(gap, 1e6), () -> {
             if (world.queue.now() < scenario.lengthUs()) {
-                if (comes) {
+                if (arrives) {
                     ask();
                 }
-                next();
+                scheduleArrival();
             }
         });
     }
 
     /** Sends one request with a drawn class, tenant, key and client proxy. */
     void ask() {
-        int c = arrivals.place(classes);
-        Scenario.ClassSpec spec = scenario.classes().get(c);
-        int tenant = arrivals.place(tenants);
-        String key = keys == null ? null : "k" + arrivals.place(keys);
+        int classIndex = arrivals.place(cumulativeClassWeights);
+        Scenario.ClassSpec spec = scenario.classes().get(classIndex);
+        int tenant = arrivals.place(cumulativeTenantWeights);
+        String key = cumulativeKeyWeights == null ? null : "k" + arrivals.place(cumulativeKeyWeights);
         double work = spec.drawUs(arrivals);
-        int proxy = arrivals.place(proxies);
-        Ask ask = new Ask(
-                c,
+        int proxy = arrivals.place(cumulativeProxyWeights);
+        ClientRequest request = new ClientRequest(
+                classIndex,
                 spec.type(),
                 tenant,
                 key,
-                "e" + ids,
+                "e" + nextId,
                 Math.max(1, work),
                 overShare(tenant),
                 world.queue.now(),
                 proxy,
-                scenario.clients().patience().draw(habits::between),
-                habits.happens(scenario.clients().honour()),
+                scenario.clients().patience().draw(behaviour::between),
+                behaviour.happens(scenario.clients().honour()),
                 null);
-        world.tally.asked(ask, world.proxies.get(proxy));
-        world.account.asked(ask);
-        attempt(ask);
+        world.tally.requestArrived(request, world.proxies.get(proxy));
+        world.account.requestArrived(request);
+        startTry(request);
     }
 
     /** Sends a call of the graph simulation, which replaces the generated load. */
     void call(Hop hop, int proxy, int tenant, String key, double work) {
-        Ask ask = new Ask(
+        ClientRequest request = new ClientRequest(
                 hop.classIndex,
                 scenario.classes().get(hop.classIndex).type(),
                 tenant,
@@ -251,131 +251,139 @@
                 1,
                 false,
                 hop);
-        world.tally.asked(ask, world.proxies.get(proxy));
-        world.account.asked(ask);
-        attempt(ask);
+        world.tally.requestArrived(request, world.proxies.get(proxy));
+        world.account.requestArrived(request);
+        startTry(request);
     }
 
     /** The application cancels a call. */
-    void giveUp(Try t) {
-        leave(t, How.LEFT);
+    void giveUp(Try clientTry) {
+        abandon(clientTry, How.LEFT);
     }
 
     private boolean overShare(int tenant) {
         long now = world.queue.now();
-        double most = SAVED_S * 1e6 * allowancePerUs[tenant];
-        allowance[tenant] = Math.min(most, allowance[tenant] + (now - allowedAt[tenant]) * allowancePerUs[tenant]);
-        allowedAt[tenant] = now;
-        if (allowance[tenant] < 1) {
+        double burst = BURST_S * 1e6 * tokensPerUs[tenant];
+        tokens[tenant] = Math.min(burst, tokens[tenant] + (now - refilledAt[tenant]) * tokensPerUs[tenant]);
+        refilledAt[tenant] = now;
+        if (tokens[tenant] < 1) {
             return true;
         }
-        allowance[tenant]--;
+        tokens[tenant]--;
         return false;
     }
 
-    private void attempt(Ask ask) {
+    private void startTry(ClientRequest request) {
         long now = world.queue.now();
-        long deadline =
-                Math.min(now + (long) (ask.patience * ask.type.deadlineUs()), ask.bornAt + ask.type.deadlineUs());
-        if (ask.hop != null) {
-            deadline = Math.min(deadline, ask.hop.endAt);
+        long deadline = Math.min(
+                now + (long) (request.deadlineFactor * request.type.deadlineUs()),
+                request.arrivedAt + request.type.deadlineUs());
+        if (request.hop != null) {
+            deadline = Math.min(deadline, request.hop.endAt);
         }
         if (deadline - now < 1_000) {
-            over(ask, How.TIMED_OUT);
+            finish(request, How.TIMED_OUT);
             return;
         }
-        ask.tries++;
-        String id = "q" + ids++;
-        Try t = new Try(
-                ask,
-                new Call(id, ask.classIndex, ask.work, ask.key, ask.effect, ask.type.dedupWindowUs(), ask.hop),
+        request.tries++;
+        String id = "q" + nextId++;
+        Try clientTry = new Try(
+                request,
+                new Call(
+                        id,
+                        request.classIndex,
+                        request.work,
+                        request.key,
+                        request.effect,
+                        request.type.dedupWindowUs(),
+                        request.hop),
                 now,
                 deadline);
-        if (ask.hop != null) {
-            ask.hop.tried(t, now);
+        if (request.hop != null) {
+            request.hop.tried(clientTry, now);
         }
-        world.tally.tried();
-        world.account.tried(t);
-        Instance proxy = world.proxies.get(ask.proxy);
-        world.queue.after(way(), () -> {
-            if (t.over) {
+        world.tally.trySent();
+        world.account.trySent(clientTry);
+        Instance proxy = world.proxies.get(request.proxy);
+        world.queue.after(clientDelay(), () -> {
+            if (clientTry.over) {
                 return;
             }
             if (!proxy.running()) {
-                answered(t, How.UNREACHABLE, 0);
+                answered(clientTry, How.UNREACHABLE, 0);
                 return;
             }
-            proxy.take(t);
+            proxy.take(clientTry);
         });
-        t.patience =
-                world.queue.after(deadline + scenario.rules().answerSlackUs() - now, () -> leave(t, How.TIMED_OUT));
-        if (habits.happens(scenario.clients().leave())) {
-            world.queue.after((long) ((deadline - now) * habits.unit()), () -> leave(t, How.LEFT));
+        clientTry.timeout = world.queue.after(
+                deadline + scenario.rules().answerSlackUs() - now, () -> abandon(clientTry, How.TIMED_OUT));
+        if (behaviour.happens(scenario.clients().leave())) {
+            world.queue.after((long) ((deadline - now) * behaviour.unit()), () -> abandon(clientTry, How.LEFT));
         }
     }
 
-    private long way() {
-        return (long) scenario.network().client().draw(habits::between);
+    private long clientDelay() {
+        return (long) scenario.network().client().draw(behaviour::between);
     }
 
     /** The client stops waiting and closes its connection. */
-    private void leave(Try t, How how) {
-        if (!t.over) {
-            t.over = true;
-            world.proxies.get(t.ask.proxy).gone(t);
-            ended(t, how, 0);
+    private void abandon(Try clientTry, How result) {
+        if (!clientTry.over) {
+            clientTry.over = true;
+            world.proxies.get(clientTry.ask.proxy).gone(clientTry);
+            tryEnded(clientTry, result, 0);
         }
     }
 
     /** Delivers the client proxy's result to the client after the network delay. */
-    void answered(Try t, How how, long retryAfterUs) {
-        world.queue.after(way(), () -> {
-            if (!t.over) {
-                t.over = true;
-                t.patience.cancel();
-                ended(t, how, retryAfterUs);
+    void answered(Try clientTry, How result, long retryAfterUs) {
+        world.queue.after(clientDelay(), () -> {
+            if (!clientTry.over) {
+                clientTry.over = true;
+                clientTry.timeout.cancel();
+                tryEnded(clientTry, result, retryAfterUs);
             }
         });
     }
 
     /** Processes a try's result in the client: it makes a further try if a repeat is safe and time is left. */
-    private void ended(Try t, How how, long retryAfterUs) {
-        Ask ask = t.ask;
+    private void tryEnded(Try clientTry, How result, long retryAfterUs) {
+        ClientRequest request = clientTry.ask;
         long now = world.queue.now();
-        t.how = how;
-        world.account.ended(t);
-        world.tally.tryEnded(ask, how);
-        if (how == How.SERVED || how == How.LEFT) {
-            over(ask, how);
+        clientTry.result = result;
+        world.account.tryEnded(clientTry);
+        world.tally.tryEnded(request, result);
+        if (result == How.SERVED || result == How.LEFT) {
+            finish(request, result);
             return;
         }
-        boolean harmless = how == How.REFUSED || how == How.UNREACHABLE || Scenario.refusable(ask.type);
-        double wait = scenario.clients().backoff().draw(habits::between)
-                * (scenario.clients().doubling() ? 1 << Math.min(16, ask.tries - 1) : 1);
-        if (ask.honours) {
+        boolean safeToRepeat = result == How.REFUSED || result == How.UNREACHABLE || Scenario.refusable(request.type);
+        double wait = scenario.clients().backoff().draw(behaviour::between)
+                * (scenario.clients().doubling() ? 1 << Math.min(16, request.tries - 1) : 1);
+        if (request.honoursRetryAfter) {
             wait = Math.max(wait, retryAfterUs);
         }
-        if (!harmless
-                || ask.tries > (ask.hop == null ? scenario.clients().retries() : ask.hop.retries())
-                || now + wait >= ask.bornAt + ask.type.deadlineUs()) {
-            over(ask, how);
+        if (!safeToRepeat
+                || request.tries > (request.hop == null ? scenario.clients().retries() : request.hop.retries())
+                || now + wait >= request.arrivedAt + request.type.deadlineUs()) {
+            finish(request, result);
             return;
         }
         world.queue.after((long) wait, () -> {
-            if (ask.hop != null && ask.hop.over()) {
-                over(ask, How.LEFT);
+            if (request.hop != null && request.hop.over()) {
+                finish(request, How.LEFT);
             } else {
-                attempt(ask);
+                startTry(request);
             }
         });
     }
 
     /** Completes a request; no further try follows. */
-    private void over(Ask ask, How how) {
-        double lost = world.tally.over(ask, how == How.SERVED, world.queue.now());
-        world.account.over(ask, lost, world.queue.now());
-        if (ask.hop != null) {
-            ask.hop.ended(how, world.queue.now());
+    private void finish(ClientRequest request, How result) {
+        double lostValue = world.tally.requestEnded(request, result == How.SERVED, world.queue.now());
+        world.account.requestEnded(request, lostValue, world.queue.now());
+        if (request.hop != null) {
+            request.hop.ended(result, world.queue.now());
         }
     }
 }
--- a/src/main/java/mulleinfront/emulator/Compared.java
+++ b/src/main/java/mulleinfront/emulator/Compared.java
@@ -18,8 +18,9 @@
     public static List<Compared> play(Scenario scenario, long from, long to, int jobs) throws InterruptedException {
         List<Compared> all = new ArrayList<>();
         all.add(new Compared("mulleinfront", null, Sweep.play(scenario, from, to, jobs, null, p -> {})));
-        for (Reference r : Reference.values()) {
-            all.add(new Compared(r.word(), r, Sweep.play(scenario, from, to, jobs, r, p -> {})));
+        for (Reference reference : Reference.values()) {
+            all.add(new Compared(
+                    reference.word(), reference, Sweep.play(scenario, from, to, jobs, reference, p -> {})));
         }
         return all;
     }
@@ -38,14 +39,14 @@
     }
 
     /** The lowest ratio of this balancer's service score to another's on the same seed. */
-    double leastPartOf(Compared other) {
-        double least = Double.POSITIVE_INFINITY;
+    double lowestRatioTo(Compared other) {
+        double lowest = Double.POSITIVE_INFINITY;
         for (int i = 0; i < worlds.size(); i++) {
-            least = Math.min(
-                    least,
+            lowest = Math.min(
+                    lowest,
                     worlds.get(i).service() / Math.max(1e-9, other.worlds.get(i).service()));
         }
-        return least;
+        return lowest;
     }
 
     /**
@@ -66,29 +67,29 @@
                 "goodput",
                 "broken",
                 ""));
-        for (Compared c : all) {
+        for (Compared compared : all) {
             out.append(String.format(
                     Locale.ROOT,
                     "%-14s %8.4f %8.4f %8.3f %8d  %s%n",
-                    c.name,
-                    c.mean(),
-                    c.worst(),
-                    c.worlds.stream()
+                    compared.name,
+                    compared.mean(),
+                    compared.worst(),
+                    compared.worlds.stream()
                             .mapToDouble(Sweep.SeedResult::goodput)
                             .average()
                             .orElse(0),
-                    c.broken(),
-                    c.reference == null ? "the product" : c.reference.words()));
+                    compared.broken(),
+                    compared.reference == null ? "the product" : compared.reference.words()));
         }
         Compared product = all.get(0);
-        for (Compared c : all) {
-            if (c.reference != null && c.reference.seesLateUs() >= 0) {
+        for (Compared compared : all) {
+            if (compared.reference != null && compared.reference.seesLateUs() >= 0) {
                 out.append(String.format(
                         Locale.ROOT,
                         "of %s: %.3f of its mean service, on the worst seed %.3f%n",
-                        c.name,
-                        product.mean() / Math.max(1e-9, c.mean()),
-                        product.leastPartOf(c)));
+                        compared.name,
+                        product.mean() / Math.max(1e-9, compared.mean()),
+                        product.lowestRatioTo(compared)));
             }
         }
         return out.toString();
--- a/src/main/java/mulleinfront/emulator/DiscoveryClient.java
+++ b/src/main/java/mulleinfront/emulator/DiscoveryClient.java
@@ -24,8 +24,8 @@
     private final Map<String, Integer> addresses = new HashMap<>();
     private Core<Call, Answer> core;
     private EmulatedWire wire;
-    private final ListVersionFilter order = new ListVersionFilter();
-    private final AgentBackoff agent = new AgentBackoff();
+    private final ListVersionFilter versionFilter = new ListVersionFilter();
+    private final AgentBackoff agentBackoff = new AgentBackoff();
     private long version = -1;
     private Watch watch;
 
@@ -36,7 +36,7 @@
         this.zone = zone;
     }
 
-    void join(Core<Call, Answer> core, EmulatedWire wire) {
+    void connect(Core<Call, Answer> core, EmulatedWire wire) {
         this.core = core;
         this.wire = wire;
     }
@@ -46,10 +46,10 @@
     }
 
     /** Opens a watch for changes since the current version, unless one is open. */
-    void watch(long patienceUs) {
+    void watch(long timeoutUs) {
         if (watch == null) {
-            watch = new Watch(patienceUs);
-            watch.waits();
+            watch = new Watch(timeoutUs);
+            watch.startTimeout();
             world.audit.asked(proxy, time.now());
             world.registry.call(watch);
         }
@@ -64,7 +64,7 @@
     }
 
     /** Switches to a discovery service at a new address and calls it at once. */
-    void move() {
+    void discoveryMoved() {
         if (watch != null) {
             stop();
             world.audit.watchFailed(proxy, time.now(), false);
@@ -74,45 +74,46 @@
     }
 
     /** Applies a list update, first to the wire and then to the balancer. */
-    void take(Registry.News news, Source source) {
+    void applyUpdate(Registry.News news, Source source) {
         world.audit.told(proxy, news.version(), source, news.entries(), time.now());
-        boolean whole = source != Source.DELTA;
-        version = whole ? news.version() : Math.max(version, news.version());
-        Set<String> left = whole ? new HashSet<>(addresses.keySet()) : new HashSet<>();
+        boolean full = source != Source.DELTA;
+        version = full ? news.version() : Math.max(version, news.version());
+        Set<String> removed = full ? new HashSet<>(addresses.keySet()) : new HashSet<>();
         List<Endpoint> endpoints = new ArrayList<>();
-        for (Registry.Entry e : order.newEntries(
-                news.version(), whole, news.entries(), e -> e.endpoint().id())) {
-            Endpoint endpoint = e.endpoint();
+        for (Registry.Entry entry : versionFilter.newEntries(
+                news.version(), full, news.entries(), entry -> entry.endpoint().id())) {
+            Endpoint endpoint = entry.endpoint();
             endpoints.add(endpoint);
-            left.remove(endpoint.id());
-            Integer before = endpoint.availability() == Availability.GONE
+            removed.remove(endpoint.id());
+            Integer oldAddress = endpoint.availability() == Availability.GONE
                     ? addresses.remove(endpoint.id())
-                    : addresses.put(endpoint.id(), e.address());
-            if (before != null && (before != e.address() || endpoint.availability() != Availability.READY)) {
-                wire.hangUp(before);
+                    : addresses.put(endpoint.id(), entry.address());
+            if (oldAddress != null
+                    && (oldAddress != entry.address() || endpoint.availability() != Availability.READY)) {
+                wire.closeIdle(oldAddress);
             }
         }
-        left.stream().sorted().forEach(id -> wire.hangUp(addresses.remove(id)));
-        world.fitting.listed(core, source, endpoints, time);
+        removed.stream().sorted().forEach(id -> wire.closeIdle(addresses.remove(id)));
+        world.wiring.listed(core, source, endpoints, time);
     }
 
     /** A watch, or the call that opens it. */
     final class Watch extends Watcher {
-        private Time.Timer patience;
+        private Time.Timer timeout;
         private boolean over;
         /** Whether this side ended the watch by a timeout. */
-        private boolean givenUp;
+        private boolean timedOut;
 
-        private boolean heard;
-        private boolean listed;
+        private boolean begun;
+        private boolean listReceived;
         /** When the last data or heartbeat came, if the watch has become unresponsive since; otherwise 0. */
-        private long heardAt;
+        private long lastDataAt;
 
-        private final long patienceUs;
+        private final long timeoutUs;
         private final long calledAt;
 
-        private Watch(long patienceUs) {
-            this.patienceUs = patienceUs;
+        private Watch(long timeoutUs) {
+            this.timeoutUs = timeoutUs;
             this.calledAt = time.now();
             toldTo = version;
         }
@@ -132,56 +133,56 @@
             return over;
         }
 
-        void waits() {
-            patience = time.after(patienceUs, this::giveUp);
+        void startTimeout() {
+            timeout = time.after(timeoutUs, this::onTimeout);
         }
 
         @Override
         void begin() {
-            boolean first = !heard;
-            heard = true;
-            quiet();
+            boolean first = !begun;
+            begun = true;
+            cancelTimeout();
             if (first) {
-                patience = time.after(Wire.LIST_TIMEOUT_US, this::giveUp);
+                timeout = time.after(Wire.LIST_TIMEOUT_US, this::onTimeout);
             }
         }
 
-        private void quiet() {
-            heardAt = 0;
-            if (patience != null) {
-                patience.cancel();
-                patience = null;
+        private void cancelTimeout() {
+            lastDataAt = 0;
+            if (timeout != null) {
+                timeout.cancel();
+                timeout = null;
             }
         }
 
         @Override
         void silence(long agoUs) {
-            quiet();
-            heardAt = time.now() - agoUs;
-            patience = time.after(Wire.WATCH_TIMEOUT_US - agoUs, this::giveUp);
+            cancelTimeout();
+            lastDataAt = time.now() - agoUs;
+            timeout = time.after(Wire.WATCH_TIMEOUT_US - agoUs, this::onTimeout);
         }
 
         @Override
         void hear(Registry.News news) {
             if (!over && watch == this) {
-                if (!listed) {
-                    quiet();
-                    listed = true;
+                if (!listReceived) {
+                    cancelTimeout();
+                    listReceived = true;
                 }
-                take(news, news.full() ? Source.FULL : Source.DELTA);
+                applyUpdate(news, news.full() ? Source.FULL : Source.DELTA);
                 world.audit.watching(proxy);
             }
         }
 
         void end() {
             over = true;
-            if (patience != null) {
-                patience.cancel();
+            if (timeout != null) {
+                timeout.cancel();
             }
         }
 
-        private void giveUp() {
-            givenUp = true;
+        private void onTimeout() {
+            timedOut = true;
             fail();
         }
 
@@ -198,16 +199,16 @@
             end();
             watch = null;
             world.registry.leave(this);
-            world.audit.watchFailed(proxy, time.now(), !reset && !givenUp);
+            world.audit.watchFailed(proxy, time.now(), !reset && !timedOut);
             if (!world.scenario.discovery().asked()) {
                 time.after(
-                        heard ? agent.delayAfterWatchUs() : agent.delayAfterCallUs(),
+                        begun ? agentBackoff.delayAfterWatchUs() : agentBackoff.delayAfterCallUs(),
                         () -> DiscoveryClient.this.watch(Wire.CALL_TIMEOUT_US));
-            } else if (!heard) {
-                boolean silent = givenUp && time.now() - calledAt >= 1_000 * Wire.MAX_DISCOVERY_WAIT_MS;
-                core.discoveryFailed(unreachable || silent);
-            } else if (givenUp || reset) {
-                core.watchLost(heardAt == 0 ? 0 : time.now() - heardAt);
+            } else if (!begun) {
+                boolean unresponsive = timedOut && time.now() - calledAt >= 1_000 * Wire.MAX_DISCOVERY_WAIT_MS;
+                core.discoveryFailed(unreachable || unresponsive);
+            } else if (timedOut || reset) {
+                core.watchLost(lastDataAt == 0 ? 0 : time.now() - lastDataAt);
             } else {
                 core.watchEnded();
             }
--- a/src/main/java/mulleinfront/emulator/EmulatedWire.java
+++ b/src/main/java/mulleinfront/emulator/EmulatedWire.java
@@ -22,38 +22,38 @@
 
     private final World world;
     private final Time time;
-    private final Reader process;
+    private final PausableProcess process;
     private final int proxy;
     private final int zone;
     private final long idleUs;
     private final DiscoveryClient discovery;
-    private final Map<Integer, ArrayDeque<Link>> idleAt = new HashMap<>();
+    private final Map<Integer, ArrayDeque<Link>> idleByAddress = new HashMap<>();
     /** Idle connections, the longest idle first. */
-    private final LinkedHashSet<Link> idle = new LinkedHashSet<>();
+    private final LinkedHashSet<Link> idleLinks = new LinkedHashSet<>();
 
-    private final LinkedHashSet<Link> all = new LinkedHashSet<>();
-    private final IntSupplier mostIdle;
-    private boolean sweeping;
+    private final LinkedHashSet<Link> openLinks = new LinkedHashSet<>();
+    private final IntSupplier maxIdle;
+    private boolean sweepScheduled;
 
     /** The process that reads incoming data; it may be paused. */
-    interface Reader {
+    interface PausableProcess {
         /** Runs a task at once or when the process resumes; never if the process ends first. */
-        void reads(Runnable what);
+        void runOrDefer(Runnable task);
     }
 
     /**
      * @param process the process that reads incoming data
-     * @param mostIdle maximum number of idle connections
+     * @param maxIdle maximum number of idle connections
      */
     EmulatedWire(
             World world,
             Time time,
-            Reader process,
+            PausableProcess process,
             int proxy,
             int zone,
             DiscoveryClient discovery,
-            IntSupplier mostIdle) {
-        this.mostIdle = mostIdle;
+            IntSupplier maxIdle) {
+        this.maxIdle = maxIdle;
         this.world = world;
         this.time = time;
         this.process = process;
@@ -72,7 +72,7 @@
     }
 
     int connections() {
-        return all.size();
+        return openLinks.size();
     }
 
     @Override
@@ -100,23 +100,23 @@
     }
 
     @Override
-    public void subscribe(long patienceUs) {
-        discovery.watch(patienceUs);
+    public void subscribe(long timeoutUs) {
+        discovery.watch(timeoutUs);
     }
 
     /** Closes the idle connections to an address that is no longer listed. */
-    void hangUp(int address) {
-        ArrayDeque<Link> links = idleAt.remove(address);
+    void closeIdle(int address) {
+        ArrayDeque<Link> links = idleByAddress.remove(address);
         if (links != null) {
             links.forEach(this::close);
         }
     }
 
     /** Resets all connections after the process has died. */
-    void die() {
-        for (Link link : List.copyOf(all)) {
+    void resetAll() {
+        for (Link link : List.copyOf(openLinks)) {
             if (link.current != null) {
-                link.current.forget();
+                link.current.drop();
             }
             close(link);
         }
@@ -131,10 +131,10 @@
             return;
         }
         link.open = false;
-        leaveIdle(link);
-        all.remove(link);
+        removeIdle(link);
+        openLinks.remove(link);
         ServerModel.Job job = link.current == null ? null : link.current.job;
-        Attempt carried = link.current != null && link.current.over ? link.current : null;
+        Attempt endedAttempt = link.current != null && link.current.over ? link.current : null;
         link.current = null;
         if (world.network.passes(proxy, zone, link.host)) {
             world.queue.after(world.network.delay(zone, link.host.zone), () -> {
@@ -142,16 +142,16 @@
                 if (job != null) {
                     link.life.cancel(job);
                 }
-                if (carried != null) {
-                    carried.stopBelow();
+                if (endedAttempt != null) {
+                    endedAttempt.cancelFurtherCalls();
                 }
             });
         }
     }
 
-    private void leaveIdle(Link link) {
-        if (idle.remove(link)) {
-            ArrayDeque<Link> links = idleAt.get(link.address);
+    private void removeIdle(Link link) {
+        if (idleLinks.remove(link)) {
+            ArrayDeque<Link> links = idleByAddress.get(link.address);
             if (links != null) {
                 links.remove(link);
             }
@@ -159,8 +159,8 @@
     }
 
     /** Processes a reset from the server's side. */
-    void broken(Link link) {
-        process.reads(() -> reset(link));
+    void connectionReset(Link link) {
+        process.runOrDefer(() -> reset(link));
     }
 
     private void reset(Link link) {
@@ -169,48 +169,50 @@
         }
         Attempt current = link.current;
         link.open = false;
-        leaveIdle(link);
-        all.remove(link);
+        removeIdle(link);
+        openLinks.remove(link);
         if (current != null) {
             current.broken();
         }
     }
 
-    private Link rested(int address) {
-        ArrayDeque<Link> links = idleAt.get(address);
+    private Link takeIdle(int address) {
+        ArrayDeque<Link> links = idleByAddress.get(address);
         if (links == null) {
             return null;
         }
         for (Link link : links) {
-            if (time.now() - link.idleAt > CONNECTION_COOL_DOWN_US) {
-                leaveIdle(link);
+            if (time.now() - link.idleSince > CONNECTION_COOL_DOWN_US) {
+                removeIdle(link);
                 return link;
             }
         }
         return null;
     }
 
-    private void rest(Link link) {
+    private void addIdle(Link link) {
         link.current = null;
-        link.idleAt = time.now();
-        idle.add(link);
-        idleAt.computeIfAbsent(link.address, a -> new ArrayDeque<>()).push(link);
-        if (idle.size() > mostIdle.getAsInt()) {
-            close(idle.iterator().next());
+        link.idleSince = time.now();
+        idleLinks.add(link);
+        idleByAddress.computeIfAbsent(link.address, a -> new ArrayDeque<>()).push(link);
+        if (idleLinks.size() > maxIdle.getAsInt()) {
+            close(idleLinks.iterator().next());
         }
-        sweep();
+        scheduleSweep();
     }
 
     /** Closes connections past the idle timeout, when the first of them reaches it. */
-    private void sweep() {
-        if (!sweeping && !idle.isEmpty()) {
-            sweeping = true;
-            time.after(idle.iterator().next().idleAt + idleUs - time.now(), () -> {
-                sweeping = false;
-                for (Link l; !idle.isEmpty() && (l = idle.iterator().next()).idleAt + idleUs <= time.now(); ) {
-                    close(l);
+    private void scheduleSweep() {
+        if (!sweepScheduled && !idleLinks.isEmpty()) {
+            sweepScheduled = true;
+            time.after(idleLinks.iterator().next().idleSince + idleUs - time.now(), () -> {
+                sweepScheduled = false;
+                for (Link link;
+                        !idleLinks.isEmpty()
+                                && (link = idleLinks.iterator().next()).idleSince + idleUs <= time.now(); ) {
+                    close(link);
                 }
-                sweep();
+                scheduleSweep();
             });
         }
     }
@@ -234,9 +236,9 @@
         /** The server's handling of the request with its further calls; null: not started. */
         private Handling handling;
         /** The server has noticed that the caller no longer waits. */
-        private boolean unwanted;
+        private boolean callerGone;
 
-        private int fresh;
+        private int newConnections;
         private boolean written;
         private boolean over;
 
@@ -264,7 +266,7 @@
             if (hop != null) {
                 hop.begins(number, time.now());
             }
-            Link reused = rested(address);
+            Link reused = takeIdle(address);
             if (reused != null) {
                 write(reused);
             } else {
@@ -273,10 +275,10 @@
         }
 
         private void connect() {
-            if (all.size() >= world.scenario.proxies().connections() && !idle.isEmpty()) {
-                close(idle.iterator().next());
+            if (openLinks.size() >= world.scenario.proxies().connections() && !idleLinks.isEmpty()) {
+                close(idleLinks.iterator().next());
             }
-            fresh++;
+            newConnections++;
             dial = time.after(world.scenario.limits().dialTimeoutUs(), () -> finish(Outcome.CONNECT_ERROR, null));
             Host host = world.at(address);
             // An unused or unreachable address gives no response, so the dial times out; a reachable machine without
@@ -284,10 +286,10 @@
             if (host == null || !world.network.passes(proxy, zone, host)) {
                 return;
             }
-            time.after(trips(host, 1), () -> accept(host));
+            time.after(roundTripsUs(host, 1), () -> accept(host));
         }
 
-        private long trips(Host host, int trips) {
+        private long roundTripsUs(Host host, int trips) {
             long us = 0;
             for (int i = 0; i < 2 * trips; i++) {
                 us += world.network.delay(zone, host.zone);
@@ -305,11 +307,11 @@
             }
             Link made = new Link(host, host.life, EmulatedWire.this, time.now());
             host.links.add(made);
-            all.add(made);
-            world.tally.opened(all.size());
+            openLinks.add(made);
+            world.tally.connectionOpened(openLinks.size());
             made.current = this;
             link = made;
-            time.after(trips(host, HANDSHAKE_TRIPS - 1), () -> {
+            time.after(roundTripsUs(host, HANDSHAKE_TRIPS - 1), () -> {
                 if (!over && made.open && made.life == host.life && world.network.passes(proxy, zone, host)) {
                     write(made);
                 }
@@ -335,14 +337,14 @@
                 world.tally.sent(zone == host.zone);
             }
             if (hop != null) {
-                hop.written(number, fresh > 0, zone, host.zone, time.now());
+                hop.written(number, newConnections > 0, zone, host.zone, time.now());
             }
             if (host.chance.happens(host.resetBefore)) {
                 // The server accepted the connection and reset it before the whole request arrived, so the request
                 // surely did not run.
                 close(to);
                 link = null;
-                if (fresh < MAX_NEW_CONNECTIONS) {
+                if (newConnections < MAX_NEW_CONNECTIONS) {
                     connect();
                 } else {
                     finish(Outcome.CONNECT_ERROR, null);
@@ -361,16 +363,16 @@
             if (!world.network.passes(proxy, zone, host) || to.life.stopped() || !to.accepted) {
                 return;
             }
-            if (time.now() - to.servedAt > to.life.machine().idleCloseUs()) {
+            if (time.now() - to.lastResponseAt > to.life.machine().idleCloseUs()) {
                 world.reset(to);
                 return;
             }
             if (requestId == null) {
-                to.life.probe((how, inflight) -> back(to, how, inflight));
+                to.life.probe((result, inflight) -> respond(to, result, inflight));
                 return;
             }
-            double work = call.work() + (to.fresh ? to.life.handshakeWork() : 0);
-            to.fresh = false;
+            double work = call.work() + (to.unused ? to.life.handshakeWork() : 0);
+            to.unused = false;
             ServerModel.Job made = new ServerModel.Job(
                     requestId,
                     work,
@@ -378,7 +380,7 @@
                     call.effect(),
                     call.windowUs(),
                     endsAt,
-                    (how, inflight) -> worked(to, how, inflight));
+                    (result, inflight) -> ownWorkDone(to, result, inflight));
             if (hop != null) {
                 hop.arrived(number, world.queue.now());
             }
@@ -398,27 +400,27 @@
         /**
          * Continues when the server's own work is done: in a call graph its further calls come before its response.
          */
-        private void worked(Link to, ServerModel.End how, int inflight) {
-            if (hop == null || how != ServerModel.End.SERVED) {
-                back(to, how, inflight);
-            } else if (!unwanted) {
-                handling = hop.serve(to.host, endsAt, end -> back(to, end, inflight));
+        private void ownWorkDone(Link to, ServerModel.End result, int inflight) {
+            if (hop == null || result != ServerModel.End.SERVED) {
+                respond(to, result, inflight);
+            } else if (!callerGone) {
+                handling = hop.serve(to.host, endsAt, end -> respond(to, end, inflight));
                 handling.begin();
             }
         }
 
         /** Cancels the server's further calls once it notices that the caller no longer waits. */
-        private void stopBelow() {
-            unwanted = true;
+        private void cancelFurtherCalls() {
+            callerGone = true;
             if (handling != null) {
                 handling.cancel();
             }
         }
 
         /** Sends the server's response. */
-        private void back(Link to, ServerModel.End how, int inflight) {
+        private void respond(Link to, ServerModel.End result, int inflight) {
             Host host = to.host;
-            to.servedAt = world.queue.now();
+            to.lastResponseAt = world.queue.now();
             if (hop != null) {
                 hop.left(number, world.queue.now());
             }
@@ -431,27 +433,27 @@
             }
             world.queue.after(world.network.delay(zone, host.zone), () -> {
                 if (world.network.passes(proxy, zone, host)) {
-                    process.reads(() -> {
+                    process.runOrDefer(() -> {
                         if (to.open && to.current == this) {
-                            answered(to, how, inflight);
+                            answered(to, result, inflight);
                         }
                     });
                 }
             });
         }
 
-        private void answered(Link to, ServerModel.End how, int inflight) {
+        private void answered(Link to, ServerModel.End result, int inflight) {
             link = null;
             if (to.host.chance.happens(world.scenario.limits().reports())) {
                 end.loadReported(inflight);
             }
             if (to.host.address == address && to.host.life == to.life && !to.life.draining()) {
-                rest(to);
+                addIdle(to);
             } else {
                 to.current = null;
                 close(to);
             }
-            switch (how) {
+            switch (result) {
                 case SERVED -> finish(Outcome.OK, new Answer(requestId, to.host.id));
                 case ERROR -> finish(Outcome.FAILED, null);
                 case NOT_RUN -> finish(Outcome.QUEUE_FULL, null);
@@ -473,7 +475,7 @@
         }
 
         /** Drops the attempt without calling its listener, because the client proxy's process has died. */
-        private void forget() {
+        private void drop() {
             over = true;
             cancel(timer);
             cancel(dial);
--- a/src/main/java/mulleinfront/emulator/EventQueue.java
+++ b/src/main/java/mulleinfront/emulator/EventQueue.java
@@ -9,21 +9,21 @@
  */
 public final class EventQueue implements Time {
     /** Children of each heap node: four share one cache line and halve the depth of the heap. */
-    private static final int WAYS = 4;
+    private static final int CHILDREN = 4;
     /** Number of cancelled tasks up to which none are swept. */
-    private static final int FEW = 256;
+    private static final int MIN_CANCELLED_TO_SWEEP = 256;
 
     /**
      * A heap ordered by due time and sequence number; both are in arrays beside the events, since they are read far
      * more often.
      */
-    private long[] at = new long[1024];
+    private long[] dueAt = new long[1024];
 
-    private long[] order = new long[1024];
+    private long[] sequence = new long[1024];
     private Event[] events = new Event[1024];
     private int size;
     private long now;
-    private long asked;
+    private long scheduled;
     private long ran;
     private int cancelled;
 
@@ -42,7 +42,7 @@
         public void cancel() {
             if (task != null) {
                 task = null;
-                if (++cancelled > Math.max(FEW, size / 2)) {
+                if (++cancelled > Math.max(MIN_CANCELLED_TO_SWEEP, size / 2)) {
                     sweep();
                 }
             }
@@ -56,7 +56,7 @@
 
     /** Due time of the next task, cancelled ones included; {@code Long.MAX_VALUE} if there is none. */
     public long nextAt() {
-        return size == 0 ? Long.MAX_VALUE : at[0];
+        return size == 0 ? Long.MAX_VALUE : dueAt[0];
     }
 
     /** Number of tasks run so far. */
@@ -66,79 +66,80 @@
 
     @Override
     public Timer after(long delayUs, Runnable task) {
-        Event e = new Event(task);
+        Event event = new Event(task);
         if (size == events.length) {
-            at = Arrays.copyOf(at, 2 * size);
-            order = Arrays.copyOf(order, 2 * size);
+            dueAt = Arrays.copyOf(dueAt, 2 * size);
+            sequence = Arrays.copyOf(sequence, 2 * size);
             events = Arrays.copyOf(events, 2 * size);
         }
-        up(size++, now + Math.max(0, delayUs), asked++, e);
-        return e;
+        up(size++, now + Math.max(0, delayUs), scheduled++, event);
+        return event;
     }
 
     /** Runs all tasks due up to and including an instant, and then sets the time to it. */
     public void runUntil(long instant) {
-        while (size > 0 && at[0] <= instant) {
-            Event e = events[0];
-            long due = at[0];
+        while (size > 0 && dueAt[0] <= instant) {
+            Event event = events[0];
+            long due = dueAt[0];
             int last = --size;
             Event moved = events[last];
             events[last] = null;
             if (last > 0) {
-                down(0, at[last], order[last], moved);
+                down(0, dueAt[last], sequence[last], moved);
             }
-            if (e.task == null) {
+            if (event.task == null) {
                 cancelled--;
                 continue;
             }
             now = due;
-            Runnable task = e.task;
-            e.task = null;
+            Runnable task = event.task;
+            event.task = null;
             ran++;
             task.run();
         }
         now = Math.max(now, instant);
     }
 
-    private void put(int place, long when, long number, Event e) {
-        at[place] = when;
-        order[place] = number;
-        events[place] = e;
+    private void put(int index, long when, long number, Event event) {
+        dueAt[index] = when;
+        sequence[index] = number;
+        events[index] = event;
     }
 
     private void move(int from, int to) {
-        put(to, at[from], order[from], events[from]);
+        put(to, dueAt[from], sequence[from], events[from]);
     }
 
-    private void up(int place, long when, long number, Event e) {
-        while (place > 0) {
-            int parent = (place - 1) / WAYS;
+    private void up(int index, long when, long number, Event event) {
+        while (index > 0) {
+            int parent = (index - 1) / CHILDREN;
             // At equal due times the task that was scheduled later stays below.
-            if (at[parent] < when || at[parent] == when && order[parent] < number) {
+            if (dueAt[parent] < when || dueAt[parent] == when && sequence[parent] < number) {
                 break;
             }
-            move(parent, place);
-            place = parent;
+            move(parent, index);
+            index = parent;
         }
-        put(place, when, number, e);
+        put(index, when, number, event);
     }
 
-    private void down(int place, long when, long number, Event e) {
-        for (int first; (first = WAYS * place + 1) < size; ) {
-            int least = first;
-            int end = Math.min(first + WAYS, size);
-            for (int c = first + 1; c < end; c++) {
-                if (at[c] < at[least] || at[c] == at[least] && order[c] < order[least]) {
-                    least = c;
+    private void down(int index, long when, long number, Event event) {
+        for (int first; (first = CHILDREN * index + 1) < size; ) {
+            int earliest = first;
+            int end = Math.min(first + CHILDREN, size);
+            for (int child = first + 1; child < end; child++) {
+                if (dueAt[child] < dueAt[earliest]
+                        || dueAt[child] == dueAt[earliest] && sequence[child] < sequence[earliest]) {
+                    earliest = child;
                 }
             }
-            if (when < at[least] || when == at[least] && number < order[least]) {
+            if (when < dueAt[earliest] || when == dueAt[earliest] && number < sequence[earliest]) {
                 break;
             }
-            move(least, place);
-            place = least;
+            move(earliest, index);
+            index = earliest;
         }
-        put(place, when, number, e);
+        put(index, when, number, event);
     }
 
     /**
@@ -155,8 +156,8 @@
         Arrays.fill(events, kept, size, null);
         size = kept;
         cancelled = 0;
-        for (int i = (size - 2) / WAYS; i >= 0 && size > 1; i--) {
-            down(i, at[i], order[i], events[i]);
+        for (int i = (size - 2) / CHILDREN; i >= 0 && size > 1; i--) {
+            down(i, dueAt[i], sequence[i], events[i]);
         }
     }
 }
--- a/src/main/java/mulleinfront/emulator/Explain.java
+++ b/src/main/java/mulleinfront/emulator/Explain.java
@@ -17,9 +17,9 @@
     public static List<String> request(Scenario scenario, long seed, String id) {
         List<String> lines = new ArrayList<>();
         World world = World.of(scenario, seed, null);
-        world.account.listen((ask, cause) -> {
-            if (ask.tried.contains(id)) {
-                tell(world, ask, cause, lines::add);
+        world.account.setListener((request, cause) -> {
+            if (request.tryIds.contains(id)) {
+                describe(world, request, cause, lines::add);
             }
         });
         world.play();
@@ -30,24 +30,24 @@
      * Runs a simulation and describes the first requests that were lost by a cause.
      *
      * @param from earliest arrival time of these requests, microseconds
-     * @param most maximum number of requests
+     * @param maxRequests maximum number of requests
      */
-    public static List<String> cause(Scenario scenario, long seed, Cause wanted, long from, int most) {
+    public static List<String> cause(Scenario scenario, long seed, Cause wanted, long from, int maxRequests) {
         List<String> lines = new ArrayList<>();
-        int[] told = {0};
+        int[] described = {0};
         World world = World.of(scenario, seed, null);
-        world.account.listen((ask, cause) -> {
-            if (cause == wanted && ask.bornAt >= from && told[0] < most) {
-                told[0]++;
-                tell(world, ask, cause, lines::add);
+        world.account.setListener((request, cause) -> {
+            if (cause == wanted && request.arrivedAt >= from && described[0] < maxRequests) {
+                described[0]++;
+                describe(world, request, cause, lines::add);
             }
         });
         world.play();
         return lines;
     }
 
-    private static void tell(World world, Clients.Ask ask, Cause cause, Consumer<String> to) {
-        world.account.tell(ask).forEach(to);
+    private static void describe(World world, Clients.ClientRequest request, Cause cause, Consumer<String> to) {
+        world.account.history(request).forEach(to);
         to.accept(cause == null ? "             served in time" : "             lost: " + cause.words());
         to.accept("");
     }
--- a/src/main/java/mulleinfront/emulator/Handling.java
+++ b/src/main/java/mulleinfront/emulator/Handling.java
@@ -21,10 +21,10 @@
     final int depth;
     private final GraphWorld graph;
     private final Done done;
-    private List<CallGraph.Edge> chosen;
+    private List<CallGraph.Edge> edges;
     private final Set<Hop> open = new LinkedHashSet<>();
-    private int next;
-    private int pending;
+    private int nextEdge;
+    private int openCalls;
     /** When it was answered or cancelled; -1 while it is open. */
     private long overAt = -1;
 
@@ -34,13 +34,13 @@
         void done(ServerModel.End end);
     }
 
-    Handling(GraphWorld graph, GraphRequest request, Hop above, GraphMachine machine, long endsAt, Done done) {
+    Handling(GraphWorld graph, GraphRequest request, Hop incoming, GraphMachine machine, long endsAt, Done done) {
         this.graph = graph;
         this.request = request;
-        this.above = above;
+        this.above = incoming;
         this.machine = machine;
         this.endsAt = endsAt;
-        this.depth = above == null ? 0 : above.depth();
+        this.depth = incoming == null ? 0 : incoming.depth();
         this.done = done;
     }
 
@@ -51,50 +51,50 @@
     void begin() {
         machine.handlings.add(this);
         request.reached(depth);
-        chosen = graph.calls(machine.node, above == null ? request.id : above.effect);
-        pending = chosen.size();
-        if (machine.node.inTurn() || pending == 0) {
-            nextInTurn();
+        edges = graph.calls(machine.node, above == null ? request.id : above.effect);
+        openCalls = edges.size();
+        if (machine.node.inTurn() || openCalls == 0) {
+            callNext();
             return;
         }
-        for (CallGraph.Edge e : chosen) {
+        for (CallGraph.Edge edge : edges) {
             if (overAt < 0) {
-                call(e);
+                call(edge);
             }
         }
     }
 
-    private void nextInTurn() {
-        if (next == chosen.size()) {
+    private void callNext() {
+        if (nextEdge == edges.size()) {
             finish(ServerModel.End.SERVED);
         } else {
-            call(chosen.get(next++));
+            call(edges.get(nextEdge++));
         }
     }
 
-    private void call(CallGraph.Edge e) {
-        Hop hop = graph.hop(this, e);
+    private void call(CallGraph.Edge edge) {
+        Hop hop = graph.hop(this, edge);
         open.add(hop);
         graph.call(hop, machine);
     }
 
     /** Processes the end of one of its calls. */
-    void ended(Hop hop, Clients.How how) {
+    void ended(Hop hop, Clients.How result) {
         open.remove(hop);
         if (overAt >= 0) {
             return;
         }
-        if (how != Clients.How.SERVED && !hop.edge.optional()) {
+        if (result != Clients.How.SERVED && !hop.edge.optional()) {
             finish(ServerModel.End.ERROR);
         } else if (machine.node.inTurn()) {
-            nextInTurn();
-        } else if (--pending == 0) {
+            callNext();
+        } else if (--openCalls == 0) {
             finish(ServerModel.End.SERVED);
         }
     }
 
     private void finish(ServerModel.End end) {
-        over(true);
+        close(true);
         done.done(end);
     }
 
@@ -104,14 +104,14 @@
      */
     void cancel() {
         if (overAt < 0) {
-            over(graph.application.cancelsBelow());
+            close(graph.application.cancelsBelow());
         }
     }
 
-    private void over(boolean giveUp) {
+    private void close(boolean cancelCalls) {
         overAt = graph.queue.now();
         machine.handlings.remove(this);
-        if (giveUp) {
+        if (cancelCalls) {
             List.copyOf(open).forEach(Hop::giveUp);
             open.clear();
         }
--- a/src/main/java/mulleinfront/emulator/Histogram.java
+++ b/src/main/java/mulleinfront/emulator/Histogram.java
@@ -4,37 +4,37 @@
 
 /** A histogram of times in microseconds, in buckets at most 0.8% of their value wide; exact below 128 us. */
 final class Histogram {
-    private static final int BITS = 7;
-    private static final int PER = 1 << BITS;
+    private static final int PRECISION_BITS = 7;
+    private static final int BUCKETS_PER_OCTAVE = 1 << PRECISION_BITS;
 
-    private long[] counts = new long[PER];
+    private long[] counts = new long[BUCKETS_PER_OCTAVE];
     private long count;
     private long most;
     private double sum;
 
     void add(long us) {
         long value = Math.max(0, us);
-        int place = place(value);
-        if (place >= counts.length) {
-            counts = Arrays.copyOf(counts, place + PER);
+        int bucket = bucketOf(value);
+        if (bucket >= counts.length) {
+            counts = Arrays.copyOf(counts, bucket + BUCKETS_PER_OCTAVE);
         }
-        counts[place]++;
+        counts[bucket]++;
         count++;
         sum += value;
         most = Math.max(most, value);
     }
 
-    private static int place(long value) {
-        int shift = Math.max(0, 63 - Long.numberOfLeadingZeros(Math.max(1, value)) - BITS);
-        return shift == 0 ? (int) value : shift * PER + (int) (value >>> shift);
+    private static int bucketOf(long value) {
+        int shift = Math.max(0, 63 - Long.numberOfLeadingZeros(Math.max(1, value)) - PRECISION_BITS);
+        return shift == 0 ? (int) value : shift * BUCKETS_PER_OCTAVE + (int) (value >>> shift);
     }
 
-    private static long low(int place) {
-        if (place < 2 * PER) {
-            return place;
+    private static long lowerBound(int bucket) {
+        if (bucket < 2 * BUCKETS_PER_OCTAVE) {
+            return bucket;
         }
-        int shift = place / PER - 1;
-        return (long) (place - shift * PER) << shift;
+        int shift = bucket / BUCKETS_PER_OCTAVE - 1;
+        return (long) (bucket - shift * BUCKETS_PER_OCTAVE) << shift;
     }
 
     long count() {
@@ -53,13 +53,13 @@
      * The smallest value that at least this fraction of the values does not exceed, to within a bucket; -1 if there
      * are no values.
      */
-    long at(double quantile) {
-        long rank = (long) Math.ceil(quantile * count);
+    long at(double fraction) {
+        long rank = (long) Math.ceil(fraction * count);
         long seen = 0;
         for (int i = 0; i < counts.length; i++) {
             seen += counts[i];
             if (counts[i] > 0 && seen >= rank) {
-                return Math.min(most, low(i + 1) - 1);
+                return Math.min(most, lowerBound(i + 1) - 1);
             }
         }
         return -1;
@@ -68,7 +68,7 @@
     /** Fraction of the values that are above the given one, to within a bucket. */
     double above(long us) {
         long seen = 0;
-        for (int i = 0; i < counts.length && low(i) <= us; i++) {
+        for (int i = 0; i < counts.length && lowerBound(i) <= us; i++) {
             seen += counts[i];
         }
         return count == 0 ? 0 : 1 - (double) seen / count;
--- a/src/main/java/mulleinfront/emulator/Host.java
+++ b/src/main/java/mulleinfront/emulator/Host.java
@@ -28,7 +28,7 @@
     double resetBefore;
     double resetAfter;
     /** Work received within the recent window while cold, by which a cold server crashes. */
-    final Budget budget;
+    final LoadWindow budget;
 
     final Chance chance;
 
@@ -38,16 +38,16 @@
             int kind,
             int cell,
             double weight,
-            ServerModel.Machine machine,
-            Budget budget,
+            ServerModel.Machine spec,
+            LoadWindow coldLoad,
             Chance chance) {
         this.id = id;
         this.zone = zone;
         this.kind = kind;
         this.cell = cell;
         this.weight = weight;
-        this.machine = machine;
-        this.budget = budget;
+        this.machine = spec;
+        this.budget = coldLoad;
         this.chance = chance;
     }
 
@@ -60,37 +60,37 @@
     }
 
     /** Work within a time window, compared with the sustainable load of a cold server. */
-    static final class Budget {
+    static final class LoadWindow {
         private final long windowUs;
-        private final double multiple;
-        private final ArrayDeque<double[]> sent = new ArrayDeque<>();
+        private final double loadMultiple;
+        private final ArrayDeque<double[]> arrivals = new ArrayDeque<>();
         private double sum;
-        private double marked;
+        private double markedSum;
         private double most;
 
-        Budget(long windowUs, double multiple) {
+        LoadWindow(long windowUs, double multiple) {
             this.windowUs = windowUs;
-            this.multiple = multiple;
+            this.loadMultiple = multiple;
         }
 
         /**
          * Adds work that arrived.
          *
-         * @param mark whether the work counts towards {@link #markedPart}
+         * @param mark whether the work counts towards {@link #markedFraction}
          * @param capacity work that the server can do per microsecond now
          * @return whether the work in the window exceeds the sustainable load
          */
-        boolean over(long now, double work, boolean mark, double capacity) {
-            sent.add(new double[] {now, work, mark ? work : 0});
+        boolean add(long now, double work, boolean mark, double capacity) {
+            arrivals.add(new double[] {now, work, mark ? work : 0});
             sum += work;
-            marked += mark ? work : 0;
-            for (double[] first; (first = sent.peek())[0] <= now - windowUs; sent.poll()) {
+            markedSum += mark ? work : 0;
+            for (double[] first; (first = arrivals.peek())[0] <= now - windowUs; arrivals.poll()) {
                 sum -= first[1];
-                marked -= first[2];
+                markedSum -= first[2];
             }
-            double bears = multiple * capacity * windowUs;
-            most = Math.max(most, sum / bears);
-            return sum > bears;
+            double sustainable = loadMultiple * capacity * windowUs;
+            most = Math.max(most, sum / sustainable);
+            return sum > sustainable;
         }
 
         /** The highest work within a window, as a fraction of the sustainable load at that time. */
@@ -99,14 +99,14 @@
         }
 
         /** Fraction of the work within the window that is marked. */
-        double markedPart() {
-            return sum <= 0 ? 0 : marked / sum;
+        double markedFraction() {
+            return sum <= 0 ? 0 : markedSum / sum;
         }
 
         void clear() {
-            sent.clear();
+            arrivals.clear();
             sum = 0;
-            marked = 0;
+            markedSum = 0;
         }
     }
 }
--- a/src/main/java/mulleinfront/emulator/Instance.java
+++ b/src/main/java/mulleinfront/emulator/Instance.java
@@ -11,7 +11,7 @@
     abstract boolean running();
 
     /** Whether the proxy knows a ready server; unknown for external processes, which count as knowing one. */
-    boolean knowsServers() {
+    boolean hasReadyServers() {
         return true;
     }
 
--- a/src/main/java/mulleinfront/emulator/Link.java
+++ b/src/main/java/mulleinfront/emulator/Link.java
@@ -13,19 +13,19 @@
     /** Whether the server's end is open and counts towards the server's connection limit. */
     boolean accepted = true;
 
-    boolean fresh = true;
-    long idleAt;
+    boolean unused = true;
+    long idleSince;
     /**
      * When the server last sent a response on it; the server closes a connection that has been idle for longer than
      * its limit.
      */
-    long servedAt;
+    long lastResponseAt;
 
-    Link(Host host, ServerModel life, EmulatedWire owner, long now) {
+    Link(Host host, ServerModel process, EmulatedWire owner, long now) {
         this.host = host;
         this.address = host.address;
-        this.life = life;
+        this.life = process;
         this.owner = owner;
-        this.servedAt = now;
+        this.lastResponseAt = now;
     }
 }
--- a/src/main/java/mulleinfront/emulator/Network.java
+++ b/src/main/java/mulleinfront/emulator/Network.java
@@ -11,12 +11,12 @@
     private final long[][] oneWay;
     private final double jitter;
     private final Chance chance;
-    private final int[] cutZones;
-    private final Set<Host> cutHosts = new HashSet<>();
+    private final int[] partitionedZones;
+    private final Set<Host> partitionedHosts = new HashSet<>();
     /** Partitions of single client proxies: by proxy, a count for each zone; null: none. */
-    private Map<Integer, int[]> cutProxies;
+    private Map<Integer, int[]> partitionedProxies;
     /** Partitions between pairs of zones, as counts; null: none. */
-    private int[][] cutPairs;
+    private int[][] partitionedPairs;
     /** Client proxies whose machine is disconnected from the network. */
     private final BitSet away = new BitSet();
 
@@ -29,14 +29,14 @@
         this.jitter = jitter;
         this.chance = chance;
         this.oneWay = oneWay;
-        this.cutZones = new int[oneWay.length];
+        this.partitionedZones = new int[oneWay.length];
     }
 
     Network(Scenario.Network spec, int zones, Chance chance) {
         this.jitter = spec.jitter();
         this.chance = chance;
         this.oneWay = new long[zones][zones];
-        this.cutZones = new int[zones];
+        this.partitionedZones = new int[zones];
         for (int a = 0; a < zones; a++) {
             for (int b = a; b < zones; b++) {
                 long us = Math.max(1, (long) (a == b ? spec.same() : spec.cross()).draw(chance::between));
@@ -55,9 +55,9 @@
     /** Whether a message between a client proxy's zone and a server would arrive now. */
     boolean passes(int zone, Host host) {
         return !host.vanished
-                && !cutHosts.contains(host)
-                && (zone == host.zone || cutZones[zone] == 0 && cutZones[host.zone] == 0)
-                && (cutPairs == null || cutPairs[zone][host.zone] == 0);
+                && !partitionedHosts.contains(host)
+                && (zone == host.zone || partitionedZones[zone] == 0 && partitionedZones[host.zone] == 0)
+                && (partitionedPairs == null || partitionedPairs[zone][host.zone] == 0);
     }
 
     /**
@@ -67,22 +67,22 @@
     boolean passes(int proxy, int zone, Host host) {
         return passes(zone, host)
                 && !away.get(proxy)
-                && (cutProxies == null
-                        || !cutProxies.containsKey(proxy)
-                        || cutProxies.get(proxy)[host.zone] == 0);
+                && (partitionedProxies == null
+                        || !partitionedProxies.containsKey(proxy)
+                        || partitionedProxies.get(proxy)[host.zone] == 0);
     }
 
     /** Begins or ends a partition between one client proxy and the servers of a zone. */
     void cut(int proxy, int zone, boolean on) {
-        cutProxies = cutProxies == null ? new HashMap<>() : cutProxies;
-        cutProxies.computeIfAbsent(proxy, p -> new int[cutZones.length])[zone] += on ? 1 : -1;
+        partitionedProxies = partitionedProxies == null ? new HashMap<>() : partitionedProxies;
+        partitionedProxies.computeIfAbsent(proxy, p -> new int[partitionedZones.length])[zone] += on ? 1 : -1;
     }
 
     /** Begins or ends a partition between two zones. */
     void cutPair(int a, int b, boolean on) {
-        cutPairs = cutPairs == null ? new int[oneWay.length][oneWay.length] : cutPairs;
-        cutPairs[a][b] += on ? 1 : -1;
-        cutPairs[b][a] += on ? 1 : -1;
+        partitionedPairs = partitionedPairs == null ? new int[oneWay.length][oneWay.length] : partitionedPairs;
+        partitionedPairs[a][b] += on ? 1 : -1;
+        partitionedPairs[b][a] += on ? 1 : -1;
     }
 
     /** Disconnects a client proxy's machine from the network, or reconnects it. */
@@ -91,14 +91,14 @@
     }
 
     void cut(int zone, boolean on) {
-        cutZones[zone] += on ? 1 : -1;
+        partitionedZones[zone] += on ? 1 : -1;
     }
 
     void cut(Host host, boolean on) {
         if (on) {
-            cutHosts.add(host);
+            partitionedHosts.add(host);
         } else {
-            cutHosts.remove(host);
+            partitionedHosts.remove(host);
         }
     }
 }
--- a/src/main/java/mulleinfront/emulator/Proxy.java
+++ b/src/main/java/mulleinfront/emulator/Proxy.java
@@ -21,56 +21,56 @@
  */
 final class Proxy extends Instance {
     /** Interval at which a proxy reads the number of live members, in addition to every membership change. */
-    private static final long SHARE_US = 1_000_000;
+    private static final long LIVE_MEMBERS_POLL_US = 1_000_000;
 
     private final World world;
     private final int number;
     private final int zone;
-    private final Core.BalancerFactory maker;
+    private final Core.BalancerFactory factory;
     private final Chance chance;
-    private Life life;
+    private ProxyProcess process;
 
-    Proxy(World world, int number, int zone, Core.BalancerFactory maker) {
+    Proxy(World world, int number, int zone, Core.BalancerFactory factory) {
         this.world = world;
         this.number = number;
         this.zone = zone;
-        this.maker = maker;
+        this.factory = factory;
         this.chance = world.chance("proxy " + number);
     }
 
     @Override
     boolean running() {
-        return life != null && life.listening;
+        return process != null && process.listening;
     }
 
     @Override
-    boolean knowsServers() {
-        return life != null && life.core.hasReadyEndpoints();
+    boolean hasReadyServers() {
+        return process != null && process.core.hasReadyEndpoints();
     }
 
     int held() {
-        return life == null ? 0 : life.core.openRequests();
+        return process == null ? 0 : process.core.openRequests();
     }
 
     int connections() {
-        return life == null ? 0 : life.wire.connections();
+        return process == null ? 0 : process.wire.connections();
     }
 
     /** Starts a process, which accepts requests at once. */
     void start(Registry.News known) {
-        if (life == null) {
+        if (process == null) {
             starts++;
             readyAt = world.queue.now();
             if (starts > 1) {
-                world.tally.startedAgain(readyAt);
+                world.tally.proxyRestarted(readyAt);
             }
             world.audit.proxyStarted(number, world.queue.now());
-            life = new Life();
-            life.begin(known);
+            process = new ProxyProcess();
+            process.begin(known);
             if (world.fleet != null) {
                 world.fleet.start(number);
-                world.fleet.member(number).listen(life);
-                life.share();
+                world.fleet.member(number).listen(process);
+                process.updateLiveInstances();
             }
         }
     }
@@ -81,16 +81,16 @@
      */
     @Override
     void kill(long awayUs) {
-        if (life != null) {
-            Life killed = life;
-            life = null;
+        if (process != null) {
+            ProxyProcess killed = process;
+            process = null;
             world.audit.proxyKilled(number);
-            killed.end();
-            startAgain(awayUs);
+            killed.terminate();
+            scheduleRestart(awayUs);
         }
     }
 
-    private void startAgain(long awayUs) {
+    private void scheduleRestart(long awayUs) {
         if (world.fleet != null) {
             world.fleet.kill(number);
         }
@@ -100,18 +100,18 @@
     /** SIGSTOP: no input is read and no timer fires until the process resumes. */
     @Override
     void pause(long us) {
-        if (life == null || life.still) {
+        if (process == null || process.paused) {
             return;
         }
-        Life stopped = life;
-        stopped.still = true;
+        ProxyProcess stopped = process;
+        stopped.paused = true;
         world.audit.stands(number, true, world.queue.now());
         if (world.fleet != null) {
             world.fleet.stop(number);
         }
         world.queue.after(us, () -> {
-            if (life == stopped) {
-                stopped.goOn();
+            if (process == stopped) {
+                stopped.resume();
                 if (world.fleet != null) {
                     world.fleet.go(number);
                 }
@@ -123,12 +123,12 @@
     /** SIGTERM: the process accepts late requests for a short time, finishes its open requests and ends. */
     @Override
     void end() {
-        if (life == null || life.ending) {
+        if (process == null || process.ending) {
             return;
         }
-        Life ending = life;
-        if (ending.still) {
-            ending.unread.add(this::end);
+        ProxyProcess ending = process;
+        if (ending.paused) {
+            ending.deferred.add(this::end);
             return;
         }
         ending.ending = true;
@@ -140,7 +140,7 @@
             ending.endIfDone();
         });
         world.queue.after(world.scenario.proxies().killAfterUs(), () -> {
-            if (life == ending) {
+            if (process == ending) {
                 world.audit.proxyEnded(number, world.queue.now());
                 kill(0);
             }
@@ -150,9 +150,9 @@
     /** Discovery has no address in the simulation, so a move only makes the proxy open a new watch. */
     @Override
     void reload() {
-        if (life != null && !life.ending && world.scenario.discovery().asked()) {
-            Life reloads = life;
-            reloads.reads(reloads.discovery::move);
+        if (process != null && !process.ending && world.scenario.discovery().asked()) {
+            ProxyProcess reloading = process;
+            reloading.runOrDefer(reloading.discovery::discoveryMoved);
         }
     }
 
@@ -161,52 +161,53 @@
      * the process dies.
      */
     @Override
-    void take(Clients.Try t) {
-        life.take(t);
+    void take(Clients.Try clientTry) {
+        process.accept(clientTry);
     }
 
     @Override
-    void gone(Clients.Try t) {
-        if (life != null && life.has(t)) {
-            life.gone(t);
+    void gone(Clients.Try clientTry) {
+        if (process != null && process.isOpen(clientTry)) {
+            process.clientDisconnected(clientTry);
         }
     }
 
     /** One process of the client proxy. */
-    private final class Life implements Time, EmulatedWire.Reader, Fleet.Listener {
+    private final class ProxyProcess implements Time, EmulatedWire.PausableProcess, Fleet.Listener {
         private final DiscoveryClient discovery = new DiscoveryClient(world, this, number, zone);
-        private final EmulatedWire wire = new EmulatedWire(world, this, this, number, zone, discovery, this::mostIdle);
+        private final EmulatedWire wire =
+                new EmulatedWire(world, this, this, number, zone, discovery, this::maxIdleConnections);
         private final Core<Call, Answer> core = new Core<>(
                 world.settings.forInstance(number, world.settings.instances()),
                 this,
-                world.fitting.wire(wire, this),
-                world.audit::defect);
+                world.wiring.wire(wire, this),
+                world.audit::unexpectedException);
         private final Map<Clients.Try, Core.RequestHandle<Call, Answer>> open = new LinkedHashMap<>();
         /** Tries that wait for CPU time before they reach the core. */
-        private final Set<Clients.Try> waiting = new LinkedHashSet<>();
+        private final Set<Clients.Try> waitingForCpu = new LinkedHashSet<>();
         /** Tries whose responses wait for CPU time. */
-        private final Set<Clients.Try> answering = new LinkedHashSet<>();
+        private final Set<Clients.Try> responding = new LinkedHashSet<>();
 
         private final Scenario.Cpu cpu = world.scenario.proxies().cpu();
         private long cpuFreeAt;
         private long requests;
         /** Input and timers that become due while the process is paused. */
-        private final ArrayDeque<Runnable> unread = new ArrayDeque<>();
+        private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
 
-        private boolean still;
+        private boolean paused;
         private boolean alive = true;
         private boolean listening = true;
         private boolean ending;
 
-        private int mostIdle() {
+        private int maxIdleConnections() {
             return core.maxIdleConnections();
         }
 
         void begin(Registry.News known) {
-            discovery.join(core, wire);
-            core.begin(maker, chance.nextLong());
-            core.observe((now, why) -> world.unserved(number, now, why));
-            discovery.take(known, Source.CACHED);
+            discovery.connect(core, wire);
+            core.begin(factory, chance.nextLong());
+            core.observe((now, why) -> world.requestUnserved(number, now, why));
+            discovery.applyUpdate(known, Source.CACHED);
             if (!world.scenario.discovery().asked()) {
                 discovery.watch(Wire.CALL_TIMEOUT_US);
             }
@@ -221,7 +222,7 @@
         /** Schedules a timer that is dropped when the process ends. */
         @Override
         public Timer after(long delayUs, Runnable task) {
-            if (!world.pauses) {
+            if (!world.pausesProxies) {
                 return world.queue.after(delayUs, () -> {
                     if (alive) {
                         task.run();
@@ -232,7 +233,7 @@
             boolean[] cancelled = {false};
             Timer timer = world.queue.after(
                     delayUs,
-                    () -> reads(() -> {
+                    () -> runOrDefer(() -> {
                         if (!cancelled[0]) {
                             task.run();
                         }
@@ -244,25 +245,25 @@
         }
 
         @Override
-        public void reads(Runnable what) {
-            if (still) {
-                unread.add(what);
+        public void runOrDefer(Runnable task) {
+            if (paused) {
+                deferred.add(task);
             } else if (alive) {
-                what.run();
+                task.run();
             }
         }
 
-        private void goOn() {
-            still = false;
-            while (alive && !still && !unread.isEmpty()) {
-                unread.poll().run();
+        private void resume() {
+            paused = false;
+            while (alive && !paused && !deferred.isEmpty()) {
+                deferred.poll().run();
             }
         }
 
         /** Reports the number of live members, among which the servers' sustainable load is divided. */
-        private void share() {
+        private void updateLiveInstances() {
             core.setLiveInstances(world.fleet.member(number).liveMembers(now()));
-            after(SHARE_US, this::share);
+            after(LIVE_MEMBERS_POLL_US, this::updateLiveInstances);
         }
 
         @Override
@@ -270,27 +271,27 @@
             core.setLiveInstances(world.fleet.member(number).liveMembers(now()));
         }
 
-        private void take(Clients.Try t) {
+        private void accept(Clients.Try clientTry) {
             long now = now();
-            reads(() -> taken(t, now));
+            runOrDefer(() -> accepted(clientTry, now));
         }
 
-        private void taken(Clients.Try t, long now) {
-            world.audit.taken(number, t.call.id(), t.call.classIndex(), now, t.deadlineAt);
-            world.account.taken(t.call.id());
-            if (t.call.hop() != null) {
-                t.call.hop().taken(now());
+        private void accepted(Clients.Try clientTry, long now) {
+            world.audit.taken(number, clientTry.call.id(), clientTry.call.classIndex(), now, clientTry.deadlineAt);
+            world.account.taken(clientTry.call.id());
+            if (clientTry.call.hop() != null) {
+                clientTry.call.hop().taken(now());
             }
-            waiting.add(t);
-            onCpu(cpu.halfUs(requests++), () -> {
-                if (waiting.remove(t)) {
-                    toCore(t, now);
+            waitingForCpu.add(clientTry);
+            runOnCpu(cpu.halfUs(requests++), () -> {
+                if (waitingForCpu.remove(clientTry)) {
+                    passToCore(clientTry, now);
                 }
             });
         }
 
         /** Runs a task after {@code us} of CPU time on the single thread, behind earlier work. */
-        private void onCpu(long us, Runnable then) {
+        private void runOnCpu(long us, Runnable then) {
             if (us == 0) {
                 then.run();
                 return;
@@ -299,77 +300,77 @@
             after(cpuFreeAt - now(), then);
         }
 
-        private void toCore(Clients.Try t, long now) {
+        private void passToCore(Clients.Try clientTry, long now) {
             core.accept(
-                    world.fitting.caller(
+                    world.wiring.caller(
                             new ResponseHandler<Call, Answer>() {
                                 @Override
                                 public void opened(Core.RequestHandle<Call, Answer> exchange) {
-                                    open.put(t, exchange);
+                                    open.put(clientTry, exchange);
                                 }
 
                                 @Override
                                 public void served(Answer answer) {
-                                    open.remove(t);
-                                    answering.add(t);
-                                    onCpu(cpu.halfUs(requests), () -> {
-                                        if (answering.remove(t)) {
-                                            world.audit.served(number, t.call.id(), answer.requestId(), now());
-                                            if (t.call.hop() != null) {
-                                                t.call.hop().answered(now());
+                                    open.remove(clientTry);
+                                    responding.add(clientTry);
+                                    runOnCpu(cpu.halfUs(requests), () -> {
+                                        if (responding.remove(clientTry)) {
+                                            world.audit.served(number, clientTry.call.id(), answer.requestId(), now());
+                                            if (clientTry.call.hop() != null) {
+                                                clientTry.call.hop().answered(now());
                                             }
-                                            over(t, Clients.How.SERVED, 0);
+                                            finish(clientTry, Clients.How.SERVED, 0);
                                         }
                                     });
                                 }
 
                                 @Override
                                 public void refused(long retryAfterUs) {
-                                    world.audit.refused(number, t.call.id(), now());
-                                    world.account.refused(t.call.id());
-                                    over(t, Clients.How.REFUSED, retryAfterUs);
+                                    world.audit.refused(number, clientTry.call.id(), now());
+                                    world.account.refused(clientTry.call.id());
+                                    finish(clientTry, Clients.How.REFUSED, retryAfterUs);
                                 }
 
                                 @Override
                                 public void failed(boolean timeUp) {
-                                    world.audit.failed(number, t.call.id(), now());
-                                    over(t, Clients.How.FAILED, 0);
+                                    world.audit.failed(number, clientTry.call.id(), now());
+                                    finish(clientTry, Clients.How.FAILED, 0);
                                 }
                             },
                             this),
-                    t.call.id(),
-                    t.call.classIndex(),
-                    t.call.key(),
-                    Math.max(1, (t.deadlineAt - t.sentAt) / 1000),
+                    clientTry.call.id(),
+                    clientTry.call.classIndex(),
+                    clientTry.call.key(),
+                    Math.max(1, (clientTry.deadlineAt - clientTry.sentAt) / 1000),
                     now,
                     0,
-                    t.ask.tenant,
+                    clientTry.ask.tenant,
                     false,
-                    t.call);
+                    clientTry.call);
         }
 
-        private void over(Clients.Try t, Clients.How how, long retryAfterUs) {
-            open.remove(t);
-            world.clients.answered(t, how, retryAfterUs);
+        private void finish(Clients.Try clientTry, Clients.How result, long retryAfterUs) {
+            open.remove(clientTry);
+            world.clients.answered(clientTry, result, retryAfterUs);
             endIfDone();
         }
 
-        private boolean has(Clients.Try t) {
-            return open.containsKey(t) || waiting.contains(t) || answering.contains(t);
+        private boolean isOpen(Clients.Try clientTry) {
+            return open.containsKey(clientTry) || waitingForCpu.contains(clientTry) || responding.contains(clientTry);
         }
 
-        private void gone(Clients.Try t) {
-            if (still) {
-                unread.add(() -> gone(t));
+        private void clientDisconnected(Clients.Try clientTry) {
+            if (paused) {
+                deferred.add(() -> clientDisconnected(clientTry));
                 return;
             }
-            world.audit.left(number, t.call.id(), now());
-            Core.RequestHandle<Call, Answer> exchange = open.remove(t);
+            world.audit.left(number, clientTry.call.id(), now());
+            Core.RequestHandle<Call, Answer> exchange = open.remove(clientTry);
             if (exchange != null) {
                 core.abandoned(exchange);
             }
-            waiting.remove(t);
-            answering.remove(t);
+            waitingForCpu.remove(clientTry);
+            responding.remove(clientTry);
             endIfDone();
         }
 
@@ -378,28 +379,28 @@
                     && ending
                     && !listening
                     && open.isEmpty()
-                    && waiting.isEmpty()
-                    && answering.isEmpty()
-                    && life == this) {
-                life = null;
+                    && waitingForCpu.isEmpty()
+                    && responding.isEmpty()
+                    && process == this) {
+                process = null;
                 world.audit.proxyEnded(number, now());
-                end();
-                startAgain(0);
+                terminate();
+                scheduleRestart(0);
             }
         }
 
-        private void end() {
+        private void terminate() {
             alive = false;
             listening = false;
             discovery.stop();
-            wire.die();
-            List<Clients.Try> left = new ArrayList<>(open.keySet());
-            left.addAll(waiting);
-            left.addAll(answering);
+            wire.resetAll();
+            List<Clients.Try> unanswered = new ArrayList<>(open.keySet());
+            unanswered.addAll(waitingForCpu);
+            unanswered.addAll(responding);
             open.clear();
-            waiting.clear();
-            answering.clear();
-            left.forEach(t -> world.clients.answered(t, Clients.How.BROKEN, 0));
+            waitingForCpu.clear();
+            responding.clear();
+            unanswered.forEach(clientTry -> world.clients.answered(clientTry, Clients.How.BROKEN, 0));
         }
     }
 }
--- a/src/main/java/mulleinfront/emulator/Registry.java
+++ b/src/main/java/mulleinfront/emulator/Registry.java
@@ -32,15 +32,15 @@
     private final Scenario.Discovery spec;
     private final Chance chance;
     /** All changes in order; an entry's index is its version minus one. */
-    private final List<Entry> log = new ArrayList<>();
+    private final List<Entry> changes = new ArrayList<>();
 
-    private final List<Long> loggedAt = new ArrayList<>();
-    private final Map<String, Entry> present = new LinkedHashMap<>();
+    private final List<Long> changeTimes = new ArrayList<>();
+    private final Map<String, Entry> listed = new LinkedHashMap<>();
     /** The full list, cached after the first request following a change, since thousands of watches may need it. */
-    private News whole;
+    private News fullList;
 
     private final Set<Watcher> watches = new LinkedHashSet<>();
-    private boolean announcing;
+    private boolean sendScheduled;
     private long busyUntil;
     private double crowd;
     private boolean down;
@@ -51,17 +51,17 @@
      * Remaining faults by client proxy: calls to refuse, lists to truncate, and watches to end instead of sending an
      * update.
      */
-    private final Map<Integer, Integer> refusals = new HashMap<>();
+    private final Map<Integer, Integer> remainingRefusals = new HashMap<>();
 
-    private final Map<Integer, Integer> cutShort = new HashMap<>();
-    private final Map<Integer, Integer> endings = new HashMap<>();
+    private final Map<Integer, Integer> remainingTruncations = new HashMap<>();
+    private final Map<Integer, Integer> remainingEndings = new HashMap<>();
     /** Remaining lists to stop halfway, by client proxy; {@code pause} is how long they stop. */
-    private final Map<Integer, Integer> pauses = new HashMap<>();
+    private final Map<Integer, Integer> remainingPauses = new HashMap<>();
 
-    private Range pause = Range.of(0);
+    private Range pauseRange = Range.of(0);
     private Range late = Range.of(0);
     private int shuffle;
-    private final List<Runnable> shuffled = new ArrayList<>();
+    private final List<Runnable> shuffledDeliveries = new ArrayList<>();
     long calls;
     long failedCalls;
 
@@ -82,119 +82,120 @@
     /** Records a change at once, as for the state at the start of the run. */
     void know(Entry entry) {
         // A change of an earlier incarnation of the server is ignored.
-        Entry held = present.get(entry.endpoint().id());
-        if (held != null && entry.endpoint().startedAtUs() < held.endpoint().startedAtUs()) {
+        Entry current = listed.get(entry.endpoint().id());
+        if (current != null
+                && entry.endpoint().startedAtUs() < current.endpoint().startedAtUs()) {
             return;
         }
-        log.add(entry);
-        loggedAt.add(world.queue.now());
-        whole = null;
+        changes.add(entry);
+        changeTimes.add(world.queue.now());
+        fullList = null;
         if (entry.endpoint().availability() == Availability.GONE) {
-            present.remove(entry.endpoint().id());
+            listed.remove(entry.endpoint().id());
         } else {
-            present.put(entry.endpoint().id(), entry);
+            listed.put(entry.endpoint().id(), entry);
         }
         world.audit.listedByDiscovery(entry.endpoint(), world.queue.now());
-        announce();
+        scheduleSend();
     }
 
-    private void announce() {
-        if (!announcing && !watches.isEmpty()) {
-            announcing = true;
+    private void scheduleSend() {
+        if (!sendScheduled && !watches.isEmpty()) {
+            sendScheduled = true;
             world.queue.after((long) spec.period().draw(chance::between), () -> {
-                announcing = false;
-                for (Watcher w : List.copyOf(watches)) {
-                    tell(w);
+                sendScheduled = false;
+                for (Watcher watcher : List.copyOf(watches)) {
+                    sendUpdate(watcher);
                 }
             });
         }
     }
 
     long version() {
-        return log.size();
+        return changes.size();
     }
 
     /** The current full list. */
-    News whole() {
-        if (whole == null) {
-            whole = new News(version(), true, List.copyOf(present.values()));
+    News fullList() {
+        if (fullList == null) {
+            fullList = new News(version(), true, List.copyOf(listed.values()));
         }
-        return whole;
+        return fullList;
     }
 
     /** The full list as it was at an instant. */
-    News at(long instant) {
-        Map<String, Entry> then = new LinkedHashMap<>();
+    News listAt(long instant) {
+        Map<String, Entry> listedThen = new LinkedHashMap<>();
         long version = 0;
-        for (int i = 0; i < log.size() && loggedAt.get(i) <= instant; i++) {
-            Entry e = log.get(i);
+        for (int i = 0; i < changes.size() && changeTimes.get(i) <= instant; i++) {
+            Entry entry = changes.get(i);
             version = i + 1;
-            if (e.endpoint().availability() == Availability.GONE) {
-                then.remove(e.endpoint().id());
+            if (entry.endpoint().availability() == Availability.GONE) {
+                listedThen.remove(entry.endpoint().id());
             } else {
-                then.put(e.endpoint().id(), e);
+                listedThen.put(entry.endpoint().id(), entry);
             }
         }
-        return new News(version, true, List.copyOf(then.values()));
+        return new News(version, true, List.copyOf(listedThen.values()));
     }
 
     /** Sends a watch the changes after the version it has. */
-    private void tell(Watcher w) {
-        long from = w.toldTo;
-        if (down || silent || cut.contains(w.proxy()) || w.pausing || from >= version() && from >= 0) {
+    private void sendUpdate(Watcher watcher) {
+        long from = watcher.toldTo;
+        if (down || silent || cut.contains(watcher.proxy()) || watcher.pausing || from >= version() && from >= 0) {
             return;
         }
-        if (due(endings, w.proxy())) {
-            watches.remove(w);
-            world.queue.after(world.network.delay(w.zone(), 0), w::fail);
+        if (consume(remainingEndings, watcher.proxy())) {
+            watches.remove(watcher);
+            world.queue.after(world.network.delay(watcher.zone(), 0), watcher::fail);
             return;
         }
-        News news = from < 0 || version() - from > 2L * present.size() + 16
-                ? whole()
-                : new News(version(), false, List.copyOf(log.subList((int) from, log.size())));
-        w.toldTo = version();
-        if (due(cutShort, w.proxy())) {
-            watches.remove(w);
-            world.queue.after(way(w), () -> w.cutShort(news));
+        News news = from < 0 || version() - from > 2L * listed.size() + 16
+                ? fullList()
+                : new News(version(), false, List.copyOf(changes.subList((int) from, changes.size())));
+        watcher.toldTo = version();
+        if (consume(remainingTruncations, watcher.proxy())) {
+            watches.remove(watcher);
+            world.queue.after(delayTo(watcher), () -> watcher.cutShort(news));
             return;
         }
-        if (due(pauses, w.proxy())) {
-            long beginsIn = way(w);
-            w.pausing = true;
-            world.queue.after(beginsIn, () -> w.begins(news));
-            world.queue.after(beginsIn + (long) pause.draw(chance::between), () -> goesOn(w, news));
+        if (consume(remainingPauses, watcher.proxy())) {
+            long beginsIn = delayTo(watcher);
+            watcher.pausing = true;
+            world.queue.after(beginsIn, () -> watcher.begins(news));
+            world.queue.after(beginsIn + (long) pauseRange.draw(chance::between), () -> resumeList(watcher, news));
             return;
         }
-        Runnable delivery = () -> w.hear(news);
+        Runnable delivery = () -> watcher.hear(news);
         if (shuffle > 0) {
-            shuffled.add(delivery);
-            if (shuffled.size() >= shuffle) {
+            shuffledDeliveries.add(delivery);
+            if (shuffledDeliveries.size() >= shuffle) {
                 deliverShuffled();
             }
         } else {
-            world.queue.after(way(w), delivery);
+            world.queue.after(delayTo(watcher), delivery);
         }
     }
 
     /** Sends the rest of a list that had stopped halfway, and then later changes. */
-    private void goesOn(Watcher w, News news) {
-        w.pausing = false;
-        if (!w.over()) {
-            w.hear(news);
-            tell(w);
+    private void resumeList(Watcher watcher, News news) {
+        watcher.pausing = false;
+        if (!watcher.over()) {
+            watcher.hear(news);
+            sendUpdate(watcher);
         }
     }
 
-    private long way(Watcher w) {
-        return world.network.delay(w.zone(), 0) + (long) late.draw(chance::between);
+    private long delayTo(Watcher watcher) {
+        return world.network.delay(watcher.zone(), 0) + (long) late.draw(chance::between);
     }
 
     private void deliverShuffled() {
-        for (int i = shuffled.size() - 1; i > 0; i--) {
-            Collections.swap(shuffled, i, chance.below(i + 1));
+        for (int i = shuffledDeliveries.size() - 1; i > 0; i--) {
+            Collections.swap(shuffledDeliveries, i, chance.below(i + 1));
         }
-        shuffled.forEach(Runnable::run);
-        shuffled.clear();
+        shuffledDeliveries.forEach(Runnable::run);
+        shuffledDeliveries.clear();
     }
 
     /** Adds load from other callers, in calls per second; queued callers do not give up. */
@@ -202,31 +203,31 @@
         boolean begins = crowd == 0 && perSecond > 0;
         crowd = perSecond;
         if (begins) {
-            crowdCalls();
+            scheduleOtherCall();
         }
     }
 
-    private void crowdCalls() {
+    private void scheduleOtherCall() {
         if (crowd > 0) {
             if (busyUntil - world.queue.now() <= spec.timeoutUs()) {
                 busyUntil = Math.max(busyUntil, world.queue.now()) + spec.callUs();
             }
-            world.queue.after((long) chance.exponential(1e6 / crowd), this::crowdCalls);
+            world.queue.after((long) chance.exponential(1e6 / crowd), this::scheduleOtherCall);
         }
     }
 
     /** Processes a discovery call that opens a watch. */
-    void call(Watcher w) {
+    void call(Watcher watcher) {
         calls++;
         long now = world.queue.now();
-        if (down || due(refusals, w.proxy())) {
+        if (down || consume(remainingRefusals, watcher.proxy())) {
             failedCalls++;
-            w.unreachable = down;
-            w.reset = down;
-            world.queue.after(world.network.delay(w.zone(), 0), w::fail);
+            watcher.unreachable = down;
+            watcher.reset = down;
+            world.queue.after(world.network.delay(watcher.zone(), 0), watcher::fail);
             return;
         }
-        if (silent || cut.contains(w.proxy())) {
+        if (silent || cut.contains(watcher.proxy())) {
             failedCalls++;
             return;
         }
@@ -234,93 +235,93 @@
         busyUntil = Math.max(busyUntil, now);
         if (busyUntil - now > spec.timeoutUs()) {
             failedCalls++;
-            world.queue.after(world.network.delay(w.zone(), 0), w::fail);
+            world.queue.after(world.network.delay(watcher.zone(), 0), watcher::fail);
             return;
         }
         // A call that has begun takes its processing time even if the caller has given up.
         busyUntil += cost;
         if (busyUntil - now > spec.timeoutUs()) {
             failedCalls++;
-            world.queue.after(spec.timeoutUs(), w::fail);
+            world.queue.after(spec.timeoutUs(), watcher::fail);
             return;
         }
-        world.queue.after(busyUntil - now + way(w), () -> {
+        world.queue.after(busyUntil - now + delayTo(watcher), () -> {
             if (down) {
-                w.fail();
-            } else if (!silent && !w.over() && !cut.contains(w.proxy())) {
-                watches.add(w);
-                w.begin();
-                if (w.toldTo >= version()) {
+                watcher.fail();
+            } else if (!silent && !watcher.over() && !cut.contains(watcher.proxy())) {
+                watches.add(watcher);
+                watcher.begin();
+                if (watcher.toldTo >= version()) {
                     // Nothing changed since the caller's version, so the response is an empty delta.
-                    w.hear(new News(version(), false, List.of()));
+                    watcher.hear(new News(version(), false, List.of()));
                 } else {
-                    tell(w);
+                    sendUpdate(watcher);
                 }
             }
         });
     }
 
-    void leave(Watcher w) {
-        watches.remove(w);
+    void leave(Watcher watcher) {
+        watches.remove(watcher);
     }
 
     /** Consumes one remaining fault of a client proxy; false if none is left. */
-    private static boolean due(Map<Integer, Integer> left, int proxy) {
-        int n = left.getOrDefault(proxy, 0);
-        if (n > 0) {
-            left.put(proxy, n - 1);
+    private static boolean consume(Map<Integer, Integer> remaining, int proxy) {
+        int count = remaining.getOrDefault(proxy, 0);
+        if (count > 0) {
+            remaining.put(proxy, count - 1);
         }
-        return n > 0;
+        return count > 0;
     }
 
-    private void setForAll(Map<Integer, Integer> left, int each) {
+    private void setForAll(Map<Integer, Integer> remaining, int each) {
         for (int i = 0; i < world.scenario.proxies().count(); i++) {
-            left.put(i, each);
+            remaining.put(i, each);
         }
     }
 
     /** Refuses the next {@code each} calls of each client proxy at once. */
     void refuseCalls(int each) {
-        setForAll(refusals, each);
+        setForAll(remainingRefusals, each);
     }
 
     /** Truncates the next {@code each} lists to each client proxy and ends the watch with them. */
     void cutLists(int each) {
-        setForAll(cutShort, each);
+        setForAll(remainingTruncations, each);
     }
 
     /** Stops the next {@code each} lists to each client proxy halfway for a drawn time, then sends the rest. */
     void pauseLists(int each, Range forUs) {
-        pause = forUs;
-        setForAll(pauses, each);
+        pauseRange = forUs;
+        setForAll(remainingPauses, each);
     }
 
     /** Ends each client proxy's watch instead of sending an update, for its next {@code each} updates. */
     void endInsteadOfTelling(int each) {
-        setForAll(endings, each);
+        setForAll(remainingEndings, each);
     }
 
     /** Sets whether discovery is down: watches end and calls fail. */
-    void down(boolean on) {
-        down = on;
-        world.audit.deadlines().reachable(!down && !silent, world.queue.now());
-        if (on) {
+    void down(boolean isDown) {
+        down = isDown;
+        world.audit.deadlines().discoveryReachable(!down && !silent, world.queue.now());
+        if (isDown) {
             watchesEnd();
         }
     }
 
     /** Resets all open watches; new calls are answered as before. */
     void watchesEnd() {
-        for (Watcher w : List.copyOf(watches)) {
-            w.reset = true;
-            world.queue.after(world.network.delay(w.zone(), 0), w::fail);
+        for (Watcher watcher : List.copyOf(watches)) {
+            watcher.reset = true;
+            world.queue.after(world.network.delay(watcher.zone(), 0), watcher::fail);
         }
         watches.clear();
     }
 
     /** Stops sending on all open watches without closing them; new calls are answered as before. */
     void watchesFallSilent() {
-        List.copyOf(watches).forEach(w -> silent(w, true));
+        List.copyOf(watches).forEach(watcher -> silent(watcher, true));
         watches.clear();
     }
 
@@ -330,26 +331,29 @@
      */
     void silent(boolean on) {
         silent = on;
-        world.audit.deadlines().reachable(!down && !silent, world.queue.now());
-        List.copyOf(watches).forEach(w -> silent(w, on));
+        world.audit.deadlines().discoveryReachable(!down && !silent, world.queue.now());
+        List.copyOf(watches).forEach(watcher -> silent(watcher, on));
     }
 
-    private void silent(Watcher w, boolean on) {
+    private void silent(Watcher watcher, boolean on) {
         if (on) {
-            world.audit.deadlines().silent(w.proxy(), world.queue.now());
-            w.silence((long) (HEARTBEAT_US * chance.unit()));
+            world.audit.deadlines().watchUnresponsive(watcher.proxy(), world.queue.now());
+            watcher.silence((long) (HEARTBEAT_US * chance.unit()));
         } else {
-            world.audit.watching(w.proxy());
-            w.begin();
-            tell(w);
+            world.audit.watching(watcher.proxy());
+            watcher.begin();
+            sendUpdate(watcher);
         }
     }
 
     /** Partitions one client proxy from discovery: its watch gets no data and its calls get no response. */
     void cut(int proxy, boolean on) {
         if (on ? cut.add(proxy) : cut.remove(proxy)) {
-            world.audit.deadlines().reaches(proxy, !on, world.queue.now());
-            watches.stream().filter(w -> w.proxy() == proxy).toList().forEach(w -> silent(w, on));
+            world.audit.deadlines().proxyConnected(proxy, !on, world.queue.now());
+            watches.stream()
+                    .filter(watcher -> watcher.proxy() == proxy)
+                    .toList()
+                    .forEach(watcher -> silent(watcher, on));
         }
     }
 
--- a/src/main/java/mulleinfront/emulator/ServerModel.java
+++ b/src/main/java/mulleinfront/emulator/ServerModel.java
@@ -22,11 +22,11 @@
  */
 public final class ServerModel {
     /** Interval at which continuously changing state (warmth, mean load) is re-evaluated. */
-    private static final long LOOK_US = 50_000;
+    private static final long RECHECK_US = 50_000;
     /** Fraction of a request's work needed to recognise a repeat and return the stored response. */
-    private static final double REPEAT_WORK = 0.05;
+    private static final double REPEAT_WORK_FRACTION = 0.05;
     /** Number of stored effects above which expired ones are removed. */
-    private static final int MANY_KEPT = 1024;
+    private static final int MIN_EFFECTS_TO_EXPIRE = 1024;
 
     /** The result of a request at the server. */
     public enum End {
@@ -48,55 +48,55 @@
      * @param cores number of cores
      * @param speed work that a core does per microsecond
      * @param slots maximum number of requests that run at once
-     * @param room queue capacity; requests beyond it are rejected
+     * @param queueCapacity maximum number of queued requests; requests beyond it are rejected
      * @param mostConnections maximum number of open connections
      * @param handshakeWork work that a new connection adds to its first request
      * @param idleCloseUs idle time after which the server closes a connection
-     * @param errors probability that a response is an error
+     * @param errorProbability probability that a response is an error
      * @param reportEveryUs age at which the load report is renewed
      * @param probeWork work of a probe
-     * @param mostProbes maximum number of concurrent probes
+     * @param maxProbes maximum number of concurrent probes
      * @param deepProbes whether probes are queued and served like requests
-     * @param coldFrom fraction of the capacity at the start, in (0, 1]
-     * @param coldForUs time from the start to the full capacity; 0: warm at once
-     * @param coldWork work from the start to the full capacity; above 0 the server warms up by work, not by time
+     * @param coldFraction fraction of the capacity at the start, in (0, 1]
+     * @param warmUpUs time from the start to the full capacity; 0: warm at once
+     * @param warmUpWork work from the start to the full capacity; above 0 the server warms up by work, not by time
      * @param pauseEveryUs mean time between pauses; 0: none
      * @param pauseUs shortest and longest pause
-     * @param crowdAt requests in flight per core above which efficiency falls; 0: never
-     * @param crowdLoss fraction of the efficiency that is lost at twice that number, which is also the maximum loss
-     * @param linger parameters of a metastable slowdown after overload; null: none
-     * @param stops which cancelled requests the server stops working on
+     * @param overloadAt requests in flight per core above which efficiency falls; 0: never
+     * @param overloadLoss fraction of the efficiency that is lost at twice that number, which is also the maximum loss
+     * @param slowdown parameters of a metastable slowdown after overload; null: none
+     * @param cancelPolicy which cancelled requests the server stops working on
      * @param dropsExpired whether a request that has expired when it leaves the queue is rejected
-     * @param keyMemoryUs how long the server caches a key; 0: no cache
+     * @param keyCacheUs how long the server caches a key; 0: no cache
      * @param keySaving fraction of the work that a cached key saves
-     * @param keysKept maximum number of cached keys
+     * @param maxCachedKeys maximum number of cached keys
      */
     public record Machine(
             int cores,
             double speed,
             int slots,
-            int room,
+            int queueCapacity,
             int mostConnections,
             double handshakeWork,
             long idleCloseUs,
-            double errors,
+            double errorProbability,
             long reportEveryUs,
             double probeWork,
-            int mostProbes,
+            int maxProbes,
             boolean deepProbes,
-            double coldFrom,
-            long coldForUs,
-            double coldWork,
+            double coldFraction,
+            long warmUpUs,
+            double warmUpWork,
             long pauseEveryUs,
             Range pauseUs,
-            double crowdAt,
-            double crowdLoss,
-            Linger linger,
-            Stops stops,
+            double overloadAt,
+            double overloadLoss,
+            Linger slowdown,
+            Stops cancelPolicy,
             boolean dropsExpired,
-            long keyMemoryUs,
+            long keyCacheUs,
             double keySaving,
-            int keysKept) {
+            int maxCachedKeys) {
         /** Work that the server can do per microsecond when warm and undisturbed. */
         public double capacity() {
             return cores * speed;
@@ -106,15 +106,21 @@
     /**
      * A metastable slowdown: the server stays slow after the overload that caused it has ended.
      *
-     * @param at it begins when the mean number of requests in flight over {@code afterUs} exceeds cores + at *
-     *     sqrt(cores)
-     * @param afterUs time constant of that mean
-     * @param slower factor by which the server is then slower
-     * @param below it ends when the mean core utilisation is below this fraction
-     * @param restUs time constant of the mean utilisation
-     * @param mostUs longest duration of the slowdown
+     * @param beginsAt it begins when the mean number of requests in flight over {@code loadMeanUs} exceeds
+     *     cores + beginsAt * sqrt(cores)
+     * @param loadMeanUs time constant of that mean
+     * @param factor factor by which the server is then slower
+     * @param endUtilisation it ends when the mean core utilisation is below this fraction
+     * @param utilisationMeanUs time constant of the mean utilisation
+     * @param maxUs longest duration of the slowdown
      */
-    public record Linger(double at, long afterUs, double slower, double below, long restUs, long mostUs) {}
+    public record Linger(
+            double beginsAt,
+            long loadMeanUs,
+            double factor,
+            double endUtilisation,
+            long utilisationMeanUs,
+            long maxUs) {}
 
     /** A request at the server. */
     public static final class Job {
@@ -124,10 +130,10 @@
         final String effect;
         final long windowUs;
         final long expiresAt;
-        final Done done;
+        final EndListener done;
         private long offeredAt;
-        private double mark;
-        private double share;
+        private double endMark;
+        private double chargedWork;
         private int state;
 
         /**
@@ -139,7 +145,14 @@
          * @param expiresAt when the caller stops waiting
          * @param done called once with the result, unless the request was cancelled or the process died
          */
-        public Job(String requestId, double work, String key, String effect, long windowUs, long expiresAt, Done done) {
+        public Job(
+                String requestId,
+                double work,
+                String key,
+                String effect,
+                long windowUs,
+                long expiresAt,
+                EndListener done) {
             this.requestId = requestId;
             this.work = work;
             this.key = key;
@@ -156,13 +169,13 @@
     private static final int OVER = 3;
 
     /** Receives the result of a request or probe. */
-    public interface Done {
+    public interface EndListener {
         /** Called with the result; {@code inflight} is the load report, which may be slightly out of date. */
         void done(End end, int inflight);
     }
 
     /** Called with each effect when its request begins to run. */
-    public interface Effects {
+    public interface EffectListener {
         /**
          * Called when a job begins; {@code dropped} if its deduplication group knew the effect, so that the server
          * did not apply it again.
@@ -172,25 +185,25 @@
 
     /** Expiry times of the effects known to a deduplication group. */
     public static final class Group {
-        private final Map<String, Long> knownUntil = new LinkedHashMap<>();
+        private final Map<String, Long> expiryByEffect = new LinkedHashMap<>();
 
-        private boolean knows(Job job, long now) {
+        private boolean checkRepeat(Job job, long now) {
             if (job.windowUs == 0 || job.effect == null) {
                 return false;
             }
-            if (knownUntil.size() > MANY_KEPT) {
+            if (expiryByEffect.size() > MIN_EFFECTS_TO_EXPIRE) {
                 // Effects are in the order in which they ran, so the first unexpired one ends the search.
-                var oldest = knownUntil.values().iterator();
+                var oldest = expiryByEffect.values().iterator();
                 while (oldest.hasNext() && now > oldest.next()) {
                     oldest.remove();
                 }
             }
-            Long until = knownUntil.get(job.effect);
-            if (until != null && now <= until) {
+            Long expiry = expiryByEffect.get(job.effect);
+            if (expiry != null && now <= expiry) {
                 return true;
             }
-            knownUntil.remove(job.effect);
-            knownUntil.put(job.effect, now + job.windowUs);
+            expiryByEffect.remove(job.effect);
+            expiryByEffect.put(job.effect, now + job.windowUs);
             return false;
         }
     }
@@ -221,29 +234,29 @@
         public double heldSumUs;
 
         /** Adds the counters of another process of the same server. */
-        public void add(Figures o) {
-            offered += o.offered;
-            begun += o.begun;
-            served += o.served;
-            errors += o.errors;
-            turnedAway += o.turnedAway;
-            expired += o.expired;
-            cancelled += o.cancelled;
-            repeatsDropped += o.repeatsDropped;
-            keyHits += o.keyHits;
-            probes += o.probes;
-            handshakes += o.handshakes;
-            connectionsRefused += o.connectionsRefused;
-            mostConnections = Math.max(mostConnections, o.mostConnections);
-            mostHeld = Math.max(mostHeld, o.mostHeld);
-            pausedUs += o.pausedUs;
-            lingeredUs += o.lingeredUs;
-            fell |= o.fell;
-            workDone += o.workDone;
-            workWasted += o.workWasted;
-            waitSumUs += o.waitSumUs;
-            busyCoreUs += o.busyCoreUs;
-            heldSumUs += o.heldSumUs;
+        public void add(Figures other) {
+            offered += other.offered;
+            begun += other.begun;
+            served += other.served;
+            errors += other.errors;
+            turnedAway += other.turnedAway;
+            expired += other.expired;
+            cancelled += other.cancelled;
+            repeatsDropped += other.repeatsDropped;
+            keyHits += other.keyHits;
+            probes += other.probes;
+            handshakes += other.handshakes;
+            connectionsRefused += other.connectionsRefused;
+            mostConnections = Math.max(mostConnections, other.mostConnections);
+            mostHeld = Math.max(mostHeld, other.mostHeld);
+            pausedUs += other.pausedUs;
+            lingeredUs += other.lingeredUs;
+            fell |= other.fell;
+            workDone += other.workDone;
+            workWasted += other.workWasted;
+            waitSumUs += other.waitSumUs;
+            busyCoreUs += other.busyCoreUs;
+            heldSumUs += other.heldSumUs;
         }
     }
 
@@ -251,37 +264,37 @@
     private final Time time;
     private final Chance chance;
     private final Group group;
-    private final Effects effects;
+    private final EffectListener effects;
     private final Figures figures = new Figures();
     private final long startedAt;
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final PriorityQueue<Job> running =
-            new PriorityQueue<>(Comparator.comparingDouble((Job j) -> j.mark).thenComparing(j -> j.requestId));
-    private final LinkedHashMap<String, Long> keys = new LinkedHashMap<>();
+            new PriorityQueue<>(Comparator.comparingDouble((Job j) -> j.endMark).thenComparing(j -> j.requestId));
+    private final LinkedHashMap<String, Long> keyLastUsed = new LinkedHashMap<>();
     private int held;
     private int connections;
     private int probes;
     private double attained;
     private double rate;
-    private long at;
-    private Time.Timer next;
-    private long nextAt;
-    private Time.Timer look;
+    private long advancedAt;
+    private Time.Timer nextEnd;
+    private long nextEndAt;
+    private Time.Timer recheck;
     private boolean stopped;
     private boolean draining;
     private boolean hung;
     private boolean cold;
     private int pauses;
     private double slow = 1;
-    private double taken;
+    private double neighbourShare;
     private double errors;
-    private double debt;
-    private double warmed;
+    private double pendingProbeWork;
+    private double workSinceStart;
     private boolean lingering;
-    private long lingeringSince;
-    private double heldMean;
-    private double busyMean = 1;
-    private int report;
+    private long slowdownSince;
+    private double inFlightMean;
+    private double utilisationMean = 1;
+    private int reportedInFlight;
     private long reportedAt = Long.MIN_VALUE / 2;
 
     /**
@@ -289,20 +302,21 @@
      *
      * @param startsCold whether the process has just been started; otherwise it counts as long running
      */
-    public ServerModel(Machine machine, Time time, Chance chance, Group group, Effects effects, boolean startsCold) {
-        this.machine = machine;
+    public ServerModel(
+            Machine spec, Time time, Chance chance, Group group, EffectListener effects, boolean startsCold) {
+        this.machine = spec;
         this.time = time;
         this.chance = chance;
         this.group = group;
         this.effects = effects;
-        this.errors = machine.errors();
-        this.at = time.now();
-        this.startedAt = at;
-        this.cold = startsCold && machine.coldFrom() < 1 && (machine.coldForUs() > 0 || machine.coldWork() > 0);
-        if (machine.pauseEveryUs() > 0) {
+        this.errors = spec.errorProbability();
+        this.advancedAt = time.now();
+        this.startedAt = advancedAt;
+        this.cold = startsCold && spec.coldFraction() < 1 && (spec.warmUpUs() > 0 || spec.warmUpWork() > 0);
+        if (spec.pauseEveryUs() > 0) {
             schedulePause();
         }
-        watch();
+        scheduleRecheck();
     }
 
     public Machine machine() {
@@ -332,10 +346,10 @@
         if (!cold) {
             return 1;
         }
-        double part = machine.coldWork() > 0
-                ? warmed / machine.coldWork()
-                : (double) (time.now() - startedAt) / machine.coldForUs();
-        return Math.min(1, machine.coldFrom() + (1 - machine.coldFrom()) * part);
+        double part = machine.warmUpWork() > 0
+                ? workSinceStart / machine.warmUpWork()
+                : (double) (time.now() - startedAt) / machine.warmUpUs();
+        return Math.min(1, machine.coldFraction() + (1 - machine.coldFraction()) * part);
     }
 
     /** Remaining work of the requests in flight, without the savings of the key cache. */
@@ -343,7 +357,7 @@
         advance();
         double ahead = 0;
         for (Job job : running) {
-            ahead += job.mark - attained;
+            ahead += job.endMark - attained;
         }
         for (Job job : waiting) {
             ahead += job.work;
@@ -358,23 +372,23 @@
                 : machine.speed()
                         * warmth()
                         * efficiency()
-                        * (1 - taken)
+                        * (1 - neighbourShare)
                         / slow
-                        / (lingering ? machine.linger().slower() : 1);
+                        / (lingering ? machine.slowdown().factor() : 1);
     }
 
     /** Fraction of a request's work that remains if its key is cached; 1 if it is not cached. */
     double workLeftOf(String key) {
-        Long last = key == null || machine.keyMemoryUs() == 0 ? null : keys.get(key);
-        return last != null && time.now() - last <= machine.keyMemoryUs() ? 1 - machine.keySaving() : 1;
+        Long last = key == null || machine.keyCacheUs() == 0 ? null : keyLastUsed.get(key);
+        return last != null && time.now() - last <= machine.keyCacheUs() ? 1 - machine.keySaving() : 1;
     }
 
     /**
      * Whether the server is faulty apart from load and cold start: it hangs, is slowed down, has a noisy neighbour,
      * or returns additional errors.
      */
-    boolean troubled() {
-        return hung || slow > 1 || taken > 0 || lingering || errors > machine.errors();
+    boolean faulty() {
+        return hung || slow > 1 || neighbourShare > 0 || lingering || errors > machine.errorProbability();
     }
 
     boolean hung() {
@@ -405,9 +419,9 @@
     }
 
     /** Runs a probe. A shallow probe bypasses the queue and shows little more than that the process runs. */
-    public void probe(Done done) {
+    public void probe(EndListener done) {
         figures.probes++;
-        if (probes >= machine.mostProbes() || draining) {
+        if (probes >= machine.maxProbes() || draining) {
             done.done(End.NOT_RUN, held);
             return;
         }
@@ -418,7 +432,7 @@
                 done.done(end, inflight);
             }));
         } else if (!hung) {
-            debt += running.isEmpty() ? 0 : machine.probeWork();
+            pendingProbeWork += running.isEmpty() ? 0 : machine.probeWork();
             done.done(End.SERVED, held);
         }
     }
@@ -432,11 +446,11 @@
         }
         figures.offered++;
         job.offeredAt = time.now();
-        boolean full = running.size() >= machine.slots() && waiting.size() >= machine.room();
+        boolean full = running.size() >= machine.slots() && waiting.size() >= machine.queueCapacity();
         if (draining || full && !hung) {
             figures.turnedAway++;
             job.state = OVER;
-            job.done.done(End.NOT_RUN, inflight());
+            job.done.done(End.NOT_RUN, loadReport());
             return;
         }
         advance();
@@ -444,8 +458,8 @@
         figures.mostHeld = Math.max(figures.mostHeld, held);
         job.state = WAITING;
         waiting.add(job);
-        fill();
-        settle();
+        startQueued();
+        reschedule();
     }
 
     /** Cancels a request that its caller no longer waits for; unknown or ended requests are ignored. */
@@ -453,8 +467,8 @@
         if (stopped
                 || job.state == NEW
                 || job.state == OVER
-                || machine.stops() == Stops.NONE
-                || job.state == RUNNING && machine.stops() == Stops.QUEUED) {
+                || machine.cancelPolicy() == Stops.NONE
+                || job.state == RUNNING && machine.cancelPolicy() == Stops.QUEUED) {
             return;
         }
         advance();
@@ -462,23 +476,23 @@
             waiting.remove(job);
         } else {
             running.remove(job);
-            figures.workWasted += job.share - (job.mark - attained);
+            figures.workWasted += job.chargedWork - (job.endMark - attained);
         }
         job.state = OVER;
         held--;
         figures.cancelled++;
-        fill();
-        settle();
+        startQueued();
+        reschedule();
     }
 
-    private void fill() {
+    private void startQueued() {
         while (running.size() < machine.slots() && !waiting.isEmpty() && !hung) {
             Job job = waiting.poll();
             if (machine.dropsExpired() && time.now() >= job.expiresAt) {
                 job.state = OVER;
                 held--;
                 figures.expired++;
-                job.done.done(End.NOT_RUN, inflight());
+                job.done.done(End.NOT_RUN, loadReport());
                 continue;
             }
             begin(job);
@@ -486,63 +500,64 @@
     }
 
     private void begin(Job job) {
-        boolean dropped = group != null && group.knows(job, time.now());
-        job.share = (dropped ? REPEAT_WORK : remembers(job.key) ? 1 - machine.keySaving() : 1) * job.work + debt;
-        debt = 0;
-        job.mark = attained + job.share;
+        boolean repeat = group != null && group.checkRepeat(job, time.now());
+        job.chargedWork = (repeat ? REPEAT_WORK_FRACTION : useKey(job.key) ? 1 - machine.keySaving() : 1) * job.work
+                + pendingProbeWork;
+        pendingProbeWork = 0;
+        job.endMark = attained + job.chargedWork;
         job.state = RUNNING;
         running.add(job);
         figures.begun++;
         figures.waitSumUs += time.now() - job.offeredAt;
-        figures.repeatsDropped += dropped ? 1 : 0;
-        effects.ran(job, dropped);
+        figures.repeatsDropped += repeat ? 1 : 0;
+        effects.ran(job, repeat);
     }
 
-    private boolean remembers(String key) {
-        if (key == null || machine.keyMemoryUs() == 0) {
+    private boolean useKey(String key) {
+        if (key == null || machine.keyCacheUs() == 0) {
             return false;
         }
-        Long last = keys.remove(key);
-        keys.put(key, time.now());
-        if (keys.size() > machine.keysKept()) {
-            keys.remove(keys.keySet().iterator().next());
+        Long last = keyLastUsed.remove(key);
+        keyLastUsed.put(key, time.now());
+        if (keyLastUsed.size() > machine.maxCachedKeys()) {
+            keyLastUsed.remove(keyLastUsed.keySet().iterator().next());
         }
-        boolean known = last != null && time.now() - last <= machine.keyMemoryUs();
+        boolean known = last != null && time.now() - last <= machine.keyCacheUs();
         figures.keyHits += known ? 1 : 0;
         return known;
     }
 
-    private int inflight() {
+    private int loadReport() {
         if (time.now() - reportedAt >= machine.reportEveryUs()) {
             reportedAt = time.now();
-            report = held;
+            reportedInFlight = held;
         }
-        return report;
+        return reportedInFlight;
     }
 
     // ---- faults ----------------------------------------------------------------------------------------
 
     /** Slows the server down by this factor; 1 ends the fault. */
     public void slow(double factor) {
-        change(() -> slow = factor);
+        applyChange(() -> slow = factor);
     }
 
     /** A noisy neighbour takes this fraction of the machine; 0 ends the fault. */
     public void neighbour(double part) {
-        change(() -> taken = part);
+        applyChange(() -> neighbourShare = part);
     }
 
     /** While on, the server accepts requests and answers none. */
     public void hang(boolean on) {
-        change(() -> {
+        applyChange(() -> {
             hung = on;
-            fill();
+            startQueued();
         });
     }
 
     /** Sets the probability of an error response; the failed requests have run. */
     public void errors(double probability) {
-        errors = Math.max(machine.errors(), probability);
+        errors = Math.max(machine.errorProbability(), probability);
     }
 
     /** Starts a drain: the server finishes the accepted requests and rejects new ones. */
@@ -551,10 +566,10 @@
     }
 
     /** Pauses the process. */
-    public void pause(long us) {
-        change(() -> pauses++);
-        figures.pausedUs += us;
-        time.after(us, () -> change(() -> pauses--));
+    public void pause(long durationUs) {
+        applyChange(() -> pauses++);
+        figures.pausedUs += durationUs;
+        time.after(durationUs, () -> applyChange(() -> pauses--));
     }
 
     /** Crashes the process from overload while cold. */
@@ -568,8 +583,8 @@
         advance();
         stopped = true;
         rate = 0;
-        cancel(next);
-        cancel(look);
+        cancel(nextEnd);
+        cancel(recheck);
         waiting.clear();
         running.clear();
         held = 0;
@@ -581,11 +596,11 @@
         }
     }
 
-    private void change(Runnable what) {
+    private void applyChange(Runnable change) {
         if (!stopped) {
             advance();
-            what.run();
-            settle();
+            change.run();
+            reschedule();
         }
     }
 
@@ -603,106 +618,108 @@
     /** Advances all counters to the current time, at the rate since the last change. */
     private void advance() {
         long now = time.now();
-        double passed = now - at;
-        if (passed > 0 && !stopped) {
-            double done = rate * passed;
+        double elapsed = now - advancedAt;
+        if (elapsed > 0 && !stopped) {
+            double done = rate * elapsed;
             attained += done;
-            double all = done * running.size();
-            figures.workDone += all;
-            warmed += all;
-            figures.busyCoreUs += passed * Math.min(running.size(), machine.cores());
-            figures.heldSumUs += passed * held;
-            figures.lingeredUs += lingering ? passed : 0;
-            if (machine.linger() != null) {
-                heldMean = toward(heldMean, held, passed, machine.linger().afterUs());
+            double doneByAll = done * running.size();
+            figures.workDone += doneByAll;
+            workSinceStart += doneByAll;
+            figures.busyCoreUs += elapsed * Math.min(running.size(), machine.cores());
+            figures.heldSumUs += elapsed * held;
+            figures.lingeredUs += lingering ? elapsed : 0;
+            if (machine.slowdown() != null) {
+                inFlightMean = exponentialMean(
+                        inFlightMean, held, elapsed, machine.slowdown().loadMeanUs());
                 double busy = Math.min(1.0, (double) running.size() / machine.cores());
-                busyMean = toward(busyMean, busy, passed, machine.linger().restUs());
+                utilisationMean = exponentialMean(
+                        utilisationMean, busy, elapsed, machine.slowdown().utilisationMeanUs());
             }
         }
-        at = now;
+        advancedAt = now;
     }
 
-    private static double toward(double mean, double value, double passed, double over) {
-        return value + (mean - value) * StrictMath.exp(-passed / over);
+    private static double exponentialMean(double mean, double value, double elapsed, double timeConstant) {
+        return value + (mean - value) * StrictMath.exp(-elapsed / timeConstant);
     }
 
     /** Sets the current rate and schedules the end of the next request by it. */
-    private void settle() {
-        double all = coreSpeed();
-        rate = running.isEmpty() ? 0 : all * Math.min(1.0, (double) machine.cores() / running.size());
+    private void reschedule() {
+        double speed = coreSpeed();
+        rate = running.isEmpty() ? 0 : speed * Math.min(1.0, (double) machine.cores() / running.size());
         if (rate > 0) {
-            double left = Math.max(0, running.peek().mark - attained) / rate;
-            long endsAt = at + (long) Math.ceil(Math.min(left, 1e15));
+            double remainingUs = Math.max(0, running.peek().endMark - attained) / rate;
+            long endsAt = advancedAt + (long) Math.ceil(Math.min(remainingUs, 1e15));
             // Most arrivals change neither the rate nor the next request to end; a difference of one microsecond is
             // rounding.
-            if (next == null || Math.abs(endsAt - nextAt) > 1) {
-                cancel(next);
-                nextAt = endsAt;
-                next = time.after(endsAt - at, this::ended);
+            if (nextEnd == null || Math.abs(endsAt - nextEndAt) > 1) {
+                cancel(nextEnd);
+                nextEndAt = endsAt;
+                nextEnd = time.after(endsAt - advancedAt, this::endDue);
             }
         } else {
-            cancel(next);
-            next = null;
+            cancel(nextEnd);
+            nextEnd = null;
         }
-        watch();
+        scheduleRecheck();
     }
 
     private double efficiency() {
-        double bearable = machine.crowdAt() * machine.cores();
-        if (bearable == 0 || held <= bearable) {
+        double threshold = machine.overloadAt() * machine.cores();
+        if (threshold == 0 || held <= threshold) {
             return 1;
         }
-        return 1 - machine.crowdLoss() * Math.min(1, (held - bearable) / bearable);
+        return 1 - machine.overloadLoss() * Math.min(1, (held - threshold) / threshold);
     }
 
-    private void ended() {
-        next = null;
+    private void endDue() {
+        nextEnd = null;
         advance();
         // Rounding to microseconds may leave a tiny remainder of work; requests within 1e-6 of their end have ended.
         double reached = attained + 1e-6;
-        while (!running.isEmpty() && running.peek().mark <= reached) {
+        while (!running.isEmpty() && running.peek().endMark <= reached) {
             Job job = running.poll();
             job.state = OVER;
             held--;
             boolean error = chance.happens(errors);
             figures.served += error ? 0 : 1;
             figures.errors += error ? 1 : 0;
-            figures.workWasted += error ? job.share : 0;
-            job.done.done(error ? End.ERROR : End.SERVED, inflight());
+            figures.workWasted += error ? job.chargedWork : 0;
+            job.done.done(error ? End.ERROR : End.SERVED, loadReport());
             if (stopped) {
                 return;
             }
         }
-        fill();
-        settle();
+        startQueued();
+        reschedule();
     }
 
     /** Schedules the next re-evaluation while any state changes with time. */
-    private void watch() {
-        boolean crowdedLately = machine.linger() != null && (lingering || held > 0 || heldMean > 0.5);
-        if (look == null && !stopped && (cold || crowdedLately)) {
-            look = time.after(LOOK_US, () -> {
-                look = null;
+    private void scheduleRecheck() {
+        boolean recentlyLoaded = machine.slowdown() != null && (lingering || held > 0 || inFlightMean > 0.5);
+        if (recheck == null && !stopped && (cold || recentlyLoaded)) {
+            recheck = time.after(RECHECK_US, () -> {
+                recheck = null;
                 advance();
                 cold = cold && warmth() < 1;
-                linger();
-                settle();
+                updateSlowdown();
+                reschedule();
             });
         }
     }
 
-    private void linger() {
-        Linger l = machine.linger();
-        if (l == null) {
+    private void updateSlowdown() {
+        Linger slowdown = machine.slowdown();
+        if (slowdown == null) {
             return;
         }
         long now = time.now();
         if (lingering) {
-            lingering = now - lingeringSince < l.mostUs() && busyMean >= l.below();
-        } else if (heldMean > machine.cores() + l.at() * Math.sqrt(machine.cores())) {
+            lingering = now - slowdownSince < slowdown.maxUs() && utilisationMean >= slowdown.endUtilisation();
+        } else if (inFlightMean > machine.cores() + slowdown.beginsAt() * Math.sqrt(machine.cores())) {
             lingering = true;
-            lingeringSince = now;
-            busyMean = 1;
+            slowdownSince = now;
+            utilisationMean = 1;
         }
     }
 
--- a/src/main/java/mulleinfront/emulator/Tally.java
+++ b/src/main/java/mulleinfront/emulator/ServiceStatistics.java
@@ -12,7 +12,7 @@
 import mulleinfront.settings.Section;
 
 /** Collects the statistics of a service report during a run. */
-final class Tally {
+final class ServiceStatistics {
     /** Width of the report's windows. */
     static final long WINDOW_US = 5_000_000;
 
@@ -21,15 +21,15 @@
     private final Sum[] classes;
     private final Sum[] tenants;
     private final List<Sum> windows = new ArrayList<>();
-    private final long[] tries = new long[Clients.How.values().length];
+    private final long[] triesByResult = new long[Clients.How.values().length];
     private final long[] outcomes = new long[Outcome.values().length];
-    private final Map<String, List<ServerModel>> lives = new LinkedHashMap<>();
+    private final Map<String, List<ServerModel>> processesByHost = new LinkedHashMap<>();
     private final List<ServiceReport.Happened> happened = new ArrayList<>();
     private double lateWorth;
     private double workOffered;
     private long attempts;
-    private long crossed;
-    private long triesMade;
+    private long crossZoneAttempts;
+    private long tryCount;
     private int mostConnections;
     long probes;
     /**
@@ -39,12 +39,12 @@
     private final Sum restarted = new Sum();
 
     private final Sum stayed = new Sum();
-    private long startsFrom = Long.MAX_VALUE;
-    private long startsTo;
+    private long restartsFrom = Long.MAX_VALUE;
+    private long restartsTo;
     /** Why client proxies left requests unserved, in total and by window. */
-    private final UnservedCounts unserved;
+    private final UnservedCounts requestUnserved;
 
-    private final List<UnservedCounts> unservedIn = new ArrayList<>();
+    private final List<UnservedCounts> unservedByWindow = new ArrayList<>();
 
     /** Value offered and earned, and response times. */
     static final class Sum {
@@ -57,7 +57,7 @@
         private long served;
         private double askedWithin;
         private double earnedWithin;
-        private long[] times = new long[256];
+        private long[] latenciesUs = new long[256];
 
         private void asked(double worth, boolean overShare) {
             count++;
@@ -66,10 +66,10 @@
         }
 
         private void served(double worth, boolean overShare, long us, boolean inTime) {
-            if (served == times.length) {
-                times = Arrays.copyOf(times, 2 * times.length);
+            if (served == latenciesUs.length) {
+                latenciesUs = Arrays.copyOf(latenciesUs, 2 * latenciesUs.length);
             }
-            times[(int) served++] = us;
+            latenciesUs[(int) served++] = us;
             onTime += inTime ? 1 : 0;
             earned += worth;
             earnedWithin += overShare ? 0 : worth;
@@ -84,83 +84,84 @@
         }
 
         private ServiceReport.Part part(String name, double share) {
-            long[] sorted = Arrays.copyOf(times, (int) served);
+            long[] sorted = Arrays.copyOf(latenciesUs, (int) served);
             Arrays.sort(sorted);
-            return new ServiceReport.Part(name, count, onTime, served, share, at(sorted, 0.5), at(sorted, 0.99));
+            return new ServiceReport.Part(
+                    name, count, onTime, served, share, quantile(sorted, 0.5), quantile(sorted, 0.99));
         }
 
-        private static long at(long[] sorted, double quantile) {
-            return sorted.length == 0 ? -1 : sorted[(int) Math.min(sorted.length - 1, quantile * sorted.length)];
+        private static long quantile(long[] sorted, double fraction) {
+            return sorted.length == 0 ? -1 : sorted[(int) Math.min(sorted.length - 1, fraction * sorted.length)];
         }
     }
 
-    Tally(Scenario scenario) {
+    ServiceStatistics(Scenario scenario) {
         this.scenario = scenario;
         this.classes = new Sum[scenario.classes().size()];
         this.tenants = new Sum[scenario.tenants().size()];
         Arrays.setAll(classes, i -> new Sum());
-        this.unserved = refusals();
+        this.requestUnserved = newUnservedCounts();
         Arrays.setAll(tenants, i -> new Sum());
     }
 
     // ---- what happens --------------------------------------------------------------------------------
 
-    void happened(Scenario.Fault f, long now) {
-        String whom = !f.servers().isEmpty()
-                ? " " + String.join(", ", f.servers())
-                : f.proxy() >= 0 ? " " + f.proxy() : f.count() >= 0 ? " x" + f.count() : "";
-        happened.add(new ServiceReport.Happened(now, f.forUs(), Section.form(f.kind()) + whom));
+    void happened(Scenario.Fault fault, long now) {
+        String target = !fault.servers().isEmpty()
+                ? " " + String.join(", ", fault.servers())
+                : fault.proxy() >= 0 ? " " + fault.proxy() : fault.count() >= 0 ? " x" + fault.count() : "";
+        happened.add(new ServiceReport.Happened(now, fault.forUs(), Section.form(fault.kind()) + target));
     }
 
     /** Records the restart of a client proxy. */
-    void startedAgain(long now) {
-        startsFrom = Math.min(startsFrom, now);
-        startsTo = now + UnservedCounts.RECENT_START_US;
+    void proxyRestarted(long now) {
+        restartsFrom = Math.min(restartsFrom, now);
+        restartsTo = now + UnservedCounts.RECENT_START_US;
     }
 
     /** The restart statistics that a request counts for; null: neither. */
-    private Sum startOf(Instance proxy, long now) {
-        if (now < startsFrom || now > startsTo) {
+    private Sum restartStatisticsOf(Instance proxy, long now) {
+        if (now < restartsFrom || now > restartsTo) {
             return null;
         }
         return proxy.starts == 1 ? stayed : now - proxy.readyAt < UnservedCounts.RECENT_START_US ? restarted : null;
     }
 
-    double worth(Clients.Ask a) {
-        return a.type.worth() * (a.overShare ? scenario.overShareWorth() : 1);
+    double worth(Clients.ClientRequest request) {
+        return request.type.worth() * (request.overShare ? scenario.overShareWorth() : 1);
     }
 
-    void asked(Clients.Ask a, Instance proxy) {
-        double worth = worth(a);
-        a.start = proxy.running() ? startOf(proxy, a.bornAt) : null;
-        if (a.start != null) {
-            a.start.asked(worth, a.overShare);
+    void requestArrived(Clients.ClientRequest request, Instance proxy) {
+        double worth = worth(request);
+        request.restartStatistics = proxy.running() ? restartStatisticsOf(proxy, request.arrivedAt) : null;
+        if (request.restartStatistics != null) {
+            request.restartStatistics.asked(worth, request.overShare);
         }
-        whole.asked(worth, a.overShare);
-        classes[a.classIndex].asked(worth, a.overShare);
+        whole.asked(worth, request.overShare);
+        classes[request.classIndex].asked(worth, request.overShare);
         if (tenants.length > 0) {
-            tenants[a.tenant].asked(worth, a.overShare);
+            tenants[request.tenant].asked(worth, request.overShare);
         }
-        window(a.bornAt).asked(worth, a.overShare);
+        window(request.arrivedAt).asked(worth, request.overShare);
     }
 
     private Sum window(long at) {
-        int place = (int) (at / WINDOW_US);
-        while (windows.size() <= place) {
+        int index = (int) (at / WINDOW_US);
+        while (windows.size() <= index) {
             windows.add(new Sum());
         }
-        return windows.get(place);
+        return windows.get(index);
     }
 
-    void tried() {
-        triesMade++;
+    void trySent() {
+        tryCount++;
     }
 
-    void tryEnded(Clients.Ask a, Clients.How how) {
-        tries[how.ordinal()]++;
-        if (a.start != null) {
-            a.start.tries++;
-            a.start.refused += how == Clients.How.REFUSED ? 1 : 0;
+    void tryEnded(Clients.ClientRequest request, Clients.How result) {
+        triesByResult[result.ordinal()]++;
+        if (request.restartStatistics != null) {
+            request.restartStatistics.tries++;
+            request.restartStatistics.refused += result == Clients.How.REFUSED ? 1 : 0;
         }
     }
 
@@ -169,37 +170,37 @@
      *
      * @return the value of the request that was not earned
      */
-    double over(Clients.Ask a, boolean served, long now) {
-        RequestClass type = a.type;
+    double requestEnded(Clients.ClientRequest request, boolean served, long now) {
+        RequestClass type = request.type;
         if (!served) {
-            lateWorth += now > a.aimAt() ? worth(a) : 0;
-            return worth(a);
+            lateWorth += now > request.targetAt() ? worth(request) : 0;
+            return worth(request);
         }
-        boolean inTime = now <= a.aimAt();
-        double worth = worth(a) * (inTime ? 1 : type.lateWorth());
-        long us = now - a.bornAt;
-        whole.served(worth, a.overShare, us, inTime);
-        classes[a.classIndex].served(worth, a.overShare, us, inTime);
+        boolean inTime = now <= request.targetAt();
+        double worth = worth(request) * (inTime ? 1 : type.lateWorth());
+        long us = now - request.arrivedAt;
+        whole.served(worth, request.overShare, us, inTime);
+        classes[request.classIndex].served(worth, request.overShare, us, inTime);
         if (tenants.length > 0) {
-            tenants[a.tenant].served(worth, a.overShare, us, inTime);
+            tenants[request.tenant].served(worth, request.overShare, us, inTime);
         }
-        window(a.bornAt).served(worth, a.overShare, us, inTime);
-        if (a.start != null) {
-            a.start.served(worth, a.overShare, us, inTime);
+        window(request.arrivedAt).served(worth, request.overShare, us, inTime);
+        if (request.restartStatistics != null) {
+            request.restartStatistics.served(worth, request.overShare, us, inTime);
         }
-        return inTime ? 0 : worth(a) - worth;
+        return inTime ? 0 : worth(request) - worth;
     }
 
     void sent(boolean withinZone) {
         attempts++;
-        crossed += withinZone ? 0 : 1;
+        crossZoneAttempts += withinZone ? 0 : 1;
     }
 
     void outcome(Outcome outcome) {
         outcomes[outcome.ordinal()]++;
     }
 
-    void opened(int connections) {
+    void connectionOpened(int connections) {
         mostConnections = Math.max(mostConnections, connections);
     }
 
@@ -207,44 +208,44 @@
         workOffered += work;
     }
 
-    void began(Host host, ServerModel life) {
-        lives.computeIfAbsent(host.id, id -> new ArrayList<>()).add(life);
+    void processStarted(Host host, ServerModel life) {
+        processesByHost.computeIfAbsent(host.id, id -> new ArrayList<>()).add(life);
     }
 
-    private UnservedCounts refusals() {
+    private UnservedCounts newUnservedCounts() {
         return new UnservedCounts(
                 scenario.classes().stream().map(Scenario.ClassSpec::type).toList());
     }
 
-    void unserved(long now, UnservedReason why) {
-        unserved.requestUnserved(now, why);
-        int place = (int) (now / WINDOW_US);
-        while (unservedIn.size() <= place) {
-            unservedIn.add(refusals());
+    void requestUnserved(long now, UnservedReason why) {
+        requestUnserved.requestUnserved(now, why);
+        int index = (int) (now / WINDOW_US);
+        while (unservedByWindow.size() <= index) {
+            unservedByWindow.add(newUnservedCounts());
         }
-        unservedIn.get(place).requestUnserved(now, why);
+        unservedByWindow.get(index).requestUnserved(now, why);
     }
 
     // ---- the report ----------------------------------------------------------------------------------
 
     ServiceReport report(World world) {
-        Scenario.Service s = scenario.service();
+        Scenario.Service spec = scenario.service();
         List<ServiceReport.Server> servers = new ArrayList<>();
         double wasted = 0;
         int lingered = 0;
-        for (Map.Entry<String, List<ServerModel>> e : lives.entrySet()) {
-            ServerModel.Figures f = sum(e.getValue());
-            servers.add(new ServiceReport.Server(e.getKey(), e.getValue().size(), f));
-            wasted += f.workWasted;
-            lingered += f.lingeredUs > 0 ? 1 : 0;
+        for (Map.Entry<String, List<ServerModel>> e : processesByHost.entrySet()) {
+            ServerModel.Figures statistics = sum(e.getValue());
+            servers.add(new ServiceReport.Server(e.getKey(), e.getValue().size(), statistics));
+            wasted += statistics.workWasted;
+            lingered += statistics.lingeredUs > 0 ? 1 : 0;
         }
-        long firsts = Math.max(1, whole.count);
+        long requestCount = Math.max(1, whole.count);
         Map<String, Double> prices = new LinkedHashMap<>();
-        prices.put("waste", s.waste() * Math.min(1, wasted / Math.max(1, workOffered)));
-        prices.put("late-fail", s.lateFail() * lateWorth / Math.max(1e-9, whole.asked));
-        prices.put("probe", s.probe() * probes / firsts);
-        prices.put("cross-zone", s.crossZone() * crossed / firsts);
-        prices.put("linger", s.linger() * lingered / Math.max(1, servers.size()));
+        prices.put("waste", spec.waste() * Math.min(1, wasted / Math.max(1, workOffered)));
+        prices.put("late-fail", spec.lateFail() * lateWorth / Math.max(1e-9, whole.asked));
+        prices.put("probe", spec.probe() * probes / requestCount);
+        prices.put("cross-zone", spec.crossZone() * crossZoneAttempts / requestCount);
+        prices.put("linger", spec.linger() * lingered / Math.max(1, servers.size()));
         double worstClass = Arrays.stream(classes)
                 .filter(c -> c.count > 0)
                 .mapToDouble(Sum::share)
@@ -255,11 +256,11 @@
                 .mapToDouble(Sum::shareWithin)
                 .min()
                 .orElse(whole.shareWithin());
-        double worstWindow = worstWindow(s.windowUs());
-        double service = s.whole() * whole.share()
-                + s.window() * worstWindow
-                + s.worstClass() * worstClass
-                + s.worstTenant() * worstTenant
+        double worstWindow = worstWindow(spec.windowUs());
+        double service = spec.whole() * whole.share()
+                + spec.window() * worstWindow
+                + spec.worstClass() * worstClass
+                + spec.worstTenant() * worstTenant
                 - prices.values().stream().mapToDouble(Double::doubleValue).sum();
         return new ServiceReport(
                 service,
@@ -272,14 +273,14 @@
                 parts(classes, i -> scenario.classes().get(i).type().name(), false),
                 parts(tenants, i -> scenario.tenants().get(i).name(), true),
                 windowParts(),
-                names(tries, i -> Section.form(Clients.How.values()[i])),
-                names(outcomes, i -> Section.form(Outcome.values()[i])),
+                nonZeroByName(triesByResult, i -> Section.form(Clients.How.values()[i])),
+                nonZeroByName(outcomes, i -> Section.form(Outcome.values()[i])),
                 counts(world),
                 servers,
                 List.copyOf(happened),
                 world.account.report(),
-                unserved,
-                List.copyOf(unservedIn),
+                requestUnserved,
+                List.copyOf(unservedByWindow),
                 restarted.count == 0
                         ? List.of()
                         : List.of(starts("started again", restarted), starts("never killed", stayed)));
@@ -294,17 +295,17 @@
      * be significant.
      */
     private double worstWindow(long lengthUs) {
-        int wide = (int) Math.max(1, lengthUs / WINDOW_US);
+        int windowCount = (int) Math.max(1, lengthUs / WINDOW_US);
         double worst = 1;
-        double least = whole.asked / Math.max(1, windows.size()) * wide / 10;
-        for (int from = 0; from + wide <= windows.size(); from++) {
+        double minOffered = whole.asked / Math.max(1, windows.size()) * windowCount / 10;
+        for (int from = 0; from + windowCount <= windows.size(); from++) {
             double asked = 0;
             double earned = 0;
-            for (Sum w : windows.subList(from, from + wide)) {
+            for (Sum w : windows.subList(from, from + windowCount)) {
                 asked += w.asked;
                 earned += w.earned;
             }
-            worst = asked > least ? Math.min(worst, earned / asked) : worst;
+            worst = asked > minOffered ? Math.min(worst, earned / asked) : worst;
         }
         return worst;
     }
@@ -331,7 +332,7 @@
         return all;
     }
 
-    private static Map<String, Long> names(long[] counts, Namer namer) {
+    private static Map<String, Long> nonZeroByName(long[] counts, Namer namer) {
         Map<String, Long> named = new LinkedHashMap<>();
         for (int i = 0; i < counts.length; i++) {
             if (counts[i] > 0) {
@@ -343,9 +344,9 @@
 
     private Map<String, Long> counts(World world) {
         Map<String, Long> counts = new LinkedHashMap<>();
-        counts.put("tries", triesMade);
+        counts.put("tries", tryCount);
         counts.put("attempts", attempts);
-        counts.put("attempts across zones", crossed);
+        counts.put("attempts across zones", crossZoneAttempts);
         counts.put("probes", probes);
         counts.put("most connections of a client proxy", (long) mostConnections);
         counts.put("discovery calls", world.registry.calls);
--- a/src/main/java/mulleinfront/emulator/Sweep.java
+++ b/src/main/java/mulleinfront/emulator/Sweep.java
@@ -78,20 +78,20 @@
             return thread;
         });
         try {
-            List<Future<SeedResult>> worlds = new ArrayList<>();
+            List<Future<SeedResult>> runs = new ArrayList<>();
             for (long seed = from; seed <= to; seed++) {
-                long one = seed;
-                worlds.add(pool.submit(() -> play(source.of(one), one, balancer)));
+                long runSeed = seed;
+                runs.add(pool.submit(() -> play(source.of(runSeed), runSeed, balancer)));
             }
             List<SeedResult> all = new ArrayList<>();
-            for (Future<SeedResult> world : worlds) {
-                SeedResult played = world.get();
-                all.add(played);
-                progress.accept(played);
+            for (Future<SeedResult> world : runs) {
+                SeedResult result = world.get();
+                all.add(result);
+                progress.accept(result);
             }
             return all;
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a world ended by " + e.getCause(), e.getCause());
+            throw new IllegalStateException("a simulation failed: " + e.getCause(), e.getCause());
         } finally {
             pool.shutdownNow();
         }
@@ -99,16 +99,16 @@
 
     private static SeedResult play(Scenario scenario, long seed, Reference balancer) {
         World world = balancer == null ? World.of(scenario, seed, null) : World.under(balancer, scenario, seed);
-        World.Result r = world.play();
+        World.Result result = world.play();
         return new SeedResult(
                 seed,
-                r.service().service(),
-                r.goodput(),
-                r.crashedServers(),
-                r.broken(),
-                r.firstBroken(),
-                r.sha256(),
-                r.service().starts());
+                result.service().service(),
+                result.goodput(),
+                result.crashedServers(),
+                result.broken(),
+                result.firstBreach(),
+                result.sha256(),
+                result.service().starts());
     }
 
     /** The seeds with the lowest service scores, the worst first. */
@@ -126,10 +126,10 @@
     public static List<String> starts(List<SeedResult> all) {
         List<String> lines = new ArrayList<>();
         for (int i = 0; !all.isEmpty() && i < all.get(0).starts().size(); i++) {
-            int place = i;
+            int index = i;
             List<ServiceReport.Starts> each = all.stream()
-                    .filter(p -> p.starts().size() > place)
-                    .map(p -> p.starts().get(place))
+                    .filter(p -> p.starts().size() > index)
+                    .map(p -> p.starts().get(index))
                     .toList();
             lines.add(String.format(
                     Locale.ROOT,
