--- a/src/main/java/mulleinfront/emulator/ToldDeadlines.java
+++ b/src/main/java/mulleinfront/emulator/ToldDeadlines.java
@@ -23,21 +23,21 @@
     /** Propagation deadline after discovery ended a watch in order, like a poll whose wait is over. */
     static final long WATCH_ENDED_US = 2_000_000;
     /** Factor on {@code askWithinUs} after a failed call. */
-    private static final int AFTER_FAILURE = 4;
+    private static final int FAILED_CALL_FACTOR = 4;
 
     private static final long NEVER = Long.MAX_VALUE;
 
     private final long askWithinUs;
-    private final Map<Integer, Told> proxies = new HashMap<>();
+    private final Map<Integer, ProxyState> proxies = new HashMap<>();
     private boolean reachable = true;
     private long reachableSince;
 
     /** Discovery state of one process of a client proxy. */
-    private static final class Told {
+    private static final class ProxyState {
         private boolean watching;
-        private boolean failed;
+        private boolean callFailed;
         private long calledAt;
-        private long silentSince = NEVER;
+        private long unresponsiveSince = NEVER;
         /**
          * When the last watch ended ({@code lostAt}), and when discovery ended it in order ({@code endedAt}), or
          * {@link #NEVER} if it did not.
@@ -46,44 +46,44 @@
 
         private long endedAt = NEVER;
         /** Whether the proxy runs and is not partitioned from discovery. */
-        private boolean reaches = true;
+        private boolean connected = true;
 
-        private long reachesSince;
+        private long connectedSince;
     }
 
     ToldDeadlines(long askWithinUs) {
         this.askWithinUs = askWithinUs;
     }
 
-    private Told of(int proxy) {
-        return proxies.computeIfAbsent(proxy, p -> new Told());
+    private ProxyState stateOf(int proxy) {
+        return proxies.computeIfAbsent(proxy, p -> new ProxyState());
     }
 
-    void started(int proxy, long now) {
-        boolean reaches = of(proxy).reaches;
-        Told told = new Told();
-        told.calledAt = now;
-        told.reaches = reaches;
-        told.reachesSince = now;
-        proxies.put(proxy, told);
+    void proxyStarted(int proxy, long now) {
+        boolean connected = stateOf(proxy).connected;
+        ProxyState state = new ProxyState();
+        state.calledAt = now;
+        state.connected = connected;
+        state.connectedSince = now;
+        proxies.put(proxy, state);
     }
 
-    void called(int proxy, long now) {
-        of(proxy).calledAt = now;
+    void discoveryCalled(int proxy, long now) {
+        stateOf(proxy).calledAt = now;
     }
 
     void watching(int proxy) {
-        Told told = of(proxy);
-        told.watching = true;
-        told.failed = false;
-        told.silentSince = NEVER;
-        told.endedAt = NEVER;
+        ProxyState state = stateOf(proxy);
+        state.watching = true;
+        state.callFailed = false;
+        state.unresponsiveSince = NEVER;
+        state.endedAt = NEVER;
     }
 
     /** Records that the proxy's watch gets no data any more, even if its connection stays open. */
-    void silent(int proxy, long now) {
-        Told told = of(proxy);
-        told.silentSince = Math.min(told.silentSince, now);
+    void watchUnresponsive(int proxy, long now) {
+        ProxyState state = stateOf(proxy);
+        state.unresponsiveSince = Math.min(state.unresponsiveSince, now);
     }
 
     /**
@@ -92,52 +92,52 @@
      * @param inOrder whether discovery ended its response, so that a poll's wait was over; otherwise the connection
      *     broke, or the client proxy closed it
      */
-    void ended(int proxy, long now, boolean inOrder) {
-        Told told = of(proxy);
-        told.failed = !told.watching;
-        if (told.watching) {
-            told.lostAt = now;
-            told.endedAt = inOrder && told.silentSince == NEVER ? now : NEVER;
+    void watchEnded(int proxy, long now, boolean inOrder) {
+        ProxyState state = stateOf(proxy);
+        state.callFailed = !state.watching;
+        if (state.watching) {
+            state.lostAt = now;
+            state.endedAt = inOrder && state.unresponsiveSince == NEVER ? now : NEVER;
         }
-        told.watching = false;
+        state.watching = false;
     }
 
     /** Records whether discovery is reachable for any proxy from now on. */
-    void reachable(boolean can, long now) {
+    void discoveryReachable(boolean can, long now) {
         reachable = can;
         reachableSince = now;
     }
 
     /** Records whether one client proxy runs and is not partitioned from discovery from now on. */
-    void reaches(int proxy, boolean can, long now) {
-        Told told = of(proxy);
-        told.reaches = can;
-        told.reachesSince = now;
+    void proxyConnected(int proxy, boolean can, long now) {
+        ProxyState state = stateOf(proxy);
+        state.connected = can;
+        state.connectedSince = now;
     }
 
     /**
      * The propagation deadline of a change that discovery has had since {@code listedAt}; {@link #NEVER} if none
      * applies now.
      */
-    long toldAt(int proxy, long listedAt) {
-        Told told = of(proxy);
-        if (!reachable || !told.reaches || told.watching && told.silentSince == NEVER) {
+    long deadline(int proxy, long listedAt) {
+        ProxyState state = stateOf(proxy);
+        if (!reachable || !state.connected || state.watching && state.unresponsiveSince == NEVER) {
             return NEVER;
         }
-        long reachedSince = Math.max(reachableSince, told.reachesSince);
-        long since = Math.max(listedAt, reachedSince);
-        if (told.watching) {
-            return Math.max(since, told.silentSince) + REACHABLE_US;
+        long reachableFrom = Math.max(reachableSince, state.connectedSince);
+        long since = Math.max(listedAt, reachableFrom);
+        if (state.watching) {
+            return Math.max(since, state.unresponsiveSince) + REACHABLE_US;
         }
-        long asked =
-                Math.max(since, Math.max(told.calledAt, told.lostAt)) + askWithinUs * (told.failed ? AFTER_FAILURE : 1);
-        boolean endedInReach = told.endedAt != NEVER && told.endedAt >= reachedSince;
-        long ended = endedInReach ? Math.max(listedAt, told.endedAt) + WATCH_ENDED_US : NEVER;
-        return Math.min(since + REACHABLE_US, Math.min(asked, ended));
+        long pollDeadline = Math.max(since, Math.max(state.calledAt, state.lostAt))
+                + askWithinUs * (state.callFailed ? FAILED_CALL_FACTOR : 1);
+        boolean endedWhileReachable = state.endedAt != NEVER && state.endedAt >= reachableFrom;
+        long watchEndDeadline = endedWhileReachable ? Math.max(listedAt, state.endedAt) + WATCH_ENDED_US : NEVER;
+        return Math.min(since + REACHABLE_US, Math.min(pollDeadline, watchEndDeadline));
     }
 
     /** When the proxy last called discovery, or started; for the text of a violation. */
     long calledAt(int proxy) {
-        return of(proxy).calledAt;
+        return stateOf(proxy).calledAt;
     }
 }
--- a/src/main/java/mulleinfront/emulator/Trace.java
+++ b/src/main/java/mulleinfront/emulator/Trace.java
@@ -32,11 +32,11 @@
  * </pre>
  */
 final class Trace {
-    private static final int ROOM = 32 * 1024;
+    private static final int BUFFER_BYTES = 32 * 1024;
 
     private final MessageDigest digest;
     private final OutputStream file;
-    private final byte[] line = new byte[ROOM];
+    private final byte[] buffer = new byte[BUFFER_BYTES];
     private final byte[] digits = new byte[20];
     private int used;
     private long lines;
@@ -66,7 +66,7 @@
     }
 
     void flush() {
-        write(line, used);
+        write(buffer, used);
         used = 0;
     }
 
@@ -76,79 +76,79 @@
             try {
                 file.write(bytes, 0, length);
             } catch (IOException e) {
-                throw new UncheckedIOException("the trace: " + e.getMessage(), e);
+                throw new UncheckedIOException("cannot write the decision trace: " + e.getMessage(), e);
             }
         }
     }
 
     private Trace begin(long now, int proxy, String what) {
         number(now);
-        used(" p");
+        append(" p");
         number(proxy);
         return word(what);
     }
 
     /** Records a change in one client proxy's view of another. */
-    void fleet(int proxy, Change c) {
-        begin(c.atUs(), proxy, "fleet")
-                .word(c.number())
-                .word(c.member())
-                .word(c.from().word())
-                .word(c.to().word())
-                .word(c.incarnation())
-                .word(c.sourceMember())
-                .word(c.cause().word())
-                .word(c.digest())
+    void membershipChanged(int proxy, Change change) {
+        begin(change.atUs(), proxy, "fleet")
+                .word(change.number())
+                .word(change.member())
+                .word(change.from().word())
+                .word(change.to().word())
+                .word(change.incarnation())
+                .word(change.sourceMember())
+                .word(change.cause().word())
+                .word(change.digest())
                 .end();
     }
 
     private void end() {
-        room(1);
-        line[used++] = '\n';
+        ensureSpace(1);
+        buffer[used++] = '\n';
         lines++;
     }
 
-    private void room(int bytes) {
-        if (used + bytes > ROOM) {
+    private void ensureSpace(int bytes) {
+        if (used + bytes > BUFFER_BYTES) {
             flush();
         }
     }
 
     private Trace word(String text) {
-        used(" ");
-        return used(text);
+        append(" ");
+        return append(text);
     }
 
-    private Trace used(String text) {
+    private Trace append(String text) {
         int length = text.length();
         for (int i = 0; i < length; i++) {
-            if (text.charAt(i) > 0x7f || length > ROOM) {
+            if (text.charAt(i) > 0x7f || length > BUFFER_BYTES) {
                 byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
                 flush();
                 write(bytes, bytes.length);
                 return this;
             }
         }
-        room(length);
+        ensureSpace(length);
         for (int i = 0; i < length; i++) {
-            line[used++] = (byte) text.charAt(i);
+            buffer[used++] = (byte) text.charAt(i);
         }
         return this;
     }
 
     private Trace word(long n) {
-        used(" ");
+        append(" ");
         number(n);
         return this;
     }
 
     private Trace number(long n) {
         if (n == Long.MIN_VALUE) {
-            return used(Long.toString(n));
+            return append(Long.toString(n));
         }
-        room(21);
+        ensureSpace(21);
         if (n < 0) {
-            line[used++] = '-';
+            buffer[used++] = '-';
             n = -n;
         }
         int count = 0;
@@ -157,13 +157,13 @@
             n /= 10;
         } while (n > 0);
         while (count > 0) {
-            line[used++] = digits[--count];
+            buffer[used++] = digits[--count];
         }
         return this;
     }
 
     /** Records why a request was left unserved, in the file only: it is no decision, so the digest leaves it out. */
-    void why(long now, int proxy, UnservedReason r) {
+    void requestUnserved(long now, int proxy, UnservedReason reason) {
         if (file == null) {
             return;
         }
@@ -174,33 +174,33 @@
                             "%d p%d # %s %s worth=%.2f age=%d bound=%.3f %s%n",
                             now,
                             proxy,
-                            r.requestId(),
-                            r.cause().outputName(),
-                            r.worth(),
-                            r.instanceAgeUs(),
-                            r.limitReached(),
-                            r.detail())
+                            reason.requestId(),
+                            reason.cause().outputName(),
+                            reason.worth(),
+                            reason.instanceAgeUs(),
+                            reason.limitReached(),
+                            reason.detail())
                     .getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
-            throw new UncheckedIOException("the trace: " + e.getMessage(), e);
+            throw new UncheckedIOException("cannot write the decision trace: " + e.getMessage(), e);
         }
     }
 
     /** A factory whose balancers are traced, with their actions, under a client proxy's number. */
-    Core.BalancerFactory around(Core.BalancerFactory maker, int proxy, EventQueue time) {
+    Core.BalancerFactory traced(Core.BalancerFactory factory, int proxy, EventQueue time) {
         return (settings, seed, now, actions) -> {
             begin(now, proxy, "start").word(seed).end();
-            return new Told(maker.create(settings, seed, now, new Decided(actions, proxy, time)), proxy);
+            return new EventTracer(factory.create(settings, seed, now, new ActionTracer(actions, proxy, time)), proxy);
         };
     }
 
     /** Traces the events for a balancer. */
-    private final class Told implements Balancer {
-        private final Balancer module;
+    private final class EventTracer implements Balancer {
+        private final Balancer balancer;
         private final int proxy;
 
-        Told(Balancer module, int proxy) {
-            this.module = module;
+        EventTracer(Balancer module, int proxy) {
+            this.balancer = module;
             this.proxy = proxy;
         }
 
@@ -208,126 +208,130 @@
         public void onEndpoints(long now, Source source, List<Endpoint> endpoints) {
             begin(now, proxy, "list").word(source.name());
             for (Endpoint e : endpoints) {
-                word(e.id()).used("=").used(e.availability().name()).used("@").number(e.startedAtUs());
+                word(e.id())
+                        .append("=")
+                        .append(e.availability().name())
+                        .append("@")
+                        .number(e.startedAtUs());
             }
             end();
-            module.onEndpoints(now, source, endpoints);
+            balancer.onEndpoints(now, source, endpoints);
         }
 
         @Override
         public void onDiscoveryFailed(long now) {
             begin(now, proxy, "discovery-failed").end();
-            module.onDiscoveryFailed(now);
+            balancer.onDiscoveryFailed(now);
         }
 
         @Override
         public void onDiscoveryFailed(long now, long quietUs) {
             begin(now, proxy, "discovery-failed")
-                    .used(" quiet=")
+                    .append(" quiet=")
                     .number(quietUs)
                     .end();
-            module.onDiscoveryFailed(now, quietUs);
+            balancer.onDiscoveryFailed(now, quietUs);
         }
 
         @Override
         public void onDiscoveryUnreachable(long now) {
             begin(now, proxy, "discovery-unreachable").end();
-            module.onDiscoveryUnreachable(now);
+            balancer.onDiscoveryUnreachable(now);
         }
 
         @Override
         public void onProcessStart(long now, long agoUs) {
             begin(now, proxy, "process-start").number(agoUs).end();
-            module.onProcessStart(now, agoUs);
+            balancer.onProcessStart(now, agoUs);
         }
 
         @Override
         public void onWatchEnded(long now) {
             begin(now, proxy, "watch-ended").end();
-            module.onWatchEnded(now);
+            balancer.onWatchEnded(now);
         }
 
         @Override
         public void onDiscoveryMoved(long now, long movedAgoUs) {
             begin(now, proxy, "discovery-moved").number(movedAgoUs).end();
-            module.onDiscoveryMoved(now, movedAgoUs);
+            balancer.onDiscoveryMoved(now, movedAgoUs);
         }
 
         @Override
-        public void onRequest(long now, Request r) {
+        public void onRequest(long now, Request request) {
             begin(now, proxy, "request")
-                    .word(r.id())
-                    .used(" class=")
-                    .number(r.classIndex())
-                    .used(" key=")
-                    .used(String.valueOf(r.key()))
-                    .used(" budget=")
-                    .number(r.budgetUs())
-                    .used(" tenant=")
-                    .number(r.tenant())
+                    .word(request.id())
+                    .append(" class=")
+                    .number(request.classIndex())
+                    .append(" key=")
+                    .append(String.valueOf(request.key()))
+                    .append(" budget=")
+                    .number(request.budgetUs())
+                    .append(" tenant=")
+                    .number(request.tenant())
                     .end();
-            module.onRequest(now, r);
+            balancer.onRequest(now, request);
         }
 
         @Override
         public void onRequestAbandoned(long now, String requestId) {
             begin(now, proxy, "gone").word(requestId).end();
-            module.onRequestAbandoned(now, requestId);
+            balancer.onRequestAbandoned(now, requestId);
         }
 
         @Override
         public void onStreamStarted(long now, String requestId, int attempt) {
             begin(now, proxy, "stream").word(requestId).word(attempt).end();
-            module.onStreamStarted(now, requestId, attempt);
+            balancer.onStreamStarted(now, requestId, attempt);
         }
 
         @Override
-        public void onAttemptEnded(long now, AttemptEnd e) {
+        public void onAttemptEnded(long now, AttemptEnd end) {
             begin(now, proxy, "ended")
-                    .word(e.requestId())
-                    .word(e.attempt())
-                    .word(e.outcome().name())
-                    .word(e.requestDone() ? "done" : "open")
-                    .word(e.latencyUs())
+                    .word(end.requestId())
+                    .word(end.attempt())
+                    .word(end.outcome().name())
+                    .word(end.requestDone() ? "done" : "open")
+                    .word(end.latencyUs())
                     .end();
-            module.onAttemptEnded(now, e);
+            balancer.onAttemptEnded(now, end);
         }
 
         @Override
         public void onLoadReport(long now, String endpointId, double held) {
             begin(now, proxy, "report").word(endpointId).word((long) held).end();
-            module.onLoadReport(now, endpointId, held);
+            balancer.onLoadReport(now, endpointId, held);
         }
 
         @Override
         public void observe(Observer observer) {
-            module.observe(observer);
+            balancer.observe(observer);
         }
 
         @Override
-        public void onProbeEnded(long now, String endpointId, Outcome outcome, long lagUs) {
+        public void onProbeEnded(long now, String endpointId, Outcome outcome, long latencyUs) {
             begin(now, proxy, "probed")
                     .word(endpointId)
                     .word(outcome.name())
-                    .word(lagUs)
+                    .word(latencyUs)
                     .end();
-            module.onProbeEnded(now, endpointId, outcome, lagUs);
+            balancer.onProbeEnded(now, endpointId, outcome, latencyUs);
         }
 
         @Override
         public void onTimer(long now) {
             begin(now, proxy, "timer").end();
-            module.onTimer(now);
+            balancer.onTimer(now);
         }
     }
 
     /** Traces a balancer's actions. */
-    private final class Decided implements Actions {
+    private final class ActionTracer implements Actions {
         private final Actions actions;
         private final int proxy;
         private final EventQueue time;
 
-        Decided(Actions actions, int proxy, EventQueue time) {
+        ActionTracer(Actions actions, int proxy, EventQueue time) {
             this.actions = actions;
             this.proxy = proxy;
             this.time = time;
@@ -374,9 +378,9 @@
         }
 
         @Override
-        public void subscribe(long patienceUs) {
+        public void subscribe(long timeoutUs) {
             action("subscribe").end();
-            actions.subscribe(patienceUs);
+            actions.subscribe(timeoutUs);
         }
 
         @Override
--- a/src/main/java/mulleinfront/emulator/TrueState.java
+++ b/src/main/java/mulleinfront/emulator/TrueState.java
@@ -10,76 +10,82 @@
  * past state may be up to one interval older than requested.
  */
 final class TrueState {
-    private static final long STEP_US = 50_000;
+    private static final long RECORD_INTERVAL_US = 50_000;
 
     private final World world;
     private final long lateUs;
     private final Map<String, Host> byId = new HashMap<>();
-    private int known;
+    private int indexedHosts;
     /**
      * Recorded states, the oldest first; the first is the oldest that was at most {@code lateUs} old at the last
      * recording.
      */
-    private final ArrayDeque<Look> looks = new ArrayDeque<>();
+    private final ArrayDeque<Record> records = new ArrayDeque<>();
 
     /** The state of one server. */
-    private record Seen(boolean answers, double workAhead, double coreSpeed, int cores, int held) {
-        private static final Seen AWAY = new Seen(false, 0, 0, 1, 0);
+    private record ServerState(boolean answers, double workAhead, double coreSpeed, int cores, int inFlight) {
+        private static final ServerState AWAY = new ServerState(false, 0, 0, 1, 0);
 
         /** Time until this much work would be finished there, microseconds. */
         double answerUs(double work) {
             if (!answers || coreSpeed <= 0) {
                 return ServerKnowledge.NEVER;
             }
-            return (held < cores ? 0 : workAhead / (cores * coreSpeed)) + work / coreSpeed;
+            return (inFlight < cores ? 0 : workAhead / (cores * coreSpeed)) + work / coreSpeed;
         }
     }
 
     /** The state of every server at one instant. */
-    private record Look(long at, Map<Host, Seen> servers) {}
+    private record Record(long at, Map<Host, ServerState> servers) {}
 
     TrueState(World world, long lateUs) {
         this.world = world;
         this.lateUs = lateUs;
         if (lateUs > 0) {
-            step();
+            record();
         }
     }
 
-    private void step() {
-        Map<Host, Seen> servers = new HashMap<>();
-        world.hosts.forEach(h -> servers.put(h, see(h)));
-        looks.add(new Look(world.queue.now(), servers));
-        while (looks.size() > 1 && world.queue.now() - looks.peek().at > lateUs) {
-            looks.poll();
+    private void record() {
+        Map<Host, ServerState> servers = new HashMap<>();
+        world.hosts.forEach(host -> servers.put(host, stateOf(host)));
+        records.add(new Record(world.queue.now(), servers));
+        while (records.size() > 1 && world.queue.now() - records.peek().at > lateUs) {
+            records.poll();
         }
-        world.queue.after(STEP_US, this::step);
+        world.queue.after(RECORD_INTERVAL_US, this::record);
     }
 
-    private static Seen see(Host h) {
-        if (!h.alive() || h.life.draining() || h.vanished) {
-            return Seen.AWAY;
+    private static ServerState stateOf(Host host) {
+        if (!host.alive() || host.life.draining() || host.vanished) {
+            return ServerState.AWAY;
         }
-        ServerModel s = h.life;
-        return new Seen(!s.hung(), s.workAhead(), s.coreSpeed(), s.machine().cores(), s.held());
+        ServerModel process = host.life;
+        return new ServerState(
+                !process.hung(),
+                process.workAhead(),
+                process.coreSpeed(),
+                process.machine().cores(),
+                process.held());
     }
 
     private Host host(String id) {
-        for (; known < world.hosts.size(); known++) {
-            byId.put(world.hosts.get(known).id, world.hosts.get(known));
+        for (; indexedHosts < world.hosts.size(); indexedHosts++) {
+            byId.put(world.hosts.get(indexedHosts).id, world.hosts.get(indexedHosts));
         }
         return byId.get(id);
     }
 
     /** Server knowledge for the client proxies of a zone; network reachability is always the current one. */
-    ServerKnowledge from(int zone) {
+    ServerKnowledge forZone(int zone) {
         return (server, key, classIndex) -> {
-            Host h = host(server);
-            if (h == null || !h.alive() || !world.network.passes(zone, h)) {
+            Host host = host(server);
+            if (host == null || !host.alive() || !world.network.passes(zone, host)) {
                 return ServerKnowledge.NEVER;
             }
-            Seen seen = lateUs == 0 ? see(h) : looks.peek().servers.getOrDefault(h, Seen.AWAY);
-            return seen.answerUs(world.scenario.classes().get(classIndex).workUs() * h.life.workLeftOf(key));
+            ServerState state =
+                    lateUs == 0 ? stateOf(host) : records.peek().servers.getOrDefault(host, ServerState.AWAY);
+            return state.answerUs(world.scenario.classes().get(classIndex).workUs() * host.life.workLeftOf(key));
         };
     }
 }
--- a/src/main/java/mulleinfront/emulator/World.java
+++ b/src/main/java/mulleinfront/emulator/World.java
@@ -17,7 +17,7 @@
 import mulleinfront.settings.Range;
 
 /**
- * A simulation in virtual time: client proxies (the production core and decision module, sharing no state), servers,
+ * A simulation in virtual time: client proxies (the production core and balancer, sharing no state), servers,
  * clients, network and discovery on one event queue and one seed. A simulation runs once, on one thread.
  */
 public final class World {
@@ -29,49 +29,55 @@
     final Network network;
     final Registry registry;
     final Auditor audit;
-    final Tally tally;
-    final Account account;
+    final ServiceStatistics tally;
+    final LossAttribution account;
     final Trace trace;
     final List<Host> hosts = new ArrayList<>();
     final List<Instance> proxies = new ArrayList<>();
     final Clients clients;
-    final Fitting fitting;
+    final Fitting wiring;
     /**
      * Gossip membership of the client proxies; null if the scenario has none or the proxies are external processes.
      */
     final FleetRun fleet;
     /** Whether the scenario pauses client proxies. */
-    final boolean pauses;
+    final boolean pausesProxies;
 
-    private final HybridSimulation outside;
+    private final HybridSimulation hybrid;
     /** The graph simulation that contains this one; null if this simulation is standalone. */
     private final Part part;
 
     private final long seed;
-    private final List<Host> byAddress = new ArrayList<>();
-    private final Map<Object, ServerModel.Group> groups = new LinkedHashMap<>();
+    private final List<Host> hostsByAddress = new ArrayList<>();
+    private final Map<Object, ServerModel.Group> dedupGroups = new LinkedHashMap<>();
 
     /** Creates the balancer factories of a simulation's client proxies. */
-    interface Makers {
+    interface BalancerFactories {
         /** The factory that creates the balancer at each start of a client proxy in this zone. */
-        Core.BalancerFactory in(World world, int zone);
+        Core.BalancerFactory forZone(World world, int zone);
     }
 
     /**
      * @param trace records the decisions
-     * @param maker creates each client proxy's balancer; tests pass deliberately faulty ones
-     * @param fitting connects each core to its wire and clients; tests pass deliberately faulty ones
+     * @param factory creates each client proxy's balancer; tests pass deliberately faulty ones
+     * @param wiring connects each core to its wire and clients; tests pass deliberately faulty ones
      */
-    World(Scenario scenario, long seed, Trace trace, Core.BalancerFactory maker, Fitting fitting) {
-        this(scenario, seed, trace, (world, zone) -> maker, fitting, null);
+    World(Scenario scenario, long seed, Trace trace, Core.BalancerFactory factory, Fitting wiring) {
+        this(scenario, seed, trace, (world, zone) -> factory, wiring, null);
     }
 
     /**
-     * @param outside the external client proxies and the sockets on which servers listen, or null if everything is
+     * @param hybrid the external client proxies and the sockets on which servers listen, or null if everything is
      *     simulated here
      */
-    World(Scenario scenario, long seed, Trace trace, Makers makers, Fitting fitting, HybridSimulation outside) {
-        this(scenario, seed, trace, makers, fitting, outside, null);
+    World(
+            Scenario scenario,
+            long seed,
+            Trace trace,
+            BalancerFactories factories,
+            Fitting wiring,
+            HybridSimulation hybrid) {
+        this(scenario, seed, trace, factories, wiring, hybrid, null);
     }
 
     /** @param part the graph simulation that contains this one and starts its calls and faults; null if standalone */
@@ -79,38 +85,38 @@
             Scenario scenario,
             long seed,
             Trace trace,
-            Makers makers,
-            Fitting fitting,
-            HybridSimulation outside,
+            BalancerFactories factories,
+            Fitting wiring,
+            HybridSimulation hybrid,
             Part part) {
         this.part = part;
         this.queue = part == null ? new EventQueue() : part.queue();
-        this.outside = outside;
-        this.fitting = fitting;
+        this.hybrid = hybrid;
+        this.wiring = wiring;
         this.scenario = scenario;
         this.settings = scenario.settings();
-        this.pauses = scenario.faults().stream().anyMatch(f -> f.kind() == Scenario.Kind.PAUSE_PROXY);
+        this.pausesProxies = scenario.faults().stream().anyMatch(f -> f.kind() == Scenario.Kind.PAUSE_PROXY);
         this.seed = seed;
         this.trace = trace;
         this.network = part == null
                 ? new Network(scenario.network(), scenario.zones().size(), chance("network"))
                 : new Network(part.oneWay(), scenario.network().jitter(), chance("network"));
         this.audit = new Auditor(scenario);
-        this.tally = new Tally(scenario);
-        this.account = new Account(this);
+        this.tally = new ServiceStatistics(scenario);
+        this.account = new LossAttribution(this);
         this.registry = new Registry(this, chance("discovery"));
-        this.fleet = outside == null && scenario.peers() != null ? fleet() : null;
-        buildHosts();
-        if (outside == null) {
-            startProxies(makers);
+        this.fleet = hybrid == null && scenario.peers() != null ? fleet() : null;
+        addListedHosts();
+        if (hybrid == null) {
+            scheduleProxyStarts(factories);
         } else {
             for (int i = 0; i < scenario.proxies().count(); i++) {
-                proxies.add(outside.instance(i));
+                proxies.add(hybrid.instance(i));
             }
         }
         this.clients = new Clients(this);
         if (part == null) {
-            clients.begin(outside == null ? scenario.proxies().startWithinUs() : 0);
+            clients.begin(hybrid == null ? scenario.proxies().startWithinUs() : 0);
             new Script(this).schedule();
         }
     }
@@ -122,10 +128,10 @@
 
     /** A simulation with a reference balancer in place of the production one. */
     public static World under(Reference balancer, Scenario scenario, long seed) {
-        return new World(scenario, seed, new Trace(null), makers(balancer), Fitting.PLAIN, null);
+        return new World(scenario, seed, new Trace(null), factoriesFor(balancer), Fitting.PLAIN, null);
     }
 
-    private static Makers makers(Reference balancer) {
+    private static BalancerFactories factoriesFor(Reference balancer) {
         if (balancer.seesLateUs() < 0) {
             return (world, zone) -> (settings, seed, now, actions) -> balancer.make(settings, seed, actions, null);
         }
@@ -133,14 +139,14 @@
         TrueState[] state = {null};
         return (world, zone) -> {
             state[0] = state[0] == null ? new TrueState(world, balancer.seesLateUs()) : state[0];
-            ServerKnowledge truth = state[0].from(zone);
+            ServerKnowledge truth = state[0].forZone(zone);
             return (settings, seed, now, actions) -> balancer.make(settings, seed, actions, truth);
         };
     }
 
     /** Faults between the client proxies; null if they do not know each other. */
     PeerFaults peerFaults() {
-        return outside == null ? fleet : outside.peerFaults();
+        return hybrid == null ? fleet : hybrid.peerFaults();
     }
 
     private FleetRun fleet() {
@@ -151,16 +157,16 @@
                 chance("fleet"),
                 count,
                 i -> {
-                    FleetSettings s =
+                    FleetSettings fleetSettings =
                             FleetSettings.defaults(scenario.name(), "n" + i, i, count, spec.periodUs(), spec.goneUs());
-                    return spec.plain() ? s.withoutSuspicion() : s;
+                    return spec.plain() ? fleetSettings.withoutSuspicion() : fleetSettings;
                 },
                 Fleet::new,
                 (from, to) -> network.delay(zoneOf(Math.max(0, from)), zoneOf(to)));
         if (spec.loss() > 0) {
             run.beginFault(null, null, spec.loss(), 0, 0, 0, Range.of(0));
         }
-        run.watch(trace::fleet);
+        run.watch(trace::membershipChanged);
         return run;
     }
 
@@ -170,7 +176,7 @@
 
     // ---- building ------------------------------------------------------------------------------------
 
-    private void buildHosts() {
+    private void addListedHosts() {
         int number = 0;
         int kind = 0;
         for (Scenario.Servers group : scenario.servers()) {
@@ -181,7 +187,7 @@
                         kind,
                         number / group.cell(),
                         group);
-                host.life = process(host, false);
+                host.life = startProcess(host, false);
                 registry.know(new Registry.Entry(host.listed(Availability.READY), host.address));
             }
             kind++;
@@ -227,10 +233,11 @@
                 cell,
                 group.weight(),
                 machine,
-                new Host.Budget(scenario.rules().coldForUs(), scenario.rules().coldMultiple()),
+                new Host.LoadWindow(
+                        scenario.rules().coldForUs(), scenario.rules().coldMultiple()),
                 chance);
-        host.address = byAddress.size();
-        byAddress.add(host);
+        host.address = hostsByAddress.size();
+        hostsByAddress.add(host);
         hosts.add(host);
         return host;
     }
@@ -240,19 +247,19 @@
         return part == null ? proxy % scenario.zones().size() : part.zoneOfProxy(proxy);
     }
 
-    private void startProxies(Makers makers) {
+    private void scheduleProxyStarts(BalancerFactories factories) {
         Scenario.Proxies spec = scenario.proxies();
         Chance chance = chance("starts");
         for (int i = 0; i < spec.count(); i++) {
-            Proxy p = new Proxy(
+            Proxy proxy = new Proxy(
                     this,
                     i,
                     zoneOf(i),
-                    trace.around(makers.in(this, zoneOf(i)), part == null ? i : part.traceNumber(i), queue));
-            proxies.add(p);
+                    trace.traced(factories.forZone(this, zoneOf(i)), part == null ? i : part.traceNumber(i), queue));
+            proxies.add(proxy);
             queue.after(
                     part == null ? (long) (spec.startWithinUs() * chance.unit()) : part.startAt(i),
-                    () -> p.start(known()));
+                    () -> proxy.start(known()));
         }
     }
 
@@ -264,8 +271,8 @@
                 return new Registry.News(0, true, List.of());
             }
             case STALE -> {
-                Registry.News old = registry.at(Math.max(0, queue.now() - spec.knownAgeUs()));
-                List<Registry.Entry> entries = new ArrayList<>(old.entries());
+                Registry.News cached = registry.listAt(Math.max(0, queue.now() - spec.knownAgeUs()));
+                List<Registry.Entry> entries = new ArrayList<>(cached.entries());
                 for (int i = 0; i < spec.ghosts(); i++) {
                     entries.add(new Registry.Entry(
                             new Balancer.Endpoint(
@@ -274,10 +281,10 @@
                 }
                 // Discovery has no delta from a list that names unreachable servers, so such a proxy is sent the full
                 // list.
-                return new Registry.News(spec.ghosts() > 0 ? -1 : old.version(), true, entries);
+                return new Registry.News(spec.ghosts() > 0 ? -1 : cached.version(), true, entries);
             }
             default -> {
-                return registry.whole();
+                return registry.fullList();
             }
         }
     }
@@ -288,29 +295,29 @@
      * The server at an address, including a server that has moved away from it; null if the address was never used.
      */
     Host at(int address) {
-        return address < byAddress.size() ? byAddress.get(address) : null;
+        return address < hostsByAddress.size() ? hostsByAddress.get(address) : null;
     }
 
     /** Starts a process on a server's machine. */
-    ServerModel process(Host host, boolean cold) {
+    ServerModel startProcess(Host host, boolean cold) {
         host.budget.clear();
-        ServerModel life = new ServerModel(
+        ServerModel process = new ServerModel(
                 host.machine,
                 queue,
                 host.chance,
-                groupOf(host),
+                dedupGroupOf(host),
                 (job, dropped) -> {
-                    audit.ran(job.requestId, host.id, dropped, queue.now());
+                    audit.effectRan(job.requestId, host.id, dropped, queue.now());
                     if (part != null) {
                         part.ran(job.effect, dropped);
                     }
                 },
                 cold);
-        tally.began(host, life);
-        return life;
+        tally.processStarted(host, process);
+        return process;
     }
 
-    private ServerModel.Group groupOf(Host host) {
+    private ServerModel.Group dedupGroupOf(Host host) {
         DedupScope scope = scenario.classes().stream()
                 .map(c -> c.type().scope())
                 .filter(s -> s != null)
@@ -321,18 +328,18 @@
             case ZONE -> "zone " + host.zone;
             case CELL -> "cell " + host.cell;
         };
-        return groups.computeIfAbsent(group, g -> new ServerModel.Group());
+        return dedupGroups.computeIfAbsent(group, g -> new ServerModel.Group());
     }
 
     /** Starts a server's process, cold, at its current address or at a new one. */
     void start(Host host, boolean moved) {
         if (moved) {
-            host.address = byAddress.size();
-            byAddress.add(host);
+            host.address = hostsByAddress.size();
+            hostsByAddress.add(host);
         }
         host.startedAt = queue.now();
-        host.life = process(host, true);
-        audit.started(host.id, host.startedAt);
+        host.life = startProcess(host, true);
+        audit.serverStarted(host.id, host.startedAt);
         changed(host);
         registry.happened(host, Availability.READY, false);
     }
@@ -356,8 +363,8 @@
 
     /** Reports that a server's listening state or its reachability may have changed. */
     void changed(Host host) {
-        if (outside != null) {
-            outside.changed(host);
+        if (hybrid != null) {
+            hybrid.changed(host);
         }
         if (part != null) {
             part.changed(host);
@@ -365,8 +372,8 @@
     }
 
     void resetAll(Host host) {
-        if (outside != null) {
-            outside.reset(host);
+        if (hybrid != null) {
+            hybrid.reset(host);
         }
         List.copyOf(host.links).forEach(this::reset);
     }
@@ -375,7 +382,7 @@
     void reset(Link link) {
         release(link);
         if (network.passes(link.owner.proxy(), link.owner.zone(), link.host)) {
-            queue.after(network.delay(link.host.zone, link.owner.zone()), () -> link.owner.broken(link));
+            queue.after(network.delay(link.host.zone, link.owner.zone()), () -> link.owner.connectionReset(link));
         }
     }
 
@@ -390,15 +397,15 @@
 
     /** Counts work that reached a server; a cold server may crash from it and stays stopped. */
     void arrived(Host host, int proxy, String requestId, double work) {
-        ServerModel life = host.life;
+        ServerModel process = host.life;
         tally.arrived(work);
-        if (life.warmth() >= 1) {
+        if (process.warmth() >= 1) {
             return;
         }
-        double capacity = life.machine().capacity() * life.warmth();
-        audit.arrivedCold(host.id, proxy, requestId, work, capacity, queue.now());
-        if (host.budget.over(queue.now(), work, false, capacity)) {
-            life.fall();
+        double capacity = process.machine().capacity() * process.warmth();
+        audit.workArrivedCold(host.id, proxy, requestId, work, capacity, queue.now());
+        if (host.budget.add(queue.now(), work, false, capacity)) {
+            process.fall();
             changed(host);
             resetAll(host);
             registry.happened(host, Availability.GONE, true);
@@ -406,12 +413,12 @@
     }
 
     /** Records why a client proxy left a request unserved. */
-    void unserved(int proxy, long now, UnservedReason why) {
-        tally.unserved(now, why);
+    void requestUnserved(int proxy, long now, UnservedReason why) {
+        tally.requestUnserved(now, why);
         if (part != null) {
             part.unserved(now, why);
         }
-        trace.why(now, proxy, why);
+        trace.requestUnserved(now, proxy, why);
     }
 
     // ---- running -------------------------------------------------------------------------------------
@@ -469,13 +476,13 @@
             FleetReport fleet) {
 
         /** A copy with the fleet auditor's report, for client proxies that are external processes. */
-        public Result withFleet(FleetReport found) {
+        public Result withFleet(FleetReport fleetReport) {
             return new Result(
-                    scenario, seed, service, breaches, breachCount, sha256, decisions, events, capacity, found);
+                    scenario, seed, service, breaches, breachCount, sha256, decisions, events, capacity, fleetReport);
         }
 
         /** Description of the first violation; null if there is none. */
-        public String firstBroken() {
+        public String firstBreach() {
             return !breaches.isEmpty()
                     ? breaches.get(0).toString()
                     : fleet != null && fleet.breachCount() > 0
--- a/src/main/java/mulleinfront/emulator/package-info.java
+++ b/src/main/java/mulleinfront/emulator/package-info.java
@@ -7,8 +7,8 @@
  * tries; {@code Proxy} runs a {@link mulleinfront.core.Core} whose time is the
  * {@link mulleinfront.emulator.EventQueue} and whose wire is {@code EmulatedWire}; requests that it sends reach a
  * {@link mulleinfront.emulator.ServerModel}. {@code Script} applies the scenario's faults. Three classes observe:
- * {@link mulleinfront.emulator.Auditor} checks the four invariants from observed events, {@code Tally} collects the
- * service statistics of the clients, and {@code Trace} records the events and decisions of the balancers.
+ * {@link mulleinfront.emulator.Auditor} checks the four invariants from observed events, {@code ServiceStatistics}
+ * collects the clients' service statistics, and {@code Trace} records the events and decisions of the balancers.
  *
  * <p>May import {@code core}, the balancer, a TOML reader and a JSON writer, but no sockets. All random values come
  * from {@link mulleinfront.emulator.Chance} and all time from the queue. Nothing depends on the iteration order of a
