--- a/src/main/java/mulleinfront/emulator/Compared.java
+++ b/src/main/java/mulleinfront/emulator/Compared.java
@@ -6,20 +6,21 @@
 import mulleinfront.emulator.reference.Reference;
 
 /**
- * The product or a reference balancer over some seeds of one scenario.
+ * Results of the product or a reference balancer over several seeds of one scenario.
  *
- * @param name what it is called
- * @param reference which one it is; null: the product
- * @param worlds what came of each seed
+ * @param name the balancer's name
+ * @param reference the reference balancer; null: the product
+ * @param worlds the result for each seed
  */
 public record Compared(String name, Reference reference, List<Sweep.SeedResult> worlds) {
 
-    /** The product first, then each reference in the order of what it sees. */
+    /** Runs the product first, then each reference balancer in order. */
     public static List<Compared> play(Scenario scenario, long from, long to, int jobs) throws InterruptedException {
         List<Compared> all = new ArrayList<>();
         all.add(new Compared("mulleinfront", null, Sweep.play(scenario, from, to, jobs, null, p -> {})));
-        for (Reference r : Reference.values()) {
-            all.add(new Compared(r.word(), r, Sweep.play(scenario, from, to, jobs, r, p -> {})));
+        for (Reference reference : Reference.values()) {
+            all.add(new Compared(
+                    reference.word(), reference, Sweep.play(scenario, from, to, jobs, reference, p -> {})));
         }
         return all;
     }
@@ -32,23 +33,26 @@
         return worlds.stream().mapToDouble(Sweep.SeedResult::service).min().orElse(0);
     }
 
-    /** Seeds under which a rule was broken. */
+    /** Number of seeds with a violation. */
     public int broken() {
         return (int) worlds.stream().filter(p -> p.breaches() > 0).count();
     }
 
-    /** The least part of another's service that this one has on one seed. */
-    double leastPartOf(Compared other) {
-        double least = Double.POSITIVE_INFINITY;
+    /** The lowest ratio of this balancer's service score to another's on the same seed. */
+    double lowestRatioTo(Compared other) {
+        double lowest = Double.POSITIVE_INFINITY;
         for (int i = 0; i < worlds.size(); i++) {
-            least = Math.min(
-                    least,
+            lowest = Math.min(
+                    lowest,
                     worlds.get(i).service() / Math.max(1e-9, other.worlds.get(i).service()));
         }
-        return least;
+        return lowest;
     }
 
-    /** One line each, and the product's part of the two that see more than anybody can. */
+    /**
+     * A table with a line for each balancer, followed by the product's ratio to the references that know the servers'
+     * true state.
+     */
     public static String table(Scenario scenario, long from, long to, List<Compared> all) {
         StringBuilder out = new StringBuilder();
         out.append(String.format(
@@ -63,29 +67,29 @@
                 "goodput",
                 "broken",
                 ""));
-        for (Compared c : all) {
+        for (Compared compared : all) {
             out.append(String.format(
                     Locale.ROOT,
                     "%-14s %8.4f %8.4f %8.3f %8d  %s%n",
-                    c.name,
-                    c.mean(),
-                    c.worst(),
-                    c.worlds.stream()
+                    compared.name,
+                    compared.mean(),
+                    compared.worst(),
+                    compared.worlds.stream()
                             .mapToDouble(Sweep.SeedResult::goodput)
                             .average()
                             .orElse(0),
-                    c.broken(),
-                    c.reference == null ? "the product" : c.reference.words()));
+                    compared.broken(),
+                    compared.reference == null ? "the product" : compared.reference.words()));
         }
         Compared product = all.get(0);
-        for (Compared c : all) {
-            if (c.reference != null && c.reference.seesLateUs() >= 0) {
+        for (Compared compared : all) {
+            if (compared.reference != null && compared.reference.seesLateUs() >= 0) {
                 out.append(String.format(
                         Locale.ROOT,
                         "of %s: %.3f of its mean service, on the worst seed %.3f%n",
-                        c.name,
-                        product.mean() / Math.max(1e-9, c.mean()),
-                        product.leastPartOf(c)));
+                        compared.name,
+                        product.mean() / Math.max(1e-9, compared.mean()),
+                        product.lowestRatioTo(compared)));
             }
         }
         return out.toString();
--- a/src/main/java/mulleinfront/emulator/EmulatedWire.java
+++ b/src/main/java/mulleinfront/emulator/EmulatedWire.java
@@ -12,48 +12,48 @@
 import mulleinfront.core.Wire;
 
 /**
- * Connections of one client proxy to servers, and the attempts made on them, on the emulated network: the
- * same steps as on sockets (an idle connection that has rested, or a new one; the whole request or surely
- * not; one end), with every delay and break drawn.
+ * The connections of one client proxy to servers, and its attempts, on the emulated network. They follow the steps of
+ * the socket implementation (an idle connection after its cool-down, or a new one; a request that is sent whole or
+ * surely not executed; exactly one end), with every delay and connection reset drawn.
  */
 final class EmulatedWire implements Wire<Call, Answer> {
-    /** Messages of a handshake, each way, before a request may be sent. */
+    /** Round trips of a connection handshake before a request can be sent. */
     static final int HANDSHAKE_TRIPS = 2;
 
     private final World world;
     private final Time time;
-    private final Reader process;
+    private final PausableProcess process;
     private final int proxy;
     private final int zone;
     private final long idleUs;
     private final DiscoveryClient discovery;
-    private final Map<Integer, ArrayDeque<Link>> idleAt = new HashMap<>();
+    private final Map<Integer, ArrayDeque<Link>> idleByAddress = new HashMap<>();
     /** Idle connections, the longest idle first. */
-    private final LinkedHashSet<Link> idle = new LinkedHashSet<>();
+    private final LinkedHashSet<Link> idleLinks = new LinkedHashSet<>();
 
-    private final LinkedHashSet<Link> all = new LinkedHashSet<>();
-    private final IntSupplier mostIdle;
-    private boolean sweeping;
+    private final LinkedHashSet<Link> openLinks = new LinkedHashSet<>();
+    private final IntSupplier maxIdle;
+    private boolean sweepScheduled;
 
-    /** The process that reads what comes to it, which may stand still. */
-    interface Reader {
-        /** Runs at once, or when the process goes on; not at all if it ends. */
-        void reads(Runnable what);
+    /** The process that reads incoming data; it may be paused. */
+    interface PausableProcess {
+        /** Runs a task at once or when the process resumes; never if the process ends first. */
+        void runOrDefer(Runnable task);
     }
 
     /**
-     * @param process when it reads what comes
-     * @param mostIdle idle connections to keep at most
+     * @param process the process that reads incoming data
+     * @param maxIdle maximum number of idle connections
      */
     EmulatedWire(
             World world,
             Time time,
-            Reader process,
+            PausableProcess process,
             int proxy,
             int zone,
             DiscoveryClient discovery,
-            IntSupplier mostIdle) {
-        this.mostIdle = mostIdle;
+            IntSupplier maxIdle) {
+        this.maxIdle = maxIdle;
         this.world = world;
         this.time = time;
         this.process = process;
@@ -72,7 +72,7 @@
     }
 
     int connections() {
-        return all.size();
+        return openLinks.size();
     }
 
     @Override
@@ -100,38 +100,41 @@
     }
 
     @Override
-    public void subscribe(long patienceUs) {
-        discovery.watch(patienceUs);
+    public void subscribe(long timeoutUs) {
+        discovery.watch(timeoutUs);
     }
 
-    /** Closes the idle connections to an address that is listed no more. */
-    void hangUp(int address) {
-        ArrayDeque<Link> links = idleAt.remove(address);
+    /** Closes the idle connections to an address that is no longer listed. */
+    void closeIdle(int address) {
+        ArrayDeque<Link> links = idleByAddress.remove(address);
         if (links != null) {
             links.forEach(this::close);
         }
     }
 
-    /** The process is gone: its machine resets all its connections. */
-    void die() {
-        for (Link link : List.copyOf(all)) {
+    /** Resets all connections after the process has died. */
+    void resetAll() {
+        for (Link link : List.copyOf(openLinks)) {
             if (link.current != null) {
-                link.current.forget();
+                link.current.drop();
             }
             close(link);
         }
     }
 
-    /** Closes our end; the server learns of it a moment later, and stops what it did for us. */
+    /**
+     * Closes the proxy's end of a connection; after the network delay the server notices and cancels the request on
+     * it.
+     */
     private void close(Link link) {
         if (!link.open) {
             return;
         }
         link.open = false;
-        leaveIdle(link);
-        all.remove(link);
+        removeIdle(link);
+        openLinks.remove(link);
         ServerModel.Job job = link.current == null ? null : link.current.job;
-        Attempt carried = link.current != null && link.current.over ? link.current : null;
+        Attempt endedAttempt = link.current != null && link.current.over ? link.current : null;
         link.current = null;
         if (world.network.passes(proxy, zone, link.host)) {
             world.queue.after(world.network.delay(zone, link.host.zone), () -> {
@@ -139,25 +142,25 @@
                 if (job != null) {
                     link.life.cancel(job);
                 }
-                if (carried != null) {
-                    carried.stopBelow();
+                if (endedAttempt != null) {
+                    endedAttempt.cancelFurtherCalls();
                 }
             });
         }
     }
 
-    private void leaveIdle(Link link) {
-        if (idle.remove(link)) {
-            ArrayDeque<Link> links = idleAt.get(link.address);
+    private void removeIdle(Link link) {
+        if (idleLinks.remove(link)) {
+            ArrayDeque<Link> links = idleByAddress.get(link.address);
             if (links != null) {
                 links.remove(link);
             }
         }
     }
 
-    /** A reset has come from the server's side. */
-    void broken(Link link) {
-        process.reads(() -> reset(link));
+    /** Processes a reset from the server's side. */
+    void connectionReset(Link link) {
+        process.runOrDefer(() -> reset(link));
     }
 
     private void reset(Link link) {
@@ -166,59 +169,61 @@
         }
         Attempt current = link.current;
         link.open = false;
-        leaveIdle(link);
-        all.remove(link);
+        removeIdle(link);
+        openLinks.remove(link);
         if (current != null) {
             current.broken();
         }
     }
 
-    private Link rested(int address) {
-        ArrayDeque<Link> links = idleAt.get(address);
+    private Link takeIdle(int address) {
+        ArrayDeque<Link> links = idleByAddress.get(address);
         if (links == null) {
             return null;
         }
         for (Link link : links) {
-            if (time.now() - link.idleAt > CONNECTION_COOL_DOWN_US) {
-                leaveIdle(link);
+            if (time.now() - link.idleSince > CONNECTION_COOL_DOWN_US) {
+                removeIdle(link);
                 return link;
             }
         }
         return null;
     }
 
-    private void rest(Link link) {
+    private void addIdle(Link link) {
         link.current = null;
-        link.idleAt = time.now();
-        idle.add(link);
-        idleAt.computeIfAbsent(link.address, a -> new ArrayDeque<>()).push(link);
-        if (idle.size() > mostIdle.getAsInt()) {
-            close(idle.iterator().next());
+        link.idleSince = time.now();
+        idleLinks.add(link);
+        idleByAddress.computeIfAbsent(link.address, a -> new ArrayDeque<>()).push(link);
+        if (idleLinks.size() > maxIdle.getAsInt()) {
+            close(idleLinks.iterator().next());
         }
-        sweep();
+        scheduleSweep();
     }
 
-    /** Closes what has been idle for long, when the first of them has. */
-    private void sweep() {
-        if (!sweeping && !idle.isEmpty()) {
-            sweeping = true;
-            time.after(idle.iterator().next().idleAt + idleUs - time.now(), () -> {
-                sweeping = false;
-                for (Link l; !idle.isEmpty() && (l = idle.iterator().next()).idleAt + idleUs <= time.now(); ) {
-                    close(l);
+    /** Closes connections past the idle timeout, when the first of them reaches it. */
+    private void scheduleSweep() {
+        if (!sweepScheduled && !idleLinks.isEmpty()) {
+            sweepScheduled = true;
+            time.after(idleLinks.iterator().next().idleSince + idleUs - time.now(), () -> {
+                sweepScheduled = false;
+                for (Link link;
+                        !idleLinks.isEmpty()
+                                && (link = idleLinks.iterator().next()).idleSince + idleUs <= time.now(); ) {
+                    close(link);
                 }
-                sweep();
+                scheduleSweep();
             });
         }
     }
 
-    /** One attempt; ends exactly once, with what can be vouched for. */
+    /** One attempt. It ends exactly once, with an outcome that is certain. */
     final class Attempt implements Wire.Attempt {
         private final String requestId;
         private final int number;
         private final int address;
         private final Call call;
-        /** The call of a graph that it is for; null: none. */
+        /** The call of a call graph that the attempt is for; null: none. */
         private final Hop hop;
 
         private final BooleanSupplier wanted;
@@ -228,12 +233,12 @@
         private Time.Timer dial;
         private Link link;
         private ServerModel.Job job;
-        /** The further calls that the server makes for it; null: none yet. */
+        /** The server's handling of the request with its further calls; null: not started. */
         private Handling handling;
-        /** The server knows that nobody waits for it. */
-        private boolean unwanted;
+        /** The server has noticed that the caller no longer waits. */
+        private boolean callerGone;
 
-        private int fresh;
+        private int newConnections;
         private boolean written;
         private boolean over;
 
@@ -261,7 +266,7 @@
             if (hop != null) {
                 hop.begins(number, time.now());
             }
-            Link reused = rested(address);
+            Link reused = takeIdle(address);
             if (reused != null) {
                 write(reused);
             } else {
@@ -270,21 +275,21 @@
         }
 
         private void connect() {
-            if (all.size() >= world.scenario.proxies().connections() && !idle.isEmpty()) {
-                close(idle.iterator().next());
+            if (openLinks.size() >= world.scenario.proxies().connections() && !idleLinks.isEmpty()) {
+                close(idleLinks.iterator().next());
             }
-            fresh++;
+            newConnections++;
             dial = time.after(world.scenario.limits().dialTimeoutUs(), () -> finish(Outcome.CONNECT_ERROR, null));
             Host host = world.at(address);
-            // An address without a machine, or none on the way to it, is silence; one without a process
-            // refuses.
+            // An unused or unreachable address gives no response, so the dial times out; a reachable machine without
+            // a process refuses the connection.
             if (host == null || !world.network.passes(proxy, zone, host)) {
                 return;
             }
-            time.after(trips(host, 1), () -> accept(host));
+            time.after(roundTripsUs(host, 1), () -> accept(host));
         }
 
-        private long trips(Host host, int trips) {
+        private long roundTripsUs(Host host, int trips) {
             long us = 0;
             for (int i = 0; i < 2 * trips; i++) {
                 us += world.network.delay(zone, host.zone);
@@ -302,18 +307,21 @@
             }
             Link made = new Link(host, host.life, EmulatedWire.this, time.now());
             host.links.add(made);
-            all.add(made);
-            world.tally.opened(all.size());
+            openLinks.add(made);
+            world.tally.connectionOpened(openLinks.size());
             made.current = this;
             link = made;
-            time.after(trips(host, HANDSHAKE_TRIPS - 1), () -> {
+            time.after(roundTripsUs(host, HANDSHAKE_TRIPS - 1), () -> {
                 if (!over && made.open && made.life == host.life && world.network.passes(proxy, zone, host)) {
                     write(made);
                 }
             });
         }
 
-        /** The one place where a request goes out: not if it is no longer wanted, whatever was decided. */
+        /**
+         * Sends the request, the only place that does. A request that is no longer wanted is not sent, whatever was
+         * decided earlier.
+         */
         private void write(Link to) {
             cancel(dial);
             link = to;
@@ -329,13 +337,14 @@
                 world.tally.sent(zone == host.zone);
             }
             if (hop != null) {
-                hop.written(number, fresh > 0, zone, host.zone, time.now());
+                hop.written(number, newConnections > 0, zone, host.zone, time.now());
             }
             if (host.chance.happens(host.resetBefore)) {
-                // The host took the connection and not the whole request: that surely did not run.
+                // The server accepted the connection and reset it before the whole request arrived, so the request
+                // surely did not run.
                 close(to);
                 link = null;
-                if (fresh < MAX_NEW_CONNECTIONS) {
+                if (newConnections < MAX_NEW_CONNECTIONS) {
                     connect();
                 } else {
                     finish(Outcome.CONNECT_ERROR, null);
@@ -348,22 +357,22 @@
             }
         }
 
-        /** The last byte is at the server, if that still has the connection. */
+        /** Delivers the request to the server, if its process still has the connection. */
         private void arrive(Link to) {
             Host host = to.host;
             if (!world.network.passes(proxy, zone, host) || to.life.stopped() || !to.accepted) {
                 return;
             }
-            if (time.now() - to.servedAt > to.life.machine().idleCloseUs()) {
+            if (time.now() - to.lastResponseAt > to.life.machine().idleCloseUs()) {
                 world.reset(to);
                 return;
             }
             if (requestId == null) {
-                to.life.probe((how, inflight) -> back(to, how, inflight));
+                to.life.probe((result, inflight) -> respond(to, result, inflight));
                 return;
             }
-            double work = call.work() + (to.fresh ? to.life.handshakeWork() : 0);
-            to.fresh = false;
+            double work = call.work() + (to.unused ? to.life.handshakeWork() : 0);
+            to.unused = false;
             ServerModel.Job made = new ServerModel.Job(
                     requestId,
                     work,
@@ -371,7 +380,7 @@
                     call.effect(),
                     call.windowUs(),
                     endsAt,
-                    (how, inflight) -> worked(to, how, inflight));
+                    (result, inflight) -> ownWorkDone(to, result, inflight));
             if (hop != null) {
                 hop.arrived(number, world.queue.now());
             }
@@ -388,28 +397,30 @@
             }
         }
 
-        /** The server's own work is done: where it is a part of a graph, its further calls come before its answer. */
-        private void worked(Link to, ServerModel.End how, int inflight) {
-            if (hop == null || how != ServerModel.End.SERVED) {
-                back(to, how, inflight);
-            } else if (!unwanted) {
-                handling = hop.serve(to.host, endsAt, end -> back(to, end, inflight));
+        /**
+         * Continues when the server's own work is done: in a call graph its further calls come before its response.
+         */
+        private void ownWorkDone(Link to, ServerModel.End result, int inflight) {
+            if (hop == null || result != ServerModel.End.SERVED) {
+                respond(to, result, inflight);
+            } else if (!callerGone) {
+                handling = hop.serve(to.host, endsAt, end -> respond(to, end, inflight));
                 handling.begin();
             }
         }
 
-        /** Word has come to the server that nobody waits any more. */
-        private void stopBelow() {
-            unwanted = true;
+        /** Cancels the server's further calls once it notices that the caller no longer waits. */
+        private void cancelFurtherCalls() {
+            callerGone = true;
             if (handling != null) {
                 handling.cancel();
             }
         }
 
-        /** The server answers. */
-        private void back(Link to, ServerModel.End how, int inflight) {
+        /** Sends the server's response. */
+        private void respond(Link to, ServerModel.End result, int inflight) {
             Host host = to.host;
-            to.servedAt = world.queue.now();
+            to.lastResponseAt = world.queue.now();
             if (hop != null) {
                 hop.left(number, world.queue.now());
             }
@@ -422,27 +433,27 @@
             }
             world.queue.after(world.network.delay(zone, host.zone), () -> {
                 if (world.network.passes(proxy, zone, host)) {
-                    process.reads(() -> {
+                    process.runOrDefer(() -> {
                         if (to.open && to.current == this) {
-                            answered(to, how, inflight);
+                            answered(to, result, inflight);
                         }
                     });
                 }
             });
         }
 
-        private void answered(Link to, ServerModel.End how, int inflight) {
+        private void answered(Link to, ServerModel.End result, int inflight) {
             link = null;
             if (to.host.chance.happens(world.scenario.limits().reports())) {
                 end.loadReported(inflight);
             }
             if (to.host.address == address && to.host.life == to.life && !to.life.draining()) {
-                rest(to);
+                addIdle(to);
             } else {
                 to.current = null;
                 close(to);
             }
-            switch (how) {
+            switch (result) {
                 case SERVED -> finish(Outcome.OK, new Answer(requestId, to.host.id));
                 case ERROR -> finish(Outcome.FAILED, null);
                 case NOT_RUN -> finish(Outcome.QUEUE_FULL, null);
@@ -463,8 +474,8 @@
             finish(written ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
         }
 
-        /** The client proxy is no more: nobody is told. */
-        private void forget() {
+        /** Drops the attempt without calling its listener, because the client proxy's process has died. */
+        private void drop() {
             over = true;
             cancel(timer);
             cancel(dial);
--- a/src/main/java/mulleinfront/emulator/Host.java
+++ b/src/main/java/mulleinfront/emulator/Host.java
@@ -6,7 +6,7 @@
 import mulleinfront.Balancer.Availability;
 import mulleinfront.Balancer.Endpoint;
 
-/** A server under its id: where it is, its present process, and the connections that end there. */
+/** A server, identified by its id: its location, its current process and the connections to that process. */
 final class Host {
     final String id;
     final int zone;
@@ -14,21 +14,21 @@
     final int cell;
     final double weight;
     final ServerModel.Machine machine;
-    /** Open connections to the present process, in the order in which they came. */
+    /** Open connections to the current process, in the order in which they were accepted. */
     final Set<Link> links = new LinkedHashSet<>();
-    /** Where it listens; another number is another address. */
+    /** The address on which the server listens; a server that moves gets a new number. */
     int address;
-    /** The present process; null while there is none. */
+    /** The current process; null while there is none. */
     ServerModel life;
-    /** When that started; 0: long ago. */
+    /** When the current process started; 0 if before the run. */
     long startedAt;
-    /** The machine is off the net and says nothing. */
+    /** Whether the machine is disconnected from the network. */
     boolean vanished;
 
     double resetBefore;
     double resetAfter;
-    /** Work sent within the last moments while cold: what pushes it over. */
-    final Budget budget;
+    /** Work received within the recent window while cold, by which a cold server crashes. */
+    final LoadWindow budget;
 
     final Chance chance;
 
@@ -38,16 +38,16 @@
             int kind,
             int cell,
             double weight,
-            ServerModel.Machine machine,
-            Budget budget,
+            ServerModel.Machine spec,
+            LoadWindow coldLoad,
             Chance chance) {
         this.id = id;
         this.zone = zone;
         this.kind = kind;
         this.cell = cell;
         this.weight = weight;
-        this.machine = machine;
-        this.budget = budget;
+        this.machine = spec;
+        this.budget = coldLoad;
         this.chance = chance;
     }
 
@@ -59,53 +59,54 @@
         return new Endpoint(id, zone, cell, kind, availability, weight, startedAt);
     }
 
-    /** Work within a window of time, against what a cold server bears. */
-    static final class Budget {
+    /** Work within a time window, compared with the sustainable load of a cold server. */
+    static final class LoadWindow {
         private final long windowUs;
-        private final double multiple;
-        private final ArrayDeque<double[]> sent = new ArrayDeque<>();
+        private final double loadMultiple;
+        private final ArrayDeque<double[]> arrivals = new ArrayDeque<>();
         private double sum;
-        private double marked;
+        private double markedSum;
         private double most;
 
-        Budget(long windowUs, double multiple) {
+        LoadWindow(long windowUs, double multiple) {
             this.windowUs = windowUs;
-            this.multiple = multiple;
+            this.loadMultiple = multiple;
         }
 
         /**
-         * Notes work that came.
+         * Adds work that arrived.
          *
-         * @param capacity work that the server can do in a microsecond at this moment
-         * @return whether that is more than it bears
+         * @param mark whether the work counts towards {@link #markedFraction}
+         * @param capacity work that the server can do per microsecond now
+         * @return whether the work in the window exceeds the sustainable load
          */
-        boolean over(long now, double work, boolean mark, double capacity) {
-            sent.add(new double[] {now, work, mark ? work : 0});
+        boolean add(long now, double work, boolean mark, double capacity) {
+            arrivals.add(new double[] {now, work, mark ? work : 0});
             sum += work;
-            marked += mark ? work : 0;
-            for (double[] first; (first = sent.peek())[0] <= now - windowUs; sent.poll()) {
+            markedSum += mark ? work : 0;
+            for (double[] first; (first = arrivals.peek())[0] <= now - windowUs; arrivals.poll()) {
                 sum -= first[1];
-                marked -= first[2];
+                markedSum -= first[2];
             }
-            double bears = multiple * capacity * windowUs;
-            most = Math.max(most, sum / bears);
-            return sum > bears;
+            double sustainable = loadMultiple * capacity * windowUs;
+            most = Math.max(most, sum / sustainable);
+            return sum > sustainable;
         }
 
-        /** The most that was sent within a window, as a part of what the server bore then. */
+        /** The highest work within a window, as a fraction of the sustainable load at that time. */
         double most() {
             return most;
         }
 
-        /** Part of the work within the window that was marked. */
-        double markedPart() {
-            return sum <= 0 ? 0 : marked / sum;
+        /** Fraction of the work within the window that is marked. */
+        double markedFraction() {
+            return sum <= 0 ? 0 : markedSum / sum;
         }
 
         void clear() {
-            sent.clear();
+            arrivals.clear();
             sum = 0;
-            marked = 0;
+            markedSum = 0;
         }
     }
 }
--- a/src/main/java/mulleinfront/emulator/Link.java
+++ b/src/main/java/mulleinfront/emulator/Link.java
@@ -1,28 +1,31 @@
 package mulleinfront.emulator;
 
-/** One connection from a client proxy to one process of a server; carries one request at a time. */
+/** One connection from a client proxy to one process of a server; it carries one request at a time. */
 final class Link {
     final Host host;
     final int address;
     final ServerModel life;
     final EmulatedWire owner;
-    /** The attempt that it carries; null while idle. */
+    /** The current attempt; null while idle. */
     EmulatedWire.Attempt current;
     /** Whether the client proxy's end is open. */
     boolean open = true;
-    /** Whether the server's end is open: it counts it against what it takes. */
+    /** Whether the server's end is open and counts towards the server's connection limit. */
     boolean accepted = true;
 
-    boolean fresh = true;
-    long idleAt;
-    /** When the server last answered on it: it closes what stood idle for longer than it likes. */
-    long servedAt;
+    boolean unused = true;
+    long idleSince;
+    /**
+     * When the server last sent a response on it; the server closes a connection that has been idle for longer than
+     * its limit.
+     */
+    long lastResponseAt;
 
-    Link(Host host, ServerModel life, EmulatedWire owner, long now) {
+    Link(Host host, ServerModel process, EmulatedWire owner, long now) {
         this.host = host;
         this.address = host.address;
-        this.life = life;
+        this.life = process;
         this.owner = owner;
-        this.servedAt = now;
+        this.lastResponseAt = now;
     }
 }
--- a/src/main/java/mulleinfront/emulator/Network.java
+++ b/src/main/java/mulleinfront/emulator/Network.java
@@ -6,37 +6,37 @@
 import java.util.Map;
 import java.util.Set;
 
-/** How long messages are under way, and which never arrive. */
+/** Message delays between zones, and which messages are lost to partitions. */
 final class Network {
     private final long[][] oneWay;
     private final double jitter;
     private final Chance chance;
-    private final int[] cutZones;
-    private final Set<Host> cutHosts = new HashSet<>();
-    /** For client proxies that are cut from zones by themselves: how often from each; null: none is. */
-    private Map<Integer, int[]> cutProxies;
-    /** Pairs of zones that are cut from each other: how often; null: none is. */
-    private int[][] cutPairs;
-    /** Client proxies whose machine is off the net. */
+    private final int[] partitionedZones;
+    private final Set<Host> partitionedHosts = new HashSet<>();
+    /** Partitions of single client proxies: by proxy, a count for each zone; null: none. */
+    private Map<Integer, int[]> partitionedProxies;
+    /** Partitions between pairs of zones, as counts; null: none. */
+    private int[][] partitionedPairs;
+    /** Client proxies whose machine is disconnected from the network. */
     private final BitSet away = new BitSet();
 
     /**
-     * Of a part of a larger world, which has drawn the ways between its zones.
+     * The network of one service in a graph simulation, whose zones have the delays of the whole simulation.
      *
-     * @param oneWay from and to each zone, microseconds
+     * @param oneWay delay from and to each zone, microseconds
      */
     Network(long[][] oneWay, double jitter, Chance chance) {
         this.jitter = jitter;
         this.chance = chance;
         this.oneWay = oneWay;
-        this.cutZones = new int[oneWay.length];
+        this.partitionedZones = new int[oneWay.length];
     }
 
     Network(Scenario.Network spec, int zones, Chance chance) {
         this.jitter = spec.jitter();
         this.chance = chance;
         this.oneWay = new long[zones][zones];
-        this.cutZones = new int[zones];
+        this.partitionedZones = new int[zones];
         for (int a = 0; a < zones; a++) {
             for (int b = a; b < zones; b++) {
                 long us = Math.max(1, (long) (a == b ? spec.same() : spec.cross()).draw(chance::between));
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Time that one message takes, microseconds, at least 1. */
+    /** Delay of one message, microseconds, at least 1. */
     long delay(int from, int to) {
         double us = oneWay[from][to] * (1 + jitter * chance.unit());
         return Math.max(1, (long) us);
@@ -55,47 +55,50 @@
     /** Whether a message between a client proxy's zone and a server would arrive now. */
     boolean passes(int zone, Host host) {
         return !host.vanished
-                && !cutHosts.contains(host)
-                && (zone == host.zone || cutZones[zone] == 0 && cutZones[host.zone] == 0)
-                && (cutPairs == null || cutPairs[zone][host.zone] == 0);
+                && !partitionedHosts.contains(host)
+                && (zone == host.zone || partitionedZones[zone] == 0 && partitionedZones[host.zone] == 0)
+                && (partitionedPairs == null || partitionedPairs[zone][host.zone] == 0);
     }
 
-    /** The same for a client proxy, which may be cut off by itself. */
+    /**
+     * Whether a message between a client proxy and a server would arrive now, including partitions of the single
+     * proxy.
+     */
     boolean passes(int proxy, int zone, Host host) {
         return passes(zone, host)
                 && !away.get(proxy)
-                && (cutProxies == null
-                        || !cutProxies.containsKey(proxy)
-                        || cutProxies.get(proxy)[host.zone] == 0);
+                && (partitionedProxies == null
+                        || !partitionedProxies.containsKey(proxy)
+                        || partitionedProxies.get(proxy)[host.zone] == 0);
     }
 
-    /** One client proxy and the servers of a zone. */
+    /** Begins or ends a partition between one client proxy and the servers of a zone. */
     void cut(int proxy, int zone, boolean on) {
-        cutProxies = cutProxies == null ? new HashMap<>() : cutProxies;
-        cutProxies.computeIfAbsent(proxy, p -> new int[cutZones.length])[zone] += on ? 1 : -1;
+        partitionedProxies = partitionedProxies == null ? new HashMap<>() : partitionedProxies;
+        partitionedProxies.computeIfAbsent(proxy, p -> new int[partitionedZones.length])[zone] += on ? 1 : -1;
     }
 
-    /** Two zones from each other. */
+    /** Begins or ends a partition between two zones. */
     void cutPair(int a, int b, boolean on) {
-        cutPairs = cutPairs == null ? new int[oneWay.length][oneWay.length] : cutPairs;
-        cutPairs[a][b] += on ? 1 : -1;
-        cutPairs[b][a] += on ? 1 : -1;
+        partitionedPairs = partitionedPairs == null ? new int[oneWay.length][oneWay.length] : partitionedPairs;
+        partitionedPairs[a][b] += on ? 1 : -1;
+        partitionedPairs[b][a] += on ? 1 : -1;
     }
 
-    /** The machine of a client proxy is off the net, or back. */
+    /** Disconnects a client proxy's machine from the network, or reconnects it. */
     void away(int proxy, boolean on) {
         away.set(proxy, on);
     }
 
     void cut(int zone, boolean on) {
-        cutZones[zone] += on ? 1 : -1;
+        partitionedZones[zone] += on ? 1 : -1;
     }
 
     void cut(Host host, boolean on) {
         if (on) {
-            cutHosts.add(host);
+            partitionedHosts.add(host);
         } else {
-            cutHosts.remove(host);
+            partitionedHosts.remove(host);
         }
     }
 }
--- a/src/main/java/mulleinfront/emulator/ServerModel.java
+++ b/src/main/java/mulleinfront/emulator/ServerModel.java
@@ -9,32 +9,33 @@
 import mulleinfront.settings.Range;
 
 /**
- * One life of a factoring server's process, from its start to its end: a waiting room before some slots,
- * whose requests share the cores. It knows no network and no clock but the {@link Time} it is given, so it
- * runs on virtual time here and may run on a real clock elsewhere.
+ * One process of a simulated server, from its start to its end: a bounded queue in front of a number of slots, whose
+ * requests share the cores. It uses no network and no clock except the {@link Time} it is given, so it runs in
+ * virtual time here and can run on a real clock elsewhere.
  *
- * <p>Every running request progresses at one rate, so the work that each has had since the start is one
- * figure ({@code attained}) and a request ends when that figure reaches its own mark. Whatever changes the
- * rate (a start, an end, a pause, a neighbour, warming up) first brings {@code attained} up to date.
+ * <p>All running requests progress at the same rate, so one number ({@code attained}) is the work that each of them
+ * would have received since the process started, and a request ends when {@code attained} reaches the request's own
+ * end mark. Each event that changes the rate (a start, an end, a pause, a noisy neighbour, warming up) first advances
+ * {@code attained} to the current time.
  *
- * <p>Work is counted in microseconds of one core of speed 1.
+ * <p>The unit of work is one microsecond of a core of speed 1.
  */
 public final class ServerModel {
-    /** How often what changes steadily (warmth, crowding over a while) is looked at, microseconds. */
-    private static final long LOOK_US = 50_000;
-    /** Part of a request's work that it takes to see that it is a repeat and to give the kept answer. */
-    private static final double REPEAT_WORK = 0.05;
-    /** Kept effects beyond which those that are over are looked for. */
-    private static final int MANY_KEPT = 1024;
-
-    /** How a request ended at the server. */
+    /** Interval at which continuously changing state (warmth, mean load) is re-evaluated. */
+    private static final long RECHECK_US = 50_000;
+    /** Fraction of a request's work needed to recognise a repeat and return the stored response. */
+    private static final double REPEAT_WORK_FRACTION = 0.05;
+    /** Number of stored effects above which expired ones are removed. */
+    private static final int MIN_EFFECTS_TO_EXPIRE = 1024;
+
+    /** The result of a request at the server. */
     public enum End {
         SERVED,
         ERROR,
         NOT_RUN
     }
 
-    /** When work that nobody waits for stops. */
+    /** Which cancelled requests the server stops working on. */
     public enum Stops {
         NONE,
         QUEUED,
@@ -42,77 +43,84 @@
     }
 
     /**
-     * One machine, as drawn.
+     * The parameters of one server's machine, as drawn from the scenario.
      *
      * @param cores number of cores
-     * @param speed work a core does in a microsecond
-     * @param slots requests in work at once
-     * @param room requests that wait at most; beyond it they are turned away
-     * @param mostConnections open connections at most
-     * @param handshakeWork work that a new connection adds to the first request on it
-     * @param idleCloseUs idle time after which it closes a connection
-     * @param errors probability that an answer is an error
-     * @param reportEveryUs age after which its load report is made anew
+     * @param speed work that a core does per microsecond
+     * @param slots maximum number of requests that run at once
+     * @param queueCapacity maximum number of queued requests; requests beyond it are rejected
+     * @param mostConnections maximum number of open connections
+     * @param handshakeWork work that a new connection adds to its first request
+     * @param idleCloseUs idle time after which the server closes a connection
+     * @param errorProbability probability that a response is an error
+     * @param reportEveryUs age at which the load report is renewed
      * @param probeWork work of a probe
-     * @param mostProbes probes at once at most
-     * @param deepProbes whether probes wait and are served like requests
-     * @param coldFrom share of its capacity with which it starts, in (0, 1]
-     * @param coldForUs time from there to the full capacity; 0: warm at once
-     * @param coldWork work from there to the full capacity; above 0 it warms by work, not by time
+     * @param maxProbes maximum number of concurrent probes
+     * @param deepProbes whether probes are queued and served like requests
+     * @param coldFraction fraction of the capacity at the start, in (0, 1]
+     * @param warmUpUs time from the start to the full capacity; 0: warm at once
+     * @param warmUpWork work from the start to the full capacity; above 0 the server warms up by work, not by time
      * @param pauseEveryUs mean time between pauses; 0: none
      * @param pauseUs shortest and longest pause
-     * @param crowdAt requests held per core beyond which it gets less efficient; 0: never
-     * @param crowdLoss part of its efficiency that is lost at twice that many, and at most
-     * @param linger what makes it slow for a while after it was crowded; null: nothing
-     * @param stops when work stops that nobody waits for
-     * @param dropsExpired whether a request whose time is up when its turn comes is turned away
-     * @param keyMemoryUs how long it remembers a key; 0: not at all
-     * @param keySaving part of the work that it is spared by a key it remembers
-     * @param keysKept keys that it remembers at most
+     * @param overloadAt requests in flight per core above which efficiency falls; 0: never
+     * @param overloadLoss fraction of the efficiency that is lost at twice that number, which is also the maximum loss
+     * @param slowdown parameters of a metastable slowdown after overload; null: none
+     * @param cancelPolicy which cancelled requests the server stops working on
+     * @param dropsExpired whether a request that has expired when it leaves the queue is rejected
+     * @param keyCacheUs how long the server caches a key; 0: no cache
+     * @param keySaving fraction of the work that a cached key saves
+     * @param maxCachedKeys maximum number of cached keys
      */
     public record Machine(
             int cores,
             double speed,
             int slots,
-            int room,
+            int queueCapacity,
             int mostConnections,
             double handshakeWork,
             long idleCloseUs,
-            double errors,
+            double errorProbability,
             long reportEveryUs,
             double probeWork,
-            int mostProbes,
+            int maxProbes,
             boolean deepProbes,
-            double coldFrom,
-            long coldForUs,
-            double coldWork,
+            double coldFraction,
+            long warmUpUs,
+            double warmUpWork,
             long pauseEveryUs,
             Range pauseUs,
-            double crowdAt,
-            double crowdLoss,
-            Linger linger,
-            Stops stops,
+            double overloadAt,
+            double overloadLoss,
+            Linger slowdown,
+            Stops cancelPolicy,
             boolean dropsExpired,
-            long keyMemoryUs,
+            long keyCacheUs,
             double keySaving,
-            int keysKept) {
-        /** Work that it can do in a microsecond when warm and undisturbed. */
+            int maxCachedKeys) {
+        /** Work that the server can do per microsecond when warm and undisturbed. */
         public double capacity() {
             return cores * speed;
         }
     }
 
     /**
-     * Slowness that stays when the load has passed.
+     * A metastable slowdown: the server stays slow after the overload that caused it has ended.
      *
-     * @param at it begins when, in the mean of {@code afterUs}, more than cores + at x root of cores are held
-     * @param afterUs time over which that mean is taken
-     * @param slower how many times slower it then is
-     * @param below it ends when the cores were busy under this share ...
-     * @param restUs ... in the mean of this time,
-     * @param mostUs or after this time
+     * @param beginsAt it begins when the mean number of requests in flight over {@code loadMeanUs} exceeds
+     *     cores + beginsAt * sqrt(cores)
+     * @param loadMeanUs time constant of that mean
+     * @param factor factor by which the server is then slower
+     * @param endUtilisation it ends when the mean core utilisation is below this fraction
+     * @param utilisationMeanUs time constant of the mean utilisation
+     * @param maxUs longest duration of the slowdown
      */
-    public record Linger(double at, long afterUs, double slower, double below, long restUs, long mostUs) {}
+    public record Linger(
+            double beginsAt,
+            long loadMeanUs,
+            double factor,
+            double endUtilisation,
+            long utilisationMeanUs,
+            long maxUs) {}
 
     /** A request at the server. */
     public static final class Job {
@@ -122,22 +130,29 @@
         final String effect;
         final long windowUs;
         final long expiresAt;
-        final Done done;
+        final EndListener done;
         private long offeredAt;
-        private double mark;
-        private double share;
+        private double endMark;
+        private double chargedWork;
         private int state;
 
         /**
-         * @param requestId its id
-         * @param work its work without what memory of keys spares
-         * @param key what it is about, or null
-         * @param effect what identifies its effect among repeats (an idempotency key), or null
-         * @param windowUs how long repeats of the effect are dropped; 0: they are not
-         * @param expiresAt when nobody will wait for it any more
-         * @param done told once how it ended, unless it was cancelled or the process died
+         * @param requestId the request's id
+         * @param work work without what the key cache saves
+         * @param key the request's key, or null
+         * @param effect the identity of its effect among repeats (an idempotency key), or null
+         * @param windowUs how long repeats of the effect are dropped; 0: repeats are not dropped
+         * @param expiresAt when the caller stops waiting
+         * @param done called once with the result, unless the request was cancelled or the process died
          */
-        public Job(String requestId, double work, String key, String effect, long windowUs, long expiresAt, Done done) {
+        public Job(
+                String requestId,
+                double work,
+                String key,
+                String effect,
+                long windowUs,
+                long expiresAt,
+                EndListener done) {
             this.requestId = requestId;
             this.work = work;
             this.key = key;
@@ -153,44 +168,47 @@
     private static final int RUNNING = 2;
     private static final int OVER = 3;
 
-    /** The end of a request or probe at the server. */
-    public interface Done {
-        /** {@code inflight}: the load report, a little old. */
+    /** Receives the result of a request or probe. */
+    public interface EndListener {
+        /** Called with the result; {@code inflight} is the load report, which may be slightly out of date. */
         void done(End end, int inflight);
     }
 
-    /** Told of each effect when its request begins to run. */
-    public interface Effects {
-        /** {@code dropped}: it was a repeat that the server's group knew, and did nothing again. */
+    /** Called with each effect when its request begins to run. */
+    public interface EffectListener {
+        /**
+         * Called when a job begins; {@code dropped} if its deduplication group knew the effect, so that the server
+         * did not apply it again.
+         */
         void ran(Job job, boolean dropped);
     }
 
-    /** Until when each effect is known, in a group of servers that drop repeats. */
+    /** Expiry times of the effects known to a deduplication group. */
     public static final class Group {
-        private final Map<String, Long> knownUntil = new LinkedHashMap<>();
+        private final Map<String, Long> expiryByEffect = new LinkedHashMap<>();
 
-        private boolean knows(Job job, long now) {
+        private boolean checkRepeat(Job job, long now) {
             if (job.windowUs == 0 || job.effect == null) {
                 return false;
             }
-            if (knownUntil.size() > MANY_KEPT) {
-                // In the order in which they ran: the first that is fresh ends the search.
-                var oldest = knownUntil.values().iterator();
+            if (expiryByEffect.size() > MIN_EFFECTS_TO_EXPIRE) {
+                // Effects are in the order in which they ran, so the first unexpired one ends the search.
+                var oldest = expiryByEffect.values().iterator();
                 while (oldest.hasNext() && now > oldest.next()) {
                     oldest.remove();
                 }
             }
-            Long until = knownUntil.get(job.effect);
-            if (until != null && now <= until) {
+            Long expiry = expiryByEffect.get(job.effect);
+            if (expiry != null && now <= expiry) {
                 return true;
             }
-            knownUntil.remove(job.effect);
-            knownUntil.put(job.effect, now + job.windowUs);
+            expiryByEffect.remove(job.effect);
+            expiryByEffect.put(job.effect, now + job.windowUs);
             return false;
         }
     }
 
-    /** What the server saw and did; times in microseconds. */
+    /** Counters of one or more processes of a server; times in microseconds. */
     public static final class Figures {
         public long offered;
         public long begun;
@@ -215,30 +233,30 @@
         public double busyCoreUs;
         public double heldSumUs;
 
-        /** Adds what another life of the same server saw. */
-        public void add(Figures o) {
-            offered += o.offered;
-            begun += o.begun;
-            served += o.served;
-            errors += o.errors;
-            turnedAway += o.turnedAway;
-            expired += o.expired;
-            cancelled += o.cancelled;
-            repeatsDropped += o.repeatsDropped;
-            keyHits += o.keyHits;
-            probes += o.probes;
-            handshakes += o.handshakes;
-            connectionsRefused += o.connectionsRefused;
-            mostConnections = Math.max(mostConnections, o.mostConnections);
-            mostHeld = Math.max(mostHeld, o.mostHeld);
-            pausedUs += o.pausedUs;
-            lingeredUs += o.lingeredUs;
-            fell |= o.fell;
-            workDone += o.workDone;
-            workWasted += o.workWasted;
-            waitSumUs += o.waitSumUs;
-            busyCoreUs += o.busyCoreUs;
-            heldSumUs += o.heldSumUs;
+        /** Adds the counters of another process of the same server. */
+        public void add(Figures other) {
+            offered += other.offered;
+            begun += other.begun;
+            served += other.served;
+            errors += other.errors;
+            turnedAway += other.turnedAway;
+            expired += other.expired;
+            cancelled += other.cancelled;
+            repeatsDropped += other.repeatsDropped;
+            keyHits += other.keyHits;
+            probes += other.probes;
+            handshakes += other.handshakes;
+            connectionsRefused += other.connectionsRefused;
+            mostConnections = Math.max(mostConnections, other.mostConnections);
+            mostHeld = Math.max(mostHeld, other.mostHeld);
+            pausedUs += other.pausedUs;
+            lingeredUs += other.lingeredUs;
+            fell |= other.fell;
+            workDone += other.workDone;
+            workWasted += other.workWasted;
+            waitSumUs += other.waitSumUs;
+            busyCoreUs += other.busyCoreUs;
+            heldSumUs += other.heldSumUs;
         }
     }
 
@@ -246,58 +264,59 @@
     private final Time time;
     private final Chance chance;
     private final Group group;
-    private final Effects effects;
+    private final EffectListener effects;
     private final Figures figures = new Figures();
     private final long startedAt;
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final PriorityQueue<Job> running =
-            new PriorityQueue<>(Comparator.comparingDouble((Job j) -> j.mark).thenComparing(j -> j.requestId));
-    private final LinkedHashMap<String, Long> keys = new LinkedHashMap<>();
+            new PriorityQueue<>(Comparator.comparingDouble((Job j) -> j.endMark).thenComparing(j -> j.requestId));
+    private final LinkedHashMap<String, Long> keyLastUsed = new LinkedHashMap<>();
     private int held;
     private int connections;
     private int probes;
     private double attained;
     private double rate;
-    private long at;
-    private Time.Timer next;
-    private long nextAt;
-    private Time.Timer look;
+    private long advancedAt;
+    private Time.Timer nextEnd;
+    private long nextEndAt;
+    private Time.Timer recheck;
     private boolean stopped;
     private boolean draining;
     private boolean hung;
     private boolean cold;
     private int pauses;
     private double slow = 1;
-    private double taken;
+    private double neighbourShare;
     private double errors;
-    private double debt;
-    private double warmed;
+    private double pendingProbeWork;
+    private double workSinceStart;
     private boolean lingering;
-    private long lingeringSince;
-    private double heldMean;
-    private double busyMean = 1;
-    private int report;
+    private long slowdownSince;
+    private double inFlightMean;
+    private double utilisationMean = 1;
+    private int reportedInFlight;
     private long reportedAt = Long.MIN_VALUE / 2;
 
     /**
-     * A process that starts now.
+     * Starts a process.
      *
-     * @param startsCold whether it has just been started, rather than long ago
+     * @param startsCold whether the process has just been started; otherwise it counts as long running
      */
-    public ServerModel(Machine machine, Time time, Chance chance, Group group, Effects effects, boolean startsCold) {
-        this.machine = machine;
+    public ServerModel(
+            Machine spec, Time time, Chance chance, Group group, EffectListener effects, boolean startsCold) {
+        this.machine = spec;
         this.time = time;
         this.chance = chance;
         this.group = group;
         this.effects = effects;
-        this.errors = machine.errors();
-        this.at = time.now();
-        this.startedAt = at;
-        this.cold = startsCold && machine.coldFrom() < 1 && (machine.coldForUs() > 0 || machine.coldWork() > 0);
-        if (machine.pauseEveryUs() > 0) {
+        this.errors = spec.errorProbability();
+        this.advancedAt = time.now();
+        this.startedAt = advancedAt;
+        this.cold = startsCold && spec.coldFraction() < 1 && (spec.warmUpUs() > 0 || spec.warmUpWork() > 0);
+        if (spec.pauseEveryUs() > 0) {
             schedulePause();
         }
-        watch();
+        scheduleRecheck();
     }
 
     public Machine machine() {
@@ -309,7 +328,7 @@
         return figures;
     }
 
-    /** Requests in work and waiting. */
+    /** Number of requests running and queued. */
     public int held() {
         return held;
     }
@@ -322,25 +341,23 @@
         return draining;
     }
 
-    /** Share of its capacity that it has warmed up to, 1 when warm. */
+    /** Fraction of the full capacity reached by warming up; 1 when warm. */
     public double warmth() {
         if (!cold) {
             return 1;
         }
-        double part = machine.coldWork() > 0
-                ? warmed / machine.coldWork()
-                : (double) (time.now() - startedAt) / machine.coldForUs();
-        return Math.min(1, machine.coldFrom() + (1 - machine.coldFrom()) * part);
+        double part = machine.warmUpWork() > 0
+                ? workSinceStart / machine.warmUpWork()
+                : (double) (time.now() - startedAt) / machine.warmUpUs();
+        return Math.min(1, machine.coldFraction() + (1 - machine.coldFraction()) * part);
     }
 
-    /**
-     * Work that is still to be done of the requests that it holds, without what memory of keys will spare.
-     */
+    /** Remaining work of the requests in flight, without the savings of the key cache. */
     double workAhead() {
         advance();
         double ahead = 0;
         for (Job job : running) {
-            ahead += job.mark - attained;
+            ahead += job.endMark - attained;
         }
         for (Job job : waiting) {
             ahead += job.work;
@@ -348,30 +365,30 @@
         return ahead;
     }
 
-    /** Work that a core does in a microsecond at this moment; 0 while it answers nothing. */
+    /** Work that a core does per microsecond now; 0 while the server does not respond. */
     double coreSpeed() {
         return hung || pauses > 0 || stopped
                 ? 0
                 : machine.speed()
                         * warmth()
                         * efficiency()
-                        * (1 - taken)
+                        * (1 - neighbourShare)
                         / slow
-                        / (lingering ? machine.linger().slower() : 1);
+                        / (lingering ? machine.slowdown().factor() : 1);
     }
 
-    /** Part of a request's work that is left where its key was met lately; 1 where not. */
+    /** Fraction of a request's work that remains if its key is cached; 1 if it is not cached. */
     double workLeftOf(String key) {
-        Long last = key == null || machine.keyMemoryUs() == 0 ? null : keys.get(key);
-        return last != null && time.now() - last <= machine.keyMemoryUs() ? 1 - machine.keySaving() : 1;
+        Long last = key == null || machine.keyCacheUs() == 0 ? null : keyLastUsed.get(key);
+        return last != null && time.now() - last <= machine.keyCacheUs() ? 1 - machine.keySaving() : 1;
     }
 
     /**
-     * Whether something is wrong with it beside load and cold: it hangs, is slowed, shares its machine, or
-     * errs.
+     * Whether the server is faulty apart from load and cold start: it hangs, is slowed down, has a noisy neighbour,
+     * or returns additional errors.
      */
-    boolean troubled() {
-        return hung || slow > 1 || taken > 0 || lingering || errors > machine.errors();
+    boolean faulty() {
+        return hung || slow > 1 || neighbourShare > 0 || lingering || errors > machine.errorProbability();
     }
 
     boolean hung() {
@@ -380,7 +397,7 @@
 
     // ---- connections and probes ----------------------------------------------------------------------
 
-    /** A client connects; false if it holds all the connections that it takes. */
+    /** Accepts a connection; false if the server has its maximum number of connections. */
     public boolean connect() {
         if (connections >= machine.mostConnections()) {
             figures.connectionsRefused++;
@@ -401,10 +418,10 @@
         return machine.handshakeWork();
     }
 
-    /** Asks how it is: a shallow probe is answered beside the queue and shows little but that it runs. */
-    public void probe(Done done) {
+    /** Runs a probe. A shallow probe bypasses the queue and shows little more than that the process runs. */
+    public void probe(EndListener done) {
         figures.probes++;
-        if (probes >= machine.mostProbes() || draining) {
+        if (probes >= machine.maxProbes() || draining) {
             done.done(End.NOT_RUN, held);
             return;
         }
@@ -415,25 +432,25 @@
                 done.done(end, inflight);
             }));
         } else if (!hung) {
-            debt += running.isEmpty() ? 0 : machine.probeWork();
+            pendingProbeWork += running.isEmpty() ? 0 : machine.probeWork();
             done.done(End.SERVED, held);
         }
     }
 
     // ---- requests ------------------------------------------------------------------------------------
 
-    /** Takes a request whose last byte has come; it may end before this returns. */
+    /** Accepts a request whose last byte has arrived; the request may end before this method returns. */
     public void offer(Job job) {
         if (stopped) {
             return;
         }
         figures.offered++;
         job.offeredAt = time.now();
-        boolean full = running.size() >= machine.slots() && waiting.size() >= machine.room();
+        boolean full = running.size() >= machine.slots() && waiting.size() >= machine.queueCapacity();
         if (draining || full && !hung) {
             figures.turnedAway++;
             job.state = OVER;
-            job.done.done(End.NOT_RUN, inflight());
+            job.done.done(End.NOT_RUN, loadReport());
             return;
         }
         advance();
@@ -441,17 +458,17 @@
         figures.mostHeld = Math.max(figures.mostHeld, held);
         job.state = WAITING;
         waiting.add(job);
-        fill();
-        settle();
+        startQueued();
+        reschedule();
     }
 
-    /** Nobody waits for it any more; unknown or ended requests are ignored. */
+    /** Cancels a request that its caller no longer waits for; unknown or ended requests are ignored. */
     public void cancel(Job job) {
         if (stopped
                 || job.state == NEW
                 || job.state == OVER
-                || machine.stops() == Stops.NONE
-                || job.state == RUNNING && machine.stops() == Stops.QUEUED) {
+                || machine.cancelPolicy() == Stops.NONE
+                || job.state == RUNNING && machine.cancelPolicy() == Stops.QUEUED) {
             return;
         }
         advance();
@@ -459,23 +476,23 @@
             waiting.remove(job);
         } else {
             running.remove(job);
-            figures.workWasted += job.share - (job.mark - attained);
+            figures.workWasted += job.chargedWork - (job.endMark - attained);
         }
         job.state = OVER;
         held--;
         figures.cancelled++;
-        fill();
-        settle();
+        startQueued();
+        reschedule();
     }
 
-    private void fill() {
+    private void startQueued() {
         while (running.size() < machine.slots() && !waiting.isEmpty() && !hung) {
             Job job = waiting.poll();
             if (machine.dropsExpired() && time.now() >= job.expiresAt) {
                 job.state = OVER;
                 held--;
                 figures.expired++;
-                job.done.done(End.NOT_RUN, inflight());
+                job.done.done(End.NOT_RUN, loadReport());
                 continue;
             }
             begin(job);
@@ -483,90 +500,91 @@
     }
 
     private void begin(Job job) {
-        boolean dropped = group != null && group.knows(job, time.now());
-        job.share = (dropped ? REPEAT_WORK : remembers(job.key) ? 1 - machine.keySaving() : 1) * job.work + debt;
-        debt = 0;
-        job.mark = attained + job.share;
+        boolean repeat = group != null && group.checkRepeat(job, time.now());
+        job.chargedWork = (repeat ? REPEAT_WORK_FRACTION : useKey(job.key) ? 1 - machine.keySaving() : 1) * job.work
+                + pendingProbeWork;
+        pendingProbeWork = 0;
+        job.endMark = attained + job.chargedWork;
         job.state = RUNNING;
         running.add(job);
         figures.begun++;
         figures.waitSumUs += time.now() - job.offeredAt;
-        figures.repeatsDropped += dropped ? 1 : 0;
-        effects.ran(job, dropped);
+        figures.repeatsDropped += repeat ? 1 : 0;
+        effects.ran(job, repeat);
     }
 
-    private boolean remembers(String key) {
-        if (key == null || machine.keyMemoryUs() == 0) {
+    private boolean useKey(String key) {
+        if (key == null || machine.keyCacheUs() == 0) {
             return false;
         }
-        Long last = keys.remove(key);
-        keys.put(key, time.now());
-        if (keys.size() > machine.keysKept()) {
-            keys.remove(keys.keySet().iterator().next());
+        Long last = keyLastUsed.remove(key);
+        keyLastUsed.put(key, time.now());
+        if (keyLastUsed.size() > machine.maxCachedKeys()) {
+            keyLastUsed.remove(keyLastUsed.keySet().iterator().next());
         }
-        boolean known = last != null && time.now() - last <= machine.keyMemoryUs();
+        boolean known = last != null && time.now() - last <= machine.keyCacheUs();
         figures.keyHits += known ? 1 : 0;
         return known;
     }
 
-    private int inflight() {
+    private int loadReport() {
         if (time.now() - reportedAt >= machine.reportEveryUs()) {
             reportedAt = time.now();
-            report = held;
+            reportedInFlight = held;
         }
-        return report;
+        return reportedInFlight;
     }
 
-    // ---- troubles ------------------------------------------------------------------------------------
+    // ---- faults ----------------------------------------------------------------------------------------
 
-    /** It does its work this many times slower; 1 ends it. */
+    /** Slows the server down by this factor; 1 ends the fault. */
     public void slow(double factor) {
-        change(() -> slow = factor);
+        applyChange(() -> slow = factor);
     }
 
-    /** Another program takes this part of the machine; 0 ends it. */
+    /** A noisy neighbour takes this fraction of the machine; 0 ends the fault. */
     public void neighbour(double part) {
-        change(() -> taken = part);
+        applyChange(() -> neighbourShare = part);
     }
 
-    /** Takes requests and answers none, until it is told otherwise. */
+    /** While on, the server accepts requests and answers none. */
     public void hang(boolean on) {
-        change(() -> {
+        applyChange(() -> {
             hung = on;
-            fill();
+            startQueued();
         });
     }
 
-    /** Answers with an error this often; the requests have run. */
+    /** Sets the probability of an error response; the failed requests have run. */
     public void errors(double probability) {
-        errors = Math.max(machine.errors(), probability);
+        errors = Math.max(machine.errorProbability(), probability);
     }
 
-    /** Finishes what it has and turns away what is new. */
+    /** Starts a drain: the server finishes the accepted requests and rejects new ones. */
     public void drain() {
         draining = true;
     }
 
-    /** Stands still. */
-    public void pause(long us) {
-        change(() -> pauses++);
-        figures.pausedUs += us;
-        time.after(us, () -> change(() -> pauses--));
+    /** Pauses the process. */
+    public void pause(long durationUs) {
+        applyChange(() -> pauses++);
+        figures.pausedUs += durationUs;
+        time.after(durationUs, () -> applyChange(() -> pauses--));
     }
 
-    /** Pushed over while cold. */
+    /** Crashes the process from overload while cold. */
     public void fall() {
         figures.fell = true;
         stop();
     }
 
-    /** The process ends: nothing that it holds is answered. */
+    /** Ends the process; requests in flight get no response. */
     public void stop() {
         advance();
         stopped = true;
         rate = 0;
-        cancel(next);
-        cancel(look);
+        cancel(nextEnd);
+        cancel(recheck);
         waiting.clear();
         running.clear();
         held = 0;
@@ -578,11 +596,11 @@
         }
     }
 
-    private void change(Runnable what) {
+    private void applyChange(Runnable change) {
         if (!stopped) {
             advance();
-            what.run();
-            settle();
+            change.run();
+            reschedule();
         }
     }
 
@@ -597,112 +615,115 @@
 
     // ---- progress ------------------------------------------------------------------------------------
 
-    /** Brings all figures up to now, at the rate that held since the last time. */
+    /** Advances all counters to the current time, at the rate since the last change. */
     private void advance() {
         long now = time.now();
-        double passed = now - at;
-        if (passed > 0 && !stopped) {
-            double done = rate * passed;
+        double elapsed = now - advancedAt;
+        if (elapsed > 0 && !stopped) {
+            double done = rate * elapsed;
             attained += done;
-            double all = done * running.size();
-            figures.workDone += all;
-            warmed += all;
-            figures.busyCoreUs += passed * Math.min(running.size(), machine.cores());
-            figures.heldSumUs += passed * held;
-            figures.lingeredUs += lingering ? passed : 0;
-            if (machine.linger() != null) {
-                heldMean = toward(heldMean, held, passed, machine.linger().afterUs());
+            double doneByAll = done * running.size();
+            figures.workDone += doneByAll;
+            workSinceStart += doneByAll;
+            figures.busyCoreUs += elapsed * Math.min(running.size(), machine.cores());
+            figures.heldSumUs += elapsed * held;
+            figures.lingeredUs += lingering ? elapsed : 0;
+            if (machine.slowdown() != null) {
+                inFlightMean = exponentialMean(
+                        inFlightMean, held, elapsed, machine.slowdown().loadMeanUs());
                 double busy = Math.min(1.0, (double) running.size() / machine.cores());
-                busyMean = toward(busyMean, busy, passed, machine.linger().restUs());
+                utilisationMean = exponentialMean(
+                        utilisationMean, busy, elapsed, machine.slowdown().utilisationMeanUs());
             }
         }
-        at = now;
+        advancedAt = now;
     }
 
-    private static double toward(double mean, double value, double passed, double over) {
-        return value + (mean - value) * StrictMath.exp(-passed / over);
+    private static double exponentialMean(double mean, double value, double elapsed, double timeConstant) {
+        return value + (mean - value) * StrictMath.exp(-elapsed / timeConstant);
     }
 
-    /** Sets the rate that holds from now on, and when the next request ends by it. */
-    private void settle() {
-        double all = coreSpeed();
-        rate = running.isEmpty() ? 0 : all * Math.min(1.0, (double) machine.cores() / running.size());
+    /** Sets the current rate and schedules the end of the next request by it. */
+    private void reschedule() {
+        double speed = coreSpeed();
+        rate = running.isEmpty() ? 0 : speed * Math.min(1.0, (double) machine.cores() / running.size());
         if (rate > 0) {
-            double left = Math.max(0, running.peek().mark - attained) / rate;
-            long endsAt = at + (long) Math.ceil(Math.min(left, 1e15));
-            // Most arrivals change neither the rate nor who ends next; a microsecond is rounding.
-            if (next == null || Math.abs(endsAt - nextAt) > 1) {
-                cancel(next);
-                nextAt = endsAt;
-                next = time.after(endsAt - at, this::ended);
+            double remainingUs = Math.max(0, running.peek().endMark - attained) / rate;
+            long endsAt = advancedAt + (long) Math.ceil(Math.min(remainingUs, 1e15));
+            // Most arrivals change neither the rate nor the next request to end; a difference of one microsecond is
+            // rounding.
+            if (nextEnd == null || Math.abs(endsAt - nextEndAt) > 1) {
+                cancel(nextEnd);
+                nextEndAt = endsAt;
+                nextEnd = time.after(endsAt - advancedAt, this::endDue);
             }
         } else {
-            cancel(next);
-            next = null;
+            cancel(nextEnd);
+            nextEnd = null;
         }
-        watch();
+        scheduleRecheck();
     }
 
     private double efficiency() {
-        double bearable = machine.crowdAt() * machine.cores();
-        if (bearable == 0 || held <= bearable) {
+        double threshold = machine.overloadAt() * machine.cores();
+        if (threshold == 0 || held <= threshold) {
             return 1;
         }
-        return 1 - machine.crowdLoss() * Math.min(1, (held - bearable) / bearable);
+        return 1 - machine.overloadLoss() * Math.min(1, (held - threshold) / threshold);
     }
 
-    private void ended() {
-        next = null;
+    private void endDue() {
+        nextEnd = null;
         advance();
-        // A rounded microsecond may leave a hair of work: whoever is this close has ended.
+        // Rounding to microseconds may leave a tiny remainder of work; requests within 1e-6 of their end have ended.
         double reached = attained + 1e-6;
-        while (!running.isEmpty() && running.peek().mark <= reached) {
+        while (!running.isEmpty() && running.peek().endMark <= reached) {
             Job job = running.poll();
             job.state = OVER;
             held--;
             boolean error = chance.happens(errors);
             figures.served += error ? 0 : 1;
             figures.errors += error ? 1 : 0;
-            figures.workWasted += error ? job.share : 0;
-            job.done.done(error ? End.ERROR : End.SERVED, inflight());
+            figures.workWasted += error ? job.chargedWork : 0;
+            job.done.done(error ? End.ERROR : End.SERVED, loadReport());
             if (stopped) {
                 return;
             }
         }
-        fill();
-        settle();
+        startQueued();
+        reschedule();
     }
 
-    /** Looks again in a moment, as long as there is something that changes by itself. */
-    private void watch() {
-        boolean crowdedLately = machine.linger() != null && (lingering || held > 0 || heldMean > 0.5);
-        if (look == null && !stopped && (cold || crowdedLately)) {
-            look = time.after(LOOK_US, () -> {
-                look = null;
+    /** Schedules the next re-evaluation while any state changes with time. */
+    private void scheduleRecheck() {
+        boolean recentlyLoaded = machine.slowdown() != null && (lingering || held > 0 || inFlightMean > 0.5);
+        if (recheck == null && !stopped && (cold || recentlyLoaded)) {
+            recheck = time.after(RECHECK_US, () -> {
+                recheck = null;
                 advance();
                 cold = cold && warmth() < 1;
-                linger();
-                settle();
+                updateSlowdown();
+                reschedule();
             });
         }
     }
 
-    private void linger() {
-        Linger l = machine.linger();
-        if (l == null) {
+    private void updateSlowdown() {
+        Linger slowdown = machine.slowdown();
+        if (slowdown == null) {
             return;
         }
         long now = time.now();
         if (lingering) {
-            lingering = now - lingeringSince < l.mostUs() && busyMean >= l.below();
-        } else if (heldMean > machine.cores() + l.at() * Math.sqrt(machine.cores())) {
+            lingering = now - slowdownSince < slowdown.maxUs() && utilisationMean >= slowdown.endUtilisation();
+        } else if (inFlightMean > machine.cores() + slowdown.beginsAt() * Math.sqrt(machine.cores())) {
             lingering = true;
-            lingeringSince = now;
-            busyMean = 1;
+            slowdownSince = now;
+            utilisationMean = 1;
         }
     }
 
-    /** Whether it is slow from load that may have passed. */
+    /** Whether the server is slow from an overload that may have passed. */
     public boolean lingering() {
         return lingering;
     }
--- a/src/main/java/mulleinfront/emulator/Sweep.java
+++ b/src/main/java/mulleinfront/emulator/Sweep.java
@@ -13,18 +13,18 @@
 import mulleinfront.settings.BadFileException;
 
 /**
- * One scenario under many seeds. Each world is played whole on one thread and shares nothing with the others,
- * and what is said of them goes by their seeds, so nothing depends on how many are played at once.
+ * Runs of one scenario under many seeds. Each simulation runs on one thread and shares no state with the others, and
+ * results are ordered by seed, so the number of concurrent runs has no effect on them.
  */
 public final class Sweep {
     private Sweep() {}
 
     /**
-     * What is kept of one world.
+     * The result of one simulation.
      *
      * @param goodput see {@link World.Result#goodput}
-     * @param fell servers that fell over
-     * @param breach its first broken rule in words, or null
+     * @param fell number of servers that crashed from overload
+     * @param breach description of the first violation, or null
      * @param starts see {@link ServiceReport#starts}
      */
     public record SeedResult(
@@ -37,11 +37,11 @@
             String sha256,
             List<ServiceReport.Starts> starts) {}
 
-    /** What is played under a seed: one scenario under all of them, or one that the seed draws. */
+    /** The scenario of a seed: a fixed one, or one generated from the seed. */
     public interface Source {
         Scenario of(long seed);
 
-        /** Deployments of a family. */
+        /** Generated scenarios of one family. */
         static Source drawn(GeneratedScenario.Family family, int instances, long startUs) {
             return seed -> {
                 try {
@@ -56,11 +56,11 @@
     }
 
     /**
-     * Plays seeds {@code from} to {@code to}, both included.
+     * Runs the seeds {@code from} to {@code to}, both included.
      *
-     * @param balancer the reference balancer to play with, or null: the product
-     * @param jobs worlds at once, at least 1
-     * @param progress told of each world when it is done, in the order of the seeds
+     * @param balancer the reference balancer, or null: the product
+     * @param jobs number of concurrent simulations, at least 1
+     * @param progress called with each result, in the order of the seeds
      */
     public static List<SeedResult> play(
             Scenario scenario, long from, long to, int jobs, Reference balancer, Consumer<SeedResult> progress)
@@ -68,7 +68,7 @@
         return play(seed -> scenario, from, to, jobs, balancer, progress);
     }
 
-    /** The same of scenarios that may differ by seed. */
+    /** Runs the seeds {@code from} to {@code to} of scenarios that may differ by seed. */
     public static List<SeedResult> play(
             Source source, long from, long to, int jobs, Reference balancer, Consumer<SeedResult> progress)
             throws InterruptedException {
@@ -78,20 +78,20 @@
             return thread;
         });
         try {
-            List<Future<SeedResult>> worlds = new ArrayList<>();
+            List<Future<SeedResult>> runs = new ArrayList<>();
             for (long seed = from; seed <= to; seed++) {
-                long one = seed;
-                worlds.add(pool.submit(() -> play(source.of(one), one, balancer)));
+                long runSeed = seed;
+                runs.add(pool.submit(() -> play(source.of(runSeed), runSeed, balancer)));
             }
             List<SeedResult> all = new ArrayList<>();
-            for (Future<SeedResult> world : worlds) {
-                SeedResult played = world.get();
-                all.add(played);
-                progress.accept(played);
+            for (Future<SeedResult> world : runs) {
+                SeedResult result = world.get();
+                all.add(result);
+                progress.accept(result);
             }
             return all;
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a world ended by " + e.getCause(), e.getCause());
+            throw new IllegalStateException("a simulation failed: " + e.getCause(), e.getCause());
         } finally {
             pool.shutdownNow();
         }
@@ -99,19 +99,19 @@
 
     private static SeedResult play(Scenario scenario, long seed, Reference balancer) {
         World world = balancer == null ? World.of(scenario, seed, null) : World.under(balancer, scenario, seed);
-        World.Result r = world.play();
+        World.Result result = world.play();
         return new SeedResult(
                 seed,
-                r.service().service(),
-                r.goodput(),
-                r.crashedServers(),
-                r.broken(),
-                r.firstBroken(),
-                r.sha256(),
-                r.service().starts());
+                result.service().service(),
+                result.goodput(),
+                result.crashedServers(),
+                result.broken(),
+                result.firstBreach(),
+                result.sha256(),
+                result.service().starts());
     }
 
-    /** The seeds of least service, the worst first. */
+    /** The seeds with the lowest service scores, the worst first. */
     public static List<SeedResult> worst(List<SeedResult> all, int count) {
         return all.stream()
                 .sorted(Comparator.comparingDouble(SeedResult::service).thenComparingLong(SeedResult::seed))
@@ -120,16 +120,16 @@
     }
 
     /**
-     * A line for each kind of start, over all worlds: its part of the worth served, its part of tries
+     * A line for each type of start over all simulations: the fraction of value served and the fraction of tries
      * refused.
      */
     public static List<String> starts(List<SeedResult> all) {
         List<String> lines = new ArrayList<>();
         for (int i = 0; !all.isEmpty() && i < all.get(0).starts().size(); i++) {
-            int place = i;
+            int index = i;
             List<ServiceReport.Starts> each = all.stream()
-                    .filter(p -> p.starts().size() > place)
-                    .map(p -> p.starts().get(place))
+                    .filter(p -> p.starts().size() > index)
+                    .map(p -> p.starts().get(index))
                     .toList();
             lines.add(String.format(
                     Locale.ROOT,
--- a/src/main/java/mulleinfront/emulator/ToldDeadlines.java
+++ b/src/main/java/mulleinfront/emulator/ToldDeadlines.java
@@ -4,133 +4,140 @@
 import java.util.Map;
 
 /**
- * From when a change that discovery has counts as told to a client proxy, though it has not been told it. An open watch
- * is told when it is written to. One without a watch counts as told
+ * Propagation deadlines: the time from which a change in discovery's list counts as known to a client proxy that has
+ * not received it. A proxy with an open watch knows a change once it is sent on the watch. There is no deadline while
+ * discovery is unreachable for the proxy. For a proxy without a watch the deadline is the earliest of
  *
  * <ul>
- * <li>2 s after the end of its watch, if that ended in order, as a poll whose wait is over; whether or not it has called
- * since, unless discovery could not be reached meanwhile;
- * <li>the settings' time for asking after the change, the end of its watch, its last call or its start, four times as long
- * if that call failed;
- * <li>6 s after discovery had the change and could be reached, whatever calls failed. A watch that fell silent counts as
- * lost from then.
+ * <li>2 s after the later of the change and the end of its watch, if discovery ended the watch in order, like a poll
+ * whose wait is over. This holds whether or not the proxy has called since, unless discovery was unreachable meanwhile;
+ * <li>{@code askWithinUs} after the latest of the change, the time since which discovery has been reachable, the end of
+ * its watch, and its last call or start; four times as long if that call failed;
+ * <li>6 s after the later of the change and the time since which discovery has been reachable, whatever calls failed. A
+ * watch that became unresponsive counts as lost from that time.
  * </ul>
  */
 final class ToldDeadlines {
-    /** Told at the latest so long after discovery had a change and could be reached, whatever calls failed. */
+    /** Latest propagation deadline after discovery had a change and was reachable, whatever calls failed. */
     static final long REACHABLE_US = 6_000_000;
-    /** A watch that has ended is a poll whose wait is over: what it missed counts as told so long after. */
+    /** Propagation deadline after discovery ended a watch in order, like a poll whose wait is over. */
     static final long WATCH_ENDED_US = 2_000_000;
-    /** A call that failed binds for this many times as long. */
-    private static final int AFTER_FAILURE = 4;
+    /** Factor on {@code askWithinUs} after a failed call. */
+    private static final int FAILED_CALL_FACTOR = 4;
 
     private static final long NEVER = Long.MAX_VALUE;
 
     private final long askWithinUs;
-    private final Map<Integer, Told> proxies = new HashMap<>();
+    private final Map<Integer, ProxyState> proxies = new HashMap<>();
     private boolean reachable = true;
     private long reachableSince;
 
-    /** What is known of one process of a client proxy. */
-    private static final class Told {
+    /** Discovery state of one process of a client proxy. */
+    private static final class ProxyState {
         private boolean watching;
-        private boolean failed;
+        private boolean callFailed;
         private long calledAt;
-        private long silentSince = NEVER;
-        /** When its last watch was over, and when discovery ended it in order; {@link #NEVER} if it did not. */
+        private long unresponsiveSince = NEVER;
+        /**
+         * When the last watch ended ({@code lostAt}), and when discovery ended it in order ({@code endedAt}), or
+         * {@link #NEVER} if it did not.
+         */
         private long lostAt = -NEVER;
 
         private long endedAt = NEVER;
-        /** It can reach discovery itself, and runs. */
-        private boolean reaches = true;
+        /** Whether the proxy runs and is not partitioned from discovery. */
+        private boolean connected = true;
 
-        private long reachesSince;
+        private long connectedSince;
     }
 
     ToldDeadlines(long askWithinUs) {
         this.askWithinUs = askWithinUs;
     }
 
-    private Told of(int proxy) {
-        return proxies.computeIfAbsent(proxy, p -> new Told());
+    private ProxyState stateOf(int proxy) {
+        return proxies.computeIfAbsent(proxy, p -> new ProxyState());
     }
 
-    void started(int proxy, long now) {
-        boolean reaches = of(proxy).reaches;
-        Told told = new Told();
-        told.calledAt = now;
-        told.reaches = reaches;
-        told.reachesSince = now;
-        proxies.put(proxy, told);
+    void proxyStarted(int proxy, long now) {
+        boolean connected = stateOf(proxy).connected;
+        ProxyState state = new ProxyState();
+        state.calledAt = now;
+        state.connected = connected;
+        state.connectedSince = now;
+        proxies.put(proxy, state);
     }
 
-    void called(int proxy, long now) {
-        of(proxy).calledAt = now;
+    void discoveryCalled(int proxy, long now) {
+        stateOf(proxy).calledAt = now;
     }
 
     void watching(int proxy) {
-        Told told = of(proxy);
-        told.watching = true;
-        told.failed = false;
-        told.silentSince = NEVER;
-        told.endedAt = NEVER;
+        ProxyState state = stateOf(proxy);
+        state.watching = true;
+        state.callFailed = false;
+        state.unresponsiveSince = NEVER;
+        state.endedAt = NEVER;
     }
 
-    /** Its watch says nothing any more, also where its connection stays open. */
-    void silent(int proxy, long now) {
-        Told told = of(proxy);
-        told.silentSince = Math.min(told.silentSince, now);
+    /** Records that the proxy's watch gets no data any more, even if its connection stays open. */
+    void watchUnresponsive(int proxy, long now) {
+        ProxyState state = stateOf(proxy);
+        state.unresponsiveSince = Math.min(state.unresponsiveSince, now);
     }
 
     /**
-     * A call has failed, or a watch has ended: which of both goes by whether there was a watch.
+     * Records the end of a watch if the proxy had one, otherwise a failed call.
      *
-     * @param inOrder whether discovery ended its answer, so that a poll's wait was over; else the connection broke, or the
-     *        client proxy ended it
+     * @param inOrder whether discovery ended its response, so that a poll's wait was over; otherwise the connection
+     *     broke, or the client proxy closed it
      */
-    void ended(int proxy, long now, boolean inOrder) {
-        Told told = of(proxy);
-        told.failed = !told.watching;
-        if (told.watching) {
-            told.lostAt = now;
-            told.endedAt = inOrder && told.silentSince == NEVER ? now : NEVER;
+    void watchEnded(int proxy, long now, boolean inOrder) {
+        ProxyState state = stateOf(proxy);
+        state.callFailed = !state.watching;
+        if (state.watching) {
+            state.lostAt = now;
+            state.endedAt = inOrder && state.unresponsiveSince == NEVER ? now : NEVER;
         }
-        told.watching = false;
+        state.watching = false;
     }
 
-    /** Whether discovery can be reached by anybody, from now on. */
-    void reachable(boolean can, long now) {
+    /** Records whether discovery is reachable for any proxy from now on. */
+    void discoveryReachable(boolean can, long now) {
         reachable = can;
         reachableSince = now;
     }
 
-    /** Whether one client proxy runs and is not cut off from discovery, from now on. */
-    void reaches(int proxy, boolean can, long now) {
-        Told told = of(proxy);
-        told.reaches = can;
-        told.reachesSince = now;
+    /** Records whether one client proxy runs and is not partitioned from discovery from now on. */
+    void proxyConnected(int proxy, boolean can, long now) {
+        ProxyState state = stateOf(proxy);
+        state.connected = can;
+        state.connectedSince = now;
     }
 
-    /** When a change that discovery has since an instant counts as told, if it is not told before. */
-    long toldAt(int proxy, long listedAt) {
-        Told told = of(proxy);
-        if (!reachable || !told.reaches || told.watching && told.silentSince == NEVER) {
+    /**
+     * The propagation deadline of a change that discovery has had since {@code listedAt}; {@link #NEVER} if none
+     * applies now.
+     */
+    long deadline(int proxy, long listedAt) {
+        ProxyState state = stateOf(proxy);
+        if (!reachable || !state.connected || state.watching && state.unresponsiveSince == NEVER) {
             return NEVER;
         }
-        long reachedSince = Math.max(reachableSince, told.reachesSince);
-        long since = Math.max(listedAt, reachedSince);
-        if (told.watching) {
-            return Math.max(since, told.silentSince) + REACHABLE_US;
+        long reachableFrom = Math.max(reachableSince, state.connectedSince);
+        long since = Math.max(listedAt, reachableFrom);
+        if (state.watching) {
+            return Math.max(since, state.unresponsiveSince) + REACHABLE_US;
         }
-        long asked =
-                Math.max(since, Math.max(told.calledAt, told.lostAt)) + askWithinUs * (told.failed ? AFTER_FAILURE : 1);
-        boolean endedInReach = told.endedAt != NEVER && told.endedAt >= reachedSince;
-        long ended = endedInReach ? Math.max(listedAt, told.endedAt) + WATCH_ENDED_US : NEVER;
-        return Math.min(since + REACHABLE_US, Math.min(asked, ended));
+        long pollDeadline = Math.max(since, Math.max(state.calledAt, state.lostAt))
+                + askWithinUs * (state.callFailed ? FAILED_CALL_FACTOR : 1);
+        boolean endedWhileReachable = state.endedAt != NEVER && state.endedAt >= reachableFrom;
+        long watchEndDeadline = endedWhileReachable ? Math.max(listedAt, state.endedAt) + WATCH_ENDED_US : NEVER;
+        return Math.min(since + REACHABLE_US, Math.min(pollDeadline, watchEndDeadline));
     }
 
-    /** When it last called, or started; for the words of a breach. */
+    /** When the proxy last called discovery, or started; for the text of a violation. */
     long calledAt(int proxy) {
-        return of(proxy).calledAt;
+        return stateOf(proxy).calledAt;
     }
 }
