--- a/src/main/java/mulleinfront/emulator/CallGraph.java
+++ b/src/main/java/mulleinfront/emulator/CallGraph.java
@@ -7,32 +7,31 @@
 import java.util.TreeMap;
 
 /**
- * Which services call which, drawn by seed: services of level 0 take requests from outside, all of them call
- * the one of level 1, which so stands on every path, and calls go only to deeper levels, so there is no way
- * round in it. One chain reaches the deepest level; what else is called is drawn, some far more often than
- * others.
+ * A randomly generated acyclic graph of services and their calls. Services of level 0 (front services) receive requests
+ * from outside. All of them call the first service of level 1, which is therefore on every path. Calls go only to deeper
+ * levels. One chain reaches the deepest level; the other calls are drawn from a skewed distribution of callees.
  */
 final class CallGraph {
     /**
-     * One service's calls of another.
+     * The calls from one service to another.
      *
-     * @param number among all
-     * @param from the number of the service that calls
-     * @param to the one that is called
-     * @param chance part of its requests for which it does so
-     * @param optional whether it answers all the same where this fails
-     * @param reads whether the call is safe, whatever the request is
+     * @param number number among all edges
+     * @param from number of the calling service
+     * @param to number of the called service
+     * @param chance fraction of the caller's requests that make this call
+     * @param optional whether the caller answers even if this call fails
+     * @param reads whether the call is safe, whatever the request's effect is
      */
     record Edge(int number, int from, int to, double chance, boolean optional, boolean reads) {}
 
     /**
      * One service.
      *
-     * @param level 0: requests come to it from outside
-     * @param inTurn whether its calls go one after the other, in their order here
-     * @param work work of its calls, as a multiple of their class's
-     * @param visits calls of it by one request from outside, on the mean
-     * @param hosts how many machines run it
+     * @param level number of its level; 0: it receives requests from outside
+     * @param inTurn whether it makes its calls sequentially, in the order of {@code calls}
+     * @param work work of a call to it, as a multiple of the class's work
+     * @param visits mean number of calls to it per request from outside
+     * @param hosts number of machines that run it
      */
     record Node(
             int number,
@@ -44,18 +43,19 @@
             int hosts,
             List<Edge> calls) {}
 
-    /** A call that is not weighted yet. */
-    private record Draft(int from, int to, double chance, boolean chained, boolean optional, boolean reads) {}
+    /** An edge before its probability is scaled. */
+    private record UnscaledEdge(
+            int from, int to, double probability, boolean chained, boolean optional, boolean reads) {}
 
-    private static final int ROUNDS = 60;
+    private static final int BISECTION_ROUNDS = 60;
 
     private final GraphSpec spec;
     private final Chance chance;
     private final int[] level;
-    /** Which service of each level the chain goes through. */
+    /** The chain's service of each level. */
     private final int[] chain;
 
-    private final List<Draft> drafts = new ArrayList<>();
+    private final List<UnscaledEdge> drawEdges = new ArrayList<>();
     private final List<Node> nodes = new ArrayList<>();
 
     private CallGraph(GraphSpec spec, Chance chance) {
@@ -66,10 +66,10 @@
     }
 
     /**
-     * Draws one.
+     * Generates a graph.
      *
-     * @throws IllegalArgumentException if there are too few services or machines, or the chain alone makes
-     *         more calls than a request is to make
+     * @throws IllegalArgumentException if there are too few services or machines, or the chain alone causes
+     *         more calls than the requested mean per request
      */
     static CallGraph draw(GraphSpec spec, long seed) {
         if (spec.services() < spec.fronts() + spec.depth()) {
@@ -77,9 +77,9 @@
                     + spec.fronts() + " and " + spec.depth());
         }
         CallGraph g = new CallGraph(spec, Chance.of(seed, "graph"));
-        g.levels();
-        g.drafts();
-        g.weigh();
+        g.assignLevels();
+        g.drawEdges();
+        g.scaleProbabilities();
         return g;
     }
 
@@ -87,7 +87,7 @@
         return nodes;
     }
 
-    private void levels() {
+    private void assignLevels() {
         int hub = spec.fronts();
         level[hub] = 1;
         chain[1] = hub;
@@ -101,42 +101,42 @@
         }
     }
 
-    private void drafts() {
+    private void drawEdges() {
         int n = spec.services();
         for (int i = 0; i < spec.fronts(); i++) {
-            drafts.add(new Draft(i, chain[1], 1, true, false, false));
+            drawEdges.add(new UnscaledEdge(i, chain[1], 1, true, false, false));
         }
         for (int l = 1; l < spec.depth(); l++) {
-            drafts.add(new Draft(chain[l], chain[l + 1], spec.chain(), true, false, false));
+            drawEdges.add(new UnscaledEdge(chain[l], chain[l + 1], spec.chain(), true, false, false));
         }
         boolean[][] called = new boolean[n][n];
-        drafts.forEach(d -> called[d.from][d.to] = true);
-        // Everybody else is called by somebody: a service of a level above, not from outside alone.
+        drawEdges.forEach(d -> called[d.from][d.to] = true);
+        // Every other service is called by a service of a level between the front and its own.
         for (int t = spec.fronts() + spec.depth(); t < n; t++) {
             List<Integer> above = above(level[t]);
             add(called, above.get(chance.below(above.size())), t);
         }
-        double[] liking = Chance.zipf(n, spec.skew());
-        int[] places = new int[n];
+        double[] popularity = Chance.zipf(n, spec.skew());
+        int[] ranks = new int[n];
         for (int i = 0; i < n; i++) {
-            places[i] = i;
+            ranks[i] = i;
         }
         for (int i = n - 1; i > 0; i--) {
             int j = chance.below(i + 1);
-            int kept = places[i];
-            places[i] = places[j];
-            places[j] = kept;
+            int swapped = ranks[i];
+            ranks[i] = ranks[j];
+            ranks[j] = swapped;
         }
         for (int s = spec.fronts(); s < n; s++) {
             double[] weights = new double[n];
             double sum = 0;
             for (int t = 0; t < n; t++) {
-                weights[t] = level[t] > level[s] ? liking[places[t]] : 0;
+                weights[t] = level[t] > level[s] ? popularity[ranks[t]] : 0;
                 sum += weights[t];
             }
-            int more = chance.below(spec.fanOut() + 1);
+            int furtherCalls = chance.below(spec.fanOut() + 1);
             double[] summed = Chance.sum(weights);
-            for (int i = 0; i < more && sum > 0; i++) {
+            for (int i = 0; i < furtherCalls && sum > 0; i++) {
                 add(called, s, chance.place(summed));
             }
         }
@@ -155,34 +155,35 @@
     private void add(boolean[][] called, int from, int to) {
         if (!called[from][to]) {
             called[from][to] = true;
-            drafts.add(new Draft(
+            drawEdges.add(new UnscaledEdge(
                     from,
                     to,
                     chance.between(0.1, 0.6),
                     false,
-                    chance.happens(spec.optional()),
-                    chance.happens(spec.reads())));
+                    chance.happens(spec.optionalShare()),
+                    chance.happens(spec.readShare())));
         }
     }
 
     /**
-     * Calls of each service by one request from outside, where all that was drawn is so many times as likely.
+     * Mean number of calls to each service per request from outside, if the probabilities of all edges but the chain's
+     * are multiplied by a factor.
      */
     private double[] visits(double factor) {
         double[] visits = new double[level.length];
         for (int i = 0; i < spec.fronts(); i++) {
             visits[i] = 1.0 / spec.fronts();
         }
-        List<Draft> downward = new ArrayList<>(drafts);
+        List<UnscaledEdge> downward = new ArrayList<>(drawEdges);
         downward.sort(Comparator.comparingInt(d -> level[d.from]));
-        for (Draft d : downward) {
-            visits[d.to] += visits[d.from] * chance(d, factor);
+        for (UnscaledEdge d : downward) {
+            visits[d.to] += visits[d.from] * probability(d, factor);
         }
         return visits;
     }
 
-    private static double chance(Draft d, double factor) {
-        return d.chained ? d.chance : Math.min(1, d.chance * factor);
+    private static double probability(UnscaledEdge d, double factor) {
+        return d.chained ? d.probability : Math.min(1, d.probability * factor);
     }
 
     private double calls(double factor) {
@@ -194,7 +195,7 @@
         return sum;
     }
 
-    private void weigh() {
+    private void scaleProbabilities() {
         if (calls(0) > spec.callsPerRequest()) {
             throw new IllegalArgumentException(String.format(
                     Locale.ROOT,
@@ -204,7 +205,7 @@
         }
         double low = 0;
         double high = 1_000;
-        for (int i = 0; i < ROUNDS; i++) {
+        for (int i = 0; i < BISECTION_ROUNDS; i++) {
             double mid = (low + high) / 2;
             if (calls(mid) > spec.callsPerRequest()) {
                 high = mid;
@@ -220,9 +221,9 @@
         int[] hosts = hosts(visits, work);
         TreeMap<Integer, List<Edge>> edges = new TreeMap<>();
         int number = 0;
-        for (Draft d : drafts) {
+        for (UnscaledEdge d : drawEdges) {
             edges.computeIfAbsent(d.from, f -> new ArrayList<>())
-                    .add(new Edge(number++, d.from, d.to, chance(d, low), d.optional, d.reads));
+                    .add(new Edge(number++, d.from, d.to, probability(d, low), d.optional, d.reads));
         }
         for (int s = 0; s < work.length; s++) {
             String name = level[s] == 0 ? "front" + s : level[s] == 1 && s == chain[1] ? "hub" : "s" + s;
@@ -230,7 +231,7 @@
                     s,
                     name,
                     level[s],
-                    chance.happens(spec.inTurn()),
+                    chance.happens(spec.sequentialShare()),
                     work[s],
                     visits[s],
                     hosts[s],
@@ -238,34 +239,34 @@
         }
     }
 
-    /** Machines for each service: its least, and the others by the work that it is sent. */
+    /** Machines of each service: the least number, plus a share of the remaining ones in proportion to its work. */
     private int[] hosts(double[] visits, double[] work) {
         int[] hosts = new int[work.length];
         int atFront =
-                (int) Math.max(spec.fronts() * (long) spec.leastHosts(), Math.round(spec.frontPart() * spec.hosts()));
+                (int) Math.max(spec.fronts() * (long) spec.minHosts(), Math.round(spec.frontShare() * spec.hosts()));
         for (int s = 0; s < spec.fronts(); s++) {
             hosts[s] = atFront * (s + 1) / spec.fronts() - atFront * s / spec.fronts();
         }
         int free = spec.hosts() - atFront;
         double all = 0;
         for (int s = spec.fronts(); s < hosts.length; s++) {
-            hosts[s] = spec.leastHosts();
-            free -= spec.leastHosts();
+            hosts[s] = spec.minHosts();
+            free -= spec.minHosts();
             all += visits[s] * work[s];
         }
         if (free < 0) {
             throw new IllegalArgumentException("too few machines: " + spec.services() + " services of "
-                    + spec.leastHosts() + " and " + atFront + " at the front want more than " + spec.hosts());
+                    + spec.minHosts() + " and " + atFront + " at the front want more than " + spec.hosts());
         }
-        double owed = 0;
-        int given = 0;
+        double exactShare = 0;
+        int assigned = 0;
         for (int s = spec.fronts(); s < hosts.length; s++) {
-            owed += free * visits[s] * work[s] / all;
-            int more = (int) Math.round(owed) - given;
+            exactShare += free * visits[s] * work[s] / all;
+            int more = (int) Math.round(exactShare) - assigned;
             hosts[s] += more;
-            given += more;
+            assigned += more;
         }
-        hosts[chain[1]] += free - given;
+        hosts[chain[1]] += free - assigned;
         return hosts;
     }
 }
--- a/src/main/java/mulleinfront/emulator/DatagramFaults.java
+++ b/src/main/java/mulleinfront/emulator/DatagramFaults.java
@@ -6,89 +6,97 @@
 import java.util.List;
 import mulleinfront.settings.Range;
 
-/** What happens to datagrams between client proxies now, and what becomes of one, on virtual time and on sockets. */
+/** The active faults on datagrams between client proxies and their effects, on virtual time and on sockets. */
 public final class DatagramFaults {
-    /** Datagrams remembered, so that old ones may come again. */
-    private static final int REMEMBERED = 4_096;
-    /** How much later a datagram is that others overtake, microseconds. */
-    private static final Range OVERTAKEN = new Range(1_000, 50_000);
+    /** Most datagrams recorded for later repetition. */
+    private static final int MAX_RECORDED_DATAGRAMS = 4_096;
+    /** Additional delay of a datagram that later ones overtake, microseconds. */
+    private static final Range OVERTAKEN_DELAY_US = new Range(1_000, 50_000);
 
     private final Chance chance;
-    private final List<DatagramFault> on = new ArrayList<>();
+    private final List<DatagramFault> activeFaults = new ArrayList<>();
     private final List<Past> past = new ArrayList<>();
-    private boolean remembers;
+    private boolean recording;
 
-    /** One that is on; see {@link PeerFaults#beginFault}. */
+    /** An active fault; see {@link PeerFaults#beginFault}. */
     public record DatagramFault(
-            BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late) {
-        private boolean about(int sender, int receiver) {
+            BitSet from,
+            BitSet to,
+            double lossShare,
+            double duplicateShare,
+            double overtakenShare,
+            double corruptedShare,
+            Range extraDelayUs) {
+        private boolean affects(int sender, int receiver) {
             return (from == null || sender >= 0 && from.get(sender)) && (to == null || to.get(receiver));
         }
 
-        /** Whether nothing gets through. */
+        /** Whether the fault is a network partition: no affected datagram is delivered. */
         public boolean cut() {
-            return lose >= 1;
+            return lossShare >= 1;
         }
     }
 
-    /** What arrives of a datagram: perhaps other bytes, perhaps later, microseconds. */
+    /** A delivered copy of a datagram, possibly with changed bytes, and its additional delay in microseconds. */
     public record Copy(byte[] bytes, long lateUs) {}
 
-    /** One that came by. */
+    /** A recorded datagram. */
     public record Past(int from, int to, byte[] bytes) {}
 
     public DatagramFaults(Chance chance) {
         this.chance = chance;
     }
 
-    public void begin(DatagramFault trouble) {
-        on.add(trouble);
+    public void begin(DatagramFault fault) {
+        activeFaults.add(fault);
     }
 
-    public void end(DatagramFault trouble) {
-        on.remove(trouble);
+    public void end(DatagramFault fault) {
+        activeFaults.remove(fault);
     }
 
-    /** Whether datagrams get from one to another at all. */
+    /** Whether any datagrams get from one member to another: no partition separates them. */
     public boolean passes(int from, int to) {
-        return on.stream().noneMatch(t -> t.cut() && t.about(from, to));
+        return activeFaults.stream().noneMatch(fault -> fault.cut() && fault.affects(from, to));
     }
 
-    /** Keeps what comes by, up to some thousand datagrams. */
-    public void remember(boolean keep) {
-        remembers = keep;
+    /** Starts or stops recording datagrams, up to 4,096 of them. */
+    public void remember(boolean enabled) {
+        recording = enabled;
     }
 
-    /** One of those kept, drawn; null if there is none. */
+    /** A recorded datagram, chosen at random; null if there is none. */
     public Past past() {
         return past.isEmpty() ? null : past.get(chance.below(past.size()));
     }
 
-    /** What becomes of a datagram: nothing, one or two copies. */
+    /** Applies the active faults to a datagram: returns no, one or two copies. */
     public List<Copy> deliver(int from, int to, byte[] bytes, int length) {
         byte[] copy = Arrays.copyOf(bytes, length);
-        if (remembers && past.size() < REMEMBERED) {
+        if (recording && past.size() < MAX_RECORDED_DATAGRAMS) {
             past.add(new Past(from, to, copy));
         }
-        long late = 0;
-        boolean twice = false;
-        for (DatagramFault t : on) {
-            if (!t.about(from, to)) {
+        long extraDelayUs = 0;
+        boolean duplicate = false;
+        for (DatagramFault fault : activeFaults) {
+            if (!fault.affects(from, to)) {
                 continue;
             }
-            if (chance.happens(t.lose())) {
+            if (chance.happens(fault.lossShare())) {
                 return List.of();
             }
-            late += (long) t.late().draw(chance::between)
-                    + (chance.happens(t.overtaken()) ? (long) OVERTAKEN.draw(chance::between) : 0);
-            twice |= chance.happens(t.twice());
-            copy = chance.happens(t.change()) ? changed(copy) : copy;
+            extraDelayUs += (long) fault.extraDelayUs().draw(chance::between)
+                    + (chance.happens(fault.overtakenShare()) ? (long) OVERTAKEN_DELAY_US.draw(chance::between) : 0);
+            duplicate |= chance.happens(fault.duplicateShare());
+            copy = chance.happens(fault.corruptedShare()) ? corrupted(copy) : copy;
         }
-        Copy one = new Copy(copy, late);
-        return twice ? List.of(one, new Copy(copy, late + (long) OVERTAKEN.draw(chance::between))) : List.of(one);
+        Copy first = new Copy(copy, extraDelayUs);
+        return duplicate
+                ? List.of(first, new Copy(copy, extraDelayUs + (long) OVERTAKEN_DELAY_US.draw(chance::between)))
+                : List.of(first);
     }
 
-    private byte[] changed(byte[] bytes) {
+    private byte[] corrupted(byte[] bytes) {
         if (chance.happens(0.3)) {
             return Arrays.copyOf(bytes, chance.below(bytes.length));
         }
@@ -99,7 +107,7 @@
         return other;
     }
 
-    /** What somebody who knows nothing of the fleet may send: any bytes. */
+    /** A random datagram, as a sender outside the fleet may send. */
     public byte[] randomBytes() {
         byte[] bytes = new byte[chance.below(300)];
         for (int i = 0; i < bytes.length; i++) {
@@ -108,8 +116,8 @@
         return bytes;
     }
 
-    /** A member, drawn. */
-    public int anybody(int of) {
-        return chance.below(of);
+    /** The number of a member, chosen at random. */
+    public int anybody(int members) {
+        return chance.below(members);
     }
 }
--- a/src/main/java/mulleinfront/emulator/FleetAuditor.java
+++ b/src/main/java/mulleinfront/emulator/FleetAuditor.java
@@ -8,57 +8,58 @@
 import mulleinfront.fleet.MemberState;
 
 /**
- * Judges a fleet by what its members said of each other, as they said it, against what was so: on virtual time and,
- * from event logs, on processes. It never sees a member's own state.
+ * Checks the states that the members of a fleet report of each other against the true ones: on virtual time and, from
+ * event logs, on processes. It never reads a member's internal state.
  *
- * <p>What is held against a member has to have lasted for the stated bound, all that while with nothing changed for
- * those it is about: no process ended, begun or stood still, and no cut begun or healed among all.
+ * <p>A wrong state is a violation once it has lasted for the stated bound, with nothing changed in that time for the
+ * members concerned: none of their processes started, ended, paused or resumed, and no network partition began or
+ * ended in the whole fleet.
  */
 public final class FleetAuditor {
-    private static final int MOST_KEPT = 100;
+    private static final int MAX_RECORDED_BREACHES = 100;
 
-    /** What is judged, by name. */
+    /** Rules that the auditor checks. */
     public enum Rule {
-        /** A member that is in reach is called failed for longer than the bound. */
+        /** A reachable member is recorded as failed for longer than the bound. */
         CALLED_FAILED("a member in reach is called failed"),
-        /** A dead one is called alive after it. */
+        /** A dead member is recorded as alive for longer than the bound. */
         CALLED_ALIVE("a dead member is called alive"),
-        /** Members in reach of one another hold different views after it. */
+        /** Members that reach one another have different views for longer than the bound. */
         VIEWS_DIFFER("views of members in reach of one another differ"),
-        /** A belief went back to an earlier incarnation, or to an earlier state of one. */
+        /** A recorded state went back to an earlier incarnation, or to an earlier state of the same incarnation. */
         WENT_BACK("a belief went back"),
-        /** Changes are not numbered one after the other. */
+        /** Changes are not numbered consecutively. */
         OUT_OF_ORDER("changes are out of order");
 
-        private final String words;
+        private final String description;
 
         Rule(String words) {
-            this.words = words;
+            this.description = words;
         }
 
-        /** The rule in words. */
-        public String words() {
-            return words;
+        /** Description of the rule's violation. */
+        public String description() {
+            return description;
         }
     }
 
-    /** A broken rule: who holds what of whom, and since when. */
+    /** A violation of a rule: the observer, the member that the wrong state is about, and a description. */
     public record Breach(Rule rule, long atUs, int observer, int member, String what) {
         @Override
         public String toString() {
-            return "rule broken: " + rule.words() + ": " + what + ", at "
+            return "rule broken: " + rule.description() + ": " + what + ", at "
                     + String.format(Locale.ROOT, "%.3f", atUs / 1e6) + " s";
         }
     }
 
-    /** What one process believes of all, as it said. */
-    private static final class View {
+    /** The states that one process reported of all members. */
+    private static final class ReportedView {
         private final byte[] state;
         private final long[] incarnation;
         private long changes;
         private long digest;
 
-        View(int members) {
+        ReportedView(int members) {
             this.state = new byte[members];
             this.incarnation = new long[members];
         }
@@ -66,149 +67,151 @@
 
     private final int members;
     private final long boundUs;
-    private final View[] views;
-    private final boolean[] up;
-    private final boolean[] still;
-    private final boolean[] left;
-    private final long[] ownSince;
+    private final ReportedView[] views;
+    private final boolean[] running;
+    private final boolean[] paused;
+    private final boolean[] leaving;
+    private final long[] memberChangedAtUs;
     private final Links links;
-    private long linksSince;
+    private long linksChangedAtUs;
     private final List<Breach> breaches = new ArrayList<>();
-    private int count;
-    private int[] group;
+    private int breachCount;
+    private int[] groupOf;
 
-    /** Which datagrams get through now. */
+    /** Which datagrams are delivered now. */
     public interface Links {
         boolean pass(int from, int to);
 
-        /** Whether all do, as they mostly will. */
+        /** Whether all datagrams are delivered: no partition is active, the usual case. */
         boolean whole();
     }
 
     /**
-     * @param boundUs how long what is wrong may last
+     * @param boundUs longest time that a wrong state may last
      */
     public FleetAuditor(int members, long boundUs, Links links) {
         this.members = members;
         this.boundUs = boundUs;
         this.links = links;
-        this.views = new View[members];
-        this.up = new boolean[members];
-        this.still = new boolean[members];
-        this.left = new boolean[members];
-        this.ownSince = new long[members];
+        this.views = new ReportedView[members];
+        this.running = new boolean[members];
+        this.paused = new boolean[members];
+        this.leaving = new boolean[members];
+        this.memberChangedAtUs = new long[members];
     }
 
-    /** The first broken rules, one of a kind for each pair of members. */
+    /** The first violations, at most 100. */
     public List<Breach> breaches() {
         return List.copyOf(breaches);
     }
 
-    /** All of them. */
+    /** Number of all violations. */
     public int breachCount() {
-        return count;
+        return breachCount;
     }
 
     private void breach(Rule rule, long now, int observer, int member, String what) {
-        count++;
-        if (breaches.size() < MOST_KEPT) {
+        breachCount++;
+        if (breaches.size() < MAX_RECORDED_BREACHES) {
             breaches.add(new Breach(rule, now, observer, member, what));
         }
     }
 
-    // ---- what is so ----------------------------------------------------------------------------------
+    // ---- true state ----------------------------------------------------------------------------------
 
-    /** A process begins; it knows nobody yet. */
+    /** A process starts; it knows no other member yet. */
     public void began(int member, long now) {
-        views[member] = new View(members);
-        up[member] = true;
-        still[member] = false;
-        left[member] = false;
-        ownSince[member] = now;
+        views[member] = new ReportedView(members);
+        running[member] = true;
+        paused[member] = false;
+        leaving[member] = false;
+        memberChangedAtUs[member] = now;
     }
 
-    /** A process is no more. */
+    /** A process has ended. */
     public void ended(int member, long now) {
-        up[member] = false;
-        ownSince[member] = now;
+        running[member] = false;
+        memberChangedAtUs[member] = now;
     }
 
-    /** A process was told to end, and says that it leaves. */
+    /** A process is shutting down and announces that it leaves. */
     public void leaves(int member, long now) {
-        left[member] = true;
-        ownSince[member] = now;
+        leaving[member] = true;
+        memberChangedAtUs[member] = now;
     }
 
-    /** A process stands still, or goes on. */
+    /** A process is paused or resumes. */
     public void stands(int member, boolean on, long now) {
-        still[member] = on;
-        ownSince[member] = now;
+        paused[member] = on;
+        memberChangedAtUs[member] = now;
     }
 
-    /** Which datagrams get through is not as it was. */
+    /** A network partition began or ended. */
     public void linksChanged(long now) {
-        linksSince = now;
+        linksChangedAtUs = now;
     }
 
-    // ---- what they say -------------------------------------------------------------------------------
+    // ---- reports of members --------------------------------------------------------------------------
 
-    /** One said that it believes something else of another than before. */
-    public void changed(int observer, Change c) {
-        View v = views[observer];
-        if (c.number() != v.changes + 1) {
+    /** An observer reported a change of the state that it records for a member. */
+    public void changed(int observer, Change change) {
+        ReportedView view = views[observer];
+        if (change.number() != view.changes + 1) {
             breach(
                     Rule.OUT_OF_ORDER,
-                    c.atUs(),
+                    change.atUs(),
                     observer,
-                    c.member(),
-                    "member " + observer + " gave change " + c.number() + " after " + v.changes);
+                    change.member(),
+                    "member " + observer + " gave change " + change.number() + " after " + view.changes);
         }
-        v.changes = c.number();
-        v.digest = c.digest();
-        if (c.member() >= members) {
+        view.changes = change.number();
+        view.digest = change.digest();
+        if (change.member() >= members) {
             return;
         }
-        long held = v.incarnation[c.member()];
-        boolean back = c.incarnation() < held || c.incarnation() == held && c.to().ordinal() < v.state[c.member()];
-        if (back) {
+        long incarnation = view.incarnation[change.member()];
+        boolean wentBack = change.incarnation() < incarnation
+                || change.incarnation() == incarnation && change.to().ordinal() < view.state[change.member()];
+        if (wentBack) {
             breach(
                     Rule.WENT_BACK,
-                    c.atUs(),
+                    change.atUs(),
                     observer,
-                    c.member(),
+                    change.member(),
                     "member " + observer + " believed "
-                            + MemberState.values()[v.state[c.member()]].word() + " of " + c.member()
-                            + " and now believes " + c.to().word() + " of the same life or an earlier one");
+                            + MemberState.values()[view.state[change.member()]].word() + " of " + change.member()
+                            + " and now believes " + change.to().word() + " of the same life or an earlier one");
         }
-        v.incarnation[c.member()] = c.incarnation();
-        v.state[c.member()] = (byte) c.to().ordinal();
+        view.incarnation[change.member()] = change.incarnation();
+        view.state[change.member()] = (byte) change.to().ordinal();
     }
 
-    // ---- judging -------------------------------------------------------------------------------------
+    // ---- checks --------------------------------------------------------------------------------------
 
-    /** Looks at all as it is now; to be called every so often, a part of the bound. */
+    /** Checks the present states; to be called periodically, several times per bound. */
     public void look(long now) {
-        group = groups();
-        long[] since = new long[members];
-        Arrays.setAll(since, m -> Math.max(ownSince[m], linksSince));
+        groupOf = reachabilityGroups();
+        long[] changedAt = new long[members];
+        Arrays.setAll(changedAt, m -> Math.max(memberChangedAtUs[m], linksChangedAtUs));
         for (int o = 0; o < members; o++) {
-            if (!up[o] || still[o] || left[o] || now - since[o] <= boundUs) {
+            if (!running[o] || paused[o] || leaving[o] || now - changedAt[o] <= boundUs) {
                 continue;
             }
             byte[] state = views[o].state;
             for (int m = 0; m < members; m++) {
-                if (now - since[m] <= boundUs) {
+                if (now - changedAt[m] <= boundUs) {
                     continue;
                 }
-                boolean there = state[m] == MemberState.ALIVE.ordinal() || state[m] == MemberState.SUSPECTED.ordinal();
-                if (group[o] == group[m] && up[m] && !still[m] && !left[m] && !there) {
+                boolean recordedPresent =
+                        state[m] == MemberState.ALIVE.ordinal() || state[m] == MemberState.SUSPECTED.ordinal();
+                if (groupOf[o] == groupOf[m] && running[m] && !paused[m] && !leaving[m] && !recordedPresent) {
                     breach(
                             Rule.CALLED_FAILED,
                             now,
                             o,
                             m,
                             "member " + o + " calls " + m + " " + MemberState.values()[state[m]].word());
-                } else if (!up[m] && there) {
+                } else if (!running[m] && recordedPresent) {
                     breach(
                             Rule.CALLED_ALIVE,
                             now,
@@ -219,21 +222,21 @@
                 }
             }
         }
-        digests(now, since);
+        checkViewsAgree(now, changedAt);
     }
 
-    /** Those of one group hold one view, if nothing has changed for any of them, nor for those they know. */
-    private void digests(long now, long[] since) {
-        if (Arrays.stream(since).max().orElse(0) >= now - boundUs) {
+    /** Checks that members of one group have the same view, if nothing has changed in the fleet for the bound. */
+    private void checkViewsAgree(long now, long[] changedAt) {
+        if (Arrays.stream(changedAt).max().orElse(0) >= now - boundUs) {
             return;
         }
         int[] first = new int[members + 1];
         Arrays.fill(first, -1);
         for (int m = 0; m < members; m++) {
-            if (!up[m] || still[m] || left[m]) {
+            if (!running[m] || paused[m] || leaving[m]) {
                 continue;
             }
-            int g = group[m];
+            int g = groupOf[m];
             if (first[g] < 0) {
                 first[g] = m;
             } else if (views[m].digest != views[first[g]].digest) {
@@ -247,12 +250,12 @@
         }
     }
 
-    /** A number for each member; those of one number can reach each other, directly or by others. */
-    private int[] groups() {
+    /** Group number of each member; members of one group reach each other, directly or through other members. */
+    private int[] reachabilityGroups() {
         int[] of = new int[members];
         if (links.whole()) {
-            // All who run are in one group, under a number that is nobody's.
-            Arrays.setAll(of, m -> up[m] && !still[m] ? members : m);
+            // All running members are in one group, whose number is no member's number.
+            Arrays.setAll(of, m -> running[m] && !paused[m] ? members : m);
             return of;
         }
         boolean[][] reach = new boolean[2][];
@@ -262,11 +265,11 @@
                 continue;
             }
             of[m] = m;
-            if (!up[m] || still[m]) {
+            if (!running[m] || paused[m]) {
                 continue;
             }
-            reach[0] = from(m, true);
-            reach[1] = from(m, false);
+            reach[0] = reachableFrom(m, true);
+            reach[1] = reachableFrom(m, false);
             for (int k = m + 1; k < members; k++) {
                 if (of[k] < 0 && reach[0][k] && reach[1][k]) {
                     of[k] = m;
@@ -276,7 +279,7 @@
         return of;
     }
 
-    private boolean[] from(int start, boolean forward) {
+    private boolean[] reachableFrom(int start, boolean forward) {
         boolean[] seen = new boolean[members];
         int[] stack = new int[members];
         int top = 0;
@@ -285,7 +288,7 @@
         while (top > 0) {
             int a = stack[--top];
             for (int b = 0; b < members; b++) {
-                if (!seen[b] && up[b] && !still[b] && (forward ? links.pass(a, b) : links.pass(b, a))) {
+                if (!seen[b] && running[b] && !paused[b] && (forward ? links.pass(a, b) : links.pass(b, a))) {
                     seen[b] = true;
                     stack[top++] = b;
                 }
--- a/src/main/java/mulleinfront/emulator/FleetReport.java
+++ b/src/main/java/mulleinfront/emulator/FleetReport.java
@@ -5,37 +5,37 @@
 import java.util.Locale;
 
 /**
- * How the client proxies knew each other.
+ * Result of the membership audit of a run.
  *
- * @param breaches the first of what the judge found
- * @param breachCount all of it
- * @param figures what members sent and read; null: not known
- * @param members how many there are
- * @param lengthUs for how long
- * @param even whether all who ran held one view at the end
+ * @param breaches the first violations that the auditor found
+ * @param breachCount number of all violations
+ * @param figures datagrams that members sent and read; null: not known
+ * @param members number of members
+ * @param lengthUs length of the run in microseconds
+ * @param even whether all running members had the same view at the end
  */
 public record FleetReport(
         List<FleetAuditor.Breach> breaches,
         int breachCount,
-        FleetRun.Figures figures,
+        FleetRun.Figures traffic,
         int members,
         long lengthUs,
         boolean even) {
 
-    /** Lines for the page. */
+    /** Lines for the text report. */
     List<String> lines() {
-        double each = Math.max(1, members * (lengthUs / 1e6));
-        String first = figures == null
+        double memberSeconds = Math.max(1, members * (lengthUs / 1e6));
+        String first = traffic == null
                 ? "fleet: " + members + " members, judged by their event logs"
                 : String.format(
                         Locale.ROOT,
                         "fleet: %.2f datagrams and %.0f bytes a second from each of %d, %d not"
                                 + " read, %d held back; views %s at the end",
-                        figures.datagrams() / each,
-                        figures.bytes() / each,
+                        traffic.datagrams() / memberSeconds,
+                        traffic.bytes() / memberSeconds,
                         members,
-                        figures.dropped(),
-                        figures.withheld(),
+                        traffic.dropped(),
+                        traffic.rateLimited(),
                         even ? "even" : "not even");
         if (breachCount == 0) {
             return List.of(first, "fleet rules: all kept");
--- a/src/main/java/mulleinfront/emulator/FleetRun.java
+++ b/src/main/java/mulleinfront/emulator/FleetRun.java
@@ -15,20 +15,20 @@
 import mulleinfront.settings.Range;
 
 /**
- * The members of a fleet on virtual time, with what can happen to them and to the way between them, and a judge of
- * what they say. It may be part of a world, or be all there is.
+ * Simulates the members of a fleet on virtual time, with faults of members and of the network between them, and
+ * audits their reports. It is part of a scenario's simulation or runs alone.
  */
 public final class FleetRun implements PeerFaults {
-    /** When every world begins, milliseconds since 1970: members need some date. */
+    /** Wall clock at the start of every simulation, milliseconds since 1970: members need a date. */
     private static final long EPOCH_MS = 1_796_083_200_000L;
-    /** Parts of the judge's bound after which it looks. */
-    private static final int LOOKS = 4;
+    /** Checks of the auditor per convergence bound. */
+    private static final int CHECKS_PER_BOUND = 4;
 
-    /** Told of what members say, beside the judge. */
-    public interface Watch {
+    /** Is notified of what members report, in addition to the auditor. */
+    public interface MemberListener {
         void changed(int observer, Change change);
 
-        /** What an observer has in reach, or whether it finds its view settled, is not as it was. */
+        /** The reachability that an observer reports, or whether its view has converged, changed. */
         default void reach(int observer, long now, Reachability reach, boolean settled) {}
     }
 
@@ -36,23 +36,23 @@
     private final Chance chance;
     private final PeerNetwork network;
     private final IntFunction<FleetSettings> settings;
-    private final Maker maker;
+    private final Maker memberFactory;
     private final Peer[] peers;
     private final long[] clockMs;
     private final FleetAuditor judge;
-    private final long lookEveryUs;
-    private final List<Watch> watches = new ArrayList<>();
-    private int cuts;
-    private Figures ended = new Figures(0, 0, 0, 0, 0);
+    private final long checkIntervalUs;
+    private final List<MemberListener> listeners = new ArrayList<>();
+    private int activePartitions;
+    private Figures endedMemberCounts = new Figures(0, 0, 0, 0, 0);
 
-    /** Makes a member; a test's own can be broken on purpose. */
+    /** Creates a member; tests may create deliberately broken ones. */
     public interface Maker {
-        /** The arguments are those of {@link Fleet}'s own. */
-        Fleet make(FleetSettings settings, RandomGenerator random, long now, long wallClockMs, Fleet.Actions out);
+        /** Creates a member; the arguments are those of {@link Fleet}'s constructor. */
+        Fleet create(FleetSettings settings, RandomGenerator random, long now, long wallClockMs, Fleet.Actions out);
     }
 
-    /** What members have sent and read, and what they did not read. */
-    public record Figures(long datagrams, long bytes, long read, long dropped, long withheld) {
+    /** Counts of datagrams and bytes that members sent, and of datagrams that they read, dropped or held back. */
+    public record Figures(long datagrams, long bytes, long read, long dropped, long rateLimited) {
         private Figures plus(Fleet f) {
             long lost = f.drops().values().stream().mapToLong(Long::longValue).sum();
             return new Figures(
@@ -60,63 +60,63 @@
                     bytes + f.sentBytes(),
                     read + f.received(),
                     dropped + lost,
-                    withheld + f.rateLimitedDatagrams());
+                    rateLimited + f.rateLimitedDatagrams());
         }
     }
 
-    /** A fleet by itself: a way of 0.1 to 2 ms between any two. */
+    /** A fleet without other parts of a scenario: 0.1 to 2 ms delay between any two members. */
     public static FleetRun alone(int members, long seed, IntFunction<FleetSettings> settings) {
         return alone(members, seed, settings, Fleet::new);
     }
 
-    /** The same of members of another make. */
-    public static FleetRun alone(int members, long seed, IntFunction<FleetSettings> settings, Maker maker) {
+    /** A fleet without other parts of a scenario, with members from a factory. */
+    public static FleetRun alone(int members, long seed, IntFunction<FleetSettings> settings, Maker memberFactory) {
         EventQueue queue = new EventQueue();
-        Chance way = Chance.of(seed, "way");
-        return new FleetRun(queue, Chance.of(seed, "fleet"), members, settings, maker, (from, to) ->
-                (long) way.between(100, 2_000));
+        Chance delayChance = Chance.of(seed, "way");
+        return new FleetRun(queue, Chance.of(seed, "fleet"), members, settings, memberFactory, (from, to) ->
+                (long) delayChance.between(100, 2_000));
     }
 
     /**
-     * @param settings those of each member, by its number
+     * @param settings settings of a member, by its number
      */
     FleetRun(
             EventQueue queue,
             Chance chance,
             int members,
             IntFunction<FleetSettings> settings,
-            Maker maker,
-            PeerNetwork.Way way) {
+            Maker memberFactory,
+            PeerNetwork.Delay delay) {
         this.queue = queue;
         this.chance = chance;
-        this.network = new PeerNetwork(queue, chance, members, way);
+        this.network = new PeerNetwork(queue, chance, members, delay);
         this.settings = settings;
-        this.maker = maker;
+        this.memberFactory = memberFactory;
         this.peers = new Peer[members];
         this.clockMs = new long[members];
         long bound = settings.apply(0).convergenceBoundUs(members);
         this.judge = new FleetAuditor(members, bound, new FleetAuditor.Links() {
             @Override
             public boolean pass(int from, int to) {
-                return network.troubles().passes(from, to);
+                return network.faults().passes(from, to);
             }
 
             @Override
             public boolean whole() {
-                return cuts == 0;
+                return activePartitions == 0;
             }
         });
-        this.lookEveryUs = bound / LOOKS;
-        queue.after(lookEveryUs, this::look);
+        this.checkIntervalUs = bound / CHECKS_PER_BOUND;
+        queue.after(checkIntervalUs, this::look);
     }
 
     private void look() {
         judge.look(queue.now());
-        queue.after(lookEveryUs, this::look);
+        queue.after(checkIntervalUs, this::look);
     }
 
-    public void watch(Watch watch) {
-        watches.add(watch);
+    public void watch(MemberListener watch) {
+        listeners.add(watch);
     }
 
     public FleetAuditor judge() {
@@ -127,12 +127,12 @@
         return queue.now();
     }
 
-    /** Plays on for so long. */
+    /** Advances the simulation by a duration. */
     public void run(long us) {
         queue.runUntil(queue.now() + us);
     }
 
-    /** Runs something later. */
+    /** Runs a task after a delay. */
     public void after(long us, Runnable task) {
         queue.after(us, task);
     }
@@ -141,7 +141,7 @@
         return peers.length;
     }
 
-    /** The member that runs, or ran last; null if none ever did. */
+    /** The member that runs under this number or ran last; null if none ever did. */
     public Fleet member(int number) {
         return peers[number] == null ? null : peers[number].fleet();
     }
@@ -150,28 +150,28 @@
         return peers[number] != null && peers[number].alive();
     }
 
-    // ---- what happens to members -----------------------------------------------------------------------
+    // ---- faults of members -----------------------------------------------------------------------------
 
-    /** A process begins, in place of the one before. */
+    /** Starts a process, in place of the previous one. */
     public void start(int number) {
-        start(number, maker);
+        start(number, memberFactory);
     }
 
-    /** The same of another make. */
-    public void start(int number, Maker its) {
+    /** Starts a process whose member comes from the given factory. */
+    public void start(int number, Maker factory) {
         RandomGenerator random = new SplittableRandom(chance.nextLong());
         Peer peer = new Peer(
                 queue,
                 network,
                 number,
-                out -> its.make(
+                out -> factory.create(
                         settings.apply(number),
                         random,
                         queue.now(),
                         EPOCH_MS + queue.now() / 1000 + clockMs[number],
                         out));
         if (peers[number] != null) {
-            ended = ended.plus(peers[number].fleet());
+            endedMemberCounts = endedMemberCounts.plus(peers[number].fleet());
         }
         peers[number] = peer;
         judge.began(number, queue.now());
@@ -179,18 +179,18 @@
             @Override
             public void changed(Change change) {
                 judge.changed(number, change);
-                watches.forEach(w -> w.changed(number, change));
+                listeners.forEach(w -> w.changed(number, change));
             }
 
             @Override
             public void reach(long now, Reachability reach, boolean settled, long digest) {
-                watches.forEach(w -> w.reach(number, now, reach, settled));
+                listeners.forEach(w -> w.reach(number, now, reach, settled));
             }
         });
         peer.start();
     }
 
-    /** SIGKILL. */
+    /** Ends a process without notice, as SIGKILL does. */
     public void kill(int number) {
         if (up(number)) {
             peers[number].kill();
@@ -198,7 +198,7 @@
         }
     }
 
-    /** It says that it leaves; whoever owns it kills it later. */
+    /** Lets a member announce that it leaves; its owner kills the process later. */
     public void leave(int number) {
         if (up(number)) {
             judge.leaves(number, queue.now());
@@ -206,7 +206,7 @@
         }
     }
 
-    /** SIGSTOP, for so long. */
+    /** Pauses a process for a duration, as SIGSTOP does. */
     public void stop(int number, long us) {
         stop(number);
         Peer stopped = peers[number];
@@ -225,7 +225,7 @@
     }
 
     void go(int number) {
-        if (up(number) && peers[number].still()) {
+        if (up(number) && peers[number].paused()) {
             judge.stands(number, false, queue.now());
             peers[number].go();
         }
@@ -236,78 +236,84 @@
         clockMs[number] += ms;
     }
 
-    // ---- what happens on the way -----------------------------------------------------------------------
+    // ---- faults of the network -------------------------------------------------------------------------
 
     @Override
     public End beginFault(
-            BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late) {
-        DatagramFaults.DatagramFault t =
-                new DatagramFaults.DatagramFault(from, to, lose, twice, overtaken, change, late);
-        network.troubles().begin(t);
-        links(t.cut() ? 1 : 0);
+            BitSet from,
+            BitSet to,
+            double lossShare,
+            double duplicateShare,
+            double overtakenShare,
+            double corruptedShare,
+            Range extraDelayUs) {
+        DatagramFaults.DatagramFault fault = new DatagramFaults.DatagramFault(
+                from, to, lossShare, duplicateShare, overtakenShare, corruptedShare, extraDelayUs);
+        network.faults().begin(fault);
+        partitionsChanged(fault.cut() ? 1 : 0);
         return () -> {
-            network.troubles().end(t);
-            links(t.cut() ? -1 : 0);
+            network.faults().end(fault);
+            partitionsChanged(fault.cut() ? -1 : 0);
         };
     }
 
-    private void links(int more) {
-        cuts += more;
-        if (more != 0) {
+    private void partitionsChanged(int change) {
+        activePartitions += change;
+        if (change != 0) {
             judge.linksChanged(queue.now());
         }
     }
 
     @Override
-    public void repeat(long rememberUs, double perSecond, long us) {
-        network.troubles().remember(true);
-        queue.after(rememberUs, () -> {
-            network.troubles().remember(false);
-            every(perSecond, us, () -> {
-                DatagramFaults.Past p = network.troubles().past();
-                if (p != null) {
-                    network.deliver(p.from(), p.to(), p.bytes(), 0);
+    public void repeat(long recordUs, double perSecond, long durationUs) {
+        network.faults().remember(true);
+        queue.after(recordUs, () -> {
+            network.faults().remember(false);
+            every(perSecond, durationUs, () -> {
+                DatagramFaults.Past recorded = network.faults().past();
+                if (recorded != null) {
+                    network.deliver(recorded.from(), recorded.to(), recorded.bytes(), 0);
                 }
             });
         });
     }
 
     @Override
-    public void strangers(double perSecond, long us) {
+    public void strangers(double perSecond, long durationUs) {
         every(
                 perSecond,
-                us,
+                durationUs,
                 () -> network.deliver(
-                        PeerNetwork.STRANGER,
-                        network.troubles().anybody(peers.length),
-                        network.troubles().randomBytes(),
+                        PeerNetwork.UNKNOWN_SENDER,
+                        network.faults().anybody(peers.length),
+                        network.faults().randomBytes(),
                         0));
     }
 
-    /** A datagram comes to a member from a peer's address, or from nobody's: -1. */
+    /** Delivers a datagram to a member from a peer's address, or from an unknown sender: -1. */
     public void inject(int from, int to, byte[] bytes) {
         network.deliver(from, to, bytes, 0);
     }
 
-    private void every(double perSecond, long us, Runnable what) {
-        long until = queue.now() + us;
+    private void every(double perSecond, long durationUs, Runnable task) {
+        long until = queue.now() + durationUs;
         long[] gap = {(long) Math.max(1, 1e6 / perSecond)};
         queue.after(gap[0], new Runnable() {
             @Override
             public void run() {
                 if (queue.now() < until) {
-                    what.run();
+                    task.run();
                     queue.after(gap[0], this);
                 }
             }
         });
     }
 
-    // ---- what comes of it ------------------------------------------------------------------------------
+    // ---- results ---------------------------------------------------------------------------------------
 
-    /** All members' so far, ended ones included. */
+    /** Counts of all members so far, including processes that ended. */
     public Figures figures() {
-        Figures sum = ended;
+        Figures sum = endedMemberCounts;
         for (Peer p : peers) {
             sum = p == null ? sum : sum.plus(p.fleet());
         }
@@ -323,18 +329,18 @@
         return sum;
     }
 
-    /** How it went so far. */
+    /** The report of the run so far. */
     public FleetReport report() {
         Figures f = figures();
         return new FleetReport(judge.breaches(), judge.breachCount(), f, members(), queue.now(), even());
     }
 
-    /** Whether all who run, and do not stand still, hold one view. */
+    /** Whether all members that run and are not paused have the same view. */
     public boolean even() {
         long digest = 0;
         boolean any = false;
         for (Peer p : peers) {
-            if (p != null && p.alive() && !p.still()) {
+            if (p != null && p.alive() && !p.paused()) {
                 if (any && p.fleet().digest() != digest) {
                     return false;
                 }
@@ -345,12 +351,12 @@
         return true;
     }
 
-    /** How many of those who run believe this of a member. */
+    /** Number of running members that record a member in this state. */
     public int believing(int member, MemberState state) {
-        int n = 0;
+        int count = 0;
         for (Peer p : peers) {
-            n += p != null && p.alive() && p.fleet().state(member) == state ? 1 : 0;
+            count += p != null && p.alive() && p.fleet().state(member) == state ? 1 : 0;
         }
-        return n;
+        return count;
     }
 }
--- a/src/main/java/mulleinfront/emulator/GeneratedScenario.java
+++ b/src/main/java/mulleinfront/emulator/GeneratedScenario.java
@@ -5,32 +5,33 @@
 import mulleinfront.settings.Section;
 
 /**
- * Deployments with their troubles drawn by seed from ranges, as scenario files: what is tried on a hundred of
- * them is not fitted to one. Equal families, seeds and sizes give equal files.
+ * Generates scenario files: deployments and faults drawn at random from ranges. Trying a change on a hundred of them
+ * avoids fitting it to one. The same family, seed and size give the same file.
  */
 public final class GeneratedScenario {
-    /** What happens in them. */
+    /** Kind of generated scenario. */
     public enum Family {
-        /** Seven in ten client proxies are killed in the midst of a release of the servers. */
+        /** Seven in ten client proxies are killed during a rolling deploy of the servers. */
         HERD,
         /**
-         * A fleet near what it can do is asked for more for some seconds. Its servers work on all that they hold at
-         * once, also on what nobody waits for any more, and those that held too much for a while stay slow.
+         * The offered load of servers near their capacity rises for some seconds. The servers work on many requests
+         * at once, including expired ones, and servers that were overloaded for a while stay slow (metastable
+         * slowdown).
          */
         JAM,
         /**
-         * Faults of all kinds at random times, overlapping: of discovery, servers, connections, clients and the client
-         * proxies themselves. What the rules ask for stays possible: the calls of one client proxy that discovery spoils
-         * in a row are few.
+         * Overlapping faults of all types at random times: of discovery, servers, connections, clients and the client
+         * proxies themselves. The rules stay satisfiable: only few successive calls of one client proxy fail at
+         * discovery.
          */
         SOAK;
 
-        /** The name on the command line. */
+        /** The output name, also used on the command line. */
         public String word() {
             return Section.form(this);
         }
 
-        /** The family of that name; null if there is none. */
+        /** The family with that name; null if there is none. */
         public static Family of(String word) {
             return Arrays.stream(values())
                     .filter(f -> f.word().equals(word))
@@ -39,7 +40,7 @@
         }
     }
 
-    private static final String CLASSES = """
+    private static final String HERD_CLASSES = """
 
             [[class]]
             name = "look"
@@ -109,32 +110,35 @@
             late-worth = "50%"
             """;
 
-    /** Length of a soak where none is asked for, and the least, seconds. */
+    /** Default and least length of a soak, in seconds. */
     public static final int SOAK_S = 60;
 
     public static final int LEAST_SOAK_S = 12;
-    /** What discovery takes for a call of each client proxy, least and most: the operators' sites state 2 to 8 s. */
+    /**
+     * Least and most time in microseconds in which discovery processes one call of every client proxy. Known
+     * deployments state 2 to 8 s.
+     */
     static final double[] ALL_CALL_US = {2e5, 8e6};
-    /** After how long a call fails that waits, least and most. */
+    /** Least and most timeout of a discovery call, microseconds. */
     static final double[] CALL_TIMEOUT_US = {2e6, 3e6};
-    /** By how much more an answer of discovery may come later, and for how long a list may stop halfway. */
+    /** Most additional delay of a discovery response, and least and most pause within a list, microseconds. */
     static final double MOST_LATE_US = 2.9e6;
 
     static final double[] LIST_PAUSE_US = {1e6, 4e6};
-    /** How long discovery may be down or silent. */
+    /** Longest time that discovery is down or sends nothing, microseconds. */
     static final double MOST_OUTAGE_US = 1.2e7;
-    /** SIGKILL follows SIGTERM after the longest deadline of {@link #SOAK_CLASSES} and 0.7 s. */
+    /** SIGKILL follows SIGTERM after the longest deadline of {@link #SOAK_CLASSES} plus 0.7 s. */
     private static final String KILL_AFTER = "2.8s";
-    /** One in so many soaks has a crowd: callers of discovery, and clients that hold connections. */
-    private static final int CROWDED_OF = 3;
-    /** Troubles of a soak begin this far from its start and its end, and its list's troubles this far from each other. */
-    private static final double SOAK_EDGE_S = 4;
+    /** One in this many soaks has overload: additional discovery calls, and a connection flood. */
+    private static final int OVERLOAD_ONE_IN = 3;
+    /** Least time between a soak's faults and its start or end, and between two of its discovery faults, seconds. */
+    private static final double FAULT_MARGIN_S = 4;
 
-    private static final double LISTS_APART_S = 8;
-    /** Calls that are still to be spoilt are let go after this. */
-    private static final double SPOILT_S = 7;
-    /** Time between the beginnings of a soak's other troubles, on the average. */
-    private static final double TROUBLE_EVERY_S = 1.6;
+    private static final double MIN_DISCOVERY_FAULT_GAP_S = 8;
+    /** Duration of faults that make a number of discovery calls fail, seconds. */
+    private static final double FAILING_CALLS_S = 7;
+    /** Mean time between the starts of a soak's other faults, seconds. */
+    private static final double MEAN_FAULT_GAP_S = 1.6;
 
     private static final String SOAK_CLASSES = """
 
@@ -175,29 +179,28 @@
     }
 
     /**
-     * Draws one.
+     * Generates a scenario file.
      *
-     * @param instances client proxies, at least 1
-     * @param startUs how long the process of a client proxy takes from its start until it is ready; negative:
-     *        drawn
+     * @param instances number of client proxies, at least 1
+     * @param startUs time from the start of a client proxy's process until it is ready; negative: drawn at random
      */
     public static String of(Family family, long seed, int instances, long startUs) {
-        GeneratedScenario d = new GeneratedScenario(family, seed);
+        GeneratedScenario scenario = new GeneratedScenario(family, seed);
         return switch (family) {
-            case HERD -> d.herd(seed, instances, startUs);
-            case JAM -> d.jam(seed, instances, startUs);
-            case SOAK -> d.soakDay(seed, instances, SOAK_S, 0);
+            case HERD -> scenario.herdScenario(seed, instances, startUs);
+            case JAM -> scenario.jamScenario(seed, instances, startUs);
+            case SOAK -> scenario.soakScenario(seed, instances, SOAK_S, 0);
         };
     }
 
     /**
-     * Draws a soak of another length.
+     * Generates a soak of a given length.
      *
-     * @param lengthS how long clients ask, seconds, at least {@link #LEAST_SOAK_S}
-     * @param alsoListed servers that whole lists name besides, all of them draining
+     * @param lengthS how long clients send requests, seconds, at least {@link #LEAST_SOAK_S}
+     * @param alsoListed additional servers that full lists name, all of them draining
      */
     public static String soak(long seed, int instances, int lengthS, int alsoListed) {
-        return new GeneratedScenario(Family.SOAK, seed).soakDay(seed, instances, lengthS, alsoListed);
+        return new GeneratedScenario(Family.SOAK, seed).soakScenario(seed, instances, lengthS, alsoListed);
     }
 
     private GeneratedScenario line(String form, Object... values) {
@@ -214,9 +217,12 @@
     }
 
     /**
-     * So many client proxies, servers for them, and discovery that takes a call of each within some seconds.
+     * Writes the client proxies, servers for them, and a discovery that processes one call of each proxy within 2 to
+     * 8 s.
+     *
+     * @return the number of servers
      */
-    private int world(int instances, long startUs, String known) {
+    private int addDeployment(int instances, long startUs, String known) {
         int zones = 2 + chance.below(3);
         int hosts = Math.max(12, Math.min(200, (int) (instances * between(0.5, 0.75))));
         out.append("\n[network]\nzones = [");
@@ -255,15 +261,15 @@
                     "crowd-at = 6%ncrowd-loss = \"%.0f%%\"%nkey-memory = \"%s\"%nkey-saving = \"%.0f%%\"",
                     between(30, 50), time(between(3.2e6, 8.8e6)), between(32, 69));
         }
-        out.append(CLASSES);
+        out.append(HERD_CLASSES);
         return hosts;
     }
 
-    private String herd(long seed, int instances, long startUs) {
+    private String herdScenario(long seed, int instances, long startUs) {
         line("# Drawn: emulate draw herd --seed %d --instances %d", seed, instances);
         line("%n[scenario]%ntitle = \"seven in ten of %d client proxies are killed in a release\"", instances);
         line("length = \"30s\"");
-        int hosts = world(instances, startUs, "stale");
+        int hosts = addDeployment(instances, startUs, "stale");
         line(
                 "%n[load]%nof-capacity = \"%.0f%%\"%nshape = \"steady\"%nkeys = %d%nzipf = %.2f",
                 between(45, 60), 30 * hosts, between(0.86, 1.1));
@@ -283,7 +289,7 @@
         return out.toString();
     }
 
-    private String soakDay(long seed, int instances, int lengthS, int alsoListed) {
+    private String soakScenario(long seed, int instances, int lengthS, int alsoListed) {
         line(
                 "# Drawn: kit soak --seeds %d --instances %d --length %d --also-listed %d",
                 seed, instances, lengthS, alsoListed);
@@ -316,40 +322,40 @@
         line(
                 "%n[load]%nrate = \"%.0f/s\"%nshape = \"bursty\"%nkeys = %d",
                 instances * between(4, 9), chance.below(2) * 300);
-        double last = lengthS - SOAK_EDGE_S;
-        if (chance.below(CROWDED_OF) == 0) {
-            crowd(last, instances);
+        double last = lengthS - FAULT_MARGIN_S;
+        if (chance.below(OVERLOAD_ONE_IN) == 0) {
+            addOverload(last, instances);
         }
-        for (double at = SOAK_EDGE_S + between(0, 3); at < last; at += LISTS_APART_S + between(0, 4)) {
-            listTrouble(at);
+        for (double at = FAULT_MARGIN_S + between(0, 3); at < last; at += MIN_DISCOVERY_FAULT_GAP_S + between(0, 4)) {
+            addDiscoveryFault(at);
         }
-        for (double at = SOAK_EDGE_S; at < last; at += between(0, 2 * TROUBLE_EVERY_S)) {
-            trouble(at, last - at, instances, hosts);
+        for (double at = FAULT_MARGIN_S; at < last; at += between(0, 2 * MEAN_FAULT_GAP_S)) {
+            addFault(at, last - at, instances, hosts);
         }
         return out.toString();
     }
 
-    /** Callers of discovery beside the client proxies, and clients that connect and say nothing. */
-    private void crowd(double lastS, int instances) {
-        double at = between(SOAK_EDGE_S, lastS / 2);
-        fault("discovery-crowd", at)
+    /** Adds discovery calls from other callers, and clients that connect and send nothing. */
+    private void addOverload(double lastS, int instances) {
+        double at = between(FAULT_MARGIN_S, lastS / 2);
+        beginFault("discovery-crowd", at)
                 .line("for = \"%s\"%ncalls = \"%.1f/s\"", time(between(3e6, 1e7)), instances * between(0.1, 0.6));
-        fault("crowd-proxy", between(SOAK_EDGE_S, lastS / 2))
+        beginFault("crowd-proxy", between(FAULT_MARGIN_S, lastS / 2))
                 .line(
                         "count = %d%nconnections = %d%nfor = \"%s\"",
                         1 + chance.below(Math.max(1, instances / 3)), 30 + chance.below(300), time(between(2e6, 1e7)));
     }
 
-    /** SIGHUP and SIGTERM to one process, one soon after the other, and more than once. */
-    private void signals(double atS, int instances) {
+    /** Adds SIGHUP and SIGTERM to one process, in quick succession and each possibly more than once. */
+    private void addSignals(double atS, int instances) {
         int proxy = chance.below(instances);
         double at = atS;
         for (int reloads = chance.below(4); reloads > 0; reloads--) {
-            fault("reload-proxy", at).line("proxy = %d", proxy);
+            beginFault("reload-proxy", at).line("proxy = %d", proxy);
             at += between(0.02, 1.2);
         }
         for (int ends = chance.below(3); ends > 0; ends--) {
-            fault("end-proxy", at).line("proxy = %d", proxy);
+            beginFault("end-proxy", at).line("proxy = %d", proxy);
             at += between(0.01, 0.4);
         }
     }
@@ -358,14 +364,14 @@
         return between(range[0], range[1]);
     }
 
-    private GeneratedScenario fault(String kind, double atS) {
+    private GeneratedScenario beginFault(String kind, double atS) {
         return line("%n[[fault]]%ndo = \"%s\"%nat = \"%s\"", kind, time(atS * 1e6));
     }
 
-    /** A trouble of discovery, and mostly servers that drain as it begins. */
-    private void listTrouble(double atS) {
+    /** Adds a fault of discovery, in three of four cases with servers that start to drain as it begins. */
+    private void addDiscoveryFault(double atS) {
         if (chance.below(4) > 0) {
-            fault("drain", atS).line("count = %d", 1 + chance.below(2));
+            beginFault("drain", atS).line("count = %d", 1 + chance.below(2));
         }
         String[] kinds = {
             "discovery-down",
@@ -379,70 +385,78 @@
             "watches-reset"
         };
         String kind = kinds[chance.below(kinds.length)];
-        fault(kind, atS);
+        beginFault(kind, atS);
         switch (kind) {
             case "discovery-down", "discovery-silent" -> line("for = \"%s\"", time(between(5e5, MOST_OUTAGE_US)));
             case "discovery-late" -> {
                 line("by = [\"0ms\", \"%s\"]%nfor = \"%s\"", time(between(1e5, MOST_LATE_US)), time(between(1e6, 8e6)));
-                // All call meanwhile, or it would not be felt.
+                // Makes all proxies call discovery during the fault; without calls it would have no effect.
                 if (chance.below(2) == 0) {
-                    fault("watches-reset", atS + 0.1);
+                    beginFault("watches-reset", atS + 0.1);
                 } else {
-                    fault("discovery-ends", atS + 0.1).line("of-each = 1%nfor = \"%s\"", time(SPOILT_S * 1e6));
+                    beginFault("discovery-ends", atS + 0.1)
+                            .line("of-each = 1%nfor = \"%s\"", time(FAILING_CALLS_S * 1e6));
                 }
             }
             case "discovery-pauses" ->
                 line(
                         "of-each = %d%nby = [\"%s\", \"%s\"]%nfor = \"%s\"",
-                        1 + chance.below(2), time(LIST_PAUSE_US[0]), time(LIST_PAUSE_US[1]), time(SPOILT_S * 1e6));
+                        1 + chance.below(2),
+                        time(LIST_PAUSE_US[0]),
+                        time(LIST_PAUSE_US[1]),
+                        time(FAILING_CALLS_S * 1e6));
             case "discovery-refuses", "discovery-cuts", "discovery-ends" ->
-                line("of-each = %d%nfor = \"%s\"", 1 + chance.below(2), time(SPOILT_S * 1e6));
+                line("of-each = %d%nfor = \"%s\"", 1 + chance.below(2), time(FAILING_CALLS_S * 1e6));
             default -> {}
         }
     }
 
-    /** A trouble of servers, connections or client proxies. */
-    private void trouble(double atS, double leftS, int instances, int hosts) {
-        int some = 1 + chance.below(Math.max(1, instances / 3));
+    /** Adds a fault of servers, connections or client proxies. */
+    private void addFault(double atS, double leftS, int instances, int hosts) {
+        int proxies = 1 + chance.below(Math.max(1, instances / 3));
         double lasts = Math.min(leftS, between(0.5, 5));
         switch (chance.below(14)) {
             case 0 ->
-                fault("kill-proxy", atS)
+                beginFault("kill-proxy", atS)
                         .line(
                                 "count = %d%nwithin = [\"0s\", \"%s\"]%ndown = \"%s\"",
-                                some, time(between(1e4, 1e6)), time(between(0, 2e6)));
-            case 1 -> fault("pause-proxy", atS).line("count = %d%nfor = \"%s\"", some, time(between(2e4, 1.2e6)));
+                                proxies, time(between(1e4, 1e6)), time(between(0, 2e6)));
+            case 1 ->
+                beginFault("pause-proxy", atS).line("count = %d%nfor = \"%s\"", proxies, time(between(2e4, 1.2e6)));
             case 2 ->
-                fault("end-proxy", atS).line("count = %d%nwithin = [\"0s\", \"%s\"]", some, time(between(1e4, 2e6)));
+                beginFault("end-proxy", atS)
+                        .line("count = %d%nwithin = [\"0s\", \"%s\"]", proxies, time(between(1e4, 2e6)));
             case 3 ->
-                fault("reload-proxy", atS).line("count = %d%nwithin = [\"0s\", \"%s\"]", some, time(between(1e4, 1e6)));
-            case 4 -> fault("hang", atS).line("count = 1%nfor = \"%s\"", time(lasts * 1e6));
+                beginFault("reload-proxy", atS)
+                        .line("count = %d%nwithin = [\"0s\", \"%s\"]", proxies, time(between(1e4, 1e6)));
+            case 4 -> beginFault("hang", atS).line("count = 1%nfor = \"%s\"", time(lasts * 1e6));
             case 5 ->
-                fault("slow", atS).line("count = 1%nfactor = %.1f%nfor = \"%s\"", between(2, 10), time(lasts * 1e6));
+                beginFault("slow", atS)
+                        .line("count = 1%nfactor = %.1f%nfor = \"%s\"", between(2, 10), time(lasts * 1e6));
             case 6 ->
-                fault("errors", atS)
+                beginFault("errors", atS)
                         .line("count = 2%nrate = \"%.0f%%\"%nfor = \"%s\"", between(5, 60), time(lasts * 1e6));
             case 7 ->
-                fault("reset-before", atS)
+                beginFault("reset-before", atS)
                         .line(
                                 "count = %d%nrate = \"%.0f%%\"%nfor = \"%s\"",
                                 hosts / 2, between(5, 40), time(lasts * 1e6));
             case 8 ->
-                fault("reset-after", atS)
+                beginFault("reset-after", atS)
                         .line(
                                 "count = %d%nrate = \"%.0f%%\"%nfor = \"%s\"",
                                 hosts / 2, between(5, 40), time(lasts * 1e6));
             case 9 ->
-                fault("restart", atS)
+                beginFault("restart", atS)
                         .line("count = 1%ndrain = \"%s\"%nmoved = %b", time(between(0, 2e6)), chance.below(2) == 0);
-            case 10 -> fault("vanish", atS).line("count = 1%nfor = \"%s\"", time(lasts * 1e6));
-            case 12 -> signals(atS, instances);
-            case 11 -> fault("pause", atS).line("count = 1%nfor = \"%s\"", time(between(5e4, 8e5)));
-            default -> fault("burst", atS).line("requests = %d", 10 + chance.below(10 * instances));
+            case 10 -> beginFault("vanish", atS).line("count = 1%nfor = \"%s\"", time(lasts * 1e6));
+            case 12 -> addSignals(atS, instances);
+            case 11 -> beginFault("pause", atS).line("count = 1%nfor = \"%s\"", time(between(5e4, 8e5)));
+            default -> beginFault("burst", atS).line("requests = %d", 10 + chance.below(10 * instances));
         }
     }
 
-    private String jam(long seed, int instances, long startUs) {
+    private String jamScenario(long seed, int instances, long startUs) {
         line("# Drawn: emulate draw jam --seed %d --instances %d", seed, instances);
         line("%n[scenario]%ntitle = \"a burst leaves the servers of %d client proxies slow\"", instances);
         line("length = \"40s\"");
--- a/src/main/java/mulleinfront/emulator/GraphAuditor.java
+++ b/src/main/java/mulleinfront/emulator/GraphAuditor.java
@@ -8,45 +8,45 @@
 import mulleinfront.Balancer.Effect;
 
 /**
- * Judges what must hold along a path of calls, beside the four rules that each service's own auditor judges:
- * nobody below has more time than whoever waits above, nothing is sent for a request that is over, no call
- * has more of an effect than the request that it is made for, and an effect that may not be repeated is not
- * repeated by a repeat above it.
+ * Checks invariants along a path of calls, in addition to the four rules that each service's own auditor checks: a call
+ * has no later deadline than the request that it is made for, no attempt is sent for a request that has ended, a call
+ * has no stronger effect than its request, and an effect that must not be repeated is not repeated because a request
+ * further up the path was.
  */
 public final class GraphAuditor {
-    private static final int MOST_KEPT = 100;
-    /** Effects are remembered for so long, microseconds, and at most twice that. */
-    private static final long REMEMBERED_US = 30_000_000;
+    private static final int MAX_RECORDED_BREACHES = 100;
+    /** Effects are remembered for at least this time, and at most twice as long, microseconds. */
+    private static final long EFFECT_RETENTION_US = 30_000_000;
 
-    /** What is judged, by the name of what is broken. */
+    /** Rules that the auditor checks. */
     public enum Rule {
         DEADLINE("the deadline is passed on"),
         CANCEL("what is cancelled above is cancelled below"),
         EFFECT("no call has more of an effect than its request"),
         TWICE("no effect happens twice along a path");
 
-        private final String words;
+        private final String description;
 
         Rule(String words) {
-            this.words = words;
+            this.description = words;
         }
 
-        /** The rule in words. */
-        public String words() {
-            return words;
+        /** Description of the rule. */
+        public String description() {
+            return description;
         }
     }
 
     /**
-     * A broken rule.
+     * A violation of a rule.
      *
-     * @param atUs when it was broken
+     * @param atUs when the violation was detected
      * @param service the service that was called
      */
     public record Breach(Rule rule, long atUs, String service, String what) {
         @Override
         public String toString() {
-            return "rule broken: " + rule.words() + ": " + what + ", call of " + service + ", at "
+            return "rule broken: " + rule.description() + ": " + what + ", call of " + service + ", at "
                     + String.format(Locale.ROOT, "%.6f", atUs / 1e6) + " s";
         }
     }
@@ -55,10 +55,10 @@
     private final List<Breach> breaches = new ArrayList<>();
     private int breachCount;
     private Map<String, Integer> ran = new HashMap<>();
-    private Map<String, Integer> ranBefore = new HashMap<>();
-    private long ranSince;
-    /** Keyed effects that a repeat above brought to another group, where they ran again. */
-    private long keyedAgain;
+    private Map<String, Integer> previousExecutions = new HashMap<>();
+    private long executionsSince;
+    /** Keyed effects that ran again in another deduplication group, because of a repeat further up the path. */
+    private long repeatedKeyedEffects;
 
     GraphAuditor(GraphWorld graph) {
         this.graph = graph;
@@ -72,13 +72,13 @@
         return breachCount;
     }
 
-    long keyedAgain() {
-        return keyedAgain;
+    long repeatedKeyedEffects() {
+        return repeatedKeyedEffects;
     }
 
     private void breach(Rule rule, Hop hop, String what) {
         breachCount++;
-        if (breaches.size() < MOST_KEPT) {
+        if (breaches.size() < MAX_RECORDED_BREACHES) {
             breaches.add(new Breach(
                     rule, graph.queue.now(), graph.nodes().get(hop.edge.to()).name(), what));
         }
@@ -86,16 +86,16 @@
 
     /** An application makes a call. */
     void called(Hop hop) {
-        if (hop.endAt > hop.above.endsAt) {
+        if (hop.endAt > hop.caller.endsAt) {
             breach(
                     Rule.DEADLINE,
                     hop,
-                    "it may take " + (hop.endAt - hop.above.endsAt)
+                    "it may take " + (hop.endAt - hop.caller.endsAt)
                             + " us longer than the request that it is made for");
         }
         Effect effect = effect(hop.classIndex);
         Effect most =
-                hop.above.above == null ? effect(hop.above.request.classIndex) : effect(hop.above.above.classIndex);
+                hop.caller.above == null ? effect(hop.caller.request.classIndex) : effect(hop.caller.above.classIndex);
         if (strength(effect) > strength(most)) {
             breach(Rule.EFFECT, hop, "a " + most + " request makes a " + effect + " call");
         }
@@ -115,38 +115,38 @@
 
     /** An attempt's first byte leaves a client proxy. */
     void sent(Hop hop, long now) {
-        if (hop.above.overAt() >= 0 && now > hop.above.overAt()) {
+        if (hop.caller.overAt() >= 0 && now > hop.caller.overAt()) {
             breach(
                     Rule.CANCEL,
                     hop,
-                    "sent " + (now - hop.above.overAt()) + " us after the request that it is made for was over");
+                    "sent " + (now - hop.caller.overAt()) + " us after the request that it is made for was over");
         }
         if (now > hop.endAt) {
             breach(Rule.DEADLINE, hop, "sent " + (now - hop.endAt) + " us after its time");
         }
     }
 
-    /** A server has begun to run this effect. */
+    /** A server has begun to execute this effect. */
     void ran(String effect, boolean dropped) {
         char kind = effect.charAt(0);
         if (dropped || kind == GraphWorld.SAFE) {
             return;
         }
         long now = graph.queue.now();
-        if (now - ranSince > REMEMBERED_US) {
-            ranBefore = ran;
+        if (now - executionsSince > EFFECT_RETENTION_US) {
+            previousExecutions = ran;
             ran = new HashMap<>();
-            ranSince = now;
+            executionsSince = now;
         }
-        int times = ran.merge(effect, 1, Integer::sum) + ranBefore.getOrDefault(effect, 0);
+        int times = ran.merge(effect, 1, Integer::sum) + previousExecutions.getOrDefault(effect, 0);
         if (times < 2) {
             return;
         }
         if (kind == GraphWorld.KEYED) {
-            keyedAgain++;
+            repeatedKeyedEffects++;
         } else {
             breachCount++;
-            if (breaches.size() < MOST_KEPT) {
+            if (breaches.size() < MAX_RECORDED_BREACHES) {
                 breaches.add(new Breach(Rule.TWICE, now, "any", "the effect " + effect + " ran " + times + " times"));
             }
         }
--- a/src/main/java/mulleinfront/emulator/GraphMachine.java
+++ b/src/main/java/mulleinfront/emulator/GraphMachine.java
@@ -5,25 +5,25 @@
 import java.util.List;
 import java.util.Set;
 
-/** A machine of one service: its server, its client proxy, and what its application is at. */
+/** A machine of one service: its server, its client proxy, and the requests that its application handles. */
 final class GraphMachine {
     final int number;
     final CallGraph.Node node;
     final int zone;
     final int rack;
     final long startAt;
-    /** Its server; null: its service is called from outside alone. */
+    /** The server; null for a front service, which only receives requests from outside. */
     Host host;
     /** The client proxy's part for each service that it calls, in the order of its service's calls. */
     final List<Upstream> upstreams = new ArrayList<>();
 
     final Set<Handling> handlings = new LinkedHashSet<>();
-    /** Requests from outside go elsewhere. */
+    /** Whether the machine is stopped or draining; requests from outside go to other machines. */
     boolean down;
-    /** Off the net. */
-    boolean away;
+    /** Whether the machine has no network. */
+    boolean disconnected;
 
-    /** A client proxy towards one service: a core, its module, its connections and its list. */
+    /** The client proxy's part for one service: a core, its balancer, its connections and its list. */
     record Upstream(World part, int service, int proxy) {
         Instance instance() {
             return part.proxies.get(proxy);
@@ -47,8 +47,8 @@
         throw new IllegalStateException("machine " + number + " of " + node.name() + " does not call " + service);
     }
 
-    /** Its process is gone, and what it was at with it. */
-    void drop() {
+    /** The application's process ends, and the requests that it handled are cancelled. */
+    void cancelHandlings() {
         List.copyOf(handlings).forEach(Handling::cancel);
     }
 }
--- a/src/main/java/mulleinfront/emulator/GraphReader.java
+++ b/src/main/java/mulleinfront/emulator/GraphReader.java
@@ -14,8 +14,8 @@
 import mulleinfront.settings.Section;
 
 /**
- * Reads a file of many services: a scenario's tables, and {@code [graph]}, {@code [[region]]} and
- * {@code [[failure]]}. The keys stand on the page {@code docs/emulator.md}.
+ * Reads a file with a graph of services: a scenario's tables, and {@code [graph]}, {@code [[region]]} and
+ * {@code [[failure]]}. The page {@code docs/emulator.md} describes the keys.
  */
 public final class GraphReader {
     /** Values of the {@code rate-of} key: whether the given rate counts calls or requests. */
@@ -27,9 +27,9 @@
     private GraphReader() {}
 
     /**
-     * Reads a file, and the file of the world that it stands on, if it names one.
+     * Reads a file, and the base scenario file that its {@code world} key names, if any.
      *
-     * @throws BadFileException one line with file, line and reason
+     * @throws BadFileException with a message of one line: file, line and reason
      */
     public static GraphSpec read(Path file) throws BadFileException {
         String text = ScenarioReader.text(file);
@@ -37,10 +37,10 @@
                 Section.root(file.toString(), text, null).table("scenario").text("world", "");
         Section base = null;
         if (!world.isEmpty()) {
-            Path beside = file.resolveSibling(world);
-            base = Section.root(beside.toString(), ScenarioReader.text(beside), null);
+            Path baseFile = file.resolveSibling(world);
+            base = Section.root(baseFile.toString(), ScenarioReader.text(baseFile), null);
             if (base.table("scenario").statesOwn("world")) {
-                throw new BadFileException(beside + ":1: scenario.world: stands on another world itself");
+                throw new BadFileException(baseFile + ":1: scenario.world: stands on another world itself");
             }
         }
         return read(file.toString(), Section.root(file.toString(), text, base));
@@ -91,7 +91,7 @@
                 graph.share("in-turn", 0.5, 1),
                 graph.share("optional", 0.3, 1),
                 graph.share("reads", 0.6, 1),
-                graph.word("told", GraphSpec.Told.ATTEMPT, GraphSpec.Told.class),
+                graph.word("told", GraphSpec.PropagatedDeadline.ATTEMPT, GraphSpec.PropagatedDeadline.class),
                 graph.time("reserve", 2_000L),
                 graph.count("rack", 20, 1),
                 graph.time("added-budget", 660L),
@@ -103,9 +103,9 @@
             throw graph.wrong(e.getMessage());
         }
         List<Failure> all = new ArrayList<>();
-        for (Section s : failures) {
-            all.add(failure(s, world));
-            s.done();
+        for (Section section : failures) {
+            all.add(failure(section, world));
+            section.done();
         }
         return spec.failing(all);
     }
@@ -115,23 +115,23 @@
         Arrays.fill(regionOf, -1);
         List<String> names = new ArrayList<>();
         Set<String> seen = new HashSet<>();
-        for (Section s : regions) {
-            String name = s.text("name", null);
+        for (Section section : regions) {
+            String name = section.text("name", null);
             if (!seen.add(name)) {
-                throw s.wrong("name", "there is another region called " + name);
+                throw section.wrong("name", "there is another region called " + name);
             }
-            for (String zone : s.texts("zones")) {
+            for (String zone : section.texts("zones")) {
                 int z = zones.indexOf(zone);
                 if (z < 0) {
-                    throw s.wrong("zones", "there is no zone '" + zone + "'");
+                    throw section.wrong("zones", "there is no zone '" + zone + "'");
                 }
                 if (regionOf[z] >= 0) {
-                    throw s.wrong("zones", zone + " is in another region too");
+                    throw section.wrong("zones", zone + " is in another region too");
                 }
                 regionOf[z] = names.size();
             }
             names.add(name);
-            s.done();
+            section.done();
         }
         for (int z = 0; z < regionOf.length; z++) {
             if (regionOf[z] < 0) {
@@ -141,38 +141,38 @@
         return names;
     }
 
-    private static Failure failure(Section s, Scenario world) throws BadFileException {
-        Kind kind = s.word("do", null, Kind.class);
-        long at = s.time("at", null);
+    private static Failure failure(Section section, Scenario world) throws BadFileException {
+        Kind kind = section.word("do", null, Kind.class);
+        long at = section.time("at", null);
         if (at > world.lengthUs()) {
-            throw s.wrong("at", "the scenario is over by then");
+            throw section.wrong("at", "the scenario is over by then");
         }
         if (kind == Kind.CUT) {
-            return new Failure(kind, at, s.time("for", null), 0, -1, -1, false, 0, 0, false);
+            return new Failure(kind, at, section.time("for", null), 0, -1, -1, false, 0, 0, false);
         }
         int zone = -1;
-        if (s.has("zone")) {
-            zone = world.zones().indexOf(s.text("zone", null));
+        if (section.has("zone")) {
+            zone = world.zones().indexOf(section.text("zone", null));
             if (zone < 0) {
-                throw s.wrong("zone", "there is no such zone");
+                throw section.wrong("zone", "there is no such zone");
             }
         }
-        double batch = s.share("batch", 0.0, 1);
-        long within = s.time("within", 0L);
+        double batch = section.share("batch", 0.0, 1);
+        long within = section.time("within", 0L);
         if (batch > 0 && within <= 0) {
-            throw s.wrong("batch", "batches need the time within which all of them come");
+            throw section.wrong("batch", "batches need the time within which all of them come");
         }
         boolean restart = kind == Kind.RESTART;
         return new Failure(
                 kind,
                 at,
-                s.time("for", restart ? (Long) 0L : null),
+                section.time("for", restart ? (Long) 0L : null),
                 within,
-                s.has("count") ? s.count("count", null, 1) : -1,
+                section.has("count") ? section.count("count", null, 1) : -1,
                 zone,
-                s.flag("rack", false),
+                section.flag("rack", false),
                 batch,
-                restart ? s.time("drain", 3_000_000L) : 0,
-                restart && s.flag("proxies", false));
+                restart ? section.time("drain", 3_000_000L) : 0,
+                restart && section.flag("proxies", false));
     }
 }
--- a/src/main/java/mulleinfront/emulator/GraphReport.java
+++ b/src/main/java/mulleinfront/emulator/GraphReport.java
@@ -8,19 +8,19 @@
 import java.util.List;
 import java.util.Locale;
 import mulleinfront.UnservedReason.Cause;
-import mulleinfront.emulator.GraphTally.Deepest;
+import mulleinfront.emulator.GraphTally.DepthStatistics;
 import mulleinfront.emulator.GraphTally.Group;
-import mulleinfront.emulator.GraphTally.Second;
+import mulleinfront.emulator.GraphTally.SecondStatistics;
 import mulleinfront.emulator.GraphTally.Span;
 import mulleinfront.settings.Section;
 
-/** How a graph of services went: as a page of text, and as JSON with the same figures. */
+/** The result of a graph simulation, as text and as JSON with the same numbers. */
 public final class GraphReport {
     private static final double[] QUANTILES = {0.5, 0.99, 0.999};
-    private static final String[] NAMES = {"p50", "p99", "p999"};
+    private static final String[] QUANTILE_NAMES = {"p50", "p99", "p999"};
     private static final int FIRST_SECONDS = 10;
-    /** The first seconds, whose refusals are counted apart. */
-    private static final int EARLY_SECONDS = (int) (GraphTally.EARLY_US / 1_000_000);
+    /** Length in seconds of the start phase, which is reported separately. */
+    private static final int START_PHASE_SECONDS = (int) (GraphTally.START_PHASE_US / 1_000_000);
 
     private final GraphWorld graph;
     private final GraphTally tally;
@@ -42,24 +42,24 @@
         this.broken = GraphWorld.broken(graph, results);
     }
 
-    // ---- figures -------------------------------------------------------------------------------------
+    // ---- metrics -------------------------------------------------------------------------------------
 
-    /** Worth of requests from outside answered within their aim, as a part of what was asked. */
+    /** Value earned by answers to requests from outside, as a fraction of the value asked for. */
     public double service() {
         return tally.service();
     }
 
-    /** The digest of all decisions of all client proxies. */
+    /** Digest of all decisions of all client proxies. */
     public String sha256() {
         return sha256;
     }
 
-    /** Broken rules, the first of each service's. */
+    /** Descriptions of violations: the first ones along paths and of each service. */
     public List<String> broken() {
         return broken;
     }
 
-    /** How many, in all. */
+    /** Number of all violations. */
     public int brokenCount() {
         int sum = graph.audit.breachCount();
         for (World.Result r : results) {
@@ -68,22 +68,22 @@
         return sum;
     }
 
-    /** Calls of services, from outside and from each other. */
+    /** Number of calls between services. */
     public long calls() {
         return tally.all.calls;
     }
 
-    /** Calls of one depth, 1 and more. */
+    /** Number of calls of one depth, from 1 on. */
     public long calls(int depth) {
         return tally.depths[depth].calls;
     }
 
-    /** Virtual microseconds for which requests came. */
+    /** Virtual time in microseconds in which requests were sent. */
     public long askedUs() {
         return spec.world().lengthUs();
     }
 
-    /** Servers that were pushed over while cold. */
+    /** Number of cold servers that crashed from overload. */
     public int fell() {
         int sum = 0;
         for (World.Result r : results) {
@@ -92,13 +92,14 @@
         return sum;
     }
 
-    /** Time added to 99 in 100 answered calls is no more than this, microseconds. */
+    /** 99th percentile of the time added to answered calls, microseconds. */
     public long addedP99Us() {
         return tally.all.of(Span.ADDED).at(0.99);
     }
 
     /**
-     * Part of the worth asked for in the seconds from one to another, the latter excluded, that was earned.
+     * Value earned as a fraction of the value asked for in the seconds {@code from} (inclusive) to {@code to}
+     * (exclusive).
      */
     public double service(int from, int to) {
         double asked = 0;
@@ -118,7 +119,7 @@
         return sum;
     }
 
-    private double coldMost() {
+    private double maxColdLoad() {
         double most = 0;
         for (GraphMachine m : graph.machines) {
             most = Math.max(most, m.host == null ? 0 : m.host.budget.most());
@@ -126,7 +127,7 @@
         return most;
     }
 
-    private long entriesTold() {
+    private long listEntriesSent() {
         long sum = 0;
         for (CallGraph.Node n : graph.nodes()) {
             sum += n.level() == 0 ? 0 : graph.part(n.number()).audit.entriesTold;
@@ -138,14 +139,14 @@
         return graph.machines.stream().mapToInt(m -> m.upstreams.size()).sum();
     }
 
-    private int mostUpstreams() {
+    private int maxUpstreams() {
         return graph.machines.stream().mapToInt(m -> m.upstreams.size()).max().orElse(0);
     }
 
-    private Second sum(int from, int to) {
-        Second all = new Second();
+    private SecondStatistics sum(int from, int to) {
+        SecondStatistics all = new SecondStatistics();
         for (int i = from; i < Math.min(to, tally.seconds.size()); i++) {
-            Second s = tally.seconds.get(i);
+            SecondStatistics s = tally.seconds.get(i);
             all.asked += s.asked;
             all.earned += s.earned;
             all.requests += s.requests;
@@ -154,13 +155,13 @@
             all.notServed += s.notServed;
             for (int c = 0; c < all.causes.length; c++) {
                 all.causes[c] += s.causes[c];
-                all.young[c] += s.young[c];
+                all.recentlyStarted[c] += s.recentlyStarted[c];
             }
         }
         return all;
     }
 
-    private static String causes(Second s) {
+    private static String causes(SecondStatistics s) {
         StringBuilder out = new StringBuilder();
         for (Cause c : Cause.values()) {
             if (s.causes[c.ordinal()] > 0) {
@@ -169,7 +170,7 @@
                         .append(' ')
                         .append(s.causes[c.ordinal()])
                         .append(" (young ")
-                        .append(s.young[c.ordinal()])
+                        .append(s.recentlyStarted[c.ordinal()])
                         .append(')');
             }
         }
@@ -182,7 +183,7 @@
         out.append(String.format(Locale.ROOT, form, values)).append('\n');
     }
 
-    /** The page; ends with the digest's line. */
+    /** The result as text; ends with the digest of the decisions. */
     public String text() {
         StringBuilder out = new StringBuilder();
         Scenario w = spec.world();
@@ -209,7 +210,7 @@
                         .sum(),
                 (double) tally.all.calls / Math.max(1, tally.requests),
                 (double) upstreams() / graph.machines.size(),
-                mostUpstreams());
+                maxUpstreams());
         line(
                 out,
                 "load: %.0f requests/s from outside, %.0f calls/s in all",
@@ -223,9 +224,9 @@
                 service(),
                 tally.requests,
                 tally.requestsLeft,
-                EARLY_SECONDS,
-                service(0, EARLY_SECONDS),
-                service(EARLY_SECONDS, Integer.MAX_VALUE),
+                START_PHASE_SECONDS,
+                service(0, START_PHASE_SECONDS),
+                service(START_PHASE_SECONDS, Integer.MAX_VALUE),
                 tally.requestTimes.at(0.5) / 1e3,
                 tally.requestTimes.at(0.99) / 1e3);
         for (int c = 0; c < tally.classAsked.length; c++) {
@@ -246,7 +247,7 @@
                 tally.all.attempts,
                 percent(tally.all.acrossZones),
                 percent(tally.all.acrossRegions),
-                percent(tally.all.connected));
+                percent(tally.all.newConnections));
         line(
                 out,
                 "probes %d, discovery calls %d (failed %d), entries of lists told %d; connections of a"
@@ -254,15 +255,15 @@
                 counted("probes"),
                 counted("discovery calls"),
                 counted("discovery calls failed"),
-                entriesTold(),
+                listEntriesSent(),
                 tally.meanConnections,
                 tally.mostConnections);
         line(
                 out,
                 "cold servers: most sent to one %.0f%% of what pushes it over; fell over: %d",
-                100 * coldMost(),
+                100 * maxColdLoad(),
                 fell());
-        line(out, "keyed effects run again in another group by a repeat above: %d", graph.audit.keyedAgain());
+        line(out, "keyed effects run again in another group by a repeat above: %d", graph.audit.repeatedKeyedEffects());
         line(out, "");
         if (brokenCount() == 0) {
             line(out, "rules: all four kept in each service, and those along the paths");
@@ -297,25 +298,25 @@
             row(out, String.valueOf(d), tally.depths[d]);
         }
         row(out, "all", tally.all);
-        if (tally.later.calls > 0) {
-            row(out, "later", tally.later);
+        if (tally.afterStartPhase.calls > 0) {
+            row(out, "later", tally.afterStartPhase);
         }
     }
 
-    private static void row(StringBuilder out, String name, Group g) {
-        Histogram h = g.of(Span.ADDED);
+    private static void row(StringBuilder out, String name, Group group) {
+        Histogram h = group.of(Span.ADDED);
         line(
                 out,
                 "%5s %9d %8.4f %8d %8d %8d %8d %8d %8d  %.3f / %.3f / %.3f",
                 name,
-                g.calls,
-                g.service(),
-                g.ended(Clients.How.SERVED),
-                g.ended(Clients.How.REFUSED),
-                g.ended(Clients.How.FAILED),
-                g.ended(Clients.How.TIMED_OUT),
-                g.ended(Clients.How.UNREACHABLE) + g.ended(Clients.How.BROKEN),
-                g.ended(Clients.How.LEFT),
+                group.calls,
+                group.service(),
+                group.ended(Clients.How.SERVED),
+                group.ended(Clients.How.REFUSED),
+                group.ended(Clients.How.FAILED),
+                group.ended(Clients.How.TIMED_OUT),
+                group.ended(Clients.How.UNREACHABLE) + group.ended(Clients.How.BROKEN),
+                group.ended(Clients.How.LEFT),
                 h.at(0.5) / 1e3,
                 h.at(0.99) / 1e3,
                 h.at(0.999) / 1e3);
@@ -323,12 +324,12 @@
 
     private void spans(StringBuilder out) {
         spans(out, "all", tally.all);
-        if (tally.later.calls > 0) {
-            spans(out, "made after the first " + EARLY_SECONDS + " s", tally.later);
+        if (tally.afterStartPhase.calls > 0) {
+            spans(out, "made after the first " + START_PHASE_SECONDS + " s", tally.afterStartPhase);
         }
     }
 
-    private void spans(StringBuilder out, String which, Group g) {
+    private void spans(StringBuilder out, String which, Group group) {
         line(out, "");
         line(
                 out,
@@ -341,11 +342,11 @@
                 "p99.9",
                 "most",
                 which,
-                spec.budgetUs() / 1e3,
-                100 * g.of(Span.ADDED).above(spec.budgetUs()),
-                100.0 * g.connected / Math.max(1, g.attempts));
+                spec.addedTimeBudgetUs() / 1e3,
+                100 * group.of(Span.ADDED).above(spec.addedTimeBudgetUs()),
+                100.0 * group.newConnections / Math.max(1, group.attempts));
         for (Span span : Span.values()) {
-            Histogram h = g.of(span);
+            Histogram h = group.of(span);
             line(
                     out,
                     "%-11s %9.3f %9.3f %9.3f %9.3f %9.3f",
@@ -363,17 +364,17 @@
         line(
                 out,
                 "requests by their deepest call, and those with a call of more than %.2f ms added:",
-                spec.budgetUs() / 1e3);
+                spec.addedTimeBudgetUs() / 1e3);
         StringBuilder row = new StringBuilder();
         for (int d = 1; d <= spec.depth(); d++) {
-            Deepest g = tally.deepest[d];
+            DepthStatistics g = tally.deepest[d];
             row.append(String.format(
                     Locale.ROOT,
                     "%s %d: %d (%.1f%%)",
                     d == 1 ? " " : ",",
                     d,
                     g.requests,
-                    100.0 * g.withOneBeyond / Math.max(1, g.requests)));
+                    100.0 * g.withCallOverBudget / Math.max(1, g.requests)));
         }
         line(out, "%s", row);
     }
@@ -407,11 +408,11 @@
             line(out, "the worst after that:");
             row(out, String.valueOf(worst), sum(worst, worst + 1), tally.seconds.get(worst).busy);
         }
-        line(out, "first %d s: %s", EARLY_SECONDS, causes(sum(0, EARLY_SECONDS)));
-        line(out, "after:     %s", causes(sum(EARLY_SECONDS, Integer.MAX_VALUE)));
+        line(out, "first %d s: %s", START_PHASE_SECONDS, causes(sum(0, START_PHASE_SECONDS)));
+        line(out, "after:     %s", causes(sum(START_PHASE_SECONDS, Integer.MAX_VALUE)));
     }
 
-    private static void row(StringBuilder out, String name, Second s, double busy) {
+    private static void row(StringBuilder out, String name, SecondStatistics s, double busy) {
         line(
                 out,
                 "%6s %8d %8.4f %8d %8d %8d %5.1f%%  %s",
@@ -427,7 +428,7 @@
 
     // ---- as JSON -------------------------------------------------------------------------------------
 
-    /** The same figures; times in microseconds, shares as parts of 1. */
+    /** Writes the result as JSON; times are in microseconds, shares are fractions of 1. */
     public void json(OutputStream to) throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(to).useDefaultPrettyPrinter()) {
             out.writeStartObject();
@@ -440,23 +441,24 @@
             out.writeNumberField("services", spec.services());
             out.writeNumberField("depth", spec.depth());
             out.writeNumberField("upstreams", upstreams());
-            out.writeNumberField("upstreams_most", mostUpstreams());
+            out.writeNumberField("upstreams_most", maxUpstreams());
             out.writeNumberField("requests", tally.requests);
             out.writeNumberField("requests_left", tally.requestsLeft);
             out.writeNumberField("requests_served", tally.requestsServed);
             out.writeNumberField("service", service());
-            out.writeNumberField("service_first_s", service(0, EARLY_SECONDS));
-            out.writeNumberField("service_after", service(EARLY_SECONDS, Integer.MAX_VALUE));
+            out.writeNumberField("service_first_s", service(0, START_PHASE_SECONDS));
+            out.writeNumberField("service_after", service(START_PHASE_SECONDS, Integer.MAX_VALUE));
             out.writeNumberField("request_p50_us", tally.requestTimes.at(0.5));
             out.writeNumberField("request_p99_us", tally.requestTimes.at(0.99));
-            out.writeNumberField("added_budget_us", spec.budgetUs());
-            out.writeNumberField("added_over_budget", tally.all.of(Span.ADDED).above(spec.budgetUs()));
+            out.writeNumberField("added_budget_us", spec.addedTimeBudgetUs());
+            out.writeNumberField("added_over_budget", tally.all.of(Span.ADDED).above(spec.addedTimeBudgetUs()));
             out.writeObjectFieldStart("all");
             group(out, tally.all);
             out.writeEndObject();
             out.writeObjectFieldStart("later");
-            group(out, tally.later);
-            out.writeNumberField("added_over_budget", tally.later.of(Span.ADDED).above(spec.budgetUs()));
+            group(out, tally.afterStartPhase);
+            out.writeNumberField(
+                    "added_over_budget", tally.afterStartPhase.of(Span.ADDED).above(spec.addedTimeBudgetUs()));
             out.writeEndObject();
             out.writeArrayFieldStart("depths");
             for (int d = 1; d <= spec.depth(); d++) {
@@ -464,7 +466,7 @@
                 out.writeNumberField("depth", d);
                 group(out, tally.depths[d]);
                 out.writeNumberField("requests_this_deep", tally.deepest[d].requests);
-                out.writeNumberField("requests_with_a_call_over_budget", tally.deepest[d].withOneBeyond);
+                out.writeNumberField("requests_with_a_call_over_budget", tally.deepest[d].withCallOverBudget);
                 out.writeEndObject();
             }
             out.writeEndArray();
@@ -473,12 +475,12 @@
             out.writeNumberField("probes", counted("probes"));
             out.writeNumberField("discovery_calls", counted("discovery calls"));
             out.writeNumberField("discovery_calls_failed", counted("discovery calls failed"));
-            out.writeNumberField("list_entries_told", entriesTold());
+            out.writeNumberField("list_entries_told", listEntriesSent());
             out.writeNumberField("connections_mean", tally.meanConnections);
             out.writeNumberField("connections_most", tally.mostConnections);
-            out.writeNumberField("cold_most_part_of_fall", coldMost());
+            out.writeNumberField("cold_most_part_of_fall", maxColdLoad());
             out.writeNumberField("fell", fell());
-            out.writeNumberField("keyed_effects_again", graph.audit.keyedAgain());
+            out.writeNumberField("keyed_effects_again", graph.audit.repeatedKeyedEffects());
             out.writeNumberField("rules_broken", brokenCount());
             out.writeArrayFieldStart("broken");
             for (String b : broken) {
@@ -489,25 +491,25 @@
         }
     }
 
-    private static void group(JsonGenerator out, Group g) throws IOException {
-        out.writeNumberField("calls", g.calls);
-        out.writeNumberField("service", g.service());
+    private static void group(JsonGenerator out, Group group) throws IOException {
+        out.writeNumberField("calls", group.calls);
+        out.writeNumberField("service", group.service());
         out.writeObjectFieldStart("ended");
         for (Clients.How how : Clients.How.values()) {
-            out.writeNumberField(Section.form(how), g.ended(how));
+            out.writeNumberField(Section.form(how), group.ended(how));
         }
         out.writeEndObject();
-        out.writeNumberField("attempts", g.attempts);
-        out.writeNumberField("attempts_across_zones", g.acrossZones);
-        out.writeNumberField("attempts_across_regions", g.acrossRegions);
-        out.writeNumberField("attempts_on_new_connections", g.connected);
+        out.writeNumberField("attempts", group.attempts);
+        out.writeNumberField("attempts_across_zones", group.acrossZones);
+        out.writeNumberField("attempts_across_regions", group.acrossRegions);
+        out.writeNumberField("attempts_on_new_connections", group.newConnections);
         out.writeObjectFieldStart("times_us");
         for (Span span : Span.values()) {
-            Histogram h = g.of(span);
+            Histogram h = group.of(span);
             out.writeObjectFieldStart(Section.form(span));
             out.writeNumberField("mean", h.mean());
             for (int i = 0; i < QUANTILES.length; i++) {
-                out.writeNumberField(NAMES[i], h.at(QUANTILES[i]));
+                out.writeNumberField(QUANTILE_NAMES[i], h.at(QUANTILES[i]));
             }
             out.writeNumberField("most", h.most());
             out.writeEndObject();
@@ -518,7 +520,7 @@
     private void services(JsonGenerator out) throws IOException {
         out.writeArrayFieldStart("service_list");
         for (CallGraph.Node n : graph.nodes()) {
-            Group g = tally.services[n.number()];
+            Group group = tally.services[n.number()];
             out.writeStartObject();
             out.writeStringField("name", n.name());
             out.writeNumberField("level", n.level());
@@ -527,11 +529,11 @@
                     "callers",
                     n.level() == 0 ? 0 : graph.part(n.number()).proxies.size());
             out.writeNumberField("visits", n.visits());
-            out.writeNumberField("calls", g.calls);
-            out.writeNumberField("served", g.ended(Clients.How.SERVED));
-            out.writeNumberField("refused", g.ended(Clients.How.REFUSED));
-            out.writeNumberField("service", g.service());
-            out.writeNumberField("added_p99_us", g.of(Span.ADDED).at(0.99));
+            out.writeNumberField("calls", group.calls);
+            out.writeNumberField("served", group.ended(Clients.How.SERVED));
+            out.writeNumberField("refused", group.ended(Clients.How.REFUSED));
+            out.writeNumberField("service", group.service());
+            out.writeNumberField("added_p99_us", group.of(Span.ADDED).at(0.99));
             out.writeEndObject();
         }
         out.writeEndArray();
@@ -539,8 +541,8 @@
 
     private void seconds(JsonGenerator out) throws IOException {
         out.writeArrayFieldStart("seconds");
-        List<Second> all = new ArrayList<>(tally.seconds);
-        for (Second s : all) {
+        List<SecondStatistics> all = new ArrayList<>(tally.seconds);
+        for (SecondStatistics s : all) {
             out.writeStartObject();
             out.writeNumberField("requests", s.requests);
             out.writeNumberField("not_served", s.notServed);
@@ -552,7 +554,7 @@
             for (Cause c : Cause.values()) {
                 if (s.causes[c.ordinal()] > 0) {
                     out.writeNumberField(c.outputName(), s.causes[c.ordinal()]);
-                    out.writeNumberField(c.outputName() + "-young", s.young[c.ordinal()]);
+                    out.writeNumberField(c.outputName() + "-young", s.recentlyStarted[c.ordinal()]);
                 }
             }
             out.writeEndObject();
--- a/src/main/java/mulleinfront/emulator/GraphRequest.java
+++ b/src/main/java/mulleinfront/emulator/GraphRequest.java
@@ -1,31 +1,39 @@
 package mulleinfront.emulator;
 
-/** One request from outside, with what its calls far below have in common. */
+/** One request from outside, with the data that all its calls share. */
 final class GraphRequest {
     final String id;
     final int classIndex;
     final int tenant;
     final String key;
     final double worth;
-    final long bornAt;
-    final long aimAt;
-    final long endAt;
-    /** Calls from outside down to its deepest server. */
+    final long createdAt;
+    final long targetAt;
+    final long deadlineAt;
+    /** Depth of its deepest call. */
     int deepest;
-    /** Answered calls with more than the budget added to them. */
-    int beyond;
+    /** Number of answered calls whose added time exceeded the budget. */
+    int callsOverBudget;
 
-    boolean over;
+    boolean ended;
 
-    GraphRequest(String id, int classIndex, int tenant, String key, double worth, long bornAt, long aimAt, long endAt) {
+    GraphRequest(
+            String id,
+            int classIndex,
+            int tenant,
+            String key,
+            double worth,
+            long createdAt,
+            long targetAt,
+            long deadlineAt) {
         this.id = id;
         this.classIndex = classIndex;
         this.tenant = tenant;
         this.key = key;
         this.worth = worth;
-        this.bornAt = bornAt;
-        this.aimAt = aimAt;
-        this.endAt = endAt;
+        this.createdAt = createdAt;
+        this.targetAt = targetAt;
+        this.deadlineAt = deadlineAt;
     }
 
     void reached(int depth) {
--- a/src/main/java/mulleinfront/emulator/GraphScript.java
+++ b/src/main/java/mulleinfront/emulator/GraphScript.java
@@ -8,7 +8,10 @@
 import mulleinfront.Balancer.Availability;
 import mulleinfront.emulator.GraphSpec.Failure;
 
-/** Makes a graph's failures happen. Whom one draws is settled when it begins, among those who are there. */
+/**
+ * Executes a graph's failures. The random targets of a failure are chosen when it begins, among the machines that run
+ * then.
+ */
 final class GraphScript {
     private final GraphWorld graph;
     private final Chance chance;
@@ -19,47 +22,50 @@
     }
 
     void schedule() {
-        graph.spec.failures().forEach(f -> graph.queue.after(f.at(), () -> begin(f)));
+        graph.spec.failures().forEach(failure -> graph.queue.after(failure.at(), () -> begin(failure)));
     }
 
-    private void begin(Failure f) {
-        switch (f.kind()) {
-            case KILL -> spread(f, m -> kill(f, m));
-            case RESTART -> spread(f, m -> restart(f, m));
-            case VANISH -> spread(f, m -> vanish(f, m));
-            case CUT -> cut(f);
+    private void begin(Failure failure) {
+        switch (failure.kind()) {
+            case KILL -> spread(failure, machine -> kill(failure, machine));
+            case RESTART -> spread(failure, machine -> restart(failure, machine));
+            case VANISH -> spread(failure, machine -> vanish(failure, machine));
+            case CUT -> partitionRegions(failure);
         }
     }
 
-    private List<GraphMachine> drawn(Failure f) {
-        List<GraphMachine> there = new ArrayList<>();
-        for (GraphMachine m : graph.machines) {
-            if (!m.down && !m.away && (f.zone() < 0 || m.zone == f.zone())) {
-                there.add(m);
+    private List<GraphMachine> targetMachines(Failure failure) {
+        List<GraphMachine> candidates = new ArrayList<>();
+        for (GraphMachine machine : graph.machines) {
+            if (!machine.down && !machine.disconnected && (failure.zone() < 0 || machine.zone == failure.zone())) {
+                candidates.add(machine);
             }
         }
-        if (f.rack() && !there.isEmpty()) {
-            GraphMachine one = there.get(chance.below(there.size()));
-            there.removeIf(m -> m.zone != one.zone || m.rack != one.rack);
+        if (failure.rack() && !candidates.isEmpty()) {
+            GraphMachine one = candidates.get(chance.below(candidates.size()));
+            candidates.removeIf(machine -> machine.zone != one.zone || machine.rack != one.rack);
         }
-        while (f.count() >= 0 && there.size() > f.count()) {
-            there.remove(chance.below(there.size()));
+        while (failure.count() >= 0 && candidates.size() > failure.count()) {
+            candidates.remove(chance.below(candidates.size()));
         }
-        return there;
+        return candidates;
     }
 
-    /** Batches take of every service as much as they can: its machines are told off in turn. */
-    private void spread(Failure f, Consumer<GraphMachine> what) {
-        int batches = f.batch() > 0 ? (int) Math.max(1, Math.round(1 / f.batch())) : 0;
-        Map<CallGraph.Node, Integer> told = new HashMap<>();
-        for (GraphMachine m : drawn(f)) {
-            int nth = told.merge(m.node, 1, Integer::sum) - 1;
-            // A service of few does not have its first machine in every first batch.
-            int batch = batches == 0 ? 0 : (nth * Math.max(1, batches / m.node.hosts()) + m.node.number()) % batches;
-            long after = batches > 0 ? f.withinUs() * batch / batches : (long) (f.withinUs() * chance.unit());
+    /** Schedules an action for the machines of a failure; the machines of each service are spread over the batches. */
+    private void spread(Failure failure, Consumer<GraphMachine> action) {
+        int batches = failure.batch() > 0 ? (int) Math.max(1, Math.round(1 / failure.batch())) : 0;
+        Map<CallGraph.Node, Integer> machinesSeen = new HashMap<>();
+        for (GraphMachine machine : targetMachines(failure)) {
+            int indexInService = machinesSeen.merge(machine.node, 1, Integer::sum) - 1;
+            // Offset by the service's number, so that the machines of small services are not all in the first batches.
+            int batch = batches == 0
+                    ? 0
+                    : (indexInService * Math.max(1, batches / machine.node.hosts()) + machine.node.number()) % batches;
+            long after =
+                    batches > 0 ? failure.withinUs() * batch / batches : (long) (failure.withinUs() * chance.unit());
             graph.queue.after(after, () -> {
-                if (!m.down && !m.away) {
-                    what.accept(m);
+                if (!machine.down && !machine.disconnected) {
+                    action.accept(machine);
                 }
             });
         }
@@ -69,96 +75,96 @@
         return graph.spec.world().proxies().startUs();
     }
 
-    /** Its power is gone: server and client proxy at once, without a word; all is cold when it comes back. */
-    private void kill(Failure f, GraphMachine m) {
-        m.down = true;
-        m.drop();
-        if (m.host != null) {
-            World part = graph.part(m.node.number());
-            m.host.vanished = true;
-            part.stop(m.host);
-            part.registry.happened(m.host, Availability.GONE, true);
+    /** A machine loses power: its server and its client proxy end at once, without notice, and start cold later. */
+    private void kill(Failure failure, GraphMachine machine) {
+        machine.down = true;
+        machine.cancelHandlings();
+        if (machine.host != null) {
+            World part = graph.part(machine.node.number());
+            machine.host.vanished = true;
+            part.stop(machine.host);
+            part.registry.happened(machine.host, Availability.GONE, true);
         }
-        m.upstreams.forEach(u -> u.instance().kill(f.forUs()));
-        // Its client proxy is up first: an application that can't call anybody is no use.
-        graph.queue.after(f.forUs() + startUs() + 1, () -> back(m));
+        machine.upstreams.forEach(u -> u.instance().kill(failure.forUs()));
+        // The client proxy starts before the server: an application without it can't call other services.
+        graph.queue.after(failure.forUs() + startUs() + 1, () -> restore(machine));
     }
 
-    private void back(GraphMachine m) {
-        m.down = false;
-        if (m.host != null) {
-            m.host.vanished = false;
-            World part = graph.part(m.node.number());
-            part.resetAll(m.host);
-            part.start(m.host, false);
+    private void restore(GraphMachine machine) {
+        machine.down = false;
+        if (machine.host != null) {
+            machine.host.vanished = false;
+            World part = graph.part(machine.node.number());
+            part.resetAll(machine.host);
+            part.start(machine.host, false);
         }
     }
 
-    /** It drains, ends, and starts anew and cold; requests from outside go elsewhere meanwhile. */
-    private void restart(Failure f, GraphMachine m) {
-        m.down = true;
-        World part = m.host == null ? null : graph.part(m.node.number());
+    /** A server drains, ends and starts again cold; requests from outside go to other machines in the meantime. */
+    private void restart(Failure failure, GraphMachine machine) {
+        machine.down = true;
+        World part = machine.host == null ? null : graph.part(machine.node.number());
         if (part != null) {
-            part.drain(m.host);
+            part.drain(machine.host);
         }
-        graph.queue.after(f.drainUs(), () -> {
-            m.drop();
+        graph.queue.after(failure.drainUs(), () -> {
+            machine.cancelHandlings();
             if (part != null) {
-                part.stop(m.host);
+                part.stop(machine.host);
             }
             long up = startUs() + 1;
-            if (f.proxies()) {
-                m.upstreams.forEach(u -> u.instance().end());
+            if (failure.proxies()) {
+                machine.upstreams.forEach(u -> u.instance().end());
                 up += graph.spec.world().proxies().lateCallsUs() + startUs();
             }
             graph.queue.after(up, () -> {
-                m.down = false;
+                machine.down = false;
                 if (part != null) {
-                    part.start(m.host, false);
+                    part.start(machine.host, false);
                 }
             });
         });
     }
 
-    /** Off the net and back as it was: its server reaches nobody, and neither does its client proxy. */
-    private void vanish(Failure f, GraphMachine m) {
-        away(m, true);
+    /** A machine loses the network for a time: neither its server nor its client proxy is connected. */
+    private void vanish(Failure failure, GraphMachine machine) {
+        setDisconnected(machine, true);
         boolean noticed =
-                f.forUs() > graph.spec.world().discovery().silentNotice().high();
-        World part = m.host == null ? null : graph.part(m.node.number());
+                failure.forUs() > graph.spec.world().discovery().silentNotice().high();
+        World part = machine.host == null ? null : graph.part(machine.node.number());
         if (part != null && noticed) {
-            part.registry.happened(m.host, Availability.GONE, true);
+            part.registry.happened(machine.host, Availability.GONE, true);
         }
-        graph.queue.after(f.forUs(), () -> {
-            away(m, false);
+        graph.queue.after(failure.forUs(), () -> {
+            setDisconnected(machine, false);
             if (part != null) {
-                part.resetAll(m.host);
+                part.resetAll(machine.host);
                 if (noticed) {
-                    part.registry.happened(m.host, Availability.READY, false);
+                    part.registry.happened(machine.host, Availability.READY, false);
                 }
             }
-            m.upstreams.forEach(u -> heal(u.part(), link -> link.owner.proxy() == u.proxy()));
+            machine.upstreams.forEach(u -> resetCrossedConnections(u.part(), link -> link.owner.proxy() == u.proxy()));
         });
     }
 
-    private void away(GraphMachine m, boolean on) {
-        m.away = on;
-        if (m.host != null) {
-            m.host.vanished = on;
+    private void setDisconnected(GraphMachine machine, boolean on) {
+        machine.disconnected = on;
+        if (machine.host != null) {
+            machine.host.vanished = on;
         }
-        m.upstreams.forEach(u -> {
+        machine.upstreams.forEach(u -> {
             u.part().network.away(u.proxy(), on);
             u.part().registry.cut(u.proxy(), on);
         });
     }
 
-    /** Regions from each other: discovery stays with the first, and lists what it listed before. */
-    private void cut(Failure f) {
-        cut(true);
-        graph.queue.after(f.forUs(), () -> cut(false));
+    /** Partitions regions from each other. Discovery stays reachable from the first region, with unchanged lists. */
+    private void partitionRegions(Failure failure) {
+        partitionRegions(true);
+        graph.queue.after(failure.forUs(), () -> partitionRegions(false));
     }
 
-    private void cut(boolean on) {
+    private void partitionRegions(boolean on) {
         int[] region = graph.spec.regionOf();
         for (CallGraph.Node node : graph.nodes()) {
             World part = graph.part(node.number());
@@ -173,18 +179,18 @@
                 }
             }
             if (!on) {
-                heal(part, link -> region[link.owner.zone()] != region[link.host.zone]);
+                resetCrossedConnections(part, link -> region[link.owner.zone()] != region[link.host.zone]);
             }
         }
-        for (GraphMachine m : graph.machines) {
-            if (region[m.zone] != region[0]) {
-                m.upstreams.forEach(u -> u.part().registry.cut(u.proxy(), on));
+        for (GraphMachine machine : graph.machines) {
+            if (region[machine.zone] != region[0]) {
+                machine.upstreams.forEach(u -> u.part().registry.cut(u.proxy(), on));
             }
         }
     }
 
-    /** Connections that crossed a cut are reset when it is over. */
-    private static void heal(World part, java.util.function.Predicate<Link> crossed) {
+    /** Resets the connections that crossed a network partition when it ends. */
+    private static void resetCrossedConnections(World part, java.util.function.Predicate<Link> crossed) {
         for (Host h : part.hosts) {
             for (Link link : List.copyOf(h.links)) {
                 if (crossed.test(link)) {
--- a/src/main/java/mulleinfront/emulator/GraphSpec.java
+++ b/src/main/java/mulleinfront/emulator/GraphSpec.java
@@ -5,33 +5,33 @@
 import mulleinfront.settings.Range;
 
 /**
- * Many services that call each other, as {@link GraphReader} reads them from a file. Times are microseconds,
- * shares parts of 1.
+ * A graph of services that call each other, as {@link GraphReader} reads it from a file. Times are in microseconds,
+ * shares are fractions of 1.
  *
- * @param world what holds for every service; its one group of servers says what a machine is and how many
- *        there are, its load how much is asked
+ * @param world settings of all services; its single group of servers gives the machine spec and the number of machines,
+ *        its load the offered load
  * @param regions names of the regions
  * @param regionOf region of each zone
- * @param betweenRegions one way between zones of two regions, drawn for each pair
- * @param services how many services
- * @param depth levels of calls at most
- * @param fronts services that requests come to from outside
- * @param frontPart part of the machines that run them
- * @param leastHosts machines of a service at least
- * @param fanOut further services that one calls at most, beside the chain
- * @param skew exponent by which services differ in how many call them (Zipf)
- * @param chain chance with which each service of the longest chain calls the next
- * @param callsPerRequest calls that a request from outside makes in all, on the mean
+ * @param betweenRegions one-way delay between zones of two regions, drawn for each pair
+ * @param services number of services
+ * @param depth most levels of calls
+ * @param fronts services that receive requests from outside
+ * @param frontPart fraction of the machines that run the front services
+ * @param leastHosts least machines of a service
+ * @param fanOut most services that one service calls, in addition to the chain
+ * @param skew Zipf exponent of the distribution of callers among services
+ * @param chain probability that each service of the longest chain calls the next
+ * @param callsPerRequest mean number of all calls that a request from outside causes
  * @param rateOfCalls whether the load's rate is that of all calls, rather than of requests from outside
  * @param workFactor work of a service's calls, as a multiple of its class's; drawn for each service
- * @param inTurn part of the services that make their calls one after the other rather than at once
- * @param optional part of the calls without which a service answers all the same
- * @param reads part of the calls that are safe whatever the request is
- * @param told which time a server is told with a call
- * @param reserveUs what a service keeps of its time for its own answer's way
- * @param rack machines of a rack
- * @param budgetUs time that may be added to a call
- * @param failures what happens
+ * @param inTurn fraction of the services that make their calls sequentially rather than concurrently
+ * @param optional fraction of the calls whose failure does not fail the calling service
+ * @param reads fraction of the calls that are safe whatever the request's effect is
+ * @param told which deadline a server receives with a call
+ * @param reserveUs time that a service reserves for the transfer of its own response
+ * @param rack machines per rack
+ * @param budgetUs most time that the proxies and the local network may add to a call
+ * @param failures failures, in the order of the file
  */
 public record GraphSpec(
         Scenario world,
@@ -41,42 +41,42 @@
         int services,
         int depth,
         int fronts,
-        double frontPart,
-        int leastHosts,
+        double frontShare,
+        int minHosts,
         int fanOut,
         double skew,
         double chain,
         double callsPerRequest,
-        boolean rateOfCalls,
+        boolean rateCountsCalls,
         Range workFactor,
-        double inTurn,
-        double optional,
-        double reads,
-        Told told,
+        double sequentialShare,
+        double optionalShare,
+        double readShare,
+        PropagatedDeadline propagatedDeadline,
         long reserveUs,
-        int rack,
-        long budgetUs,
+        int hostsPerRack,
+        long addedTimeBudgetUs,
         List<Failure> failures) {
 
-    /** The time that a server is told, and divides among its own calls. */
-    public enum Told {
+    /** The deadline that a server receives and uses for its own calls. */
+    public enum PropagatedDeadline {
         /**
-         * How long the client proxy waits for this attempt, as the wire's page says and {@code serve} does.
+         * The client proxy's timeout of this attempt, as in the wire protocol and in {@code serve}.
          */
         ATTEMPT,
-        /** How long the application waits for the call. */
+        /** The application's timeout of the call. */
         REQUEST
     }
 
-    /** What can happen to machines. */
+    /** Type of a failure. */
     public enum Kind {
-        /** Without a word: server and client proxy are gone, and start anew and cold afterwards. */
+        /** Server and client proxy end without notice, and start again cold afterwards. */
         KILL,
-        /** A server drains, ends and starts anew and cold; its client proxy too, where that is said. */
+        /** A server drains, ends and starts again cold; optionally its client proxy restarts too. */
         RESTART,
-        /** Off the net without a word, and back as they were. */
+        /** Machines lose the network without notice, and regain it with their state unchanged. */
         VANISH,
-        /** All regions from each other. */
+        /** A network partition between all regions. */
         CUT
     }
 
@@ -85,11 +85,11 @@
      *
      * @param at when it begins
      * @param forUs how long it lasts
-     * @param withinUs time within which it comes to all that it is about
-     * @param count machines drawn; -1: all that are meant
-     * @param zone number of the zone whose machines are meant; -1: all
-     * @param rack whether one rack drawn is meant
-     * @param batch part of the machines at a time, spread over all services; 0: each at a time of its own
+     * @param withinUs time within which it affects all its machines
+     * @param count number of machines, chosen at random; -1: all candidates
+     * @param zone number of the zone whose machines are candidates; -1: all zones
+     * @param rack whether the candidates are those of one rack, chosen at random
+     * @param batch fraction of the machines per batch, spread over all services; 0: each machine at a random time
      * @param drainUs how long a server drains before it ends
      * @param proxies whether client proxies are restarted too
      */
@@ -105,13 +105,13 @@
             long drainUs,
             boolean proxies) {}
 
-    /** How many machines there are. */
+    /** Number of machines. */
     public int hosts() {
         return world.fleet();
     }
 
-    /** The same with other failures. */
-    GraphSpec failing(List<Failure> others) {
+    /** This graph with other failures. */
+    GraphSpec failing(List<Failure> newFailures) {
         return new GraphSpec(
                 world,
                 regions,
@@ -120,39 +120,39 @@
                 services,
                 depth,
                 fronts,
-                frontPart,
-                leastHosts,
+                frontShare,
+                minHosts,
                 fanOut,
                 skew,
                 chain,
                 callsPerRequest,
-                rateOfCalls,
+                rateCountsCalls,
                 workFactor,
-                inTurn,
-                optional,
-                reads,
-                told,
+                sequentialShare,
+                optionalShare,
+                readShare,
+                propagatedDeadline,
                 reserveUs,
-                rack,
-                budgetUs,
-                others);
+                hostsPerRack,
+                addedTimeBudgetUs,
+                newFailures);
     }
 
-    /** Requests from outside a second. */
+    /** Requests from outside per second. */
     public double requestsPerSecond() {
-        return rateOfCalls
+        return rateCountsCalls
                 ? world.load().perSecond() / callsPerRequest
                 : world.load().perSecond();
     }
 
     /**
-     * The same in another size, for a look: failures come at the same part of the whole time, and last the
-     * same part of it.
+     * This graph in another size, for trial runs. Failures begin at the same fraction of the run's length and last the
+     * same fraction of it.
      *
-     * @param hosts machines; at most 0: as they are
-     * @param itsServices services; at most 0: as they are
-     * @param perSecond the load's rate; at most 0: as it is
-     * @param lengthUs how long is asked; at most 0: as long as it is
+     * @param hosts number of machines; at most 0: unchanged
+     * @param itsServices number of services; at most 0: unchanged
+     * @param perSecond the load's rate; at most 0: unchanged
+     * @param lengthUs how long requests are sent; at most 0: unchanged
      */
     public GraphSpec sized(int hosts, int itsServices, double perSecond, long lengthUs) {
         Scenario w = world;
@@ -160,7 +160,8 @@
         Scenario.Load l = w.load();
         double rate = perSecond > 0 ? perSecond : l.perSecond();
         Scenario.Load load = new Scenario.Load(rate, l.shape(), rate, l.swing(), l.burstUs(), l.keys(), l.zipf());
-        Scenario.Servers group = w.servers().get(0).named(w.servers().get(0).name(), hosts > 0 ? hosts : hosts());
+        Scenario.Servers group =
+                w.servers().get(0).withNameAndCount(w.servers().get(0).name(), hosts > 0 ? hosts : hosts());
         Scenario sized = w.asService(
                 w.name(), lengthUs > 0 ? lengthUs : w.lengthUs(), w.proxies(), w.clients(), load, group, w.classes());
         List<Failure> scaled = new ArrayList<>();
@@ -177,7 +178,7 @@
                     (long) (f.drainUs() * scale),
                     f.proxies()));
         }
-        int smallRack = hosts > 0 ? Math.max(1, rack * hosts / hosts()) : rack;
+        int smallRack = hosts > 0 ? Math.max(1, hostsPerRack * hosts / hosts()) : hostsPerRack;
         return new GraphSpec(
                 sized,
                 regions,
@@ -186,21 +187,21 @@
                 itsServices > 0 ? itsServices : services,
                 depth,
                 fronts,
-                frontPart,
-                leastHosts,
+                frontShare,
+                minHosts,
                 fanOut,
                 skew,
                 chain,
                 callsPerRequest,
-                rateOfCalls,
+                rateCountsCalls,
                 workFactor,
-                inTurn,
-                optional,
-                reads,
-                told,
+                sequentialShare,
+                optionalShare,
+                readShare,
+                propagatedDeadline,
                 reserveUs,
                 smallRack,
-                budgetUs,
+                addedTimeBudgetUs,
                 scaled);
     }
 }
--- a/src/main/java/mulleinfront/emulator/GraphTally.java
+++ b/src/main/java/mulleinfront/emulator/GraphTally.java
@@ -6,29 +6,29 @@
 import mulleinfront.UnservedReason;
 import mulleinfront.core.UnservedCounts;
 
-/** Counts what the report on a graph of services needs, as it happens. */
+/** Collects the statistics for the report on a graph of services. */
 final class GraphTally {
-    /** What a call's time goes into. */
+    /** Part of a call's time. */
     enum Span {
         /** From the application's call to its answer. */
         ALL,
-        /** All of that but the way to and from the last server, and the time there. */
+        /** The whole time except the network time to and from the last server, and the time at that server. */
         ADDED,
-        /** Between application and client proxy. */
+        /** Transfer between application and client proxy. */
         LOCAL,
-        /** Until the first attempt begins. */
+        /** From the client proxy's acceptance until the first attempt begins. */
         ADMISSION,
-        /** From there until the last one does, with the application's own repeats. */
+        /** From the first attempt until the last one begins, including the application's own repeats. */
         RETRIES,
-        /** Until the last one is written: waiting for a connection. */
+        /** From the start of the last attempt until it is written: the wait for a connection. */
         CONNECTION,
-        /** On the way to the server and back. */
+        /** Network time to the server and back. */
         NETWORK,
-        /** At the server, with the calls that it makes. */
+        /** Time at the server, including the calls that it makes. */
         SERVER
     }
 
-    /** Calls alike: of one depth, or of one service. */
+    /** Statistics of a group of calls, such as those of one depth or of one service. */
     static final class Group {
         final long[] ended = new long[Clients.How.values().length];
         final Histogram[] spans = new Histogram[Span.values().length];
@@ -38,8 +38,8 @@
         long attempts;
         long acrossZones;
         long acrossRegions;
-        long connected;
-        /** Answers from another region. */
+        long newConnections;
+        /** Number of answers from another region. */
         long servedAcross;
 
         Group() {
@@ -55,15 +55,16 @@
         }
 
         /**
-         * Worth of calls answered before the request's aim, as a part of the worth of all that were wanted.
+         * Value of the calls that were answered within the request's target latency, as a fraction of the value of all
+         * calls that were not cancelled.
          */
         double service() {
             return asked == 0 ? 1 : inTime / asked;
         }
     }
 
-    /** One second of virtual time. */
-    static final class Second {
+    /** Statistics of one second of virtual time. */
+    static final class SecondStatistics {
         double asked;
         double earned;
         long requests;
@@ -71,8 +72,8 @@
         long refused;
         long notServed;
         final long[] causes = new long[UnservedReason.Cause.values().length];
-        final long[] young = new long[UnservedReason.Cause.values().length];
-        /** Part of all cores that was busy. */
+        final long[] recentlyStarted = new long[UnservedReason.Cause.values().length];
+        /** Fraction of all cores that was busy. */
         double busy;
 
         double service() {
@@ -80,24 +81,24 @@
         }
     }
 
-    /** Requests from outside by how deep they went. */
-    static final class Deepest {
+    /** Statistics of the requests from outside with the same deepest call. */
+    static final class DepthStatistics {
         long requests;
-        long withOneBeyond;
+        long withCallOverBudget;
     }
 
-    /** The first seconds, which are counted apart, microseconds. */
-    static final long EARLY_US = 5_000_000;
+    /** Length of the start phase, which is counted separately, microseconds. */
+    static final long START_PHASE_US = 5_000_000;
 
     private final GraphSpec spec;
     final Group all = new Group();
-    /** Calls made when all have been up for a while. */
-    final Group later = new Group();
+    /** Calls made after the start phase. */
+    final Group afterStartPhase = new Group();
 
     final Group[] depths;
     final Group[] services;
-    final Deepest[] deepest;
-    final List<Second> seconds = new ArrayList<>();
+    final DepthStatistics[] deepest;
+    final List<SecondStatistics> seconds = new ArrayList<>();
     final Histogram requestTimes = new Histogram();
     final double[] classAsked;
     final double[] classEarned;
@@ -107,8 +108,8 @@
     double asked;
     double earned;
     /**
-     * Connections of one client proxy to all hosts at the fullest second: of the fullest one, and on the
-     * mean.
+     * Connections of one client proxy to all servers: the most of any client proxy, and the highest mean over all, of
+     * all seconds.
      */
     int mostConnections;
 
@@ -118,118 +119,119 @@
         this.spec = spec;
         this.depths = new Group[spec.depth() + 1];
         this.services = new Group[spec.services()];
-        this.deepest = new Deepest[spec.depth() + 1];
+        this.deepest = new DepthStatistics[spec.depth() + 1];
         this.classAsked = new double[spec.world().classes().size()];
         this.classEarned = new double[classAsked.length];
         Arrays.setAll(depths, i -> new Group());
         Arrays.setAll(services, i -> new Group());
-        Arrays.setAll(deepest, i -> new Deepest());
+        Arrays.setAll(deepest, i -> new DepthStatistics());
     }
 
-    Second second(long at) {
-        int place = (int) (at / 1_000_000);
-        while (seconds.size() <= place) {
-            seconds.add(new Second());
+    SecondStatistics second(long at) {
+        int index = (int) (at / 1_000_000);
+        while (seconds.size() <= index) {
+            seconds.add(new SecondStatistics());
         }
-        return seconds.get(place);
+        return seconds.get(index);
     }
 
-    void asked(GraphRequest r) {
+    void requestStarted(GraphRequest request) {
         requests++;
-        asked += r.worth;
-        classAsked[r.classIndex] += r.worth;
-        Second s = second(r.bornAt);
-        s.asked += r.worth;
-        s.requests++;
+        asked += request.worth;
+        classAsked[request.classIndex] += request.worth;
+        SecondStatistics statistics = second(request.createdAt);
+        statistics.asked += request.worth;
+        statistics.requests++;
     }
 
-    /** A request from outside is over: served, or not; nothing is lost with a client that left. */
-    void over(GraphRequest r, boolean served, boolean left, long now) {
-        Second s = second(r.bornAt);
+    /** A request from outside has ended, served or not; requests of clients that left do not count as loss. */
+    void requestEnded(GraphRequest request, boolean served, boolean left, long now) {
+        SecondStatistics statistics = second(request.createdAt);
         if (left) {
             requestsLeft++;
-            asked -= r.worth;
-            classAsked[r.classIndex] -= r.worth;
-            s.asked -= r.worth;
+            asked -= request.worth;
+            classAsked[request.classIndex] -= request.worth;
+            statistics.asked -= request.worth;
             return;
         }
-        Deepest d = deepest[r.deepest];
+        DepthStatistics d = deepest[request.deepest];
         d.requests++;
-        d.withOneBeyond += r.beyond > 0 ? 1 : 0;
+        d.withCallOverBudget += request.callsOverBudget > 0 ? 1 : 0;
         if (!served) {
-            s.notServed++;
+            statistics.notServed++;
             return;
         }
         requestsServed++;
-        requestTimes.add(now - r.bornAt);
-        double worth = r.worth
-                * (now <= r.aimAt
+        requestTimes.add(now - request.createdAt);
+        double worth = request.worth
+                * (now <= request.targetAt
                         ? 1
-                        : spec.world().classes().get(r.classIndex).type().lateWorth());
+                        : spec.world().classes().get(request.classIndex).type().lateWorth());
         earned += worth;
-        classEarned[r.classIndex] += worth;
-        s.earned += worth;
+        classEarned[request.classIndex] += worth;
+        statistics.earned += worth;
     }
 
-    void called(Hop hop, long now) {
+    void callStarted(Hop hop, long now) {
         all.calls++;
-        later.calls += now >= EARLY_US ? 1 : 0;
+        afterStartPhase.calls += now >= START_PHASE_US ? 1 : 0;
         depths[hop.depth()].calls++;
         services[hop.edge.to()].calls++;
         second(now).calls++;
     }
 
-    void sent(int depth, long bornAt, int fromZone, int toZone, boolean connected) {
-        sent(all, fromZone, toZone, connected);
-        if (bornAt >= EARLY_US) {
-            sent(later, fromZone, toZone, connected);
+    void attemptSent(int depth, long bornAt, int fromZone, int toZone, boolean connected) {
+        countSent(all, fromZone, toZone, connected);
+        if (bornAt >= START_PHASE_US) {
+            countSent(afterStartPhase, fromZone, toZone, connected);
         }
-        sent(depths[depth], fromZone, toZone, connected);
+        countSent(depths[depth], fromZone, toZone, connected);
     }
 
-    private void sent(Group g, int fromZone, int toZone, boolean connected) {
-        g.attempts++;
-        g.acrossZones += fromZone == toZone ? 0 : 1;
-        g.acrossRegions += spec.regionOf()[fromZone] == spec.regionOf()[toZone] ? 0 : 1;
-        g.connected += connected ? 1 : 0;
+    private void countSent(Group group, int fromZone, int toZone, boolean connected) {
+        group.attempts++;
+        group.acrossZones += fromZone == toZone ? 0 : 1;
+        group.acrossRegions += spec.regionOf()[fromZone] == spec.regionOf()[toZone] ? 0 : 1;
+        group.newConnections += connected ? 1 : 0;
     }
 
     /** A call has ended for the application that made it. */
-    void ended(Hop hop, Clients.How how, long now) {
-        ended(all, hop, how, now);
-        if (hop.bornAt() >= EARLY_US) {
-            ended(later, hop, how, now);
+    void callEnded(Hop hop, Clients.How how, long now) {
+        countEnded(all, hop, how, now);
+        if (hop.createdAt() >= START_PHASE_US) {
+            countEnded(afterStartPhase, hop, how, now);
         }
-        ended(depths[hop.depth()], hop, how, now);
-        ended(services[hop.edge.to()], hop, how, now);
+        countEnded(depths[hop.depth()], hop, how, now);
+        countEnded(services[hop.edge.to()], hop, how, now);
         if (how == Clients.How.REFUSED) {
             second(now).refused++;
         }
-        if (how == Clients.How.SERVED && hop.span(Span.ADDED, now) > spec.budgetUs()) {
-            hop.above.request.beyond++;
+        if (how == Clients.How.SERVED && hop.span(Span.ADDED, now) > spec.addedTimeBudgetUs()) {
+            hop.caller.request.callsOverBudget++;
         }
     }
 
-    private void ended(Group g, Hop hop, Clients.How how, long now) {
-        g.ended[how.ordinal()]++;
+    private void countEnded(Group group, Hop hop, Clients.How how, long now) {
+        group.ended[how.ordinal()]++;
         if (how == Clients.How.LEFT) {
             return;
         }
         double worth = spec.world().classes().get(hop.classIndex).type().worth();
-        g.asked += worth;
+        group.asked += worth;
         if (how == Clients.How.SERVED) {
-            g.servedAcross += hop.acrossRegions() ? 1 : 0;
-            g.inTime += now <= hop.above.request.aimAt ? worth : 0;
+            group.servedAcross += hop.acrossRegions() ? 1 : 0;
+            group.inTime += now <= hop.caller.request.targetAt ? worth : 0;
             for (Span span : Span.values()) {
-                g.of(span).add(hop.span(span, now));
+                group.of(span).add(hop.span(span, now));
             }
         }
     }
 
     void unserved(long now, UnservedReason why) {
-        Second s = second(now);
-        s.causes[why.cause().ordinal()]++;
-        s.young[why.cause().ordinal()] += why.instanceAgeUs() < UnservedCounts.RECENT_START_US ? 1 : 0;
+        SecondStatistics statistics = second(now);
+        statistics.causes[why.cause().ordinal()]++;
+        statistics.recentlyStarted[why.cause().ordinal()] +=
+                why.instanceAgeUs() < UnservedCounts.RECENT_START_US ? 1 : 0;
     }
 
     double service() {
--- a/src/main/java/mulleinfront/emulator/GraphWorld.java
+++ b/src/main/java/mulleinfront/emulator/GraphWorld.java
@@ -13,14 +13,14 @@
 import mulleinfront.core.Time;
 
 /**
- * Many services that call each other on one virtual time and one seed. Each service is a {@link World} of its
- * own: its servers, its discovery, its auditor of the four rules, and one core and module for each machine
- * that calls it, so a client proxy knows the services that it calls and no others. What ties them together is
- * here: machines, zones and regions, the calls that an application makes for a request, its deadline and its
- * end passed on, and what fails.
+ * Simulates a graph of services that call each other, with one virtual time and one seed. Each service is a separate
+ * {@link World} with its servers, its discovery, its auditor of the four rules, and one core and balancer for each
+ * machine that calls it; a client proxy thus knows only the services that it calls. This class connects them:
+ * machines, zones and regions, the calls that an application makes for a request, the propagation of deadlines and
+ * cancellation, and failures.
  */
 public final class GraphWorld {
-    /** First letters of effects, by what repeating them does. */
+    /** First letter of an effect id: how safe it is to repeat the effect. */
     static final char SAFE = 's';
 
     static final char KEYED = 'k';
@@ -33,13 +33,13 @@
     final GraphAuditor audit;
     final GraphApplication application;
     final List<GraphMachine> machines = new ArrayList<>();
-    private final Chance arrivals;
-    private final Chance works;
+    private final Chance arrivalChance;
+    private final Chance workChance;
     private final CallGraph graph;
     private final Trace trace;
     private final long seed;
     private final long[][] oneWay;
-    /** By the number of their service; null at the front. */
+    /** Simulation of each service by its number; null for front services. */
     private final World[] parts;
 
     private final int[] firstMachine;
@@ -48,21 +48,21 @@
     private final double[] tenants;
     private final double[] keys;
     private final double[][] fronts;
-    private final ServerModel[] lives;
-    private final double[] busy;
-    private final int reading;
+    private final ServerModel[] countedProcesses;
+    private final double[] countedBusyUs;
+    private final int readClass;
     private long ids;
 
     /**
-     * @param maker makes each module; a test's own can be broken on purpose
-     * @param fitting joins each core with its parts
-     * @param application what applications do with their calls
+     * @param maker creates each balancer; tests may create deliberately broken ones
+     * @param fitting connects each core with its parts
+     * @param application how applications make their calls
      */
     GraphWorld(
             GraphSpec spec,
             long seed,
             Trace trace,
-            Core.BalancerFactory maker,
+            Core.BalancerFactory balancerFactory,
             Fitting fitting,
             GraphApplication application) {
         this.spec = spec;
@@ -72,9 +72,9 @@
         this.graph = CallGraph.draw(spec, seed);
         this.tally = new GraphTally(spec);
         this.audit = new GraphAuditor(this);
-        this.arrivals = Chance.of(seed, "arrivals");
-        this.works = Chance.of(seed, "works");
-        this.oneWay = ways();
+        this.arrivalChance = Chance.of(seed, "arrivals");
+        this.workChance = Chance.of(seed, "works");
+        this.oneWay = zoneDelays();
         this.parts = new World[spec.services()];
         this.firstMachine = new int[spec.services()];
         Scenario w = spec.world();
@@ -88,7 +88,7 @@
         this.keys = w.load().keys() == 0
                 ? null
                 : Chance.sum(Chance.zipf(w.load().keys(), w.load().zipf()));
-        this.reading = safest();
+        this.readClass = firstSafeClass();
         buildMachines();
         this.fronts = new double[spec.fronts()][];
         for (int f = 0; f < fronts.length; f++) {
@@ -97,17 +97,17 @@
         }
         for (CallGraph.Node node : nodes()) {
             if (node.level() > 0) {
-                buildService(node, maker, fitting);
+                buildService(node, balancerFactory, fitting);
             }
         }
-        this.lives = new ServerModel[machines.size()];
-        this.busy = new double[machines.size()];
+        this.countedProcesses = new ServerModel[machines.size()];
+        this.countedBusyUs = new double[machines.size()];
         new GraphScript(this, Chance.of(seed, "failures")).schedule();
-        queue.after(w.proxies().startWithinUs(), this::next);
-        queue.after(SECOND_US, this::look);
+        queue.after(w.proxies().startWithinUs(), this::scheduleRequest);
+        queue.after(SECOND_US, this::recordSecond);
     }
 
-    /** As it is shipped: with the real module. */
+    /** Creates a simulation with the real balancer. */
     public static GraphWorld of(GraphSpec spec, long seed, OutputStream traceFile) {
         return new GraphWorld(
                 spec, seed, new Trace(traceFile), Balancer::create, Fitting.PLAIN, GraphApplication.PLAIN);
@@ -115,7 +115,7 @@
 
     // ---- building ------------------------------------------------------------------------------------
 
-    private int safest() {
+    private int firstSafeClass() {
         for (int i = 0; i < spec.world().classes().size(); i++) {
             if (spec.world().classes().get(i).type().effect() == Effect.RETRYABLE) {
                 return i;
@@ -124,7 +124,7 @@
         throw new IllegalArgumentException("no class is safe");
     }
 
-    private long[][] ways() {
+    private long[][] zoneDelays() {
         Chance chance = Chance.of(seed, "ways");
         int zones = spec.regionOf().length;
         long[][] ways = new long[zones][zones];
@@ -143,7 +143,7 @@
     private void buildMachines() {
         Chance chance = Chance.of(seed, "machines");
         int zones = spec.regionOf().length;
-        int racks = Math.max(1, (spec.hosts() / zones + spec.rack() - 1) / spec.rack());
+        int racks = Math.max(1, (spec.hosts() / zones + spec.hostsPerRack() - 1) / spec.hostsPerRack());
         int number = 0;
         for (CallGraph.Node node : nodes()) {
             firstMachine[node.number()] = number;
@@ -154,7 +154,7 @@
         }
     }
 
-    private void buildService(CallGraph.Node node, Core.BalancerFactory maker, Fitting fitting) {
+    private void buildService(CallGraph.Node node, Core.BalancerFactory balancerFactory, Fitting fitting) {
         List<GraphMachine> callers = new ArrayList<>();
         for (GraphMachine m : machines) {
             if (m.node.calls().stream().anyMatch(e -> e.to() == node.number())) {
@@ -183,13 +183,19 @@
                 w.load().keys(),
                 w.load().zipf());
         Scenario scenario = w.asService(
-                node.name(), w.lengthUs(), p, c, load, w.servers().get(0).named(node.name(), node.hosts()), types);
+                node.name(),
+                w.lengthUs(),
+                p,
+                c,
+                load,
+                w.servers().get(0).withNameAndCount(node.name(), node.hosts()),
+                types);
         int first = firstMachine[node.number()];
         World part = new World(
                 scenario,
                 Chance.of(seed, "service " + node.number()).nextLong(),
                 trace,
-                (world, zone) -> maker,
+                (world, zone) -> balancerFactory,
                 fitting,
                 null,
                 new Service(node, first, callers));
@@ -204,7 +210,7 @@
         }
     }
 
-    /** One service as a part. */
+    /** A service as a part of the graph's simulation. */
     private final class Service implements Part {
         private final CallGraph.Node node;
         private final int first;
@@ -250,7 +256,7 @@
         public void changed(Host host) {
             GraphMachine m = byHost.get(host);
             if (!host.alive()) {
-                m.drop();
+                m.cancelHandlings();
             }
         }
 
@@ -273,7 +279,7 @@
         return parts[service];
     }
 
-    /** Answers that came from another region than their call. */
+    /** Number of answers that came from another region than their call. */
     long servedAcrossRegions() {
         return tally.all.servedAcross;
     }
@@ -284,79 +290,84 @@
 
     // ---- requests and calls --------------------------------------------------------------------------
 
-    private void next() {
-        long gap = (long) arrivals.exponential(1e6 / spec.requestsPerSecond());
+    private void scheduleRequest() {
+        long gap = (long) arrivalChance.exponential(1e6 / spec.requestsPerSecond());
         queue.after(gap, () -> {
             if (queue.now() < spec.world().lengthUs()) {
-                ask();
-                next();
+                startRequest();
+                scheduleRequest();
             }
         });
     }
 
-    /** A request from outside, at a machine of the front that is there: who sends it there is not played. */
-    private void ask() {
+    /** Starts a request from outside at a running front machine; the load balancer in front of it is not simulated. */
+    private void startRequest() {
         long now = queue.now();
-        int c = arrivals.place(classes);
-        int tenant = arrivals.place(tenants);
-        String key = keys == null ? null : "k" + arrivals.place(keys);
-        int front = arrivals.below(spec.fronts());
-        int place = arrivals.place(fronts[front]);
-        double patience = spec.world().clients().patience().draw(arrivals::between);
-        boolean leaves = arrivals.happens(spec.world().clients().leave());
-        double leavesAt = leaves ? arrivals.unit() : 0;
+        int c = arrivalChance.place(classes);
+        int tenant = arrivalChance.place(tenants);
+        String key = keys == null ? null : "k" + arrivalChance.place(keys);
+        int front = arrivalChance.below(spec.fronts());
+        int firstIndex = arrivalChance.place(fronts[front]);
+        double timeoutFraction = spec.world().clients().patience().draw(arrivalChance::between);
+        boolean leaves = arrivalChance.happens(spec.world().clients().leave());
+        double leavesAt = leaves ? arrivalChance.unit() : 0;
         int count = fronts[front].length;
         GraphMachine m = null;
-        for (int i = 0; i < count && (m == null || m.down || m.away); i++) {
-            m = machines.get(firstMachine[front] + (place + i) % count);
+        for (int i = 0; i < count && (m == null || m.down || m.disconnected); i++) {
+            m = machines.get(firstMachine[front] + (firstIndex + i) % count);
         }
         Balancer.RequestClass type = spec.world().classes().get(c).type();
-        GraphRequest r = new GraphRequest(
-                kind(c) + Long.toString(ids++),
+        GraphRequest request = new GraphRequest(
+                effectLetter(c) + Long.toString(ids++),
                 c,
                 tenant,
                 key,
                 type.worth(),
                 now,
                 now + type.targetLatencyUs(),
-                now + (long) (patience * type.deadlineUs()));
-        tally.asked(r);
-        if (m.down || m.away) {
-            over(r, false, false);
+                now + (long) (timeoutFraction * type.deadlineUs()));
+        tally.requestStarted(request);
+        if (m.down || m.disconnected) {
+            endRequest(request, false, false);
             return;
         }
         GraphMachine at = m;
-        Handling h = new Handling(
-                this, r, null, m, r.endAt, end -> over(r, end == ServerModel.End.SERVED && !at.away, false));
-        h.begin();
-        if (!r.over) {
-            Time.Timer patienceEnds = queue.after(r.endAt - now, () -> giveUp(r, h, false));
+        Handling handling = new Handling(
+                this,
+                request,
+                null,
+                m,
+                request.deadlineAt,
+                end -> endRequest(request, end == ServerModel.End.SERVED && !at.disconnected, false));
+        handling.begin();
+        if (!request.ended) {
+            Time.Timer timeout = queue.after(request.deadlineAt - now, () -> giveUp(request, handling, false));
             if (leaves) {
-                queue.after((long) (leavesAt * (r.endAt - now)), () -> {
-                    if (!r.over) {
-                        patienceEnds.cancel();
-                        giveUp(r, h, true);
+                queue.after((long) (leavesAt * (request.deadlineAt - now)), () -> {
+                    if (!request.ended) {
+                        timeout.cancel();
+                        giveUp(request, handling, true);
                     }
                 });
             }
         }
     }
 
-    private void giveUp(GraphRequest r, Handling h, boolean left) {
-        if (!r.over) {
-            over(r, false, left);
-            h.cancel();
+    private void giveUp(GraphRequest request, Handling handling, boolean left) {
+        if (!request.ended) {
+            endRequest(request, false, left);
+            handling.cancel();
         }
     }
 
-    private void over(GraphRequest r, boolean served, boolean left) {
-        if (!r.over) {
-            r.over = true;
-            tally.over(r, served, left, queue.now());
+    private void endRequest(GraphRequest request, boolean served, boolean left) {
+        if (!request.ended) {
+            request.ended = true;
+            tally.requestEnded(request, served, left, queue.now());
         }
     }
 
-    private char kind(int classIndex) {
+    private char effectLetter(int classIndex) {
         return switch (spec.world().classes().get(classIndex).type().effect()) {
             case RETRYABLE -> SAFE;
             case DEDUP -> KEYED;
@@ -365,10 +376,10 @@
     }
 
     /**
-     * Which of its calls a service makes for a request: the same each time that request comes to it, or a repeat would
-     * do without the call that failed.
+     * The calls that a service makes for a request. They are the same each time the request reaches the service;
+     * otherwise a repeat could omit the call that failed.
      *
-     * @param effect what the request's effect goes by, which tells the way that it came
+     * @param effect id of the request's effect, which includes the path of calls
      */
     List<CallGraph.Edge> calls(CallGraph.Node node, String effect) {
         List<CallGraph.Edge> chosen = new ArrayList<>(4);
@@ -383,29 +394,29 @@
         return chosen;
     }
 
-    /** A call that a request makes. */
+    /** Creates a call on behalf of a request. */
     Hop hop(Handling above, CallGraph.Edge e) {
         int ofRequest = above.above == null ? above.request.classIndex : above.above.classIndex;
-        int c = application.classOf(kind(ofRequest) == SAFE ? ofRequest : reading, ofRequest, e.reads());
-        String effect =
-                application.effect(kind(c), above.above == null ? above.request.id : above.above.effect, e.number());
+        int c = application.classOf(effectLetter(ofRequest) == SAFE ? ofRequest : readClass, ofRequest, e.reads());
+        String effect = application.effectId(
+                effectLetter(c), above.above == null ? above.request.id : above.above.effect, e.number());
         long endAt = application.endOf(
                 above.endsAt, queue.now(), spec.world().classes().get(c).type().deadlineUs(), spec.reserveUs());
         Hop hop = new Hop(this, e, above, c, effect, endAt);
         audit.called(hop);
-        tally.called(hop, queue.now());
+        tally.callStarted(hop, queue.now());
         return hop;
     }
 
     void call(Hop hop, GraphMachine from) {
         GraphMachine.Upstream u = from.upstream(hop.edge.to());
-        double work = u.part().scenario.classes().get(hop.classIndex).drawUs(works);
-        u.part().clients.call(hop, u.proxy(), hop.above.request.tenant, hop.above.request.key, work);
+        double work = u.part().scenario.classes().get(hop.classIndex).drawUs(workChance);
+        u.part().clients.call(hop, u.proxy(), hop.caller.request.tenant, hop.caller.request.key, work);
     }
 
-    // ---- looks each second ---------------------------------------------------------------------------
+    // ---- statistics per second -----------------------------------------------------------------------
 
-    private void look() {
+    private void recordSecond() {
         double sum = 0;
         double cores = 0;
         int most = 0;
@@ -413,9 +424,9 @@
         for (GraphMachine m : machines) {
             if (m.host != null && m.host.life != null) {
                 double now = m.host.life.figures().busyCoreUs;
-                sum += now - (lives[m.number] == m.host.life ? busy[m.number] : 0);
-                lives[m.number] = m.host.life;
-                busy[m.number] = now;
+                sum += now - (countedProcesses[m.number] == m.host.life ? countedBusyUs[m.number] : 0);
+                countedProcesses[m.number] = m.host.life;
+                countedBusyUs[m.number] = now;
                 cores += m.host.machine.cores();
             }
             int connections = 0;
@@ -429,13 +440,13 @@
         tally.mostConnections = Math.max(tally.mostConnections, most);
         tally.meanConnections = Math.max(tally.meanConnections, (double) open / machines.size());
         if (queue.now() < spec.world().lengthUs()) {
-            queue.after(SECOND_US, this::look);
+            queue.after(SECOND_US, this::recordSecond);
         }
     }
 
     // ---- running -------------------------------------------------------------------------------------
 
-    /** Plays it to its end. */
+    /** Runs the simulation to its end. */
     public GraphReport play() {
         queue.runUntil(spec.world().lengthUs() + spec.world().settleUs());
         List<World.Result> results = new ArrayList<>();
@@ -445,7 +456,7 @@
         return new GraphReport(this, results, seed, trace.sha256(), trace.lines());
     }
 
-    /** What is broken, in words: of the four rules by service, and of the paths. */
+    /** Descriptions of the violations: those along paths, and those of the four rules by service. */
     static List<String> broken(GraphWorld graph, List<World.Result> results) {
         List<String> all = new ArrayList<>();
         graph.audit.breaches().forEach(b -> all.add(b.toString()));
--- a/src/main/java/mulleinfront/emulator/Hop.java
+++ b/src/main/java/mulleinfront/emulator/Hop.java
@@ -1,105 +1,107 @@
 package mulleinfront.emulator;
 
 /**
- * One call of one service by another, from the application through its client proxy to a server and back,
- * with the instants that its time is made of. Late news of an attempt that was given up change nothing.
+ * One call from a service to another, from the application through its client proxy to a server and back, with the
+ * instants that divide its time. Late events of an attempt that was given up have no effect.
  */
 final class Hop {
     final CallGraph.Edge edge;
-    /** The request on whose behalf it is made. */
-    final Handling above;
+    /** The request on whose behalf the call is made. */
+    final Handling caller;
 
     final int classIndex;
-    /** What its effect goes by: the same for every repeat of the request above. */
+    /** The id of the call's effect; it is the same for every repeat of the request further up. */
     final String effect;
-    /** When nobody waits for it any more. */
+    /** The call's deadline. */
     final long endAt;
 
     private final GraphWorld graph;
     private Clients.Try current;
-    private long bornAt = -1;
+    private long createdAt = -1;
     private long sentAt;
-    private long takenAt;
-    private long firstAt = -1;
-    private int number = -1;
-    private long begunAt;
+    private long acceptedAt;
+    private long firstAttemptAt = -1;
+    private int lastAttempt = -1;
+    private long lastAttemptAt;
     private long writtenAt;
     private long arrivedAt;
-    private long leftAt;
+    private long responseSentAt;
     private long answeredAt;
-    private boolean across;
+    private boolean lastAttemptAcrossRegions;
     private boolean over;
 
     Hop(GraphWorld graph, CallGraph.Edge edge, Handling above, int classIndex, String effect, long endAt) {
         this.graph = graph;
         this.edge = edge;
-        this.above = above;
+        this.caller = above;
         this.classIndex = classIndex;
         this.effect = effect;
         this.endAt = endAt;
     }
 
-    /** Calls from outside's request down to this one, itself included. */
+    /** Number of calls from the request from outside down to this one, inclusive. */
     int depth() {
-        return above.depth + 1;
+        return caller.depth + 1;
     }
 
     /**
-     * Further tries by the application: only whoever asked first repeats, or each level would multiply them.
+     * Most further tries by the application. Only the application of a front service repeats calls; repeats at each
+     * level would multiply.
      */
     int retries() {
-        return above.above == null ? graph.spec.world().clients().retries() : 0;
+        return caller.above == null ? graph.spec.world().clients().retries() : 0;
     }
 
     boolean over() {
         return over;
     }
 
-    /** When the application made it. */
-    long bornAt() {
-        return bornAt;
+    /** When the application made the call. */
+    long createdAt() {
+        return createdAt;
     }
 
-    // ---- on its way, as it happens ---------------------------------------------------------------------
+    // ---- progress --------------------------------------------------------------------------------------
 
     void tried(Clients.Try t, long now) {
         current = t;
-        bornAt = bornAt < 0 ? now : bornAt;
+        createdAt = createdAt < 0 ? now : createdAt;
         sentAt = now;
-        firstAt = -1;
-        number = -1;
+        firstAttemptAt = -1;
+        lastAttempt = -1;
     }
 
     void taken(long now) {
-        takenAt = now;
+        acceptedAt = now;
     }
 
-    /** An attempt begins: a connection is looked for. */
+    /** An attempt begins: it waits for a connection. */
     void begins(int attempt, long now) {
-        firstAt = firstAt < 0 ? now : firstAt;
-        number = attempt;
-        begunAt = now;
+        firstAttemptAt = firstAttemptAt < 0 ? now : firstAttemptAt;
+        lastAttempt = attempt;
+        lastAttemptAt = now;
     }
 
     void written(int attempt, boolean fresh, int fromZone, int toZone, long now) {
         graph.audit.sent(this, now);
-        graph.tally.sent(depth(), bornAt, fromZone, toZone, fresh);
-        if (attempt == number) {
+        graph.tally.attemptSent(depth(), createdAt, fromZone, toZone, fresh);
+        if (attempt == lastAttempt) {
             writtenAt = now;
-            across = graph.spec.regionOf()[fromZone] != graph.spec.regionOf()[toZone];
+            lastAttemptAcrossRegions =
+                    graph.spec.regionOf()[fromZone] != graph.spec.regionOf()[toZone];
         }
     }
 
     void arrived(int attempt, long now) {
-        if (attempt == number) {
+        if (attempt == lastAttempt) {
             arrivedAt = now;
         }
     }
 
-    /** The server's answer leaves. */
+    /** The server sends its response. */
     void left(int attempt, long now) {
-        if (attempt == number) {
-            leftAt = now;
+        if (attempt == lastAttempt) {
+            responseSentAt = now;
         }
     }
 
@@ -108,58 +110,58 @@
     }
 
     /**
-     * A server goes on with it by its own calls.
+     * The application at a server handles the call and makes its own calls.
      *
-     * @param endsAt when the client proxy waits for this attempt no more
+     * @param endsAt when the client proxy's timeout of this attempt ends
      */
     Handling serve(Host host, long endsAt, Handling.Done done) {
-        long told = graph.spec.told() == GraphSpec.Told.ATTEMPT ? endsAt : endAt;
-        return new Handling(graph, above.request, this, graph.machine(host), told, done);
+        long deadline = graph.spec.propagatedDeadline() == GraphSpec.PropagatedDeadline.ATTEMPT ? endsAt : endAt;
+        return new Handling(graph, caller.request, this, graph.machine(host), deadline, done);
     }
 
-    // ---- its end ---------------------------------------------------------------------------------------
+    // ---- end -------------------------------------------------------------------------------------------
 
-    /** The application has its last word. */
+    /** The application received the call's final result. */
     void ended(Clients.How how, long now) {
         if (over) {
             return;
         }
         over = true;
-        graph.tally.ended(this, how, now);
-        above.ended(this, how);
+        graph.tally.callEnded(this, how, now);
+        caller.ended(this, how);
     }
 
-    /** The application wants it no more. */
+    /** The application cancels the call. */
     void giveUp() {
         if (!over) {
             over = true;
-            graph.tally.ended(this, Clients.How.LEFT, graph.queue.now());
+            graph.tally.callEnded(this, Clients.How.LEFT, graph.queue.now());
             if (current != null) {
                 graph.part(edge.to()).clients.giveUp(current);
             }
         }
     }
 
-    /** Whether its last attempt went to another region. */
+    /** Whether the last attempt went to another region. */
     boolean acrossRegions() {
-        return across;
+        return lastAttemptAcrossRegions;
     }
 
-    /** What the time of an answered call went into, by {@link GraphTally.Span}, microseconds. */
+    /** The time of an answered call that belongs to a {@link GraphTally.Span}, microseconds. */
     long span(GraphTally.Span span, long now) {
         return switch (span) {
-            case ALL -> now - bornAt;
-            case ADDED -> now - bornAt - (leftAt - arrivedAt) - network();
-            case LOCAL -> takenAt - sentAt + (now - answeredAt);
-            case ADMISSION -> firstAt - takenAt;
-            case RETRIES -> begunAt - firstAt + (sentAt - bornAt);
-            case CONNECTION -> writtenAt - begunAt;
+            case ALL -> now - createdAt;
+            case ADDED -> now - createdAt - (responseSentAt - arrivedAt) - network();
+            case LOCAL -> acceptedAt - sentAt + (now - answeredAt);
+            case ADMISSION -> firstAttemptAt - acceptedAt;
+            case RETRIES -> lastAttemptAt - firstAttemptAt + (sentAt - createdAt);
+            case CONNECTION -> writtenAt - lastAttemptAt;
             case NETWORK -> network();
-            case SERVER -> leftAt - arrivedAt;
+            case SERVER -> responseSentAt - arrivedAt;
         };
     }
 
     private long network() {
-        return arrivedAt - writtenAt + (answeredAt - leftAt);
+        return arrivedAt - writtenAt + (answeredAt - responseSentAt);
     }
 }
