--- a/src/main/java/mulleinfront/emulator/HybridSimulation.java
+++ b/src/main/java/mulleinfront/emulator/HybridSimulation.java
@@ -10,72 +10,72 @@
 import mulleinfront.Balancer.Source;
 
 /**
- * A world whose client proxies are elsewhere, as processes say, and whose time is somebody else's clock: the
- * same servers, clients, discovery, faults, auditor and report, with {@link ExternalProxies} carrying messages in and
- * out. One thread calls it, and before each call it is brought up to date by {@link #runUntil}. What passes
- * the network here is delayed as the scenario says, beside what the real way takes.
+ * A simulation whose client proxies are external, such as processes, and whose time follows an external clock. Servers,
+ * clients, discovery, faults, auditor and report are the simulated ones; {@link ExternalProxies} carries messages in
+ * and out. A single thread calls it and first advances it with {@link #runUntil}. Messages have the delays of the
+ * scenario in addition to those of the real network.
  *
- * <p>It sees what the stand-ins see: an attempt counts when its last byte has come, and how an attempt that
- * the client proxy gave up ended is not known, so it may have run.
+ * <p>It sees what the stand-ins see: an attempt counts once its last byte has arrived. The result of an attempt that
+ * the client proxy gave up is unknown, so the attempt counts as possibly executed.
  */
 public final class HybridSimulation {
     /**
-     * How long an id is remembered after its try was made: attempts come no later than the longest patience.
+     * How long a request id is kept after its try was made: attempts arrive no later than the longest client timeout.
      */
-    private static final long REMEMBERED_US = 30_000_000;
+    private static final long REQUEST_ID_RETENTION_US = 30_000_000;
     /**
-     * What was sent, or closed, may not have been read yet. An attempt beside an earlier one that seems out,
-     * and the death of a client proxy, are looked at so much later.
+     * Data that was sent, or a close, may not have been read yet. An attempt that arrives while an earlier one seems to
+     * be in flight, and the end of a client proxy, are therefore checked after this delay.
      */
-    private static final long CLOSING_US = 20_000;
+    private static final long CHECK_DELAY_US = 20_000;
 
-    /** What carries messages between the world and the client proxies. */
+    /** Carries messages between the simulation and the client proxies. */
     public interface ExternalProxies {
-        /** SIGKILL, and a start so long after it. */
+        /** Sends SIGKILL, and starts the proxy again after a delay. */
         void kill(int proxy, long awayUs);
 
-        /** SIGSTOP, and SIGCONT after so long. */
+        /** Sends SIGSTOP, and SIGCONT after a delay. */
         void pause(int proxy, long us);
 
-        /** What makes things happen between client proxies; null: nothing can. */
+        /** Injects faults between client proxies; null: not supported. */
         PeerFaults peerFaults();
 
-        /** SIGTERM, and a start when it has ended. */
+        /** Sends SIGTERM, and starts the proxy again when it has ended. */
         void end(int proxy);
 
-        /** So many clients connect to it and say nothing, for so long. */
+        /** Opens idle client connections to the proxy for a time. */
         void floodConnections(int proxy, int connections, long forUs);
 
-        /** SIGHUP, with a configuration that names another address of discovery. */
+        /** Sends SIGHUP, with a configuration that names another address of discovery. */
         void reload(int proxy);
 
-        /** Whether clients send to this client proxy: they begin when it has said that it is ready. */
+        /** Whether clients send to this client proxy: they begin when it has reported that it is ready. */
         boolean running(int proxy);
 
         /** A client sends a try. */
         void send(Outgoing request);
 
-        /** The client of a try has gone. */
+        /** The client of a try disconnects. */
         void leave(int proxy, String id);
 
-        /** What {@link HybridSimulation#connectBehaviour} says of a server may have changed. */
+        /** The result of {@link HybridSimulation#connectBehaviour} for an address may have changed. */
         void changed(int address);
 
-        /** All connections to an address are reset. */
+        /** Resets all connections to an address. */
         void reset(int address);
     }
 
-    /** What a new connection to a server meets. */
+    /** How an address reacts to a new connection. */
     public enum ConnectBehaviour {
         OPEN,
         REFUSED,
         SILENT
     }
 
-    /** A server as a list names it; the address is a number of the world's, and times are the world's. */
+    /** A server as a list names it; its address is a number and its times are times of the simulation. */
     public record Listed(Endpoint endpoint, int address) {}
 
-    /** A list, or what changed. */
+    /** A full list or a delta. */
     public record ListUpdate(long version, boolean full, List<Listed> servers) {}
 
     /** A try on its way to a client proxy. */
@@ -83,42 +83,42 @@
             int proxy, String id, int classIndex, String key, String effect, int tenant, long deadlineUs) {}
 
     private final World world;
-    private final ExternalProxies outside;
-    private final Map<String, Sent> tries = new HashMap<>();
-    /** Client proxies that began with a list of no version that discovery still knows. */
-    private final boolean[] ancient;
-
-    /** A try and the attempts at it that have come to servers. */
-    private static final class Sent {
-        private final Clients.Try t;
+    private final ExternalProxies externalProxies;
+    private final Map<String, PendingTry> tries = new HashMap<>();
+    /** Client proxies whose initial list has a version that discovery no longer knows. */
+    private final boolean[] initialListUnknown;
+
+    /** A try and the attempts for it that reached servers. */
+    private static final class PendingTry {
+        private final Clients.Try clientTry;
         private final int proxy;
         private int attempts;
         private boolean left;
-        private Request out;
+        private Attempt lastAttempt;
 
-        Sent(Clients.Try t, int proxy) {
-            this.t = t;
+        PendingTry(Clients.Try t, int proxy) {
+            this.clientTry = t;
             this.proxy = proxy;
         }
     }
 
-    /** Runs something at an instant, or at once where that has been. */
-    private void at(long instant, Runnable what) {
+    /** Runs a task at an instant, or at once if the instant has passed. */
+    private void at(long instant, Runnable task) {
         if (instant <= world.queue.now()) {
-            what.run();
+            task.run();
         } else {
-            world.queue.after(instant - world.queue.now(), what);
+            world.queue.after(instant - world.queue.now(), task);
         }
     }
 
     /**
-     * A world at its instant 0; nothing has happened yet.
+     * Creates a simulation at its instant 0.
      *
-     * @param slackUs what is granted beyond each time limit of the rules, for the way over real sockets
+     * @param slackUs extension of each time limit of the rules, for the delay of real sockets
      */
-    public HybridSimulation(Scenario scenario, long seed, long slackUs, ExternalProxies outside) {
-        this.outside = outside;
-        this.ancient = new boolean[scenario.proxies().count()];
+    public HybridSimulation(Scenario scenario, long seed, long slackUs, ExternalProxies externalProxies) {
+        this.externalProxies = externalProxies;
+        this.initialListUnknown = new boolean[scenario.proxies().count()];
         this.world = new World(
                 scenario.withSlack(slackUs), seed, new Trace(null), (w, zone) -> Balancer::create, Fitting.PLAIN, this);
         this.world.audit.leaveSlack(slackUs);
@@ -126,58 +126,58 @@
 
     // ---- time ----------------------------------------------------------------------------------------
 
-    /** Runs what is due up to an instant, microseconds since the start. */
+    /** Runs all events that are due up to an instant, in microseconds since the start. */
     public void runUntil(long instant) {
         world.playUntil(instant);
     }
 
-    /** When something is due next. */
+    /** The instant of the next event. */
     public long nextAt() {
         return world.queue.nextAt();
     }
 
-    /** When the world is over, microseconds since its start. */
+    /** The end of the simulation, in microseconds since its start. */
     public long endsAt() {
         return world.scenario.lengthUs() + world.scenario.settleUs();
     }
 
-    /** Judges and counts what has been. */
+    /** Finishes the audit and returns the result. */
     public World.Result finish() {
         return world.finish();
     }
 
     PeerFaults peerFaults() {
-        return outside.peerFaults();
+        return externalProxies.peerFaults();
     }
 
     // ---- client proxies ------------------------------------------------------------------------------
 
-    /** The list that a client proxy that starts now finds, which is from now on what it was told. */
+    /** The initial list of a client proxy that starts now; the auditor counts it as known to the proxy from now on. */
     public ListUpdate begin(int proxy) {
         Registry.News known = world.known();
         world.audit.proxyStarted(proxy, world.queue.now());
         world.audit.told(proxy, known.version(), Source.CACHED, known.entries(), world.queue.now());
         world.proxies.get(proxy).starts++;
-        // A list so old that discovery no longer tells of changes since has no version that it knows.
-        ancient[proxy] = known.version() < 0;
-        ListUpdate told = told(known);
-        return ancient[proxy] ? new ListUpdate(0, told.full(), told.servers()) : told;
+        // Version -1: the list is so old that discovery no longer has the changes since.
+        initialListUnknown[proxy] = known.version() < 0;
+        ListUpdate update = toListUpdate(known);
+        return initialListUnknown[proxy] ? new ListUpdate(0, update.full(), update.servers()) : update;
     }
 
-    private static ListUpdate told(Registry.News news) {
+    private static ListUpdate toListUpdate(Registry.News news) {
         List<Listed> servers = new ArrayList<>();
         news.entries().forEach(e -> servers.add(new Listed(e.endpoint(), e.address())));
         return new ListUpdate(news.version(), news.full(), servers);
     }
 
     /**
-     * A process has ended. What it had sent until then may still be on its way, and no new one is up that
-     * soon.
+     * A process has ended. Data that it sent before may still be in transit; it is read well before a new process is
+     * up.
      *
-     * @param killed whether it had no time to answer what it had taken
+     * @param killed whether it had no time to answer the requests it had accepted
      */
     public void ended(int proxy, boolean killed, Runnable then) {
-        world.queue.after(CLOSING_US, () -> {
+        world.queue.after(CHECK_DELAY_US, () -> {
             if (killed) {
                 world.audit.proxyKilled(proxy);
             } else {
@@ -187,46 +187,46 @@
         });
     }
 
-    /** A client proxy outside. */
+    /** An external client proxy. */
     Instance instance(int number) {
         return new Instance() {
             @Override
             boolean running() {
-                return outside.running(number);
+                return externalProxies.running(number);
             }
 
             @Override
             void kill(long awayUs) {
-                outside.kill(number, awayUs);
+                externalProxies.kill(number, awayUs);
             }
 
             @Override
             void pause(long us) {
                 world.audit.stands(number, true, world.queue.now());
-                outside.pause(number, us);
+                externalProxies.pause(number, us);
                 world.queue.after(us, () -> world.audit.stands(number, false, world.queue.now()));
             }
 
             @Override
             void end() {
-                outside.end(number);
+                externalProxies.end(number);
             }
 
             @Override
             void crowd(int connections, long forUs) {
-                outside.floodConnections(number, connections, forUs);
+                externalProxies.floodConnections(number, connections, forUs);
             }
 
             @Override
             void reload() {
-                outside.reload(number);
+                externalProxies.reload(number);
             }
 
             @Override
             void take(Clients.Try t) {
-                tries.put(t.call.id(), new Sent(t, number));
-                world.queue.after(REMEMBERED_US, () -> tries.remove(t.call.id()));
-                outside.send(new Outgoing(
+                tries.put(t.call.id(), new PendingTry(t, number));
+                world.queue.after(REQUEST_ID_RETENTION_US, () -> tries.remove(t.call.id()));
+                externalProxies.send(new Outgoing(
                         number,
                         t.call.id(),
                         t.call.classIndex(),
@@ -238,11 +238,11 @@
 
             @Override
             void gone(Clients.Try t) {
-                Sent s = tries.get(t.call.id());
-                if (s != null) {
-                    s.left = true;
+                PendingTry pending = tries.get(t.call.id());
+                if (pending != null) {
+                    pending.left = true;
                     world.audit.left(number, t.call.id(), world.queue.now());
-                    outside.leave(number, t.call.id());
+                    externalProxies.leave(number, t.call.id());
                 }
             }
         };
@@ -252,80 +252,86 @@
 
     /** A try's last byte was written to its client proxy. */
     public void taken(String id) {
-        Sent s = tries.get(id);
-        if (s != null) {
-            world.audit.taken(s.proxy, id, s.t.call.classIndex(), world.queue.now(), s.t.deadlineAt);
+        PendingTry pending = tries.get(id);
+        if (pending != null) {
+            world.audit.taken(
+                    pending.proxy,
+                    id,
+                    pending.clientTry.call.classIndex(),
+                    world.queue.now(),
+                    pending.clientTry.deadlineAt);
             world.account.taken(id);
-            if (s.left) {
-                // The word that it was written comes behind what was due while that was being done.
-                world.audit.left(s.proxy, id, world.queue.now());
+            if (pending.left) {
+                // The client left while the try was being written, before the auditor knew of the try.
+                world.audit.left(pending.proxy, id, world.queue.now());
             }
         }
     }
 
     /**
-     * A client has its final answer.
+     * A client received its final answer.
      *
-     * @param answerOf the request that a served answer was made for, as its body says
+     * @param answerOf id of the request that a served answer belongs to, from the response body
      */
     public void answered(String id, int status, long retryAfterUs, String answerOf) {
-        Sent s = tries.get(id);
-        // The client left before this was looked at: nobody has the answer, and its leaving has been judged.
-        if (s == null || s.left) {
+        PendingTry pending = tries.get(id);
+        // The client left before this was processed: no client has the answer, and the auditor has recorded the leave.
+        if (pending == null || pending.left) {
             return;
         }
         long now = world.queue.now();
         if (status == 200) {
-            world.audit.served(s.proxy, id, answerOf, now);
-            world.clients.answered(s.t, Clients.How.SERVED, 0);
+            world.audit.served(pending.proxy, id, answerOf, now);
+            world.clients.answered(pending.clientTry, Clients.How.SERVED, 0);
         } else if (status == 429 || status == 503) {
-            world.audit.refused(s.proxy, id, now);
+            world.audit.refused(pending.proxy, id, now);
             world.account.refused(id);
-            world.clients.answered(s.t, Clients.How.REFUSED, retryAfterUs);
+            world.clients.answered(pending.clientTry, Clients.How.REFUSED, retryAfterUs);
         } else {
-            world.audit.failed(s.proxy, id, now);
-            world.clients.answered(s.t, Clients.How.FAILED, 0);
+            world.audit.failed(pending.proxy, id, now);
+            world.clients.answered(pending.clientTry, Clients.How.FAILED, 0);
         }
     }
 
     /**
-     * A connection that had carried others closed as this try was written to it: if nothing came of it,
-     * nobody took it.
+     * A reused connection closed while this try was written to it: if no attempt followed, the proxy did not accept
+     * the try.
      */
     public void crossed(String id) {
-        Sent s = tries.get(id);
-        if (s != null && s.attempts == 0) {
+        PendingTry pending = tries.get(id);
+        if (pending != null && pending.attempts == 0) {
             world.audit.untaken(id);
         }
     }
 
     /**
-     * An answer came on a connection that waits for none, after the one to this request, or to nothing at all
-     * (null).
+     * An unexpected response arrived on a client connection.
+     *
+     * @param id the request whose answer came before on the connection; null: none
      */
     public void answeredAgain(int proxy, String id) {
         world.audit.failed(proxy, String.valueOf(id), world.queue.now());
     }
 
-    /** A client could not connect, or its connection ended before it had a whole answer. */
+    /** A client could not connect, or its connection ended before it had a complete response. */
     public void unanswered(String id, boolean connected) {
-        Sent s = tries.get(id);
-        if (s != null) {
-            world.clients.answered(s.t, connected ? Clients.How.BROKEN : Clients.How.UNREACHABLE, 0);
+        PendingTry pending = tries.get(id);
+        if (pending != null) {
+            world.clients.answered(pending.clientTry, connected ? Clients.How.BROKEN : Clients.How.UNREACHABLE, 0);
         }
     }
 
     // ---- servers -------------------------------------------------------------------------------------
 
     void changed(Host host) {
-        outside.changed(host.address);
+        externalProxies.changed(host.address);
     }
 
     void reset(Host host) {
-        outside.reset(host.address);
+        externalProxies.reset(host.address);
     }
 
-    /** What a client proxy's new connection to an address meets now. */
+    /** How an address reacts now to a new connection from a client proxy. */
     public ConnectBehaviour connectBehaviour(int proxy, int address) {
         Host host = world.at(address);
         if (host == null || !world.network.passes(proxy, world.zoneOf(proxy), host)) {
@@ -334,7 +340,7 @@
         return host.alive() && host.address == address ? ConnectBehaviour.OPEN : ConnectBehaviour.REFUSED;
     }
 
-    /** A connection came up; null if the server takes no more, or resets it. */
+    /** Opens a connection; null if the server accepts no more or resets it. */
     public Connection connect(int proxy, int address) {
         Host host = world.at(address);
         if (connectBehaviour(proxy, address) != ConnectBehaviour.OPEN
@@ -349,16 +355,16 @@
     public final class Connection {
         private final int proxy;
         private final Host host;
-        private final ServerModel life;
-        private boolean fresh = true;
+        private final ServerModel process;
+        private boolean unused = true;
         private boolean open = true;
-        private long servedAt = world.queue.now();
-        private Request current;
+        private long lastResponseAt = world.queue.now();
+        private Attempt current;
 
         private Connection(int proxy, Host host) {
             this.proxy = proxy;
             this.host = host;
-            this.life = host.life;
+            this.process = host.life;
         }
 
         private long delay() {
@@ -366,28 +372,28 @@
         }
 
         private boolean passes() {
-            return open && world.network.passes(proxy, world.zoneOf(proxy), host) && !life.stopped();
+            return open && world.network.passes(proxy, world.zoneOf(proxy), host) && !process.stopped();
         }
 
-        /** It is closed, by either side: what it carried was given up, and may have run. */
+        /** Either side closed the connection: its request was given up and may have run. */
         public void closed() {
             if (!open) {
                 return;
             }
             open = false;
-            life.disconnect();
+            process.disconnect();
             if (current != null) {
                 current.givenUp();
                 current = null;
             }
         }
 
-        /** A probe came; the answer is whether it is well, or none at all. */
+        /** A probe arrived; the reply says whether the server is healthy; there may be no reply. */
         public void probe(Reply reply) {
             world.tally.probes++;
             world.queue.after(delay(), () -> {
                 if (passes()) {
-                    life.probe((end, inflight) -> world.queue.after(delay(), () -> {
+                    process.probe((end, inflight) -> world.queue.after(delay(), () -> {
                         if (passes()) {
                             reply.answer(end == ServerModel.End.SERVED ? 200 : 503, false);
                         }
@@ -397,34 +403,34 @@
         }
 
         /**
-         * A request's last byte came.
+         * The last byte of a request arrived.
          *
          * @param effect its idempotency key, or null
-         * @param firstByteAt when its first byte came
+         * @param firstByteAt when its first byte arrived
          */
         public void request(String id, String effect, long firstByteAt, Reply reply) {
-            Sent s = tries.get(id);
-            if (s == null) {
+            PendingTry pending = tries.get(id);
+            if (pending == null) {
                 world.audit.sent(proxy, id, 0, host.id, firstByteAt);
                 reply.answer(400, false);
                 return;
             }
-            Request r = new Request(this, s, s.attempts++, reply);
+            Attempt r = new Attempt(this, pending, pending.attempts++, reply);
             world.account.sent(id, r.number, host);
-            Request before = s.out;
-            s.out = r;
+            Attempt before = pending.lastAttempt;
+            pending.lastAttempt = r;
             current = r;
-            // In the order of attempts: what came after one that is still to be judged is judged after it.
-            long closing = before == null || before.over ? 0 : CLOSING_US;
-            r.judgedAt = Math.max(world.queue.now() + closing, before == null ? 0 : before.judgedAt);
-            at(r.judgedAt, () -> world.audit.sent(proxy, id, r.number, host.id, firstByteAt));
+            // Attempts are checked in order: an attempt is checked after an earlier one that is still to be checked.
+            long closing = before == null || before.ended ? 0 : CHECK_DELAY_US;
+            r.checkedAt = Math.max(world.queue.now() + closing, before == null ? 0 : before.checkedAt);
+            at(r.checkedAt, () -> world.audit.sent(proxy, id, r.number, host.id, firstByteAt));
             world.tally.sent(world.zoneOf(proxy) == host.zone);
-            if (world.queue.now() - servedAt > life.machine().idleCloseUs()) {
+            if (world.queue.now() - lastResponseAt > process.machine().idleCloseUs()) {
                 r.reset();
                 return;
             }
-            // A new connection has its handshake first, as in the emulated world.
-            int ways = fresh ? 2 * EmulatedWire.HANDSHAKE_TRIPS + 1 : 1;
+            // A new connection first has its handshake, as in the emulated network.
+            int ways = unused ? 2 * EmulatedWire.HANDSHAKE_TRIPS + 1 : 1;
             long us = 0;
             for (int i = 0; i < ways; i++) {
                 us += delay();
@@ -433,68 +439,68 @@
         }
     }
 
-    /** Whoever brings a server's answer back. */
+    /** Sends a server's response back. */
     public interface Reply {
-        /** An HTTP status, and whether it surely did not run. */
+        /** Sends a response with an HTTP status, and whether the request certainly did not run. */
         void answer(int status, boolean notRun);
 
-        /** Nothing is answered and the connection is reset. */
+        /** Resets the connection without a response. */
         default void reset() {}
     }
 
-    /** An attempt at a server. */
-    private final class Request {
+    /** One attempt at a server. */
+    private final class Attempt {
         private final Connection connection;
-        private final Sent sent;
+        private final PendingTry pending;
         private final int number;
         private final Reply reply;
         private ServerModel.Job job;
-        private boolean over;
-        /** When the auditor hears that it was sent. */
-        private long judgedAt;
+        private boolean ended;
+        /** When the auditor is notified that the attempt was sent. */
+        private long checkedAt;
 
-        private Request(Connection connection, Sent sent, int number, Reply reply) {
+        private Attempt(Connection connection, PendingTry sent, int number, Reply reply) {
             this.connection = connection;
-            this.sent = sent;
+            this.pending = sent;
             this.number = number;
             this.reply = reply;
         }
 
         private void arrive() {
             Connection c = connection;
-            if (!world.network.passes(c.proxy, world.zoneOf(c.proxy), c.host) || c.life.stopped()) {
+            if (!world.network.passes(c.proxy, world.zoneOf(c.proxy), c.host) || c.process.stopped()) {
                 return;
             }
-            Call call = sent.t.call;
-            double work = call.work() + (c.fresh ? c.life.handshakeWork() : 0);
-            c.fresh = false;
+            Call call = pending.clientTry.call;
+            double work = call.work() + (c.unused ? c.process.handshakeWork() : 0);
+            c.unused = false;
             job = new ServerModel.Job(
                     call.id(),
                     work,
                     call.key(),
                     call.effect(),
                     call.windowUs(),
-                    sent.t.deadlineAt,
+                    pending.clientTry.deadlineAt,
                     (end, inflight) -> done(end));
             world.arrived(c.host, c.proxy, call.id(), work);
-            if (c.life.stopped()) {
+            if (c.process.stopped()) {
                 return;
             }
-            c.life.offer(job);
-            if (over) {
-                c.life.cancel(job);
+            c.process.offer(job);
+            if (ended) {
+                c.process.cancel(job);
             }
         }
 
         private void done(ServerModel.End end) {
             Connection c = connection;
-            c.servedAt = world.queue.now();
+            c.lastResponseAt = world.queue.now();
             if (c.host.chance.happens(c.host.resetAfter)) {
                 reset();
                 return;
             }
             world.queue.after(c.delay(), () -> {
-                if (!over && c.passes()) {
+                if (!ended && c.passes()) {
                     c.current = null;
                     switch (end) {
                         case SERVED -> {
@@ -522,18 +528,18 @@
         private void givenUp() {
             ended(Outcome.TIMED_OUT);
             if (job != null) {
-                connection.life.cancel(job);
+                connection.process.cancel(job);
             }
         }
 
         private void ended(Outcome outcome) {
-            if (!over) {
-                over = true;
+            if (!ended) {
+                ended = true;
                 at(
-                        judgedAt,
+                        checkedAt,
                         () -> world.audit.attemptEnded(
-                                connection.proxy, sent.t.call.id(), number, outcome, world.queue.now()));
-                world.account.attemptEnded(sent.t.call.id(), number, connection.host, outcome);
+                                connection.proxy, pending.clientTry.call.id(), number, outcome, world.queue.now()));
+                world.account.attemptEnded(pending.clientTry.call.id(), number, connection.host, outcome);
                 world.tally.outcome(outcome);
             }
         }
@@ -541,40 +547,40 @@
 
     // ---- discovery -----------------------------------------------------------------------------------
 
-    /** Whoever carries a watch's news to a client proxy. */
+    /** Sends the output of a discovery watch to a client proxy. */
     public interface Lines {
-        /** The call is answered: from here on there are heartbeats. */
+        /** The call is accepted: heartbeats start. */
         void begin();
 
         void told(ListUpdate news);
 
-        /** Heartbeats stop, or go on. */
+        /** Heartbeats stop or resume. */
         void silent(boolean on);
 
-        /** The first half of a list comes; the whole of it is told later. */
+        /** Sends the first half of a list; the full list follows later. */
         void begins(ListUpdate news);
 
-        /** A list breaks off in its midst, and the connection with it. */
+        /** Sends a truncated list and breaks the connection. */
         void cutShort(ListUpdate news);
 
         /**
          * The call or the watch has failed.
          *
-         * @param reset whether its connection breaks; else it ends in order
+         * @param reset whether its connection is reset; otherwise it is closed normally
          */
         void fail(boolean reset);
     }
 
-    /** A client proxy's call of discovery. */
+    /** A client proxy's discovery call and watch. */
     public final class Watch extends Watcher {
         private final int proxy;
-        private final Lines lines;
+        private final Lines output;
         private boolean over;
-        private boolean begun;
+        private boolean accepted;
 
-        private Watch(int proxy, long after, Lines lines) {
+        private Watch(int proxy, long after, Lines output) {
             this.proxy = proxy;
-            this.lines = lines;
+            this.output = output;
             this.toldTo = after;
         }
 
@@ -595,23 +601,23 @@
 
         @Override
         void begin() {
-            if (begun) {
-                lines.silent(false);
+            if (accepted) {
+                output.silent(false);
             } else {
-                begun = true;
-                lines.begin();
+                accepted = true;
+                output.begin();
             }
         }
 
         @Override
         void silence(long agoUs) {
-            lines.silent(true);
+            output.silent(true);
         }
 
         @Override
         void hear(Registry.News news) {
             if (!over) {
-                lines.told(HybridSimulation.told(news));
+                output.told(HybridSimulation.toListUpdate(news));
                 world.audit.told(
                         proxy,
                         news.version(),
@@ -625,7 +631,7 @@
         @Override
         void begins(Registry.News news) {
             if (!over) {
-                lines.begins(HybridSimulation.told(news));
+                output.begins(HybridSimulation.toListUpdate(news));
             }
         }
 
@@ -633,20 +639,20 @@
         void fail() {
             if (end()) {
                 world.audit.watchFailed(proxy, world.queue.now(), !reset);
-                lines.fail(reset);
+                output.fail(reset);
             }
         }
 
         @Override
         void cutShort(Registry.News news) {
             if (!over) {
-                lines.cutShort(HybridSimulation.told(news));
+                output.cutShort(HybridSimulation.toListUpdate(news));
                 end();
                 world.audit.watchFailed(proxy, world.queue.now(), true);
             }
         }
 
-        /** The client proxy has ended its connection. */
+        /** The client proxy closed its connection. */
         public void closed() {
             if (end()) {
                 world.audit.watchFailed(proxy, world.queue.now(), false);
@@ -664,10 +670,10 @@
     /**
      * A client proxy calls discovery.
      *
-     * @param after the version that it holds; -1: none
+     * @param after the proxy's current version; -1: none
      */
-    public Watch watch(int proxy, long after, Lines lines) {
-        Watch watch = new Watch(proxy, ancient[proxy] && after == 0 ? -1 : after, lines);
+    public Watch watch(int proxy, long after, Lines output) {
+        Watch watch = new Watch(proxy, initialListUnknown[proxy] && after == 0 ? -1 : after, output);
         world.audit.asked(proxy, world.queue.now());
         world.registry.call(watch);
         return watch;
--- a/src/main/java/mulleinfront/emulator/Peer.java
+++ b/src/main/java/mulleinfront/emulator/Peer.java
@@ -6,35 +6,35 @@
 import mulleinfront.fleet.Fleet;
 
 /**
- * One process of a fleet's member on virtual time. A process that stands still hears nothing and its timers come
- * late; what came meanwhile waits in its socket, as far as there is room.
+ * One process of a fleet member on virtual time. A paused process receives nothing and its timers fire late; datagrams
+ * that arrive in the pause wait in its socket buffer, as far as there is space.
  */
 final class Peer implements Fleet.Actions, PeerNetwork.Receiver {
-    /** Datagrams that a socket holds: some 200 KB, each with the system's overhead. */
-    private static final int SOCKET = 256;
+    /** Datagrams in a socket buffer: about 200 KB, including the operating system's overhead for each. */
+    private static final int SOCKET_BUFFER_DATAGRAMS = 256;
 
-    /** One that waits in the socket. */
-    private record Waiting(int from, byte[] bytes, int length) {}
+    /** A datagram in the socket buffer. */
+    private record BufferedDatagram(int from, byte[] bytes, int length) {}
 
     private final EventQueue queue;
     private final PeerNetwork network;
     private final int address;
     private final Fleet fleet;
-    private final ArrayDeque<Waiting> socket = new ArrayDeque<>();
+    private final ArrayDeque<BufferedDatagram> socketBuffer = new ArrayDeque<>();
     private Time.Timer timer;
     private boolean alive = true;
-    private boolean still;
-    private boolean missed;
+    private boolean paused;
+    private boolean timerMissed;
 
     /**
-     * @param address where it is: its own number, unless something is wrong
-     * @param maker makes the member that it is
+     * @param address address of the process: the member's number, unless misconfigured
+     * @param maker creates the member
      */
-    Peer(EventQueue queue, PeerNetwork network, int address, Function<Fleet.Actions, Fleet> maker) {
+    Peer(EventQueue queue, PeerNetwork network, int address, Function<Fleet.Actions, Fleet> memberFactory) {
         this.queue = queue;
         this.network = network;
         this.address = address;
-        this.fleet = maker.apply(this);
+        this.fleet = memberFactory.apply(this);
     }
 
     Fleet fleet() {
@@ -45,52 +45,52 @@
         return alive;
     }
 
-    boolean still() {
-        return still;
+    boolean paused() {
+        return paused;
     }
 
     void start() {
-        network.at(address, this);
+        network.setReceiver(address, this);
         fleet.start(queue.now());
     }
 
-    /** It ends without a word. */
+    /** Ends the process without notice. */
     void kill() {
         alive = false;
-        network.at(address, null);
+        network.setReceiver(address, null);
         if (timer != null) {
             timer.cancel();
         }
     }
 
-    /** It is told to end and says so; it ends when its owner kills it. */
+    /** Lets the member announce that it leaves; the process ends when its owner kills it. */
     void leave() {
         fleet.leave(queue.now());
     }
 
-    /** SIGSTOP. */
+    /** Pauses the process, as SIGSTOP does. */
     void stop() {
-        still = true;
+        paused = true;
     }
 
-    /** SIGCONT: what waits in the socket is read first, as an event loop does. */
+    /** Resumes the process, as SIGCONT does. Waiting datagrams are read first, as an event loop does. */
     void go() {
-        still = false;
-        while (alive && !still && !socket.isEmpty()) {
-            Waiting w = socket.poll();
-            fleet.onDatagram(queue.now(), w.from(), w.bytes(), w.length());
+        paused = false;
+        while (alive && !paused && !socketBuffer.isEmpty()) {
+            BufferedDatagram datagram = socketBuffer.poll();
+            fleet.onDatagram(queue.now(), datagram.from(), datagram.bytes(), datagram.length());
         }
-        if (alive && missed) {
-            missed = false;
+        if (alive && timerMissed) {
+            timerMissed = false;
             fleet.onTimer(queue.now());
         }
     }
 
     @Override
     public void datagram(int from, byte[] bytes, int length) {
-        if (still) {
-            if (socket.size() < SOCKET) {
-                socket.add(new Waiting(from, bytes, length));
+        if (paused) {
+            if (socketBuffer.size() < SOCKET_BUFFER_DATAGRAMS) {
+                socketBuffer.add(new BufferedDatagram(from, bytes, length));
             }
         } else {
             fleet.onDatagram(queue.now(), from, bytes, length);
@@ -109,8 +109,8 @@
         }
         timer = queue.after(atUs - queue.now(), () -> {
             timer = null;
-            if (still) {
-                missed = true;
+            if (paused) {
+                timerMissed = true;
             } else if (alive) {
                 fleet.onTimer(queue.now());
             }
--- a/src/main/java/mulleinfront/emulator/PeerFaults.java
+++ b/src/main/java/mulleinfront/emulator/PeerFaults.java
@@ -3,43 +3,50 @@
 import java.util.BitSet;
 import mulleinfront.settings.Range;
 
-/** What can be made to happen on the way between client proxies, on virtual time or on sockets. */
+/** Injects faults into the network between client proxies, on virtual time or on sockets. */
 public interface PeerFaults {
-    /** Ends what was begun. */
+    /** Ends a fault. */
     interface End {
         void end();
     }
 
     /**
-     * Something happens to datagrams from now on.
+     * Begins a fault that affects datagrams from now on.
      *
-     * @param from numbers of the senders that it is about; null: all
-     * @param to numbers of the receivers; null: all
-     * @param lose part that is lost; 1 is a cut
-     * @param twice part that comes twice
-     * @param overtaken part that others overtake
-     * @param change part that has bytes changed, or is cut short
-     * @param late how much later they come, microseconds
+     * @param from numbers of the affected senders; null: all
+     * @param to numbers of the affected receivers; null: all
+     * @param lose fraction that is lost; 1 is a network partition
+     * @param twice fraction that is duplicated
+     * @param overtaken fraction that later datagrams overtake
+     * @param change fraction whose bytes are changed or that is truncated
+     * @param late additional delay, microseconds
      */
-    End beginFault(BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late);
+    End beginFault(
+            BitSet from,
+            BitSet to,
+            double lossShare,
+            double duplicateShare,
+            double overtakenShare,
+            double corruptedShare,
+            Range extraDelayUs);
 
-    /** Datagrams that come by are remembered for a time, and repeated from then on, so many a second. */
-    void repeat(long rememberUs, double perSecond, long us);
+    /** Records passing datagrams for a time, and then repeats recorded ones at a rate for {@code us} microseconds. */
+    void repeat(long recordUs, double perSecond, long durationUs);
 
-    /** Datagrams of nobody come to members, so many a second to all together. */
-    void strangers(double perSecond, long us);
+    /** Sends datagrams from unknown senders, {@code perSecond} to all members together. */
+    void strangers(double perSecond, long durationUs);
 
-    /** The clock of a member's machine jumps; its next process goes by it. */
+    /** The wall clock of a member's machine jumps; the member's next process starts with the new time. */
     void clockJumps(int number, long ms);
 
-    /** Nothing gets from some to others; if not one way only, nor back. */
-    default End partition(BitSet some, BitSet others, boolean oneWay) {
+    /** Blocks all datagrams from {@code some} to {@code others}, and unless {@code oneWay} also the other direction. */
+    default End partition(BitSet senders, BitSet receivers, boolean oneWay) {
         Range none = Range.of(0);
-        End there = beginFault(some, others, 1, 0, 0, 0, none);
-        End back = oneWay ? () -> {} : beginFault(others, some, 1, 0, 0, 0, none);
+        End forward = beginFault(senders, receivers, 1, 0, 0, 0, none);
+        End backward = oneWay ? () -> {} : beginFault(receivers, senders, 1, 0, 0, 0, none);
         return () -> {
-            there.end();
-            back.end();
+            forward.end();
+            backward.end();
         };
     }
 }
--- a/src/main/java/mulleinfront/emulator/PeerNetwork.java
+++ b/src/main/java/mulleinfront/emulator/PeerNetwork.java
@@ -1,55 +1,55 @@
 package mulleinfront.emulator;
 
 /**
- * Datagrams between client proxies on virtual time. A datagram carries the number of the address that it was sent
- * from; an address is a peer's, or nobody's.
+ * Simulated datagram network between client proxies on virtual time. A datagram carries the number of the address that
+ * it was sent from: a peer's, or that of an unknown sender.
  */
 final class PeerNetwork {
-    /** The number of an address that is no peer's. */
-    static final int STRANGER = -1;
+    /** Address number of an unknown sender. */
+    static final int UNKNOWN_SENDER = -1;
 
-    /** Whoever is at an address. */
+    /** Receives the datagrams sent to an address. */
     interface Receiver {
         void datagram(int from, byte[] bytes, int length);
     }
 
-    /** How long a datagram takes from one to another, microseconds. */
-    interface Way {
-        long us(int from, int to);
+    /** Delay of a datagram from one address to another, microseconds. */
+    interface Delay {
+        long delayUs(int from, int to);
     }
 
     private final EventQueue queue;
-    private final Way way;
+    private final Delay delay;
     private final Receiver[] receivers;
-    private final DatagramFaults troubles;
+    private final DatagramFaults faults;
 
-    PeerNetwork(EventQueue queue, Chance chance, int peers, Way way) {
+    PeerNetwork(EventQueue queue, Chance chance, int peers, Delay delay) {
         this.queue = queue;
-        this.way = way;
+        this.delay = delay;
         this.receivers = new Receiver[peers];
-        this.troubles = new DatagramFaults(chance);
+        this.faults = new DatagramFaults(chance);
     }
 
-    /** What happens on the way now. */
-    DatagramFaults troubles() {
-        return troubles;
+    /** The active datagram faults. */
+    DatagramFaults faults() {
+        return faults;
     }
 
-    /** Who is at a peer's address now; null: nobody. */
-    void at(int address, Receiver receiver) {
+    /** Sets the receiver at a peer's address; null: none. */
+    void setReceiver(int address, Receiver receiver) {
         receivers[address] = receiver;
     }
 
-    /** A datagram leaves an address. */
+    /** Sends a datagram from an address; active faults apply to it. */
     void send(int from, int to, byte[] bytes, int length) {
-        for (DatagramFaults.Copy copy : troubles.deliver(from, to, bytes, length)) {
+        for (DatagramFaults.Copy copy : faults.deliver(from, to, bytes, length)) {
             deliver(from, to, copy.bytes(), copy.lateUs());
         }
     }
 
-    /** One comes as it is, whoever sent it and when. */
-    void deliver(int from, int to, byte[] bytes, long lateUs) {
-        queue.after(way.us(from, to) + lateUs, () -> {
+    /** Delivers a datagram unchanged, after the network delay and {@code lateUs}. */
+    void deliver(int from, int to, byte[] bytes, long extraDelayUs) {
+        queue.after(delay.delayUs(from, to) + extraDelayUs, () -> {
             if (receivers[to] != null) {
                 receivers[to].datagram(from, bytes, bytes.length);
             }
--- a/src/main/java/mulleinfront/emulator/ReportWriter.java
+++ b/src/main/java/mulleinfront/emulator/ReportWriter.java
@@ -11,40 +11,40 @@
 import mulleinfront.UnservedReason;
 import mulleinfront.emulator.ServiceReport.Part;
 
-/** A world's result as a page of text, and as JSON with the same figures. */
+/** Writes a simulation's result as text, and as JSON with the same numbers. */
 public final class ReportWriter {
     private ReportWriter() {}
 
-    /** The page; ends with the digest's line, if the decisions were made here. */
-    public static String text(World.Result r) {
+    /** The result as text; ends with the digest of the decisions if the proxies were simulated in this process. */
+    public static String text(World.Result result) {
         StringBuilder out = new StringBuilder();
-        ServiceReport s = r.service();
+        ServiceReport report = result.service();
         line(
                 out,
                 "%s (%s), seed %d: %.0f s, %d client proxies, %d servers, %d requests",
-                r.scenario().name(),
-                r.scenario().title(),
-                r.seed(),
-                r.scenario().lengthUs() / 1e6,
-                r.scenario().proxies().count(),
-                r.scenario().fleet(),
-                s.asks());
+                result.scenario().name(),
+                result.scenario().title(),
+                result.seed(),
+                result.scenario().lengthUs() / 1e6,
+                result.scenario().proxies().count(),
+                result.scenario().fleet(),
+                report.asks());
         line(out, "");
         line(
                 out,
                 "service %.3f: whole %.3f, worst %.0f s %.3f, worst class %.3f, worst branch %.3f; prices%s",
-                s.service(),
-                s.whole(),
-                r.scenario().service().windowUs() / 1e6,
-                s.worstWindow(),
-                s.worstClass(),
-                s.worstTenant(),
-                prices(s.prices()));
-        line(out, "goodput %.3f of what the servers can do", r.goodput());
-        if (!s.faults().isEmpty()) {
+                report.service(),
+                report.whole(),
+                result.scenario().service().windowUs() / 1e6,
+                report.worstWindow(),
+                report.worstClass(),
+                report.worstTenant(),
+                prices(report.prices()));
+        line(out, "goodput %.3f of what the servers can do", result.goodput());
+        if (!report.faults().isEmpty()) {
             line(out, "");
             line(out, "what happened");
-            for (ServiceReport.Happened h : s.faults()) {
+            for (ServiceReport.Happened h : report.faults()) {
                 line(
                         out,
                         "  %8.3f s  %s%s",
@@ -53,30 +53,30 @@
                         h.forUs() > 0 ? String.format(Locale.ROOT, " for %.3f s", h.forUs() / 1e6) : "");
             }
         }
-        table(out, "class", s.classes());
-        if (!s.tenants().isEmpty()) {
-            table(out, "branch (within its share)", s.tenants());
+        table(out, "class", report.classes());
+        if (!report.tenants().isEmpty()) {
+            table(out, "branch (within its share)", report.tenants());
         }
         line(out, "");
         line(out, "%10s %8s %8s", "5 s from", "asked", "service");
-        for (ServiceReport.Window w : s.windows()) {
-            line(out, "%8.0f s %8d %8.3f", w.atUs() / 1e6, w.asked(), w.share());
+        for (ServiceReport.Window window : report.windows()) {
+            line(out, "%8.0f s %8d %8.3f", window.atUs() / 1e6, window.asked(), window.share());
         }
-        for (ServiceReport.Starts st : s.starts()) {
+        for (ServiceReport.Starts starts : report.starts()) {
             line(
                     out,
                     "%-14s %8d asked, service %.3f, %.3f of tries refused",
-                    st.name(),
-                    st.asked(),
-                    st.share(),
-                    (double) st.refused() / Math.max(1, st.tries()));
+                    starts.name(),
+                    starts.asked(),
+                    starts.share(),
+                    (double) starts.refused() / Math.max(1, starts.tries()));
         }
-        losses(out, s);
-        unserved(out, s);
+        losses(out, report);
+        unserved(out, report);
         line(out, "");
-        line(out, "tries ended:%s", counts(s.tries()));
-        line(out, "attempts ended:%s", counts(s.outcomes()));
-        line(out, "counts:%s", counts(s.counts()));
+        line(out, "tries ended:%s", counts(report.tries()));
+        line(out, "attempts ended:%s", counts(report.outcomes()));
+        line(out, "counts:%s", counts(report.counts()));
         line(out, "");
         line(
                 out,
@@ -93,49 +93,49 @@
                 "busy s",
                 "conns",
                 "notes");
-        for (ServiceReport.Server v : s.servers()) {
-            ServerModel.Figures f = v.figures();
+        for (ServiceReport.Server server : report.servers()) {
+            ServerModel.Figures figures = server.figures();
             line(
                     out,
                     "%-18s %5d %8d %8d %6d %7d %7d %6d %8.1f %8.1f %6d  %s",
-                    v.name(),
-                    v.lives(),
-                    f.offered,
-                    f.served,
-                    f.errors,
-                    f.turnedAway + f.expired,
-                    f.cancelled,
-                    f.mostHeld,
-                    f.begun == 0 ? 0 : f.waitSumUs / f.begun / 1e3,
-                    f.busyCoreUs / 1e6,
-                    f.mostConnections,
-                    notes(f));
+                    server.name(),
+                    server.lives(),
+                    figures.offered,
+                    figures.served,
+                    figures.errors,
+                    figures.turnedAway + figures.expired,
+                    figures.cancelled,
+                    figures.mostHeld,
+                    figures.begun == 0 ? 0 : figures.waitSumUs / figures.begun / 1e3,
+                    figures.busyCoreUs / 1e6,
+                    figures.mostConnections,
+                    notes(figures));
         }
         line(out, "");
-        if (r.breachCount() == 0) {
+        if (result.breachCount() == 0) {
             line(out, "rules: all four kept");
         } else {
-            line(out, "rules: %d breaches; the first:", r.breachCount());
-            r.breaches().stream().limit(10).forEach(b -> line(out, "  %s", b));
+            line(out, "rules: %d breaches; the first:", result.breachCount());
+            result.breaches().stream().limit(10).forEach(b -> line(out, "  %s", b));
         }
-        if (r.fleet() != null) {
-            r.fleet().lines().forEach(l -> line(out, "%s", l));
+        if (result.fleet() != null) {
+            result.fleet().lines().forEach(l -> line(out, "%s", l));
         }
-        if (r.decisions() > 0) {
-            line(out, "decisions: sha256 %s", r.sha256());
+        if (result.decisions() > 0) {
+            line(out, "decisions: sha256 %s", result.sha256());
         }
         return out.toString();
     }
 
-    /** What was lost, the largest cause first. */
-    private static void losses(StringBuilder out, ServiceReport s) {
-        if (s.losses().lost() <= 0) {
+    /** Writes the lost requests by cause, the largest loss first. */
+    private static void losses(StringBuilder out, ServiceReport report) {
+        if (report.losses().lost() <= 0) {
             return;
         }
-        double asked = s.losses().lost() / Math.max(1e-9, 1 - s.whole());
+        double asked = report.losses().lost() / Math.max(1e-9, 1 - report.whole());
         line(out, "");
         line(out, "%-44s %8s %9s", "lost by its first cause", "requests", "of worth");
-        s.losses().causes().entrySet().stream()
+        report.losses().causes().entrySet().stream()
                 .sorted((a, b) ->
                         Double.compare(b.getValue().worth(), a.getValue().worth()))
                 .forEach(e -> line(
@@ -146,30 +146,29 @@
                         100 * e.getValue().worth() / asked));
     }
 
-    /** What client proxies say themselves of why they gave requests up. */
-    private static void unserved(StringBuilder out, ServiceReport s) {
+    /** Writes the reasons that client proxies reported for requests they gave up. */
+    private static void unserved(StringBuilder out, ServiceReport report) {
         if (Arrays.stream(UnservedReason.Cause.values())
-                .allMatch(c -> s.unserved().of(c) == 0)) {
+                .allMatch(c -> report.unserved().of(c) == 0)) {
             return;
         }
         line(out, "");
         line(out, "%-30s %9s %9s  %s", "given up by client proxies", "requests", "young", "by window");
         for (UnservedReason.Cause c : UnservedReason.Cause.values()) {
-            if (s.unserved().of(c) > 0) {
+            if (report.unserved().of(c) > 0) {
                 line(
                         out,
                         "%-30s %9d %9d  %s",
                         c.description(),
-                        s.unserved().of(c),
-                        s.unserved().recentlyStarted(c),
-                        s.unservedIn().stream().map(w -> "" + w.of(c)).collect(Collectors.joining(" ")));
+                        report.unserved().of(c),
+                        report.unserved().recentlyStarted(c),
+                        report.unservedIn().stream().map(w -> "" + w.of(c)).collect(Collectors.joining(" ")));
             }
         }
     }
 
     /**
-     * The same for each of its parts: a line for each instance, zone, class, tenant or window that lost
-     * something.
+     * The losses by part as text: a line for each instance, zone, class, tenant or window with a loss.
      */
     public static String losses(LossReport losses, LossReport.Part part) {
         StringBuilder out = new StringBuilder();
@@ -191,22 +190,22 @@
         return out.toString();
     }
 
-    private static String notes(ServerModel.Figures f) {
+    private static String notes(ServerModel.Figures figures) {
         StringBuilder notes = new StringBuilder();
-        if (f.fell) {
+        if (figures.fell) {
             notes.append("fell over; ");
         }
-        if (f.lingeredUs > 0) {
-            notes.append(String.format(Locale.ROOT, "slow for %.1f s after load; ", f.lingeredUs / 1e6));
+        if (figures.lingeredUs > 0) {
+            notes.append(String.format(Locale.ROOT, "slow for %.1f s after load; ", figures.lingeredUs / 1e6));
         }
-        if (f.pausedUs > 0) {
-            notes.append(String.format(Locale.ROOT, "paused %.1f s; ", f.pausedUs / 1e6));
+        if (figures.pausedUs > 0) {
+            notes.append(String.format(Locale.ROOT, "paused %.1f s; ", figures.pausedUs / 1e6));
         }
-        if (f.repeatsDropped > 0) {
-            notes.append(f.repeatsDropped).append(" repeats dropped; ");
+        if (figures.repeatsDropped > 0) {
+            notes.append(figures.repeatsDropped).append(" repeats dropped; ");
         }
-        if (f.connectionsRefused > 0) {
-            notes.append(f.connectionsRefused).append(" connections refused; ");
+        if (figures.connectionsRefused > 0) {
+            notes.append(figures.connectionsRefused).append(" connections refused; ");
         }
         return notes.length() == 0 ? "" : notes.substring(0, notes.length() - 2);
     }
@@ -214,17 +213,17 @@
     private static void table(StringBuilder out, String title, Iterable<Part> parts) {
         line(out, "");
         line(out, "%-26s %8s %8s %8s %8s %9s %9s", title, "asked", "in time", "served", "service", "p50 ms", "p99 ms");
-        for (Part p : parts) {
+        for (Part part : parts) {
             line(
                     out,
                     "%-26s %8d %8d %8d %8.3f %9.1f %9.1f",
-                    p.name(),
-                    p.asked(),
-                    p.onTime(),
-                    p.served(),
-                    p.share(),
-                    p.p50Us() / 1e3,
-                    p.p99Us() / 1e3);
+                    part.name(),
+                    part.asked(),
+                    part.onTime(),
+                    part.served(),
+                    part.share(),
+                    part.p50Us() / 1e3,
+                    part.p99Us() / 1e3);
         }
     }
 
@@ -247,54 +246,54 @@
         out.append(String.format(Locale.ROOT, form, values).stripTrailing()).append('\n');
     }
 
-    /** One object; names are those of the records. Times are microseconds. */
-    public static void json(World.Result r, OutputStream to) throws IOException {
+    /** Writes the result as one JSON object. Times are in microseconds. */
+    public static void json(World.Result result, OutputStream to) throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(to).useDefaultPrettyPrinter()) {
-            ServiceReport s = r.service();
+            ServiceReport report = result.service();
             out.writeStartObject();
-            out.writeStringField("scenario", r.scenario().name());
-            out.writeNumberField("seed", r.seed());
-            out.writeStringField("decisions_sha256", r.sha256());
-            out.writeNumberField("decisions", r.decisions());
-            out.writeNumberField("events", r.events());
-            out.writeNumberField("service", s.service());
-            out.writeNumberField("whole", s.whole());
-            out.writeNumberField("worst_window", s.worstWindow());
-            out.writeNumberField("worst_class", s.worstClass());
-            out.writeNumberField("worst_tenant", s.worstTenant());
-            out.writeNumberField("goodput", r.goodput());
-            out.writeNumberField("requests", s.asks());
+            out.writeStringField("scenario", result.scenario().name());
+            out.writeNumberField("seed", result.seed());
+            out.writeStringField("decisions_sha256", result.sha256());
+            out.writeNumberField("decisions", result.decisions());
+            out.writeNumberField("events", result.events());
+            out.writeNumberField("service", report.service());
+            out.writeNumberField("whole", report.whole());
+            out.writeNumberField("worst_window", report.worstWindow());
+            out.writeNumberField("worst_class", report.worstClass());
+            out.writeNumberField("worst_tenant", report.worstTenant());
+            out.writeNumberField("goodput", result.goodput());
+            out.writeNumberField("requests", report.asks());
             out.writeObjectFieldStart("prices");
-            for (Map.Entry<String, Double> e : s.prices().entrySet()) {
+            for (Map.Entry<String, Double> e : report.prices().entrySet()) {
                 out.writeNumberField(e.getKey(), e.getValue());
             }
             out.writeEndObject();
-            parts(out, "classes", s.classes());
-            parts(out, "tenants", s.tenants());
+            parts(out, "classes", report.classes());
+            parts(out, "tenants", report.tenants());
             out.writeArrayFieldStart("windows");
-            for (ServiceReport.Window w : s.windows()) {
+            for (ServiceReport.Window window : report.windows()) {
                 out.writeStartObject();
-                out.writeNumberField("at_us", w.atUs());
-                out.writeNumberField("asked", w.asked());
-                out.writeNumberField("service", w.share());
+                out.writeNumberField("at_us", window.atUs());
+                out.writeNumberField("asked", window.asked());
+                out.writeNumberField("service", window.share());
                 out.writeEndObject();
             }
             out.writeEndArray();
-            counts(out, "tries", s.tries());
-            counts(out, "attempts", s.outcomes());
+            counts(out, "tries", report.tries());
+            counts(out, "attempts", report.outcomes());
             out.writeObjectFieldStart("given_up");
             for (UnservedReason.Cause c : UnservedReason.Cause.values()) {
-                out.writeNumberField(c.outputName(), s.unserved().of(c));
+                out.writeNumberField(c.outputName(), report.unserved().of(c));
             }
             out.writeEndObject();
-            counts(out, "counts", s.counts());
+            counts(out, "counts", report.counts());
             out.writeArrayFieldStart("servers");
-            for (ServiceReport.Server v : s.servers()) {
-                server(out, v);
+            for (ServiceReport.Server server : report.servers()) {
+                server(out, server);
             }
             out.writeEndArray();
             out.writeArrayFieldStart("faults");
-            for (ServiceReport.Happened h : s.faults()) {
+            for (ServiceReport.Happened h : report.faults()) {
                 out.writeStartObject();
                 out.writeNumberField("at_us", h.atUs());
                 out.writeNumberField("for_us", h.forUs());
@@ -302,9 +301,9 @@
                 out.writeEndObject();
             }
             out.writeEndArray();
-            out.writeNumberField("breach_count", r.breachCount());
+            out.writeNumberField("breach_count", result.breachCount());
             out.writeArrayFieldStart("breaches");
-            for (Auditor.Breach b : r.breaches()) {
+            for (Auditor.Breach b : result.breaches()) {
                 out.writeStartObject();
                 out.writeStringField("rule", b.rule().words());
                 out.writeNumberField("at_us", b.atUs());
@@ -320,15 +319,15 @@
 
     private static void parts(JsonGenerator out, String name, Iterable<Part> parts) throws IOException {
         out.writeArrayFieldStart(name);
-        for (Part p : parts) {
+        for (Part part : parts) {
             out.writeStartObject();
-            out.writeStringField("name", p.name());
-            out.writeNumberField("asked", p.asked());
-            out.writeNumberField("on_time", p.onTime());
-            out.writeNumberField("served", p.served());
-            out.writeNumberField("service", p.share());
-            out.writeNumberField("p50_us", p.p50Us());
-            out.writeNumberField("p99_us", p.p99Us());
+            out.writeStringField("name", part.name());
+            out.writeNumberField("asked", part.asked());
+            out.writeNumberField("on_time", part.onTime());
+            out.writeNumberField("served", part.served());
+            out.writeNumberField("service", part.share());
+            out.writeNumberField("p50_us", part.p50Us());
+            out.writeNumberField("p99_us", part.p99Us());
             out.writeEndObject();
         }
         out.writeEndArray();
@@ -342,31 +341,31 @@
         out.writeEndObject();
     }
 
-    private static void server(JsonGenerator out, ServiceReport.Server v) throws IOException {
-        ServerModel.Figures f = v.figures();
+    private static void server(JsonGenerator out, ServiceReport.Server server) throws IOException {
+        ServerModel.Figures figures = server.figures();
         out.writeStartObject();
-        out.writeStringField("name", v.name());
-        out.writeNumberField("lives", v.lives());
-        out.writeNumberField("offered", f.offered);
-        out.writeNumberField("served", f.served);
-        out.writeNumberField("errors", f.errors);
-        out.writeNumberField("turned_away", f.turnedAway);
-        out.writeNumberField("expired", f.expired);
-        out.writeNumberField("cancelled", f.cancelled);
-        out.writeNumberField("repeats_dropped", f.repeatsDropped);
-        out.writeNumberField("key_hits", f.keyHits);
-        out.writeNumberField("probes", f.probes);
-        out.writeNumberField("handshakes", f.handshakes);
-        out.writeNumberField("connections_refused", f.connectionsRefused);
-        out.writeNumberField("most_connections", f.mostConnections);
-        out.writeNumberField("most_held", f.mostHeld);
-        out.writeNumberField("paused_us", f.pausedUs);
-        out.writeNumberField("lingered_us", f.lingeredUs);
-        out.writeBooleanField("fell", f.fell);
-        out.writeNumberField("work_done", f.workDone);
-        out.writeNumberField("work_wasted", f.workWasted);
-        out.writeNumberField("mean_wait_us", f.begun == 0 ? 0 : f.waitSumUs / f.begun);
-        out.writeNumberField("busy_core_us", f.busyCoreUs);
+        out.writeStringField("name", server.name());
+        out.writeNumberField("lives", server.lives());
+        out.writeNumberField("offered", figures.offered);
+        out.writeNumberField("served", figures.served);
+        out.writeNumberField("errors", figures.errors);
+        out.writeNumberField("turned_away", figures.turnedAway);
+        out.writeNumberField("expired", figures.expired);
+        out.writeNumberField("cancelled", figures.cancelled);
+        out.writeNumberField("repeats_dropped", figures.repeatsDropped);
+        out.writeNumberField("key_hits", figures.keyHits);
+        out.writeNumberField("probes", figures.probes);
+        out.writeNumberField("handshakes", figures.handshakes);
+        out.writeNumberField("connections_refused", figures.connectionsRefused);
+        out.writeNumberField("most_connections", figures.mostConnections);
+        out.writeNumberField("most_held", figures.mostHeld);
+        out.writeNumberField("paused_us", figures.pausedUs);
+        out.writeNumberField("lingered_us", figures.lingeredUs);
+        out.writeBooleanField("fell", figures.fell);
+        out.writeNumberField("work_done", figures.workDone);
+        out.writeNumberField("work_wasted", figures.workWasted);
+        out.writeNumberField("mean_wait_us", figures.begun == 0 ? 0 : figures.waitSumUs / figures.begun);
+        out.writeNumberField("busy_core_us", figures.busyCoreUs);
         out.writeEndObject();
     }
 }
--- a/src/main/java/mulleinfront/emulator/Scenario.java
+++ b/src/main/java/mulleinfront/emulator/Scenario.java
@@ -8,29 +8,29 @@
 import mulleinfront.settings.Range;
 
 /**
- * A world and a timed script of what goes wrong in it, as {@link ScenarioReader} reads it from a file. All
- * times are microseconds, all shares are parts of 1. Where a figure is a {@link Range} each server, or each
- * world, draws its own.
+ * A simulated deployment and its timed faults, as {@link ScenarioReader} reads them from a file. All times are
+ * in microseconds and all shares are fractions of 1. Where a parameter is a {@link Range}, each server, or each
+ * simulation, draws its own value.
  *
- * @param name the file's name without its ending
- * @param title one line for people
- * @param lengthUs how long clients go on asking
- * @param settleUs how long the world goes on after that, so that all is answered
+ * @param name the file's name without its extension
+ * @param title one line that describes the scenario
+ * @param lengthUs how long clients send requests
+ * @param settleUs drain-out period after that, in which the remaining requests are answered
  * @param zones names of the zones
- * @param network delays
- * @param discovery the list of servers
+ * @param network network delays
+ * @param discovery how the server list is distributed
  * @param proxies the client proxies
- * @param clients what the applications do beside asking
- * @param load what they ask
- * @param servers groups of servers alike
+ * @param clients how clients retry and give up
+ * @param load the offered load
+ * @param servers groups of identical servers
  * @param classes classes of requests
- * @param tenants tenants, perhaps none
- * @param overShareWorth worth of a request beyond its tenant's share, as a part
- * @param limits what client proxies may do
- * @param rules figures of the four rules
- * @param service how service is counted
- * @param peers how client proxies know each other; null: not at all
- * @param faults what happens, in the order of the file
+ * @param tenants tenants; may be empty
+ * @param overShareWorth fraction of its value that a request beyond its tenant's share has
+ * @param limits what client proxies are permitted to do
+ * @param rules parameters of the four rules that the auditor checks
+ * @param service how the service score is computed
+ * @param peers membership among the client proxies; null: none
+ * @param faults faults, in the order of the file
  */
 public record Scenario(
         String name,
@@ -54,23 +54,23 @@
         List<Fault> faults) {
 
     /**
-     * One-way delays, microseconds.
+     * One-way delays in microseconds.
      *
      * @param same within a zone
      * @param cross between zones
      * @param client between an application and its own client proxy
-     * @param jitter part by which a message may be later than its path's delay
+     * @param jitter largest extra delay of a message, as a fraction of its path's delay
      */
     public record Network(Range same, Range cross, Range client, double jitter) {}
 
     /**
-     * @param asked whether lists must be asked for; else an agent pushes them
-     * @param notice how late it knows of what happens to a server
-     * @param silentNotice how late it knows of one that vanished without a word
-     * @param period how late changes reach those who watch
-     * @param callUs time it takes for one call; calls are worked through in turn
-     * @param timeoutUs a call that is not answered by then has failed
-     * @param alsoListed servers that whole lists name besides, all of them draining; on real sockets only
+     * @param asked whether proxies call discovery for lists; otherwise an agent pushes them
+     * @param notice delay until discovery learns of a change to a server
+     * @param silentNotice delay until discovery learns of a server that vanished without notice
+     * @param period delay until a change is sent to the open watches
+     * @param callUs time that discovery takes for one call; it processes calls one after another
+     * @param timeoutUs time after which a call without a response has failed
+     * @param alsoListed additional servers that full lists name, all of them draining; on real sockets only
      */
     public record Discovery(
             boolean asked,
@@ -81,31 +81,31 @@
             long timeoutUs,
             int alsoListed) {}
 
-    /** The list that a client proxy starts with. */
-    public enum Known {
+    /** How current the list is that a client proxy starts with. */
+    public enum InitialList {
         CURRENT,
         STALE,
         EMPTY
     }
 
     /**
-     * @param count how many
-     * @param spread exponent by which their traffic differs (Zipf); 0: alike
-     * @param startWithinUs they start within this time
-     * @param known the list that they start with
-     * @param knownAgeUs how old a stale one is
-     * @param ghosts servers long gone that a stale list still names
-     * @param startUs time from the start of a process until it takes requests
-     * @param lateCallsUs how long after being told to end it goes on taking requests
-     * @param killAfterUs time from being told to end until it is killed
-     * @param connections connections to servers at most, each
-     * @param cpu what their own code costs
+     * @param count number of client proxies
+     * @param spread Zipf exponent of the distribution of traffic among them; 0: equal
+     * @param startWithinUs all proxies start within this time
+     * @param known how current the initial list is
+     * @param knownAgeUs age of a stale initial list
+     * @param ghosts unreachable servers that a stale list still names
+     * @param startUs time from the start of a process until it accepts requests
+     * @param lateCallsUs how long a proxy goes on accepting requests after it is told to shut down
+     * @param killAfterUs time from the shutdown signal until the process is killed
+     * @param connections most connections to servers per proxy
+     * @param cpu CPU cost of the proxy's own code
      */
     public record Proxies(
             int count,
             double spread,
             long startWithinUs,
-            Known known,
+            InitialList known,
             long knownAgeUs,
             int ghosts,
             long startUs,
@@ -115,16 +115,16 @@
             Cpu cpu) {}
 
     /**
-     * A client proxy's own code: half of a request's CPU is spent when it comes, half when its answer goes, one after
-     * the other. What is not compiled yet takes longer.
+     * CPU cost of a client proxy's own code: half of a request's CPU time is spent when the request arrives and half
+     * when its response is sent, one piece of work after another. Code that the JIT has not compiled yet takes longer.
      *
-     * @param core share of a core that each process has; 0: its code costs nothing
-     * @param coldUs CPU of a process's first request
-     * @param warmUs CPU of a request once the code is compiled
-     * @param warmAfter requests until then, the cost falling evenly
+     * @param core fraction of a core that each process has; 0: its code costs no time
+     * @param coldUs CPU time of a process's first request
+     * @param warmUs CPU time of a request once the code is compiled
+     * @param warmAfter requests until then; the cost falls linearly
      */
     public record Cpu(double core, long coldUs, long warmUs, int warmAfter) {
-        /** Time that half of a process's nth request takes, microseconds. */
+        /** Time in microseconds that half of a process's nth request takes. */
         long halfUs(long nth) {
             double cold = Math.max(0, 1 - (double) nth / warmAfter);
             return core == 0 ? 0 : (long) ((warmUs + (coldUs - warmUs) * cold) / core / 2);
@@ -132,16 +132,16 @@
     }
 
     /**
-     * @param retries further tries of a request at most
-     * @param backoff wait before a further try
-     * @param doubling whether the wait doubles with each try
-     * @param honour share of clients that come back no sooner than {@code Retry-After} says
-     * @param patience part of the class's deadline after which a try is given up
-     * @param leave share of tries whose client leaves before it has its answer
+     * @param retries most further tries of a request
+     * @param backoff delay before a further try
+     * @param doubling whether the delay doubles with each try
+     * @param honour share of clients that wait at least as long as {@code Retry-After} says
+     * @param patience fraction of the class's deadline after which the client gives a try up
+     * @param leave share of tries whose client disconnects before its answer
      */
     public record Clients(int retries, Range backoff, boolean doubling, double honour, Range patience, double leave) {}
 
-    /** How the rate of requests goes over time. */
+    /** How the request rate changes over time. */
     public enum Shape {
         STEADY,
         BURSTY,
@@ -149,30 +149,30 @@
     }
 
     /**
-     * @param perSecond requests a second, at the start
-     * @param shape how that goes on
-     * @param endPerSecond requests a second at the end, for a ramp
-     * @param swing part by which bursts and lulls differ from the mean
+     * @param perSecond requests per second at the start
+     * @param shape how the rate changes
+     * @param endPerSecond requests per second at the end of a ramp
+     * @param swing fraction by which bursts and lulls differ from the mean rate
      * @param burstUs mean length of a burst or lull
-     * @param keys distinct keys; 0: requests have none
-     * @param zipf exponent of their popularity
+     * @param keys number of distinct keys; 0: requests have no key
+     * @param zipf Zipf exponent of the keys' popularity
      */
     public record Load(
             double perSecond, Shape shape, double endPerSecond, double swing, long burstUs, int keys, double zipf) {}
 
     /** How service times vary. */
-    public enum Dist {
+    public enum WorkDistribution {
         FIXED,
         EXPONENTIAL,
         LOGNORMAL
     }
 
     /**
-     * A group of servers alike; the figures are those of {@link ServerModel.ProcessSettings}.
+     * A group of identical servers; the other parameters are those of {@link ServerModel.ProcessSettings}.
      *
-     * @param count how many, numbered within the group and spread over the zones in turn
-     * @param cell servers of a cell, numbered through all groups
-     * @param weight size as discovery lists it
+     * @param count number of servers; numbered within the group and assigned to the zones in turn
+     * @param cell servers per cell (deduplication group); cells are numbered across all groups
+     * @param weight weight that discovery lists
      */
     public record Servers(
             String name,
@@ -204,10 +204,10 @@
             long keyMemoryUs,
             double keySaving,
             int keysKept) {
-        /** So many of the same under another name. */
-        Servers named(String other, int many) {
+        /** A group of {@code many} such servers under another name. */
+        Servers withNameAndCount(String newName, int many) {
             return new Servers(
-                    other,
+                    newName,
                     many,
                     cell,
                     weight,
@@ -239,9 +239,9 @@
         }
     }
 
-    /** A class of requests, as the module knows it and with the work that it makes. */
-    public record ClassSpec(Balancer.RequestClass type, double share, double workUs, Dist dist, double cv) {
-        /** Work of one request, microseconds. */
+    /** A request class as the balancer knows it, with its share of the requests and the work that one takes. */
+    public record ClassSpec(Balancer.RequestClass type, double share, double workUs, WorkDistribution dist, double cv) {
+        /** Draws the work of one request in microseconds. */
         double drawUs(Chance chance) {
             return switch (dist) {
                 case FIXED -> workUs;
@@ -252,15 +252,15 @@
     }
 
     /**
-     * @param share of the service that it has a right to
-     * @param usage what it asks for, as a part of that
+     * @param share of the service that the tenant is entitled to
+     * @param usage its offered load as a fraction of that share
      */
     public record Tenant(String name, double share, double usage) {}
 
     /**
-     * What a client proxy may do, and the figures it works by.
+     * What a client proxy is permitted to do, and its time limits.
      *
-     * @param reports part of the answers that say how many requests their server holds
+     * @param reports share of the answers that report their server's requests in flight
      */
     public record Limits(
             int attempts,
@@ -273,12 +273,12 @@
 
     /**
      * @param answerSlackUs time after the deadline in which a final answer still counts
-     * @param drainUs how long after being told something may still go to a server
-     * @param coldMultiple how many times its present capacity pushes a cold server over ...
-     * @param coldForUs ... if it is sent that for this time
-     * @param coldFrom share of its capacity that a cold server has at least, as told to client proxies
-     * @param coldUs time after which one is warm, as told to them
-     * @param askWithinUs who watches nothing and has not asked for this long counts as told
+     * @param drainUs how long after a change is known to a proxy it may still send to the removed server
+     * @param coldMultiple load that overloads a cold server, as a multiple of its present capacity
+     * @param coldForUs how long that load has to last to overload it
+     * @param coldFrom least fraction of its capacity that a cold server has, as configured for client proxies
+     * @param coldUs time after which a server is warm, as configured for client proxies
+     * @param askWithinUs poll interval limit: after this time without a watch or a call a proxy counts as informed
      */
     public record Rules(
             long answerSlackUs,
@@ -289,7 +289,7 @@
             long coldUs,
             long askWithinUs) {}
 
-    /** Weights of service, and prices in parts of it. */
+    /** Weights of the parts of the service score, and prices as fractions of it. */
     public record Service(
             double whole,
             double window,
@@ -304,16 +304,16 @@
             double shareOfCapacity) {}
 
     /**
-     * The client proxies as a fleet.
+     * Membership among the client proxies.
      *
-     * @param periodUs each pings one other in this time
-     * @param goneUs time after which one that was not seen counts as gone for good
-     * @param plain whether the detector has neither suspicion nor doubt of itself
-     * @param loss part of all datagrams that is lost, at all times
+     * @param periodUs each member pings one other member per period
+     * @param goneUs time after which a member that was not seen expires
+     * @param plain whether the failure detector runs without suspicion and without local health
+     * @param loss fraction of all datagrams that is lost, during the whole run
      */
     public record Peers(long periodUs, long goneUs, boolean plain, double loss) {}
 
-    /** What can go wrong. */
+    /** Type of a fault. */
     public enum Kind {
         SLOW,
         HANG,
@@ -355,46 +355,46 @@
     }
 
     /**
-     * Which datagrams between client proxies a fault is about, and what it does to them.
+     * Which datagrams between client proxies a fault affects, and how.
      *
      * @param from numbers of the senders; empty: all
      * @param to numbers of the receivers; empty: all others
-     * @param oneWay whether only that way is cut
-     * @param lose part that is lost
-     * @param twice part that comes twice
-     * @param overtaken part that later ones overtake
-     * @param change part that has bytes changed
-     * @param late how much later they come
+     * @param oneWay whether a partition blocks only this direction
+     * @param lose fraction that is lost
+     * @param twice fraction that is duplicated
+     * @param overtaken fraction that later datagrams overtake
+     * @param change fraction whose bytes are changed
+     * @param late additional delay
      */
-    public record Between(
+    public record DatagramEffects(
             List<Integer> from,
             List<Integer> to,
             boolean oneWay,
-            double lose,
-            double twice,
-            double overtaken,
-            double change,
-            Range late) {}
+            double lossShare,
+            double duplicateShare,
+            double overtakenShare,
+            double corruptedShare,
+            Range extraDelay) {}
 
     /**
-     * One thing that goes wrong; which fields count depends on its kind.
+     * One fault; which fields apply depends on its type.
      *
      * @param at when it begins
-     * @param forUs how long it lasts; 0: to the end
+     * @param forUs how long it lasts; 0: to the end of the scenario
      * @param servers names of servers, or empty
-     * @param count how many servers or client proxies, drawn, or requests at once; -1: all
+     * @param count number of servers or client proxies, chosen at random, or of requests at once; -1: all
      * @param zone number of a zone, or -1
      * @param proxy number of a client proxy, or -1
      * @param tenant number of a tenant, or -1: all
-     * @param factor how many times slower or more; or how many lists; or calls or datagrams a second; or by how many
-     *        milliseconds a clock is put on
-     * @param share a part: of the machine, of the answers, of the fleet at a time
-     * @param on mean time on, for what comes and goes; or the time within which it happens to all
-     * @param off mean time off
-     * @param drainUs how long a server drains before its process ends, or a killed client proxy stays away beyond its
-     *        start, or datagrams are kept before they are repeated
-     * @param moved whether a restarted server has another address; whether discovery is what a client proxy is cut from
-     * @param between what happens to datagrams; null: nothing
+     * @param factor factor of a slowdown or a load increase; or number of lists, of failing calls or of connections; or
+     *        calls or datagrams per second; or milliseconds by which a clock is put forward
+     * @param share a fraction: of the server's CPU, of the answers, or of the targets per batch
+     * @param on time on, for an intermittent fault; or the time within which it affects all targets; or a delay
+     * @param off time off, for an intermittent fault
+     * @param drainUs how long a server drains before its process ends, or how long a killed client proxy stays down in
+     *        addition to its start time, or how long datagrams are recorded before they are repeated
+     * @param moved whether a restarted server has another address; whether a client proxy is partitioned from discovery
+     * @param between effect on datagrams between client proxies; null: none
      */
     public record Fault(
             Kind kind,
@@ -411,9 +411,9 @@
             Range off,
             long drainUs,
             boolean moved,
-            Between between) {}
+            DatagramEffects datagramEffects) {}
 
-    /** What a client proxy is told of all this. */
+    /** The settings of a client proxy in this scenario. */
     public Balancer.Settings settings() {
         List<Balancer.RequestClass> types = new ArrayList<>();
         classes.forEach(c -> types.add(c.type()));
@@ -443,14 +443,14 @@
         return type.effect() == Effect.RETRYABLE || type.effect() == Effect.DEDUP && type.scope() == DedupScope.ALL;
     }
 
-    /** The same world with another script. */
-    Scenario withFaults(List<Fault> script) {
-        return with(proxies, rules, script);
+    /** This scenario with other faults. */
+    Scenario withFaults(List<Fault> newFaults) {
+        return with(proxies, rules, newFaults);
     }
 
-    /** The same world with another number of client proxies; the requests are spread over them. */
+    /** This scenario with another number of client proxies; the total load stays the same. */
     public Scenario withProxies(int count) {
-        Proxies p = new Proxies(
+        Proxies resized = new Proxies(
                 count,
                 proxies.spread(),
                 proxies.startWithinUs(),
@@ -462,31 +462,31 @@
                 proxies.killAfterUs(),
                 proxies.connections(),
                 proxies.cpu());
-        return with(p, rules, faults);
+        return with(resized, rules, faults);
     }
 
-    /** The same world as one service of many, without faults: these servers, and so many client proxies that call it. */
+    /** This scenario as one service of a call graph, without faults: its own servers and its own client proxies. */
     Scenario asService(
-            String itsName,
-            long itsLengthUs,
-            Proxies itsProxies,
-            Clients itsClients,
-            Load itsLoad,
-            Servers itsServers,
-            List<ClassSpec> itsClasses) {
+            String serviceName,
+            long serviceLengthUs,
+            Proxies serviceProxies,
+            Clients serviceClients,
+            Load serviceLoad,
+            Servers serviceServers,
+            List<ClassSpec> serviceClasses) {
         return new Scenario(
-                itsName,
+                serviceName,
                 title,
-                itsLengthUs,
+                serviceLengthUs,
                 settleUs,
                 zones,
                 network,
                 discovery,
-                itsProxies,
-                itsClients,
-                itsLoad,
-                List.of(itsServers),
-                itsClasses,
+                serviceProxies,
+                serviceClients,
+                serviceLoad,
+                List.of(serviceServers),
+                serviceClasses,
                 tenants,
                 overShareWorth,
                 limits,
@@ -496,20 +496,20 @@
                 List.of());
     }
 
-    /** The same world with each time limit of its rules so much longer. */
-    Scenario withSlack(long us) {
-        Rules r = new Rules(
-                rules.answerSlackUs() + us,
-                rules.drainUs() + us,
+    /** This scenario with each time limit of its rules extended. */
+    Scenario withSlack(long slackUs) {
+        Rules extended = new Rules(
+                rules.answerSlackUs() + slackUs,
+                rules.drainUs() + slackUs,
                 rules.coldMultiple(),
                 rules.coldForUs(),
                 rules.coldFrom(),
                 rules.coldUs(),
-                rules.askWithinUs() + us);
-        return with(proxies, r, faults);
+                rules.askWithinUs() + slackUs);
+        return with(proxies, extended, faults);
     }
 
-    private Scenario with(Proxies itsProxies, Rules itsRules, List<Fault> itsFaults) {
+    private Scenario with(Proxies newProxies, Rules newRules, List<Fault> newFaults) {
         return new Scenario(
                 name,
                 title,
@@ -518,7 +518,7 @@
                 zones,
                 network,
                 discovery,
-                itsProxies,
+                newProxies,
                 clients,
                 load,
                 servers,
@@ -526,20 +526,20 @@
                 tenants,
                 overShareWorth,
                 limits,
-                itsRules,
+                newRules,
                 service,
                 peers,
-                itsFaults);
+                newFaults);
     }
 
-    /** How many servers there are. */
+    /** Number of servers in all groups. */
     public int fleet() {
         return servers.stream().mapToInt(Servers::count).sum();
     }
 
     /**
-     * Requests of the mean work that all servers can serve in a second when warm and undisturbed, in
-     * expectation.
+     * Expected rate of requests with the mean work, per second, that all servers can serve when warm and without
+     * faults.
      */
     public double fullRate() {
         return fullRate(servers, classes);
@@ -551,7 +551,7 @@
     }
 
     /**
-     * Work that all servers can do in a second when warm and undisturbed, in core seconds, in expectation.
+     * Expected work in core seconds per second that all servers can do when warm and without faults.
      */
     public double capacity() {
         return capacity(servers);
--- a/src/main/java/mulleinfront/emulator/Script.java
+++ b/src/main/java/mulleinfront/emulator/Script.java
@@ -8,11 +8,14 @@
 import mulleinfront.emulator.Scenario.Fault;
 import mulleinfront.settings.Range;
 
-/** Makes a scenario's faults happen. Whom a fault draws is settled when it begins, among those who are there. */
+/**
+ * Executes a scenario's faults. The random targets of a fault are chosen when it begins, among the servers and proxies
+ * that run then.
+ */
 final class Script {
     private final World world;
     private final Chance chance;
-    private int successors;
+    private int successorCount;
 
     Script(World world) {
         this.world = world;
@@ -20,286 +23,306 @@
     }
 
     void schedule() {
-        for (Fault f : world.scenario.faults()) {
-            world.queue.after(f.at(), () -> begin(f));
+        for (Fault fault : world.scenario.faults()) {
+            world.queue.after(fault.at(), () -> begin(fault));
         }
     }
 
-    private void begin(Fault f) {
-        world.tally.happened(f, world.queue.now());
-        switch (f.kind()) {
-            case SLOW -> each(f, h -> h.life.slow(f.factor()), h -> h.life.slow(1));
-            case HANG -> each(f, h -> h.life.hang(true), h -> h.life.hang(false));
-            case ERRORS -> each(f, h -> h.life.errors(f.share()), h -> h.life.errors(0));
-            case PAUSE -> drawn(f).forEach(h -> h.life.pause(f.forUs()));
-            case NEIGHBOUR -> drawn(f).forEach(h -> neighbour(f, h, h.life, true));
-            case DRAIN -> drawn(f).forEach(world::drain);
-            case RESTART -> drawn(f).forEach(h -> restart(f, h));
-            case DEPLOY -> deploy(f);
-            case VANISH -> drawn(f).forEach(h -> vanish(f, h));
-            case CUT -> cut(f);
-            case RESET_BEFORE -> eachHost(f, h -> h.resetBefore = f.share(), h -> h.resetBefore = 0);
-            case RESET_AFTER -> eachHost(f, h -> h.resetAfter = f.share(), h -> h.resetAfter = 0);
-            case DISCOVERY_DOWN -> both(f, () -> world.registry.down(true), () -> world.registry.down(false));
-            case DISCOVERY_SILENT -> both(f, () -> world.registry.silent(true), () -> world.registry.silent(false));
-            case DISCOVERY_LATE -> both(f, () -> world.registry.late(f.on()), () -> world.registry.late(Range.of(0)));
+    private void begin(Fault fault) {
+        world.tally.happened(fault, world.queue.now());
+        switch (fault.kind()) {
+            case SLOW -> forEachProcess(fault, host -> host.life.slow(fault.factor()), host -> host.life.slow(1));
+            case HANG -> forEachProcess(fault, host -> host.life.hang(true), host -> host.life.hang(false));
+            case ERRORS -> forEachProcess(fault, host -> host.life.errors(fault.share()), host -> host.life.errors(0));
+            case PAUSE -> targetHosts(fault).forEach(host -> host.life.pause(fault.forUs()));
+            case NEIGHBOUR -> targetHosts(fault).forEach(host -> neighbour(fault, host, host.life, true));
+            case DRAIN -> targetHosts(fault).forEach(world::drain);
+            case RESTART -> targetHosts(fault).forEach(host -> restart(fault, host));
+            case DEPLOY -> deploy(fault);
+            case VANISH -> targetHosts(fault).forEach(host -> vanish(fault, host));
+            case CUT -> partitionServers(fault);
+            case RESET_BEFORE ->
+                forEachHost(fault, host -> host.resetBefore = fault.share(), host -> host.resetBefore = 0);
+            case RESET_AFTER ->
+                forEachHost(fault, host -> host.resetAfter = fault.share(), host -> host.resetAfter = 0);
+            case DISCOVERY_DOWN -> applyFor(fault, () -> world.registry.down(true), () -> world.registry.down(false));
+            case DISCOVERY_SILENT ->
+                applyFor(fault, () -> world.registry.silent(true), () -> world.registry.silent(false));
+            case DISCOVERY_LATE ->
+                applyFor(fault, () -> world.registry.late(fault.on()), () -> world.registry.late(Range.of(0)));
             case DISCOVERY_SHUFFLE ->
-                both(f, () -> world.registry.shuffle((int) f.factor()), () -> world.registry.shuffle(0));
-            case DISCOVERY_CROWD -> both(f, () -> world.registry.crowd(f.factor()), () -> world.registry.crowd(0));
+                applyFor(fault, () -> world.registry.shuffle((int) fault.factor()), () -> world.registry.shuffle(0));
+            case DISCOVERY_CROWD ->
+                applyFor(fault, () -> world.registry.crowd(fault.factor()), () -> world.registry.crowd(0));
             case DISCOVERY_REFUSES ->
-                both(f, () -> world.registry.refuseCalls((int) f.factor()), () -> world.registry.refuseCalls(0));
+                applyFor(
+                        fault,
+                        () -> world.registry.refuseCalls((int) fault.factor()),
+                        () -> world.registry.refuseCalls(0));
             case DISCOVERY_CUTS ->
-                both(f, () -> world.registry.cutLists((int) f.factor()), () -> world.registry.cutLists(0));
+                applyFor(fault, () -> world.registry.cutLists((int) fault.factor()), () -> world.registry.cutLists(0));
             case DISCOVERY_PAUSES ->
-                both(
-                        f,
-                        () -> world.registry.pauseLists((int) f.factor(), f.on()),
+                applyFor(
+                        fault,
+                        () -> world.registry.pauseLists((int) fault.factor(), fault.on()),
                         () -> world.registry.pauseLists(0, Range.of(0)));
-            case CROWD_PROXY -> proxies(f).forEach(p -> p.crowd((int) f.factor(), lasts(f)));
+            case CROWD_PROXY -> targetProxies(fault).forEach(p -> p.crowd((int) fault.factor(), durationUs(fault)));
             case DISCOVERY_ENDS ->
-                both(
-                        f,
-                        () -> world.registry.endInsteadOfTelling((int) f.factor()),
+                applyFor(
+                        fault,
+                        () -> world.registry.endInsteadOfTelling((int) fault.factor()),
                         () -> world.registry.endInsteadOfTelling(0));
             case WATCHES_SILENT -> world.registry.watchesFallSilent();
             case WATCHES_RESET -> world.registry.watchesEnd();
-            case KILL_PROXY -> proxies(f).forEach(p -> within(f, () -> p.kill(f.drainUs())));
-            case END_PROXY -> proxies(f).forEach(p -> within(f, p::end));
-            case RELOAD_PROXY -> proxies(f).forEach(p -> within(f, p::reload));
-            case ROLL_PROXIES -> roll(f);
-            case PAUSE_PROXY -> proxies(f).forEach(p -> p.pause(f.forUs()));
-            case CUT_PROXY -> cutProxies(f);
-            case CUT_PEERS, DATAGRAMS -> datagrams(f);
-            case REPEAT_DATAGRAMS -> world.peerFaults().repeat(f.drainUs(), f.factor(), lasts(f));
-            case STRANGERS -> world.peerFaults().strangers(f.factor(), lasts(f));
+            case KILL_PROXY ->
+                targetProxies(fault).forEach(p -> afterRandomDelay(fault, () -> p.kill(fault.drainUs())));
+            case END_PROXY -> targetProxies(fault).forEach(p -> afterRandomDelay(fault, p::end));
+            case RELOAD_PROXY -> targetProxies(fault).forEach(p -> afterRandomDelay(fault, p::reload));
+            case ROLL_PROXIES -> roll(fault);
+            case PAUSE_PROXY -> targetProxies(fault).forEach(p -> p.pause(fault.forUs()));
+            case CUT_PROXY -> partitionProxies(fault);
+            case CUT_PEERS, DATAGRAMS -> beginDatagramFault(fault);
+            case REPEAT_DATAGRAMS -> world.peerFaults().repeat(fault.drainUs(), fault.factor(), durationUs(fault));
+            case STRANGERS -> world.peerFaults().strangers(fault.factor(), durationUs(fault));
             case CLOCK ->
-                proxies(f).forEach(p -> world.peerFaults().clockJumps(world.proxies.indexOf(p), (long) f.factor()));
+                targetProxies(fault)
+                        .forEach(p -> world.peerFaults().clockJumps(world.proxies.indexOf(p), (long) fault.factor()));
             case SURGE ->
-                both(f, () -> world.clients.surge(f.tenant(), f.factor()), () -> world.clients.surge(f.tenant(), 1));
+                applyFor(
+                        fault,
+                        () -> world.clients.surge(fault.tenant(), fault.factor()),
+                        () -> world.clients.surge(fault.tenant(), 1));
             case BURST -> {
-                for (int i = 0; i < f.count(); i++) {
+                for (int i = 0; i < fault.count(); i++) {
                     world.clients.ask();
                 }
             }
         }
     }
 
-    private void within(Fault f, Runnable what) {
-        if (f.on().high() == 0) {
-            what.run();
+    private void afterRandomDelay(Fault fault, Runnable action) {
+        if (fault.on().high() == 0) {
+            action.run();
         } else {
-            world.queue.after((long) f.on().draw(chance::between), what);
+            world.queue.after((long) fault.on().draw(chance::between), action);
         }
     }
 
-    /** What a fault does, and what ends it if it does not last to the end. */
-    private void both(Fault f, Runnable on, Runnable off) {
+    /** Starts a fault, and schedules its end if it has a duration. */
+    private void applyFor(Fault fault, Runnable on, Runnable off) {
         on.run();
-        if (f.forUs() > 0) {
-            world.queue.after(f.forUs(), off);
+        if (fault.forUs() > 0) {
+            world.queue.after(fault.forUs(), off);
         }
     }
 
-    /** An action that a fault applies to a single host. */
-    private interface On {
-        void host(Host host);
+    /** An action that a fault applies to a single server. */
+    private interface HostAction {
+        void apply(Host host);
     }
 
-    private void eachHost(Fault f, On on, On off) {
-        List<Host> drawn = drawn(f);
-        both(f, () -> drawn.forEach(on::host), () -> drawn.forEach(off::host));
+    private void forEachHost(Fault fault, HostAction on, HostAction off) {
+        List<Host> drawn = targetHosts(fault);
+        applyFor(fault, () -> drawn.forEach(on::apply), () -> drawn.forEach(off::apply));
     }
 
-    /** Happens to processes: a new one on the same machine is free of it. */
-    private void each(Fault f, On on, On off) {
-        for (Host h : drawn(f)) {
-            ServerModel life = h.life;
-            both(f, () -> on.host(h), () -> {
-                if (h.life == life) {
-                    off.host(h);
+    /** Applies a fault to server processes; a process that replaces one of them is not affected. */
+    private void forEachProcess(Fault fault, HostAction on, HostAction off) {
+        for (Host host : targetHosts(fault)) {
+            ServerModel process = host.life;
+            applyFor(fault, () -> on.apply(host), () -> {
+                if (host.life == process) {
+                    off.apply(host);
                 }
             });
         }
     }
 
-    private List<Host> drawn(Fault f) {
-        List<Host> there = new ArrayList<>();
-        for (Host h : world.hosts) {
-            boolean meant = f.servers().isEmpty()
-                    ? f.zone() < 0 || h.zone == f.zone()
-                    : f.servers().contains(h.id);
-            if (meant && h.alive() && !h.life.draining()) {
-                there.add(h);
+    private List<Host> targetHosts(Fault fault) {
+        List<Host> candidates = new ArrayList<>();
+        for (Host host : world.hosts) {
+            boolean selected = fault.servers().isEmpty()
+                    ? fault.zone() < 0 || host.zone == fault.zone()
+                    : fault.servers().contains(host.id);
+            if (selected && host.alive() && !host.life.draining()) {
+                candidates.add(host);
             }
         }
-        while (f.count() >= 0 && there.size() > f.count()) {
-            there.remove(chance.below(there.size()));
+        while (fault.count() >= 0 && candidates.size() > fault.count()) {
+            candidates.remove(chance.below(candidates.size()));
         }
-        return there;
+        return candidates;
     }
 
-    private List<Instance> proxies(Fault f) {
-        if (f.proxy() >= 0) {
-            return List.of(world.proxies.get(f.proxy()));
+    private List<Instance> targetProxies(Fault fault) {
+        if (fault.proxy() >= 0) {
+            return List.of(world.proxies.get(fault.proxy()));
         }
-        List<Instance> there = new ArrayList<>(world.proxies);
-        while (there.size() > f.count()) {
-            there.remove(chance.below(there.size()));
+        List<Instance> candidates = new ArrayList<>(world.proxies);
+        while (candidates.size() > fault.count()) {
+            candidates.remove(chance.below(candidates.size()));
         }
-        return there;
+        return candidates;
     }
 
-    private void neighbour(Fault f, Host h, ServerModel life, boolean on) {
-        boolean over = f.forUs() > 0 && world.queue.now() >= f.at() + f.forUs();
-        if (life.stopped() || over) {
-            life.neighbour(0);
+    private void neighbour(Fault fault, Host host, ServerModel process, boolean on) {
+        boolean over = fault.forUs() > 0 && world.queue.now() >= fault.at() + fault.forUs();
+        if (process.stopped() || over) {
+            process.neighbour(0);
             return;
         }
-        life.neighbour(on ? f.share() : 0);
-        long lasts = (long) (on ? f.on() : f.off()).draw(h.chance::between);
-        long left = f.forUs() > 0 ? f.at() + f.forUs() - world.queue.now() : Long.MAX_VALUE;
-        world.queue.after(Math.min(left, Math.max(1_000, lasts)), () -> neighbour(f, h, life, !on));
+        process.neighbour(on ? fault.share() : 0);
+        long lasts = (long) (on ? fault.on() : fault.off()).draw(host.chance::between);
+        long left = fault.forUs() > 0 ? fault.at() + fault.forUs() - world.queue.now() : Long.MAX_VALUE;
+        world.queue.after(Math.min(left, Math.max(1_000, lasts)), () -> neighbour(fault, host, process, !on));
     }
 
-    private void restart(Fault f, Host h) {
-        if (f.drainUs() > 0) {
-            world.drain(h);
+    private void restart(Fault fault, Host host) {
+        if (fault.drainUs() > 0) {
+            world.drain(host);
         }
-        world.queue.after(f.drainUs(), () -> {
-            world.stop(h);
-            world.start(h, f.moved());
+        world.queue.after(fault.drainUs(), () -> {
+            world.stop(host);
+            world.start(host, fault.moved());
         });
     }
 
-    /** A rolling deploy: batch after batch drains, ends and is replaced by cold successors under new ids. */
-    private void deploy(Fault f) {
-        List<Host> old = drawn(f);
-        int batch = Math.max(1, (int) Math.round(f.share() * old.size()));
+    /** A rolling deploy: in each batch, servers drain, stop and are replaced by cold servers with new ids. */
+    private void deploy(Fault fault) {
+        List<Host> old = targetHosts(fault);
+        int batch = Math.max(1, (int) Math.round(fault.share() * old.size()));
         int batches = (old.size() + batch - 1) / batch;
         for (int i = 0; i < old.size(); i++) {
-            Host h = old.get(i);
-            world.queue.after(f.forUs() * (i / batch) / batches, () -> replace(f, h));
+            Host host = old.get(i);
+            world.queue.after(fault.forUs() * (i / batch) / batches, () -> replace(fault, host));
         }
     }
 
-    private void replace(Fault f, Host h) {
-        world.drain(h);
-        world.queue.after(f.drainUs(), () -> {
-            world.stop(h);
-            world.registry.happened(h, Availability.GONE, false);
-            Scenario.Servers group = world.scenario.servers().get(h.kind);
-            Host successor = world.add(h.id + "." + ++successors, h.zone, h.kind, h.cell, group);
+    private void replace(Fault fault, Host host) {
+        world.drain(host);
+        world.queue.after(fault.drainUs(), () -> {
+            world.stop(host);
+            world.registry.happened(host, Availability.GONE, false);
+            Scenario.Servers group = world.scenario.servers().get(host.kind);
+            Host successor = world.add(host.id + "." + ++successorCount, host.zone, host.kind, host.cell, group);
             world.start(successor, false);
         });
     }
 
-    /** Off the net without a word; discovery finds out late. */
-    private void vanish(Fault f, Host h) {
-        h.vanished = true;
-        world.changed(h);
-        if (f.forUs() == 0) {
-            world.registry.happened(h, Availability.GONE, true);
+    /** Disconnects a server from the network without notice; discovery learns of it late. */
+    private void vanish(Fault fault, Host host) {
+        host.vanished = true;
+        world.changed(host);
+        if (fault.forUs() == 0) {
+            world.registry.happened(host, Availability.GONE, true);
         } else {
-            world.queue.after(f.forUs(), () -> {
-                h.vanished = false;
-                world.changed(h);
-                world.resetAll(h);
+            world.queue.after(fault.forUs(), () -> {
+                host.vanished = false;
+                world.changed(host);
+                world.resetAll(host);
             });
         }
     }
 
-    private long lasts(Fault f) {
-        return f.forUs() > 0 ? f.forUs() : world.scenario.lengthUs() - world.queue.now();
+    private long durationUs(Fault fault) {
+        return fault.forUs() > 0 ? fault.forUs() : world.scenario.lengthUs() - world.queue.now();
     }
 
-    /** Client proxies are told to end, a batch after the other, each started again when it has. */
-    private void roll(Fault f) {
+    /** Shuts client proxies down in batches; each is started again when it has ended. */
+    private void roll(Fault fault) {
         int count = world.proxies.size();
-        int batch = Math.max(1, (int) Math.round(f.share() * count));
+        int batch = Math.max(1, (int) Math.round(fault.share() * count));
         int batches = (count + batch - 1) / batch;
         for (int i = 0; i < count; i++) {
-            world.queue.after(f.forUs() * (i / batch) / batches, world.proxies.get(i)::end);
+            world.queue.after(fault.forUs() * (i / batch) / batches, world.proxies.get(i)::end);
         }
     }
 
-    /** Client proxies are cut from discovery, or from the servers of a zone, each for itself. */
-    private void cutProxies(Fault f) {
-        List<Instance> those = proxies(f);
-        both(
-                f,
-                () -> those.forEach(p -> cut(f, world.proxies.indexOf(p), true)),
-                () -> those.forEach(p -> cut(f, world.proxies.indexOf(p), false)));
+    /** Partitions single client proxies from discovery, from the servers of a zone, or from both. */
+    private void partitionProxies(Fault fault) {
+        List<Instance> targets = targetProxies(fault);
+        applyFor(
+                fault,
+                () -> targets.forEach(p -> setPartition(fault, world.proxies.indexOf(p), true)),
+                () -> targets.forEach(p -> setPartition(fault, world.proxies.indexOf(p), false)));
     }
 
-    private void cut(Fault f, int proxy, boolean on) {
-        if (f.moved()) {
+    private void setPartition(Fault fault, int proxy, boolean on) {
+        if (fault.moved()) {
             world.registry.cut(proxy, on);
         }
-        if (f.zone() >= 0) {
-            world.network.cut(proxy, f.zone(), on);
+        if (fault.zone() >= 0) {
+            world.network.cut(proxy, fault.zone(), on);
             world.hosts.forEach(world::changed);
             if (!on) {
-                heal(link -> link.owner.proxy() == proxy);
+                resetCrossedConnections(link -> link.owner.proxy() == proxy);
             }
         }
     }
 
-    private void datagrams(Fault f) {
-        Scenario.Between b = f.between();
-        BitSet from = set(b.from());
-        BitSet to = set(b.to());
-        if (f.kind() == Scenario.Kind.CUT_PEERS) {
+    private void beginDatagramFault(Fault fault) {
+        Scenario.DatagramEffects effects = fault.datagramEffects();
+        BitSet from = toBitSet(effects.from());
+        BitSet to = toBitSet(effects.to());
+        if (fault.kind() == Scenario.Kind.CUT_PEERS) {
             if (to == null) {
                 to = (BitSet) from.clone();
                 to.flip(0, world.proxies.size());
             }
-            PeerFaults.End end = world.peerFaults().partition(from, to, b.oneWay());
-            both(f, () -> {}, end::end);
+            PeerFaults.End end = world.peerFaults().partition(from, to, effects.oneWay());
+            applyFor(fault, () -> {}, end::end);
             return;
         }
-        PeerFaults.End end =
-                world.peerFaults().beginFault(from, to, b.lose(), b.twice(), b.overtaken(), b.change(), b.late());
-        both(f, () -> {}, end::end);
+        PeerFaults.End end = world.peerFaults()
+                .beginFault(
+                        from,
+                        to,
+                        effects.lossShare(),
+                        effects.duplicateShare(),
+                        effects.overtakenShare(),
+                        effects.corruptedShare(),
+                        effects.extraDelay());
+        applyFor(fault, () -> {}, end::end);
     }
 
-    private static BitSet set(List<Integer> numbers) {
+    private static BitSet toBitSet(List<Integer> numbers) {
         BitSet set = new BitSet();
         numbers.forEach(set::set);
         return numbers.isEmpty() ? null : set;
     }
 
-    private void cut(Fault f) {
-        if (f.zone() >= 0 && f.count() < 0) {
-            both(
-                    f,
+    private void partitionServers(Fault fault) {
+        if (fault.zone() >= 0 && fault.count() < 0) {
+            applyFor(
+                    fault,
                     () -> {
-                        world.network.cut(f.zone(), true);
+                        world.network.cut(fault.zone(), true);
                         world.hosts.forEach(world::changed);
                     },
                     () -> {
-                        world.network.cut(f.zone(), false);
+                        world.network.cut(fault.zone(), false);
                         world.hosts.forEach(world::changed);
-                        heal(link -> link.owner.zone() != link.host.zone);
+                        resetCrossedConnections(link -> link.owner.zone() != link.host.zone);
                     });
         } else {
-            eachHost(
-                    f,
-                    h -> {
-                        world.network.cut(h, true);
-                        world.changed(h);
+            forEachHost(
+                    fault,
+                    host -> {
+                        world.network.cut(host, true);
+                        world.changed(host);
                     },
-                    h -> {
-                        world.network.cut(h, false);
-                        world.changed(h);
-                        world.resetAll(h);
+                    host -> {
+                        world.network.cut(host, false);
+                        world.changed(host);
+                        world.resetAll(host);
                     });
         }
     }
 
-    /** Connections that crossed a cut are reset when it is over. */
-    private void heal(Predicate<Link> crossed) {
-        for (Host h : world.hosts) {
-            for (Link link : List.copyOf(h.links)) {
+    /** Resets the connections that crossed a network partition when it ends. */
+    private void resetCrossedConnections(Predicate<Link> crossed) {
+        for (Host host : world.hosts) {
+            for (Link link : List.copyOf(host.links)) {
                 if (crossed.test(link)) {
                     world.reset(link);
                 }
--- a/src/main/java/mulleinfront/emulator/ServiceReport.java
+++ b/src/main/java/mulleinfront/emulator/ServiceReport.java
@@ -5,29 +5,29 @@
 import mulleinfront.core.UnservedCounts;
 
 /**
- * What clients had of a world, counted as the operators define it: worth answered within the aim over worth
- * asked for, a client's retries as part of its first try, less what is priced.
+ * The service that clients received in a simulation: value earned over value asked for, where a client's retries count
+ * as part of its first try, less prices.
  *
- * @param service the figure for all: weighted parts less prices
- * @param whole worth of the whole run, as a share of what was asked
- * @param worstWindow the worst window's
- * @param worstClass the worst-served class's
- * @param worstTenant the worst-served tenant's, within its share
- * @param prices what was taken off, by name
- * @param asks first tries
+ * @param service the service score: weighted parts less prices
+ * @param whole value earned over value asked for in the whole run
+ * @param worstWindow the same of the worst window
+ * @param worstClass the same of the worst-served class
+ * @param worstTenant the same of the worst-served tenant, within its share
+ * @param prices deductions from the score, by name
+ * @param asks number of first tries
  * @param classes by class
  * @param tenants by tenant
  * @param windows by window of 5 s
- * @param tries how tries ended, by name
- * @param outcomes how attempts ended, by name
+ * @param tries number of tries by result
+ * @param outcomes number of attempts by result
  * @param counts further counts, by name
- * @param servers what each server saw, by name
- * @param faults what happened, and when
- * @param losses what was not served within its aim, by cause
- * @param unserved why client proxies gave requests up; nothing where those are processes
- * @param unservedIn the same by window
- * @param starts requests to client proxies that were started again, in their first 10 s of taking requests,
- *        and to those that were not, from the first of these starts to 10 s after the last
+ * @param servers statistics of each server
+ * @param faults faults, with their times
+ * @param losses value that was not earned, by cause
+ * @param unserved reasons for which client proxies gave requests up; empty if the proxies are processes
+ * @param unservedIn {@code unserved} by window
+ * @param starts requests to restarted client proxies in the first 10 s in which they accept requests, and requests to
+ *        the other client proxies from the first of these restarts to 10 s after the last
  */
 public record ServiceReport(
         double service,
@@ -51,26 +51,26 @@
         List<Starts> starts) {
 
     /**
-     * A class or tenant.
+     * Statistics of a class or tenant.
      *
      * @param asked first tries
-     * @param onTime answered within the aim
-     * @param served answered at all
-     * @param share worth earned over worth asked for
-     * @param p50Us median time to the answer, of those that were answered; -1 without any
-     * @param p99Us the same that all but one in a hundred keep
+     * @param onTime requests answered within the target latency
+     * @param served requests answered at all
+     * @param share value earned over value asked for
+     * @param p50Us median time to the answer of answered requests; -1 if there is none
+     * @param p99Us 99th percentile of that time
      */
     public record Part(String name, long asked, long onTime, long served, double share, long p50Us, long p99Us) {}
 
-    /** Requests, those served in time, worth earned over worth asked for, tries and those refused. */
+    /** Requests, requests served in time, value earned over value asked for, tries and refused tries. */
     public record Starts(String name, long asked, long onTime, double share, long tries, long refused) {}
 
-    /** A window of time: when it begins, first tries in it, and worth earned over worth asked for. */
+    /** A time window: its start, the first tries in it, and value earned over value asked for. */
     public record Window(long atUs, long asked, double share) {}
 
-    /** A server over all its lives. */
+    /** A server's statistics over all its processes. */
     public record Server(String name, int lives, ServerModel.Figures figures) {}
 
-    /** A fault as it began. */
+    /** A fault: when it began, its duration, and its description. */
     public record Happened(long atUs, long forUs, String what) {}
 }
--- a/src/main/java/mulleinfront/emulator/reference/Reference.java
+++ b/src/main/java/mulleinfront/emulator/reference/Reference.java
@@ -10,58 +10,57 @@
 import mulleinfront.Balancer.Endpoint;
 import mulleinfront.Balancer.Settings;
 
-/** The balancers that the product is measured against. */
+/** The reference policies that the balancer is compared with. */
 public enum Reference {
-    /** Any server that is ready by the list. */
-    RANDOM("any server that is ready by the list", Sees.NOTHING),
-    /** One after the other, from a place drawn at the start. */
-    ROUND_ROBIN("one server after the other", Sees.NOTHING),
-    /** The one of two random servers where fewer of one's own attempts are out. */
-    TWO_CHOICES("of two random servers the one with fewer of one's own attempts out", Sees.NOTHING),
-    /** The owner of the key's hash (gRFC A42), and the next one where that has failed. */
-    RING("the owner of the key by a hash ring alone", Sees.NOTHING),
+    /** A random server that is ready according to the list. */
+    RANDOM("any server that is ready by the list", Visibility.NOTHING),
+    /** One server after another, from a random start. */
+    ROUND_ROBIN("one server after the other", Visibility.NOTHING),
+    /** Of two random servers the one with fewer of the proxy's own attempts in flight. */
+    TWO_CHOICES("of two random servers the one with fewer of one's own attempts out", Visibility.NOTHING),
+    /** The owner of the key's hash (gRFC A42), or the next one on the ring after a failure. */
+    RING("the owner of the key by a hash ring alone", Visibility.NOTHING),
     /**
-     * Sees the true state of all servers, some time late: the owners of the key and a few others are
-     * compared.
+     * Sees the true state of all servers with a delay; compares the owner of the key and a few other servers.
      */
-    LATE("sees every server's true state half a second late", Sees.LATE),
-    /** Sees the true state of all servers now: an upper bound that nobody can reach. */
-    ORACLE("sees every server's true state at once", Sees.ALL);
+    LATE("sees every server's true state half a second late", Visibility.LATE),
+    /** Sees the true state of all servers at once: an upper bound that no real balancer can reach. */
+    ORACLE("sees every server's true state at once", Visibility.ALL);
 
-    /** How late {@link #LATE} sees, microseconds. */
-    public static final long LATE_US = 500_000;
+    /** Delay of the state that {@link #LATE} sees, microseconds. */
+    public static final long KNOWLEDGE_DELAY_US = 500_000;
 
-    /** What a balancer is shown of the truth. */
-    private enum Sees {
+    /** How a balancer sees the true state of servers. */
+    private enum Visibility {
         NOTHING,
         LATE,
         ALL
     }
 
     private final String words;
-    private final Sees sees;
+    private final Visibility visibility;
 
-    Reference(String words, Sees sees) {
+    Reference(String words, Visibility sees) {
         this.words = words;
-        this.sees = sees;
+        this.visibility = sees;
     }
 
-    /** The name on the command line. */
+    /** The output name, also used on the command line. */
     public String word() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** What it does, for people. */
+    /** Description of the policy. */
     public String words() {
         return words;
     }
 
-    /** How late it sees the truth, microseconds; negative: not at all. */
+    /** Delay of the true state that the balancer sees, microseconds; negative: it sees none. */
     public long seesLateUs() {
-        return sees == Sees.NOTHING ? -1 : sees == Sees.LATE ? LATE_US : 0;
+        return visibility == Visibility.NOTHING ? -1 : visibility == Visibility.LATE ? KNOWLEDGE_DELAY_US : 0;
     }
 
-    /** The balancer of that name; null if there is none. */
+    /** The policy with that name; null if there is none. */
     public static Reference of(String word) {
         return Arrays.stream(values())
                 .filter(r -> r.word().equals(word))
@@ -70,55 +69,56 @@
     }
 
     /**
-     * Makes a client proxy's balancer.
+     * Creates a client proxy's balancer.
      *
-     * @param truth what it is shown; null where {@link #seesLateUs} is negative
+     * @param truth the true state that it sees; null if {@link #seesLateUs} is negative
      */
-    public Balancer make(Settings settings, long seed, Actions actions, ServerKnowledge truth) {
+    public Balancer make(Settings settings, long seed, Actions actions, ServerKnowledge knowledge) {
         return switch (this) {
-            case RANDOM -> new Some(settings, seed, actions, 1);
+            case RANDOM -> new RandomChoices(settings, seed, actions, 1);
             case ROUND_ROBIN -> new RoundRobin(settings, seed, actions);
-            case TWO_CHOICES -> new Some(settings, seed, actions, 2);
-            case RING -> new RingAlone(settings, seed, actions);
-            case LATE -> new Seeing(settings, seed, actions, truth, false);
-            case ORACLE -> new Seeing(settings, seed, actions, truth, true);
+            case TWO_CHOICES -> new RandomChoices(settings, seed, actions, 2);
+            case RING -> new RingOnly(settings, seed, actions);
+            case LATE -> new Informed(settings, seed, actions, knowledge, false);
+            case ORACLE -> new Informed(settings, seed, actions, knowledge, true);
         };
     }
 
-    /** The least used of some random servers. */
-    private static final class Some extends Plain {
-        /** Draws for a server that may have the request, before the whole list is gone through. */
+    /** Balancer that takes the server with the fewest of its own attempts among some random servers. */
+    private static final class RandomChoices extends PickingBalancer {
+        /** Random draws for an allowed server, before the whole list is searched. */
         private static final int DRAWS = 8;
 
         private final int choices;
         private final Map<String, Integer> out = new HashMap<>();
 
-        Some(Settings settings, long seed, Actions actions, int choices) {
+        RandomChoices(Settings settings, long seed, Actions actions, int choices) {
             super(settings, seed, actions);
             this.choices = choices;
         }
 
         @Override
-        Endpoint pick(Open r, long now) {
+        Endpoint pick(OpenRequest request, long now) {
             Endpoint best = null;
             for (int i = 0; i < choices; i++) {
-                Endpoint e = draw(r);
-                if (e != null && (best == null || out.getOrDefault(e.id(), 0) < out.getOrDefault(best.id(), 0))) {
-                    best = e;
+                Endpoint endpoint = draw(request);
+                if (endpoint != null
+                        && (best == null || out.getOrDefault(endpoint.id(), 0) < out.getOrDefault(best.id(), 0))) {
+                    best = endpoint;
                 }
             }
             return best;
         }
 
-        private Endpoint draw(Open r) {
+        private Endpoint draw(OpenRequest request) {
             for (int i = 0; i < DRAWS; i++) {
-                Endpoint e = servers.at(random.nextInt(servers.size()));
-                if (allowed(r, e)) {
-                    return e;
+                Endpoint endpoint = servers.at(random.nextInt(servers.size()));
+                if (allowed(request, endpoint)) {
+                    return endpoint;
                 }
             }
             for (int i = 0; i < servers.size(); i++) {
-                if (allowed(r, servers.at(i))) {
+                if (allowed(request, servers.at(i))) {
                     return servers.at(i);
                 }
             }
@@ -126,13 +126,13 @@
         }
 
         @Override
-        void counted(Endpoint server, int change) {
+        void attemptsChanged(Endpoint server, int change) {
             out.merge(server.id(), change, (a, b) -> a + b == 0 ? null : a + b);
         }
     }
 
     /** Balancer that takes the servers in turn, starting at a random one and skipping those not allowed. */
-    private static final class RoundRobin extends Plain {
+    private static final class RoundRobin extends PickingBalancer {
         private int next;
 
         RoundRobin(Settings settings, long seed, Actions actions) {
@@ -141,11 +141,11 @@
         }
 
         @Override
-        Endpoint pick(Open r, long now) {
+        Endpoint pick(OpenRequest request, long now) {
             for (int i = 0; i < servers.size(); i++) {
-                Endpoint e = servers.at(next++ % servers.size());
-                if (allowed(r, e)) {
-                    return e;
+                Endpoint endpoint = servers.at(next++ % servers.size());
+                if (allowed(request, endpoint)) {
+                    return endpoint;
                 }
             }
             return null;
@@ -153,84 +153,88 @@
     }
 
     /** Balancer that takes the first allowed server in the order of the hash ring, regardless of load. */
-    private static final class RingAlone extends Plain {
-        RingAlone(Settings settings, long seed, Actions actions) {
+    private static final class RingOnly extends PickingBalancer {
+        RingOnly(Settings settings, long seed, Actions actions) {
             super(settings, seed, actions);
         }
 
         @Override
-        Endpoint pick(Open r, long now) {
-            List<Endpoint> owners = servers.owners(r.hash, servers.size());
-            return owners.stream().filter(e -> allowed(r, e)).findFirst().orElse(null);
+        Endpoint pick(OpenRequest request, long now) {
+            List<Endpoint> owners = servers.owners(request.hash, servers.size());
+            return owners.stream()
+                    .filter(endpoint -> allowed(request, endpoint))
+                    .findFirst()
+                    .orElse(null);
         }
     }
 
     /**
-     * Goes where the answer comes soonest, as far as it sees. One that sees late keeps to the key's first owner while
-     * that would answer within a part of the time there is, and else takes the better of a few drawn ones: were all
-     * compared, all that see the same would go to the same. What it has sent itself since, it counts.
+     * Balancer that takes the server with the earliest expected answer in the state that it sees. With a delayed state,
+     * it takes the key's owner as long as that would answer within a fraction of the remaining time, and otherwise the
+     * best of a few random servers: if all servers were compared, all proxies would choose the same one. With a delayed
+     * state it also counts its own attempts in flight.
      */
-    private static final class Seeing extends Plain {
-        private static final double OWNERS_PART = 0.4;
-        private static final int DRAWN = 3;
-        private final ServerKnowledge truth;
-        private final boolean all;
+    private static final class Informed extends PickingBalancer {
+        private static final double OWNER_TIME_FRACTION = 0.4;
+        private static final int RANDOM_CANDIDATES = 3;
+        private final ServerKnowledge knowledge;
+        private final boolean immediate;
         private final Map<String, Integer> out = new HashMap<>();
 
-        Seeing(Settings settings, long seed, Actions actions, ServerKnowledge truth, boolean all) {
+        Informed(Settings settings, long seed, Actions actions, ServerKnowledge knowledge, boolean immediate) {
             super(settings, seed, actions);
-            this.truth = truth;
-            this.all = all;
+            this.knowledge = knowledge;
+            this.immediate = immediate;
         }
 
         @Override
-        Endpoint pick(Open r, long now) {
-            double left = r.aimAt - now;
-            if (all) {
-                return soonest(r, left);
+        Endpoint pick(OpenRequest request, long now) {
+            double left = request.targetAt - now;
+            if (immediate) {
+                return soonest(request, left);
             }
-            Endpoint owner = servers.owners(r.hash, 1).get(0);
-            if (answerUs(r, owner) < OWNERS_PART * left) {
+            Endpoint owner = servers.owners(request.hash, 1).get(0);
+            if (answerUs(request, owner) < OWNER_TIME_FRACTION * left) {
                 return owner;
             }
             Endpoint best = null;
             double soonest = left;
-            for (int i = 0; i < DRAWN; i++) {
-                Endpoint e = servers.at(random.nextInt(servers.size()));
-                double us = answerUs(r, e);
+            for (int i = 0; i < RANDOM_CANDIDATES; i++) {
+                Endpoint endpoint = servers.at(random.nextInt(servers.size()));
+                double us = answerUs(request, endpoint);
                 if (us < soonest) {
                     soonest = us;
-                    best = e;
+                    best = endpoint;
                 }
             }
-            return best != null ? best : soonest(r, left);
+            return best != null ? best : soonest(request, left);
         }
 
-        /** Of all servers the one that answers soonest; null if none does within the time. */
-        private Endpoint soonest(Open r, double within) {
+        /** The server with the earliest expected answer; null if none would answer in time. */
+        private Endpoint soonest(OpenRequest request, double within) {
             Endpoint best = null;
             double soonest = within;
             int from = random.nextInt(servers.size());
             for (int i = 0; i < servers.size(); i++) {
-                Endpoint e = servers.at((from + i) % servers.size());
-                double us = answerUs(r, e);
+                Endpoint endpoint = servers.at((from + i) % servers.size());
+                double us = answerUs(request, endpoint);
                 if (us < soonest) {
                     soonest = us;
-                    best = e;
+                    best = endpoint;
                 }
             }
             return best;
         }
 
-        private double answerUs(Open r, Endpoint e) {
-            return !allowed(r, e)
+        private double answerUs(OpenRequest request, Endpoint endpoint) {
+            return !allowed(request, endpoint)
                     ? ServerKnowledge.NEVER
-                    : truth.answerUs(e.id(), r.request.key(), r.request.classIndex())
-                            * (all ? 1 : 1 + out.getOrDefault(e.id(), 0));
+                    : knowledge.answerUs(endpoint.id(), request.request.key(), request.request.classIndex())
+                            * (immediate ? 1 : 1 + out.getOrDefault(endpoint.id(), 0));
         }
 
         @Override
-        void counted(Endpoint server, int change) {
+        void attemptsChanged(Endpoint server, int change) {
             out.merge(server.id(), change, (a, b) -> a + b == 0 ? null : a + b);
         }
     }
--- a/src/main/java/mulleinfront/emulator/reference/ServerKnowledge.java
+++ b/src/main/java/mulleinfront/emulator/reference/ServerKnowledge.java
@@ -1,18 +1,18 @@
 package mulleinfront.emulator.reference;
 
-/** What is true of a world's servers, as one client proxy would meet them: now, or some time ago. */
+/** The true state of the simulated servers from the view of one client proxy, at present or with a delay. */
 public interface ServerKnowledge {
-    /** Nothing sent there would be answered. */
+    /** The server would not answer. */
     double NEVER = Double.POSITIVE_INFINITY;
 
     /**
-     * Time until a request sent to a server would be answered, microseconds, in expectation: what is queued
-     * there and the request's own work, at the speed that it has.
+     * Expected time until a server answers a request, microseconds: its queued work plus the request's own work, at the
+     * server's speed.
      *
-     * @param server its id
-     * @param key what the request is about, or null: less work where that was met lately
+     * @param server id of the server
+     * @param key the request's key, or null; a recently used key takes less work
      * @param classIndex the request's class
-     * @return {@link #NEVER} where the server is away, unreachable from here, draining, or answers nothing
+     * @return {@link #NEVER} if the server is stopped, unreachable from the proxy, draining, or unresponsive
      */
     double answerUs(String server, String key, int classIndex);
 }
--- a/src/main/java/mulleinfront/emulator/reference/Servers.java
+++ b/src/main/java/mulleinfront/emulator/reference/Servers.java
@@ -10,25 +10,25 @@
 import mulleinfront.Balancer.Availability;
 import mulleinfront.Balancer.Endpoint;
 
-/** The servers that are ready by the lists told so far, each also at its points of a hash ring (gRFC A42). */
+/** The servers that are ready according to the lists received so far, and a hash ring of them (gRFC A42). */
 final class Servers {
     static final Hasher64 HASH = Hashing.xxh3_64();
-    private static final int POINTS = 100;
+    private static final int POINTS_PER_SERVER = 100;
 
     private final List<Endpoint> ready = new ArrayList<>();
-    private final Map<String, Integer> placeOf = new HashMap<>();
-    /** Points in order, the owner's place in {@code ringOf} in the low 16 bits; null after a change. */
+    private final Map<String, Integer> indexOf = new HashMap<>();
+    /** Sorted ring points, with the owner's index in {@code ringOf} in the low 16 bits; null after a list update. */
     private long[] points;
 
     private List<Endpoint> ringOf;
 
-    void take(boolean whole, List<Endpoint> entries) {
-        if (whole) {
+    void update(boolean full, List<Endpoint> entries) {
+        if (full) {
             ready.clear();
-            placeOf.clear();
+            indexOf.clear();
         }
         for (Endpoint e : entries) {
-            Integer place = placeOf.get(e.id());
+            Integer place = indexOf.get(e.id());
             if (e.availability() != Availability.READY) {
                 if (place != null) {
                     remove(e.id(), place);
@@ -36,20 +36,20 @@
             } else if (place != null) {
                 ready.set(place, e);
             } else {
-                placeOf.put(e.id(), ready.size());
+                indexOf.put(e.id(), ready.size());
                 ready.add(e);
             }
         }
         points = null;
     }
 
-    /** The last takes the place of the one that goes. */
+    /** Removes a server; the last one moves to its index. */
     private void remove(String id, int place) {
-        placeOf.remove(id);
+        indexOf.remove(id);
         Endpoint last = ready.remove(ready.size() - 1);
         if (place < ready.size()) {
             ready.set(place, last);
-            placeOf.put(last.id(), place);
+            indexOf.put(last.id(), place);
         }
     }
 
@@ -65,7 +65,7 @@
         return ready.get(place);
     }
 
-    /** The owners of a hash, in the order of the ring from it on, as many as are asked for or there are. */
+    /** The first owners of a hash in ring order: at most {@code most}, each server once. */
     List<Endpoint> owners(long hash, int most) {
         if (points == null) {
             build();
@@ -84,11 +84,11 @@
 
     private void build() {
         ringOf = List.copyOf(ready);
-        points = new long[ringOf.size() * POINTS];
+        points = new long[ringOf.size() * POINTS_PER_SERVER];
         for (int i = 0; i < ringOf.size(); i++) {
             long hash = HASH.hashCharsToLong(ringOf.get(i).id());
-            for (int k = 0; k < POINTS; k++) {
-                points[i * POINTS + k] = HASH.hashLongLongToLong(hash, k) & ~0xffffL | i;
+            for (int k = 0; k < POINTS_PER_SERVER; k++) {
+                points[i * POINTS_PER_SERVER + k] = HASH.hashLongLongToLong(hash, k) & ~0xffffL | i;
             }
         }
         Arrays.sort(points);
