--- a/src/main/java/mulleinfront/emulator/CallGraph.java
+++ b/src/main/java/mulleinfront/emulator/CallGraph.java
@@ -76,11 +76,11 @@
             throw new IllegalArgumentException("fewer services than fronts and levels: " + spec.services() + " for "
                     + spec.fronts() + " and " + spec.depth());
         }
-        CallGraph g = new CallGraph(spec, Chance.of(seed, "graph"));
-        g.assignLevels();
-        g.drawEdges();
-        g.scaleProbabilities();
-        return g;
+        CallGraph graph = new CallGraph(spec, Chance.of(seed, "graph"));
+        graph.assignLevels();
+        graph.drawEdges();
+        graph.scaleProbabilities();
+        return graph;
     }
 
     List<Node> nodes() {
@@ -256,7 +256,7 @@
         }
         if (free < 0) {
             throw new IllegalArgumentException("too few machines: " + spec.services() + " services of "
-                    + spec.minHosts() + " and " + atFront + " at the front want more than " + spec.hosts());
+                    + spec.minHosts() + " and " + atFront + " at the front need more than " + spec.hosts());
         }
         double exactShare = 0;
         int assigned = 0;
--- a/src/main/java/mulleinfront/emulator/FaultReader.java
+++ b/src/main/java/mulleinfront/emulator/FaultReader.java
@@ -66,7 +66,7 @@
                 drain = section.time("drain", 3_000_000L);
                 moved = section.flag("moved", true);
                 if (share <= 0 || forUs <= 0) {
-                    throw section.wrong("a deploy needs a batch of more than nothing, and the time that it is for");
+                    throw section.wrong("a deploy needs a batch of more than zero, and a duration (for)");
                 }
             }
             case DISCOVERY_LATE -> on = section.times("by", null);
@@ -87,7 +87,7 @@
             case ROLL_PROXIES -> {
                 share = section.share("batch", null, 1);
                 if (share <= 0 || forUs <= 0) {
-                    throw section.wrong("a roll needs a batch of more than nothing, and the time that it is for");
+                    throw section.wrong("a roll needs a batch of more than zero, and a duration (for)");
                 }
             }
             case PAUSE_PROXY -> forUs = positiveTime(section, "for");
@@ -133,7 +133,7 @@
                 throw section.wrong("names nobody: it needs servers, count, part or zone");
             }
             if (!named.isEmpty() && (zone >= 0 || count >= 0)) {
-                throw section.wrong("servers", "names all that it happens to: count, part and zone don't go with it");
+                throw section.wrong("servers", "names all targets: count, part and zone don't go with it");
             }
         } else if (targetsProxies(kind)) {
             proxy = section.has("proxy") ? section.count("proxy", null, 0) : -1;
@@ -194,7 +194,7 @@
         List<Integer> from = numbers(section, "from");
         List<Integer> to = numbers(section, "to");
         if (cut && from.isEmpty()) {
-            throw section.wrong("from", "a cut needs the numbers of one side, as \"0-4, 7\"");
+            throw section.wrong("from", "a partition needs the numbers of one side, as \"0-4, 7\"");
         }
         return new Scenario.DatagramEffects(
                 from,
@@ -235,7 +235,7 @@
     private static long positiveTime(Section section, String key) throws BadFileException {
         long time = section.time(key, null);
         if (time <= 0) {
-            throw section.wrong(key, "must be more than nothing");
+            throw section.wrong(key, "must be more than zero");
         }
         return time;
     }
--- a/src/main/java/mulleinfront/emulator/FleetAuditor.java
+++ b/src/main/java/mulleinfront/emulator/FleetAuditor.java
@@ -192,32 +192,37 @@
     public void look(long now) {
         groupOf = reachabilityGroups();
         long[] changedAt = new long[members];
-        Arrays.setAll(changedAt, m -> Math.max(memberChangedAtUs[m], linksChangedAtUs));
-        for (int o = 0; o < members; o++) {
-            if (!running[o] || paused[o] || leaving[o] || now - changedAt[o] <= boundUs) {
+        Arrays.setAll(changedAt, member -> Math.max(memberChangedAtUs[member], linksChangedAtUs));
+        for (int observer = 0; observer < members; observer++) {
+            if (!running[observer] || paused[observer] || leaving[observer] || now - changedAt[observer] <= boundUs) {
                 continue;
             }
-            byte[] state = views[o].state;
-            for (int m = 0; m < members; m++) {
-                if (now - changedAt[m] <= boundUs) {
+            byte[] state = views[observer].state;
+            for (int member = 0; member < members; member++) {
+                if (now - changedAt[member] <= boundUs) {
                     continue;
                 }
-                boolean recordedPresent =
-                        state[m] == MemberState.ALIVE.ordinal() || state[m] == MemberState.SUSPECTED.ordinal();
-                if (groupOf[o] == groupOf[m] && running[m] && !paused[m] && !leaving[m] && !recordedPresent) {
+                boolean recordedPresent = state[member] == MemberState.ALIVE.ordinal()
+                        || state[member] == MemberState.SUSPECTED.ordinal();
+                if (groupOf[observer] == groupOf[member]
+                        && running[member]
+                        && !paused[member]
+                        && !leaving[member]
+                        && !recordedPresent) {
                     breach(
                             Rule.CALLED_FAILED,
                             now,
-                            o,
-                            m,
-                            "member " + o + " calls " + m + " " + MemberState.values()[state[m]].word());
-                } else if (!running[m] && recordedPresent) {
+                            observer,
+                            member,
+                            "member " + observer + " calls " + member + " "
+                                    + MemberState.values()[state[member]].word());
+                } else if (!running[member] && recordedPresent) {
                     breach(
                             Rule.CALLED_ALIVE,
                             now,
-                            o,
-                            m,
-                            "member " + o + " calls " + m + " " + MemberState.values()[state[m]].word()
+                            observer,
+                            member,
+                            "member " + observer + " calls " + member + " " + MemberState.values()[state[member]].word()
                                     + ", which is dead");
                 }
             }
@@ -286,11 +291,14 @@
         stack[top++] = start;
         seen[start] = true;
         while (top > 0) {
-            int a = stack[--top];
-            for (int b = 0; b < members; b++) {
-                if (!seen[b] && running[b] && !paused[b] && (forward ? links.pass(a, b) : links.pass(b, a))) {
-                    seen[b] = true;
-                    stack[top++] = b;
+            int current = stack[--top];
+            for (int next = 0; next < members; next++) {
+                if (!seen[next]
+                        && running[next]
+                        && !paused[next]
+                        && (forward ? links.pass(current, next) : links.pass(next, current))) {
+                    seen[next] = true;
+                    stack[top++] = next;
                 }
             }
         }
--- a/src/main/java/mulleinfront/emulator/GraphReader.java
+++ b/src/main/java/mulleinfront/emulator/GraphReader.java
@@ -51,17 +51,19 @@
         Section graph = root.table("graph");
         List<Section> failures = root.ownTables("failure");
         if (!root.has("graph")) {
-            throw root.wrong("graph", "there is no [graph]: one service alone is played by emulate");
+            throw root.wrong("graph", "there is no [graph]: run the scenario of a single service with emulate");
         }
         Scenario world = ScenarioReader.read(file, root);
         if (world.servers().size() != 1) {
-            throw root.wrong("servers", "one [[servers]] says what a machine is, and how many there are");
+            throw root.wrong(
+                    "servers",
+                    "a graph needs exactly one [[servers]]: it gives the machine spec and the number of machines");
         }
         if (world.load().shape() != Scenario.Shape.STEADY) {
-            throw root.table("load").wrong("shape", "a graph is asked steadily");
+            throw root.table("load").wrong("shape", "a graph needs a steady load");
         }
         if (world.classes().stream().noneMatch(c -> c.type().effect() == Effect.RETRYABLE)) {
-            throw root.wrong("class", "calls that read need a class whose effect is safe");
+            throw root.wrong("class", "read calls need a class whose effect is safe");
         }
         int[] regionOf = new int[world.zones().size()];
         List<String> names = regions(root, regions, world.zones(), regionOf);
@@ -70,7 +72,7 @@
         int services = graph.count("services", null, fronts + depth);
         Range work = graph.numbers("work-factor", Range.of(1), 0);
         if (work.low() <= 0) {
-            throw graph.wrong("work-factor", "must be more than nothing");
+            throw graph.wrong("work-factor", "must be more than zero");
         }
         GraphSpec spec = new GraphSpec(
                 world,
@@ -160,7 +162,7 @@
         double batch = section.share("batch", 0.0, 1);
         long within = section.time("within", 0L);
         if (batch > 0 && within <= 0) {
-            throw section.wrong("batch", "batches need the time within which all of them come");
+            throw section.wrong("batch", "batches need the time within which all of them begin");
         }
         boolean restart = kind == Kind.RESTART;
         return new Failure(
--- a/src/main/java/mulleinfront/emulator/GraphReport.java
+++ b/src/main/java/mulleinfront/emulator/GraphReport.java
@@ -186,18 +186,18 @@
     /** The result as text; ends with the digest of the decisions. */
     public String text() {
         StringBuilder out = new StringBuilder();
-        Scenario w = spec.world();
+        Scenario scenario = spec.world();
         line(
                 out,
                 "%s (%s), seed %d: %.0f s, %d machines, %d services, %d regions, %d zones",
-                w.name(),
-                w.title(),
+                scenario.name(),
+                scenario.title(),
                 seed,
-                w.lengthUs() / 1e6,
+                scenario.lengthUs() / 1e6,
                 spec.hosts(),
                 spec.services(),
                 spec.regions().size(),
-                w.zones().size());
+                scenario.zones().size());
         line(
                 out,
                 "graph: %d edges, depth %d, %.2f calls a request by what was drawn, %.2f made; a client"
@@ -214,8 +214,8 @@
         line(
                 out,
                 "load: %.0f requests/s from outside, %.0f calls/s in all",
-                tally.requests / (w.lengthUs() / 1e6),
-                tally.all.calls / (w.lengthUs() / 1e6));
+                tally.requests / (scenario.lengthUs() / 1e6),
+                tally.all.calls / (scenario.lengthUs() / 1e6));
         line(out, "");
         line(
                 out,
@@ -233,7 +233,7 @@
             line(
                     out,
                     "  %-16s %.4f",
-                    w.classes().get(c).type().name(),
+                    scenario.classes().get(c).type().name(),
                     tally.classEarned[c] / Math.max(1e-9, tally.classAsked[c]));
         }
         depths(out);
--- a/src/main/java/mulleinfront/emulator/GraphSpec.java
+++ b/src/main/java/mulleinfront/emulator/GraphSpec.java
@@ -154,16 +154,30 @@
      * @param perSecond the load's rate; at most 0: unchanged
      * @param lengthUs how long requests are sent; at most 0: unchanged
      */
-    public GraphSpec sized(int hosts, int itsServices, double perSecond, long lengthUs) {
-        Scenario w = world;
-        double scale = lengthUs > 0 ? (double) lengthUs / w.lengthUs() : 1;
-        Scenario.Load l = w.load();
-        double rate = perSecond > 0 ? perSecond : l.perSecond();
-        Scenario.Load load = new Scenario.Load(rate, l.shape(), rate, l.swing(), l.burstUs(), l.keys(), l.zipf());
-        Scenario.Servers group =
-                w.servers().get(0).withNameAndCount(w.servers().get(0).name(), hosts > 0 ? hosts : hosts());
-        Scenario sized = w.asService(
-                w.name(), lengthUs > 0 ? lengthUs : w.lengthUs(), w.proxies(), w.clients(), load, group, w.classes());
+    public GraphSpec sized(int hosts, int serviceCount, double perSecond, long lengthUs) {
+        Scenario scenario = world;
+        double scale = lengthUs > 0 ? (double) lengthUs / scenario.lengthUs() : 1;
+        Scenario.Load originalLoad = scenario.load();
+        double rate = perSecond > 0 ? perSecond : originalLoad.perSecond();
+        Scenario.Load load = new Scenario.Load(
+                rate,
+                originalLoad.shape(),
+                rate,
+                originalLoad.swing(),
+                originalLoad.burstUs(),
+                originalLoad.keys(),
+                originalLoad.zipf());
+        Scenario.Servers group = scenario.servers()
+                .get(0)
+                .withNameAndCount(scenario.servers().get(0).name(), hosts > 0 ? hosts : hosts());
+        Scenario sized = scenario.asService(
+                scenario.name(),
+                lengthUs > 0 ? lengthUs : scenario.lengthUs(),
+                scenario.proxies(),
+                scenario.clients(),
+                load,
+                group,
+                scenario.classes());
         List<Failure> scaled = new ArrayList<>();
         for (Failure f : failures) {
             scaled.add(new Failure(
@@ -184,7 +198,7 @@
                 regions,
                 regionOf,
                 betweenRegions,
-                itsServices > 0 ? itsServices : services,
+                serviceCount > 0 ? serviceCount : services,
                 depth,
                 fronts,
                 frontShare,
--- a/src/main/java/mulleinfront/emulator/GraphWorld.java
+++ b/src/main/java/mulleinfront/emulator/GraphWorld.java
@@ -77,23 +77,24 @@
         this.oneWay = zoneDelays();
         this.parts = new World[spec.services()];
         this.firstMachine = new int[spec.services()];
-        Scenario w = spec.world();
-        this.classes = Chance.sum(
-                w.classes().stream().mapToDouble(Scenario.ClassSpec::share).toArray());
-        this.tenants = w.tenants().isEmpty()
+        Scenario scenario = spec.world();
+        this.classes = Chance.sum(scenario.classes().stream()
+                .mapToDouble(Scenario.ClassSpec::share)
+                .toArray());
+        this.tenants = scenario.tenants().isEmpty()
                 ? new double[] {1}
-                : Chance.sum(w.tenants().stream()
+                : Chance.sum(scenario.tenants().stream()
                         .mapToDouble(t -> t.share() * t.usage())
                         .toArray());
-        this.keys = w.load().keys() == 0
+        this.keys = scenario.load().keys() == 0
                 ? null
-                : Chance.sum(Chance.zipf(w.load().keys(), w.load().zipf()));
+                : Chance.sum(Chance.zipf(scenario.load().keys(), scenario.load().zipf()));
         this.readClass = firstSafeClass();
         buildMachines();
         this.fronts = new double[spec.fronts()][];
         for (int f = 0; f < fronts.length; f++) {
-            fronts[f] =
-                    Chance.sum(Chance.zipf(nodes().get(f).hosts(), w.proxies().spread()));
+            fronts[f] = Chance.sum(
+                    Chance.zipf(nodes().get(f).hosts(), scenario.proxies().spread()));
         }
         for (CallGraph.Node node : nodes()) {
             if (node.level() > 0) {
@@ -103,7 +104,7 @@
         this.countedProcesses = new ServerModel[machines.size()];
         this.countedBusyUs = new double[machines.size()];
         new GraphScript(this, Chance.of(seed, "failures")).schedule();
-        queue.after(w.proxies().startWithinUs(), this::scheduleRequest);
+        queue.after(scenario.proxies().startWithinUs(), this::scheduleRequest);
         queue.after(SECOND_US, this::recordSecond);
     }
 
@@ -128,12 +129,13 @@
         Chance chance = Chance.of(seed, "ways");
         int zones = spec.regionOf().length;
         long[][] ways = new long[zones][zones];
-        Scenario.Network n = spec.world().network();
+        Scenario.Network network = spec.world().network();
         for (int a = 0; a < zones; a++) {
             for (int b = a; b < zones; b++) {
                 boolean far = spec.regionOf()[a] != spec.regionOf()[b];
-                ways[a][b] = Math.max(
-                        1, (long) (a == b ? n.same() : far ? spec.betweenRegions() : n.cross()).draw(chance::between));
+                ways[a][b] =
+                        Math.max(1, (long) (a == b ? network.same() : far ? spec.betweenRegions() : network.cross())
+                                .draw(chance::between));
                 ways[b][a] = ways[a][b];
             }
         }
@@ -161,17 +163,17 @@
                 callers.add(m);
             }
         }
-        Scenario w = spec.world();
-        Scenario.Proxies p = w.withProxies(callers.size()).proxies();
-        Scenario.Clients c = new Scenario.Clients(
-                w.clients().retries(),
-                w.clients().backoff(),
-                w.clients().doubling(),
+        Scenario scenarioBase = spec.world();
+        Scenario.Proxies proxies = scenarioBase.withProxies(callers.size()).proxies();
+        Scenario.Clients clients = new Scenario.Clients(
+                scenarioBase.clients().retries(),
+                scenarioBase.clients().backoff(),
+                scenarioBase.clients().doubling(),
                 0,
                 mulleinfront.settings.Range.of(1),
                 0);
         List<Scenario.ClassSpec> types = new ArrayList<>();
-        for (Scenario.ClassSpec t : w.classes()) {
+        for (Scenario.ClassSpec t : scenarioBase.classes()) {
             types.add(new Scenario.ClassSpec(t.type(), t.share(), t.workUs() * node.work(), t.dist(), t.cv()));
         }
         Scenario.Load load = new Scenario.Load(
@@ -180,15 +182,15 @@
                 spec.requestsPerSecond() * node.visits(),
                 0,
                 SECOND_US,
-                w.load().keys(),
-                w.load().zipf());
-        Scenario scenario = w.asService(
+                scenarioBase.load().keys(),
+                scenarioBase.load().zipf());
+        Scenario scenario = scenarioBase.asService(
                 node.name(),
-                w.lengthUs(),
-                p,
-                c,
+                scenarioBase.lengthUs(),
+                proxies,
+                clients,
                 load,
-                w.servers().get(0).withNameAndCount(node.name(), node.hosts()),
+                scenarioBase.servers().get(0).withNameAndCount(node.name(), node.hosts()),
                 types);
         int first = firstMachine[node.number()];
         World part = new World(
@@ -303,7 +305,7 @@
     /** Starts a request from outside at a running front machine; the load balancer in front of it is not simulated. */
     private void startRequest() {
         long now = queue.now();
-        int c = arrivalChance.place(classes);
+        int classIndex = arrivalChance.place(classes);
         int tenant = arrivalChance.place(tenants);
         String key = keys == null ? null : "k" + arrivalChance.place(keys);
         int front = arrivalChance.below(spec.fronts());
@@ -312,14 +314,14 @@
         boolean leaves = arrivalChance.happens(spec.world().clients().leave());
         double leavesAt = leaves ? arrivalChance.unit() : 0;
         int count = fronts[front].length;
-        GraphMachine m = null;
-        for (int i = 0; i < count && (m == null || m.down || m.disconnected); i++) {
-            m = machines.get(firstMachine[front] + (firstIndex + i) % count);
+        GraphMachine machine = null;
+        for (int i = 0; i < count && (machine == null || machine.down || machine.disconnected); i++) {
+            machine = machines.get(firstMachine[front] + (firstIndex + i) % count);
         }
-        Balancer.RequestClass type = spec.world().classes().get(c).type();
+        Balancer.RequestClass type = spec.world().classes().get(classIndex).type();
         GraphRequest request = new GraphRequest(
-                effectLetter(c) + Long.toString(ids++),
-                c,
+                effectLetter(classIndex) + Long.toString(ids++),
+                classIndex,
                 tenant,
                 key,
                 type.worth(),
@@ -327,16 +329,16 @@
                 now + type.targetLatencyUs(),
                 now + (long) (timeoutFraction * type.deadlineUs()));
         tally.requestStarted(request);
-        if (m.down || m.disconnected) {
+        if (machine.down || machine.disconnected) {
             endRequest(request, false, false);
             return;
         }
-        GraphMachine at = m;
+        GraphMachine at = machine;
         Handling handling = new Handling(
                 this,
                 request,
                 null,
-                m,
+                machine,
                 request.deadlineAt,
                 end -> endRequest(request, end == ServerModel.End.SERVED && !at.disconnected, false));
         handling.begin();
@@ -395,14 +397,18 @@
     }
 
     /** Creates a call on behalf of a request. */
-    Hop hop(Handling above, CallGraph.Edge e) {
+    Hop hop(Handling above, CallGraph.Edge edge) {
         int ofRequest = above.above == null ? above.request.classIndex : above.above.classIndex;
-        int c = application.classOf(effectLetter(ofRequest) == SAFE ? ofRequest : readClass, ofRequest, e.reads());
+        int classIndex =
+                application.classOf(effectLetter(ofRequest) == SAFE ? ofRequest : readClass, ofRequest, edge.reads());
         String effect = application.effectId(
-                effectLetter(c), above.above == null ? above.request.id : above.above.effect, e.number());
+                effectLetter(classIndex), above.above == null ? above.request.id : above.above.effect, edge.number());
         long endAt = application.endOf(
-                above.endsAt, queue.now(), spec.world().classes().get(c).type().deadlineUs(), spec.reserveUs());
-        Hop hop = new Hop(this, e, above, c, effect, endAt);
+                above.endsAt,
+                queue.now(),
+                spec.world().classes().get(classIndex).type().deadlineUs(),
+                spec.reserveUs());
+        Hop hop = new Hop(this, edge, above, classIndex, effect, endAt);
         audit.called(hop);
         tally.callStarted(hop, queue.now());
         return hop;
--- a/src/main/java/mulleinfront/emulator/HybridSimulation.java
+++ b/src/main/java/mulleinfront/emulator/HybridSimulation.java
@@ -415,18 +415,18 @@
                 reply.answer(400, false);
                 return;
             }
-            Attempt r = new Attempt(this, pending, pending.attempts++, reply);
-            world.account.sent(id, r.number, host);
+            Attempt attempt = new Attempt(this, pending, pending.attempts++, reply);
+            world.account.sent(id, attempt.number, host);
             Attempt before = pending.lastAttempt;
-            pending.lastAttempt = r;
-            current = r;
+            pending.lastAttempt = attempt;
+            current = attempt;
             // Attempts are checked in order: an attempt is checked after an earlier one that is still to be checked.
             long closing = before == null || before.ended ? 0 : CHECK_DELAY_US;
-            r.checkedAt = Math.max(world.queue.now() + closing, before == null ? 0 : before.checkedAt);
-            at(r.checkedAt, () -> world.audit.sent(proxy, id, r.number, host.id, firstByteAt));
+            attempt.checkedAt = Math.max(world.queue.now() + closing, before == null ? 0 : before.checkedAt);
+            at(attempt.checkedAt, () -> world.audit.sent(proxy, id, attempt.number, host.id, firstByteAt));
             world.tally.sent(world.zoneOf(proxy) == host.zone);
             if (world.queue.now() - lastResponseAt > process.machine().idleCloseUs()) {
-                r.reset();
+                attempt.reset();
                 return;
             }
             // A new connection first has its handshake, as in the emulated network.
@@ -435,7 +435,7 @@
             for (int i = 0; i < ways; i++) {
                 us += delay();
             }
-            world.queue.after(us, r::arrive);
+            world.queue.after(us, attempt::arrive);
         }
     }
 
--- a/src/main/java/mulleinfront/emulator/ScenarioReader.java
+++ b/src/main/java/mulleinfront/emulator/ScenarioReader.java
@@ -180,7 +180,7 @@
     private static long positiveTime(Section section, String key, Long defaultUs) throws BadFileException {
         long time = section.time(key, defaultUs);
         if (time <= 0) {
-            throw section.wrong(key, "must be more than nothing");
+            throw section.wrong(key, "must be more than zero");
         }
         return time;
     }
@@ -248,7 +248,7 @@
                 section.shares("patience", new Range(0.7, 1), 1),
                 section.share("leave", 0.0, 1));
         if (clients.patience().low() <= 0) {
-            throw section.wrong("patience", "must be more than nothing");
+            throw section.wrong("patience", "must be more than zero");
         }
         section.done();
         return clients;
@@ -258,7 +258,7 @@
         double full = Scenario.fullRate(servers, classes);
         boolean byShare = section.statesOwn("of-capacity") || !section.statesOwn("rate") && section.has("of-capacity");
         if (byShare && section.statesOwn("rate")) {
-            throw section.wrong("rate", "of-capacity says how much already");
+            throw section.wrong("rate", "of-capacity says the rate already: give only one of the two");
         }
         section.markRead(byShare ? "rate" : "of-capacity");
         double rate = byShare ? full * section.share("of-capacity", null, 100) : section.rate("rate", null);
@@ -270,7 +270,7 @@
                         : section.rate("end-rate", rate);
         if (shape != Shape.RAMP && end != rate) {
             throw section.wrong(
-                    section.has("end-rate") ? "end-rate" : "end-of-capacity", "only a ramp has an end of its own");
+                    section.has("end-rate") ? "end-rate" : "end-of-capacity", "only a ramp has an end rate");
         }
         Load load = new Load(
                 rate,
@@ -294,7 +294,7 @@
             boolean byWork = section.word("warm-by", WarmBy.TIME, WarmBy.class) == WarmBy.WORK;
             Range coldFor = section.times("cold-for", Range.of(0));
             if (coldFrom.low() <= 0) {
-                throw section.wrong("cold-from", "must be more than nothing");
+                throw section.wrong("cold-from", "must be more than zero");
             }
             if (byWork != section.has("warm-work")) {
                 throw section.wrong(byWork ? "warm-by" : "warm-work", "warm-by = \"work\" and warm-work go together");
@@ -308,7 +308,7 @@
                                     positiveTime(section, "linger-most", 25_000_000L));
             Range speed = section.numbers("speed", Range.of(1), 0);
             if (speed.low() <= 0) {
-                throw section.wrong("speed", "must be more than nothing");
+                throw section.wrong("speed", "must be more than zero");
             }
             all.add(new Servers(
                     name,
@@ -459,7 +459,7 @@
                 section.time("cold-warm", 24_000_000L),
                 positiveTime(section, "ask-within", 10_000_000L));
         if (rules.coldFrom() <= 0) {
-            throw section.wrong("cold-from", "must be more than nothing");
+            throw section.wrong("cold-from", "must be more than zero");
         }
         section.done();
         return rules;
--- a/src/main/java/mulleinfront/emulator/reference/Servers.java
+++ b/src/main/java/mulleinfront/emulator/reference/Servers.java
@@ -27,17 +27,17 @@
             ready.clear();
             indexOf.clear();
         }
-        for (Endpoint e : entries) {
-            Integer place = indexOf.get(e.id());
-            if (e.availability() != Availability.READY) {
+        for (Endpoint endpoint : entries) {
+            Integer place = indexOf.get(endpoint.id());
+            if (endpoint.availability() != Availability.READY) {
                 if (place != null) {
-                    remove(e.id(), place);
+                    remove(endpoint.id(), place);
                 }
             } else if (place != null) {
-                ready.set(place, e);
+                ready.set(place, endpoint);
             } else {
-                indexOf.put(e.id(), ready.size());
-                ready.add(e);
+                indexOf.put(endpoint.id(), ready.size());
+                ready.add(endpoint);
             }
         }
         points = null;
@@ -74,9 +74,9 @@
         int at = Arrays.binarySearch(points, hash & ~0xffffL);
         at = at < 0 ? ~at : at;
         for (int i = 0; i < points.length && owners.size() < Math.min(most, ringOf.size()); i++) {
-            Endpoint e = ringOf.get((int) points[(at + i) % points.length] & 0xffff);
-            if (!owners.contains(e)) {
-                owners.add(e);
+            Endpoint endpoint = ringOf.get((int) points[(at + i) % points.length] & 0xffff);
+            if (!owners.contains(endpoint)) {
+                owners.add(endpoint);
             }
         }
         return owners;
