--- a/src/main/java/mulleinfront/emulator/FleetReport.java
+++ b/src/main/java/mulleinfront/emulator/FleetReport.java
@@ -9,7 +9,7 @@
  *
  * @param breaches the first violations that the auditor found
  * @param breachCount number of all violations
- * @param figures datagrams that members sent and read; null: not known
+ * @param traffic datagrams that members sent and read; null: not known
  * @param members number of members
  * @param lengthUs length of the run in microseconds
  * @param even whether all running members had the same view at the end
--- a/src/main/java/mulleinfront/emulator/GraphSpec.java
+++ b/src/main/java/mulleinfront/emulator/GraphSpec.java
@@ -16,21 +16,21 @@
  * @param services number of services
  * @param depth most levels of calls
  * @param fronts services that receive requests from outside
- * @param frontPart fraction of the machines that run the front services
- * @param leastHosts least machines of a service
+ * @param frontShare fraction of the machines that run the front services
+ * @param minHosts least machines of a service
  * @param fanOut most services that one service calls, in addition to the chain
  * @param skew Zipf exponent of the distribution of callers among services
  * @param chain probability that each service of the longest chain calls the next
  * @param callsPerRequest mean number of all calls that a request from outside causes
- * @param rateOfCalls whether the load's rate is that of all calls, rather than of requests from outside
+ * @param rateCountsCalls whether the load's rate is that of all calls, rather than of requests from outside
  * @param workFactor work of a service's calls, as a multiple of its class's; drawn for each service
- * @param inTurn fraction of the services that make their calls sequentially rather than concurrently
- * @param optional fraction of the calls whose failure does not fail the calling service
- * @param reads fraction of the calls that are safe whatever the request's effect is
- * @param told which deadline a server receives with a call
+ * @param sequentialShare fraction of the services that make their calls sequentially rather than concurrently
+ * @param optionalShare fraction of the calls whose failure does not fail the calling service
+ * @param readShare fraction of the calls that are safe whatever the request's effect is
+ * @param propagatedDeadline which deadline a server receives with a call
  * @param reserveUs time that a service reserves for the transfer of its own response
- * @param rack machines per rack
- * @param budgetUs most time that the proxies and the local network may add to a call
+ * @param hostsPerRack machines per rack
+ * @param addedTimeBudgetUs most time that the proxies and the local network may add to a call
  * @param failures failures, in the order of the file
  */
 public record GraphSpec(
@@ -150,7 +150,7 @@
      * same fraction of it.
      *
      * @param hosts number of machines; at most 0: unchanged
-     * @param itsServices number of services; at most 0: unchanged
+     * @param serviceCount number of services; at most 0: unchanged
      * @param perSecond the load's rate; at most 0: unchanged
      * @param lengthUs how long requests are sent; at most 0: unchanged
      */
--- a/src/main/java/mulleinfront/emulator/GraphWorld.java
+++ b/src/main/java/mulleinfront/emulator/GraphWorld.java
@@ -54,7 +54,7 @@
     private long ids;
 
     /**
-     * @param maker creates each balancer; tests may create deliberately broken ones
+     * @param balancerFactory creates each balancer; tests may create deliberately broken ones
      * @param fitting connects each core with its parts
      * @param application how applications make their calls
      */
--- a/src/main/java/mulleinfront/emulator/Peer.java
+++ b/src/main/java/mulleinfront/emulator/Peer.java
@@ -28,7 +28,7 @@
 
     /**
      * @param address address of the process: the member's number, unless misconfigured
-     * @param maker creates the member
+     * @param memberFactory creates the member
      */
     Peer(EventQueue queue, PeerNetwork network, int address, Function<Fleet.Actions, Fleet> memberFactory) {
         this.queue = queue;
--- a/src/main/java/mulleinfront/emulator/PeerFaults.java
+++ b/src/main/java/mulleinfront/emulator/PeerFaults.java
@@ -15,11 +15,11 @@
      *
      * @param from numbers of the affected senders; null: all
      * @param to numbers of the affected receivers; null: all
-     * @param lose fraction that is lost; 1 is a network partition
-     * @param twice fraction that is duplicated
-     * @param overtaken fraction that later datagrams overtake
-     * @param change fraction whose bytes are changed or that is truncated
-     * @param late additional delay, microseconds
+     * @param lossShare fraction that is lost; 1 is a network partition
+     * @param duplicateShare fraction that is duplicated
+     * @param overtakenShare fraction that later datagrams overtake
+     * @param corruptedShare fraction whose bytes are changed or that is truncated
+     * @param extraDelayUs additional delay, microseconds
      */
     End beginFault(
             BitSet from,
@@ -30,7 +30,7 @@
             double corruptedShare,
             Range extraDelayUs);
 
-    /** Records passing datagrams for a time, and then repeats recorded ones at a rate for {@code us} microseconds. */
+    /** Records passing datagrams for a time, and then repeats recorded ones at a rate for {@code durationUs} microseconds. */
     void repeat(long recordUs, double perSecond, long durationUs);
 
     /** Sends datagrams from unknown senders, {@code perSecond} to all members together. */
@@ -39,7 +39,7 @@
     /** The wall clock of a member's machine jumps; the member's next process starts with the new time. */
     void clockJumps(int number, long ms);
 
-    /** Blocks all datagrams from {@code some} to {@code others}, and unless {@code oneWay} also the other direction. */
+    /** Blocks all datagrams from {@code senders} to {@code receivers}, and unless {@code oneWay} also the other direction. */
     default End partition(BitSet senders, BitSet receivers, boolean oneWay) {
         Range none = Range.of(0);
         End forward = beginFault(senders, receivers, 1, 0, 0, 0, none);
--- a/src/main/java/mulleinfront/emulator/PeerNetwork.java
+++ b/src/main/java/mulleinfront/emulator/PeerNetwork.java
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Delivers a datagram unchanged, after the network delay and {@code lateUs}. */
+    /** Delivers a datagram unchanged, after the network delay and {@code extraDelayUs}. */
     void deliver(int from, int to, byte[] bytes, long extraDelayUs) {
         queue.after(delay.delayUs(from, to) + extraDelayUs, () -> {
             if (receivers[to] != null) {
--- a/src/main/java/mulleinfront/emulator/Scenario.java
+++ b/src/main/java/mulleinfront/emulator/Scenario.java
@@ -96,7 +96,7 @@
      * @param knownAgeUs age of a stale initial list
      * @param ghosts unreachable servers that a stale list still names
      * @param startUs time from the start of a process until it accepts requests
-     * @param lateCallsUs how long a proxy goes on accepting requests after it is told to shut down
+     * @param lateCallsUs how long a proxy goes on accepting requests after the shutdown signal
      * @param killAfterUs time from the shutdown signal until the process is killed
      * @param connections most connections to servers per proxy
      * @param cpu CPU cost of the proxy's own code
@@ -360,11 +360,11 @@
      * @param from numbers of the senders; empty: all
      * @param to numbers of the receivers; empty: all others
      * @param oneWay whether a partition blocks only this direction
-     * @param lose fraction that is lost
-     * @param twice fraction that is duplicated
-     * @param overtaken fraction that later datagrams overtake
-     * @param change fraction whose bytes are changed
-     * @param late additional delay
+     * @param lossShare fraction that is lost
+     * @param duplicateShare fraction that is duplicated
+     * @param overtakenShare fraction that later datagrams overtake
+     * @param corruptedShare fraction whose bytes are changed
+     * @param extraDelay additional delay
      */
     public record DatagramEffects(
             List<Integer> from,
@@ -394,7 +394,7 @@
      * @param drainUs how long a server drains before its process ends, or how long a killed client proxy stays down in
      *        addition to its start time, or how long datagrams are recorded before they are repeated
      * @param moved whether a restarted server has another address; whether a client proxy is partitioned from discovery
-     * @param between effect on datagrams between client proxies; null: none
+     * @param datagramEffects effect on datagrams between client proxies; null: none
      */
     public record Fault(
             Kind kind,
--- a/src/main/java/mulleinfront/emulator/reference/PickingBalancer.java
+++ b/src/main/java/mulleinfront/emulator/reference/PickingBalancer.java
@@ -20,7 +20,7 @@
 
     final Settings settings;
     final SplittableRandom random;
-    /** Servers that are ready according to the lists received so far, in the order of their entries. */
+    /** Servers that are ready according to the lists received so far. */
     final Servers servers = new Servers();
 
     private final Actions out;
--- a/src/main/java/mulleinfront/emulator/reference/Reference.java
+++ b/src/main/java/mulleinfront/emulator/reference/Reference.java
@@ -71,7 +71,7 @@
     /**
      * Creates a client proxy's balancer.
      *
-     * @param truth the true state that it sees; null if {@link #seesLateUs} is negative
+     * @param knowledge the true state that it sees; null if {@link #seesLateUs} is negative
      */
     public Balancer make(Settings settings, long seed, Actions actions, ServerKnowledge knowledge) {
         return switch (this) {
