--- a/src/test/java/mulleinfront/emulator/AuditorTest.java
+++ b/src/test/java/mulleinfront/emulator/AuditorTest.java
@@ -16,9 +16,12 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The auditor can fail: cores and modules broken on purpose are caught, each by the rule that it breaks. */
+/**
+ * The auditor detects violations: each deliberately faulty balancer, caller or wire is reported under the invariant
+ * that it violates.
+ */
 class AuditorTest {
-    private static final String ROUGH = """
+    private static final String FAULTS_UNDER_LOAD = """
             length = "40s"
             [load]
             of-capacity = "80%"
@@ -44,69 +47,80 @@
             drain = "4s"
             """;
 
-    /** The same with servers that go on serving while they drain, as some do: only the client keeps rule 3. */
-    private static World.Result play(Core.BalancerFactory maker, Fitting fitting) throws Exception {
-        return Worlds.world(Worlds.of(ROUGH), 1, maker, fitting).play();
+    /** Runs the {@link #FAULTS_UNDER_LOAD} scenario with the given balancer and wrappers. */
+    private static World.Result play(Core.BalancerFactory factory, Fitting fitting) throws Exception {
+        return Worlds.world(Worlds.of(FAULTS_UNDER_LOAD), 1, factory, fitting).play();
     }
 
     static Stream<Arguments> broken() {
         Core.BalancerFactory real = Balancer::create;
         return Stream.of(
-                Arguments.of("forgets a request", Rule.LOST, "not answered", real, Broken.forgets()),
-                Arguments.of("answers twice", Rule.LOST, "answered twice", real, Broken.answersTwice()),
-                Arguments.of("mixes answers up", Rule.LOST, "served with the answer to", real, Broken.mixesAnswersUp()),
-                Arguments.of("sends after the end", Rule.LOST, "after its end", real, Broken.sendsAfterTheEnd()),
+                Arguments.of("drops a response", Rule.LOST, "not answered", real, FaultyComponents.dropsResponses()),
+                Arguments.of("answers twice", Rule.LOST, "answered twice", real, FaultyComponents.answersTwice()),
                 Arguments.of(
-                        "resends a payout",
+                        "swaps responses",
+                        Rule.LOST,
+                        "served with the answer to",
+                        real,
+                        FaultyComponents.swapsResponses()),
+                Arguments.of(
+                        "sends after the end of a request",
+                        Rule.LOST,
+                        "after its end",
+                        real,
+                        FaultyComponents.sendsAfterEnd()),
+                Arguments.of(
+                        "resends an unsafe request",
                         Rule.TWICE,
                         "sent again though attempt",
-                        (Core.BalancerFactory) Broken::resendsPayouts,
-                        Broken.writesUnasked()),
+                        (Core.BalancerFactory) FaultyComponents::resendsUnsafeRequests,
+                        FaultyComponents.skipsWantedCheck()),
                 Arguments.of(
-                        "resends outside the group",
+                        "resends outside the deduplication group",
                         Rule.TWICE,
                         "outside the group",
-                        (Core.BalancerFactory) Broken::leavesTheGroup,
-                        Broken.writesUnasked()),
+                        (Core.BalancerFactory) FaultyComponents::ignoresDedupGroup,
+                        FaultyComponents.skipsWantedCheck()),
                 Arguments.of(
-                        "calls failures harmless",
+                        "reports failures as refusals",
                         Rule.TWICE,
                         "refused though attempt",
                         real,
-                        Broken.callsFailuresHarmless()),
-                Arguments.of("sends second copies", Rule.TWICE, "is out", real, Broken.sendsSecondCopies()),
+                        FaultyComponents.reportsFailuresAsRefusals()),
+                Arguments.of("sends duplicates", Rule.TWICE, "is out", real, FaultyComponents.sendsDuplicates()),
                 Arguments.of(
-                        "is deaf to drains",
+                        "ignores drains",
                         Rule.DRAINS,
                         "after being told",
-                        (Core.BalancerFactory) Broken::deafToDrains,
-                        Broken.writesUnasked()),
-                Arguments.of("hears of lists late", Rule.DRAINS, "after being told", real, Broken.hearsOfListsLate()),
+                        (Core.BalancerFactory) FaultyComponents::ignoresDrains,
+                        FaultyComponents.skipsWantedCheck()),
+                Arguments.of("delays lists", Rule.DRAINS, "after being told", real, FaultyComponents.delaysLists()),
                 Arguments.of(
-                        "floods the newest",
+                        "floods the newest server",
                         Rule.COLD,
                         "times what it can do while cold",
-                        (Core.BalancerFactory) Broken::floodsTheNewest,
+                        (Core.BalancerFactory) FaultyComponents::floodsNewestServer,
                         Fitting.PLAIN),
                 Arguments.of(
-                        "favours the newest",
+                        "favours the newest server",
                         Rule.COLD,
                         "times what it can do while cold",
-                        (Core.BalancerFactory) Broken::favoursTheNewest,
+                        (Core.BalancerFactory) FaultyComponents::favoursNewestServer,
                         Fitting.PLAIN));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("broken")
-    void catches(String name, Rule rule, String words, Core.BalancerFactory maker, Fitting fitting) throws Exception {
-        World.Result result = play(maker, fitting);
-        List<Breach> found =
+    void detectsViolation(String name, Rule rule, String expectedText, Core.BalancerFactory factory, Fitting fitting)
+            throws Exception {
+        World.Result result = play(factory, fitting);
+        List<Breach> breaches =
                 result.breaches().stream().filter(b -> b.rule() == rule).toList();
         assertFalse(
-                found.isEmpty(),
+                breaches.isEmpty(),
                 "not caught: " + result.breaches().stream().limit(5).toList());
-        assertTrue(found.stream().anyMatch(b -> b.what().contains(words)), "" + found.get(0));
-        Breach first = found.get(0);
+        assertTrue(breaches.stream().anyMatch(b -> b.what().contains(expectedText)), "" + breaches.get(0));
+        Breach first = breaches.get(0);
         assertTrue(
                 first.atUs() > 0
                         && first.proxy() >= 0
@@ -116,7 +130,7 @@
     }
 
     @Test
-    void theRealOnesKeepAllRulesInTheSameWorld() throws Exception {
+    void realComponentsSatisfyAllInvariants() throws Exception {
         World.Result result = play(Balancer::create, Fitting.PLAIN);
         assertEquals(List.of(), result.breaches());
         assertTrue(
@@ -125,21 +139,23 @@
     }
 
     @Test
-    void theCoresGuardStopsAModuleThatRepeatsOrSendsWhatItMayNot() throws Exception {
-        for (Core.BalancerFactory broken :
-                List.<Core.BalancerFactory>of(Broken::resendsPayouts, Broken::leavesTheGroup, Broken::deafToDrains)) {
-            assertEquals(List.of(), play(broken, Fitting.PLAIN).breaches());
+    void ruleGuardStopsForbiddenRepeatsAndSends() throws Exception {
+        for (Core.BalancerFactory factory : List.<Core.BalancerFactory>of(
+                FaultyComponents::resendsUnsafeRequests,
+                FaultyComponents::ignoresDedupGroup,
+                FaultyComponents::ignoresDrains)) {
+            assertEquals(List.of(), play(factory, Fitting.PLAIN).breaches());
         }
     }
 
     @Test
-    void aServerThatIsPushedOverFallsAndStaysDown() throws Exception {
-        World.Result result = play(Broken::floodsTheNewest, Fitting.PLAIN);
+    void overloadedServerCrashesAndStaysDown() throws Exception {
+        World.Result result = play(FaultyComponents::floodsNewestServer, Fitting.PLAIN);
         assertTrue(result.service().servers().stream().anyMatch(s -> s.figures().fell));
     }
 
     @Test
-    void whatAClientProxyHeldWhenItEndedByItselfIsLost() throws Exception {
+    void openRequestsOfAnExitingProxyAreReportedAsLost() throws Exception {
         World.Result result = Worlds.play("""
                 length = "10s"
                 [proxies]
@@ -156,8 +172,8 @@
     }
 
     @Test
-    void whoNeitherWatchesNorAsksCountsAsTold() throws Exception {
-        // A module that never asks for lists: what discovery has to tell counts all the same.
+    void propagationDeadlineAppliesWithoutWatchOrDiscoveryCall() throws Exception {
+        // A balancer that never requests a list is still bound by the propagation deadline of a drain.
         World.Result result = Worlds.world(
                         Worlds.of("""
                 length = "40s"
@@ -167,22 +183,23 @@
                 count = 3
                 """),
                         1,
-                        (settings, seed, now, actions) -> Broken.neverAsks(settings, seed, now, actions),
-                        Broken.writesUnasked())
+                        (settings, seed, now, actions) ->
+                                FaultyComponents.neverCallsDiscovery(settings, seed, now, actions),
+                        FaultyComponents.skipsWantedCheck())
                 .play();
-        List<String> told = new ArrayList<>();
-        result.breaches().stream().filter(b -> b.rule() == Rule.DRAINS).forEach(b -> told.add(b.what()));
-        assertTrue(told.stream().anyMatch(w -> w.contains("counts as told")), "" + result.breaches());
+        List<String> drainBreaches = new ArrayList<>();
+        result.breaches().stream().filter(b -> b.rule() == Rule.DRAINS).forEach(b -> drainBreaches.add(b.what()));
+        assertTrue(drainBreaches.stream().anyMatch(w -> w.contains("counts as told")), "" + result.breaches());
     }
 
     @Test
-    void anExceptionInAModuleIsADefect() throws Exception {
+    void exceptionInABalancerIsReported() throws Exception {
         World.Result result = Worlds.world(
                         Worlds.of("length = \"3s\"\n"),
                         1,
                         (settings, seed, now, actions) -> {
                             Balancer real = Balancer.create(settings, seed, now, actions);
-                            return Broken.throwsOnce(real);
+                            return FaultyComponents.throwsOnce(real);
                         },
                         Fitting.PLAIN)
                 .play();
--- a/src/test/java/mulleinfront/emulator/ColdHostsTest.java
+++ b/src/test/java/mulleinfront/emulator/ColdHostsTest.java
@@ -19,103 +19,106 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A cold host is not pushed over by the sum of all client proxies: what all that were told of its start send
- * it within the stated time stays under N + 2 x root of N + 2 requests of mean work, N being what settings
- * allow it then. First attempts, further ones, keys that spill and first requests of new instances all count.
+ * All client proxies together don't overload a cold server: within the window of the cold rule, the attempts sent to it
+ * stay under N + 2 * sqrt(N) + 2 requests of mean work, where N is what the settings allow at its current warmth. First
+ * attempts, retries, keys that overflow to other servers and first requests of new instances all count. A window is
+ * checked if more than two thirds of its work come from instances that know of the server's start.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class ColdHostsTest {
-    /** What was decided to be sent to each cold host, over all instances. */
+    /** The work sent to each cold server, summed over all instances. */
     private static final class Meter {
         private final Map<String, ArrayDeque<double[]>> sent = new HashMap<>();
         private World world;
-        private double mean;
-        /** The largest part of its bound that any host was sent, and where that was. */
-        private double most;
+        private double meanWorkUs;
+        /** The largest ratio of work sent to its bound for any server; {@link #maxDescription} describes it. */
+        private double maxBoundRatio;
 
-        private String where = "nothing was sent to any cold host";
-        private long counted;
+        private String maxDescription = "nothing was sent to any cold host";
+        private long countedSends;
 
-        Core.BalancerFactory around(double balancers) {
-            return Noted.maker(
-                    s -> new Settings(
-                            s.classes(),
-                            s.tenantShares(),
-                            s.overShareWorth(),
-                            (int) Math.max(1, Math.round(s.instances() * balancers)),
-                            s.probePrice(),
-                            s.subscribe(),
-                            s.weightsVary(),
-                            s.limits(),
-                            s.contract()),
+        Core.BalancerFactory factory(double instanceFactor) {
+            return RecordingBalancer.factory(
+                    settings -> new Settings(
+                            settings.classes(),
+                            settings.tenantShares(),
+                            settings.overShareWorth(),
+                            (int) Math.max(1, Math.round(settings.instances() * instanceFactor)),
+                            settings.probePrice(),
+                            settings.subscribe(),
+                            settings.weightsVary(),
+                            settings.limits(),
+                            settings.contract()),
                     () -> new Instance(this));
         }
 
-        void sent(String id, long startedAt, double workUs, long now) {
+        void recordSend(String endpointId, long startedAt, double workUs, long now) {
             Host host = world.hosts.stream()
-                    .filter(h -> h.id.equals(id))
+                    .filter(h -> h.id.equals(endpointId))
                     .findFirst()
                     .orElseThrow();
-            Balancer.Contract c = world.settings.contract();
-            double age = (double) (now - host.startedAt) / c.coldUs();
-            if (host.startedAt == 0 || age >= 1) {
+            Balancer.Contract contract = world.settings.contract();
+            double ageShare = (double) (now - host.startedAt) / contract.coldUs();
+            if (host.startedAt == 0 || ageShare >= 1) {
                 return;
             }
-            counted++;
-            ArrayDeque<double[]> window = sent.computeIfAbsent(id + " of " + host.startedAt, h -> new ArrayDeque<>());
-            window.add(new double[] {now, workUs / mean, startedAt == host.startedAt ? 1 : 0});
-            long forUs = world.scenario.rules().coldForUs();
-            while (window.peek()[0] <= now - forUs) {
+            countedSends++;
+            ArrayDeque<double[]> window =
+                    sent.computeIfAbsent(endpointId + " of " + host.startedAt, h -> new ArrayDeque<>());
+            window.add(new double[] {now, workUs / meanWorkUs, startedAt == host.startedAt ? 1 : 0});
+            long windowUs = world.scenario.rules().coldForUs();
+            while (window.peek()[0] <= now - windowUs) {
                 window.poll();
             }
-            double sum = window.stream().mapToDouble(s -> s[1]).sum();
-            double byTold = window.stream().mapToDouble(s -> s[1] * s[2]).sum();
-            double ramp = c.coldFrom() + (1 - c.coldFrom()) * age;
-            double n = c.overload() * ramp * host.machine.capacity() * forUs / mean;
-            double bound = n + 2 * Math.sqrt(n) + 2;
-            if (byTold * 3 > sum * 2 && sum / bound > most) {
-                most = sum / bound;
-                where = String.format(
+            double totalRequests = window.stream().mapToDouble(s -> s[1]).sum();
+            double informedRequests =
+                    window.stream().mapToDouble(s -> s[1] * s[2]).sum();
+            double warmth = contract.coldFrom() + (1 - contract.coldFrom()) * ageShare;
+            double allowedRequests = contract.overload() * warmth * host.machine.capacity() * windowUs / meanWorkUs;
+            double bound = allowedRequests + 2 * Math.sqrt(allowedRequests) + 2;
+            if (informedRequests * 3 > totalRequests * 2 && totalRequests / bound > maxBoundRatio) {
+                maxBoundRatio = totalRequests / bound;
+                maxDescription = String.format(
                         Locale.ROOT,
                         "%s, %.2f s after its start: %.1f of %.1f (N %.1f), " + "%.0f%% by those who were told",
-                        id,
+                        endpointId,
                         (now - host.startedAt) / 1e6,
-                        sum,
+                        totalRequests,
                         bound,
-                        n,
-                        100 * byTold / sum);
+                        allowedRequests,
+                        100 * informedRequests / totalRequests);
             }
         }
     }
 
-    /** What one instance was told and sent. */
-    private static final class Instance implements Noted.Notes {
+    /** The lists, requests and sends of one instance. */
+    private static final class Instance implements RecordingBalancer.Recorder {
         private final Meter meter;
-        private final Map<String, Double> work = new HashMap<>();
-        private final Map<String, Long> started = new HashMap<>();
+        private final Map<String, Double> workUsByRequest = new HashMap<>();
+        private final Map<String, Long> startTimeByEndpoint = new HashMap<>();
 
         Instance(Meter meter) {
             this.meter = meter;
         }
 
         @Override
-        public void told(long now, String event, Object[] args) {
+        public void onEvent(long now, String event, Object[] args) {
             if (event.equals("onEndpoints")) {
                 for (Object e : (List<?>) args[2]) {
-                    started.put(((Endpoint) e).id(), ((Endpoint) e).startedAtUs());
+                    startTimeByEndpoint.put(((Endpoint) e).id(), ((Endpoint) e).startedAtUs());
                 }
             } else if (event.equals("onRequest")) {
                 Request request = (Request) args[1];
-                work.put(
+                workUsByRequest.put(
                         request.id(),
                         meter.world.scenario.classes().get(request.classIndex()).workUs());
             }
         }
 
         @Override
-        public void decided(long now, String action, Object[] args) {
+        public void onAction(long now, String action, Object[] args) {
             if (action.equals("send")) {
-                meter.sent((String) args[1], started.get(args[1]), work.get(args[0]), now);
+                meter.recordSend((String) args[1], startTimeByEndpoint.get(args[1]), workUsByRequest.get(args[0]), now);
             }
         }
     }
@@ -133,9 +136,9 @@
             """;
 
     /**
-     * Sixty hosts of two kinds, keys, and a release, a crash or a zone that is back cold, under a burst.
+     * Sixty servers of two types and keyed requests, with the given fault and a surge of the load.
      *
-     * @param small whether hosts are so small that a cold one is allowed a dozen requests, not fifty
+     * @param small whether servers are so small that a cold one is allowed a dozen requests in place of fifty
      */
     private static Scenario scenario(boolean small, String load, String fault) throws BadFileException {
         return Worlds.of("""
@@ -217,22 +220,24 @@
         "zone, 24, 1, true",
         "all-anew, 100, 1, true",
         "zone, 670, 1, true",
-        // Settings that are wrong by half: of 24 instances each takes itself for one of 12, or of 48.
+        // A wrong instance count in the settings: of 24 instances, each assumes 12 or 48 in all.
         "zone, 24, 0.5, true",
         "all-anew, 24, 0.5, false",
         "all-anew, 24, 2, true",
         "zone, 670, 0.5, true"
     })
-    void theSumOfAllStaysUnderWhatAColdHostBears(String fault, int proxies, double balancers, boolean small)
+    void totalLoadStaysWithinColdServerBound(String fault, int proxies, double instanceFactor, boolean small)
             throws Exception {
-        Scenario s = scenario(small, small ? "85%" : "60%", FAULTS.get(fault)).withProxies(proxies);
+        Scenario scenario =
+                scenario(small, small ? "85%" : "60%", FAULTS.get(fault)).withProxies(proxies);
         Meter meter = new Meter();
-        meter.mean =
-                s.classes().stream().mapToDouble(c -> c.share() * c.workUs()).sum();
+        meter.meanWorkUs = scenario.classes().stream()
+                .mapToDouble(c -> c.share() * c.workUs())
+                .sum();
         long seed = 11 + proxies + (small ? 1 : 0);
-        meter.world = Worlds.world(s, seed, meter.around(balancers), Fitting.PLAIN);
+        meter.world = Worlds.world(scenario, seed, meter.factory(instanceFactor), Fitting.PLAIN);
         meter.world.play();
-        assertTrue(meter.counted > 100, "hosts were cold and served: " + meter.counted);
-        assertTrue(meter.most < 1, "seed " + seed + ": " + meter.where);
+        assertTrue(meter.countedSends > 100, "hosts were cold and served: " + meter.countedSends);
+        assertTrue(meter.maxBoundRatio < 1, "seed " + seed + ": " + meter.maxDescription);
     }
 }
--- a/src/test/java/mulleinfront/emulator/DigestTest.java
+++ b/src/test/java/mulleinfront/emulator/DigestTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One scenario and seed have one course of decisions, whatever JVM they are played in. */
+/** A scenario and a seed give the same decisions and report in every JVM configuration. */
 class DigestTest {
     private static final String SCENARIO = """
             [scenario]
@@ -49,7 +49,7 @@
             for = "5s"
             """;
 
-    /** Heaps, collectors, locales, time zones, identity hashes and compilers: 20 in all. */
+    /** 20 JVM configurations: heap sizes, collectors, locales, time zones, identity hashes, compilers and encodings. */
     private static final List<String> JVMS = List.of(
             "-XX:hashCode=0",
             "-XX:hashCode=1",
@@ -108,10 +108,10 @@
     void oneSeedHasOneDigestInTwentyJvms() throws Exception {
         Files.writeString(folder.resolve("short.toml"), SCENARIO);
         Files.copy(Worlds.SHIPPED.resolve("calm.toml"), folder.resolve("calm.toml"));
-        String here = Worlds.world(ScenarioReader.read(folder.resolve("short.toml")), 7)
+        String expectedDigest = Worlds.world(ScenarioReader.read(folder.resolve("short.toml")), 7)
                 .play()
                 .sha256();
-        Set<String> lines = new HashSet<>();
+        Set<String> digestLines = new HashSet<>();
         Set<String> reports = new HashSet<>();
         for (int from = 0; from < JVMS.size(); from += 4) {
             List<Run> batch = new ArrayList<>();
@@ -123,7 +123,7 @@
                     assertTrue(run.process().waitFor(120, TimeUnit.SECONDS), "never ended");
                     List<String> out = Files.readAllLines(run.out(), StandardCharsets.UTF_8);
                     assertEquals(0, run.process().exitValue(), String.join("\n", out));
-                    lines.add(out.get(out.size() - 1));
+                    digestLines.add(out.get(out.size() - 1));
                     reports.add(Files.readString(run.json())
                             + out.stream()
                                     .skip(1)
@@ -134,7 +134,7 @@
                 }
             }
         }
-        assertEquals(Set.of("decisions: sha256 " + here), lines);
+        assertEquals(Set.of("decisions: sha256 " + expectedDigest), digestLines);
         assertEquals(1, reports.size(), "the same report to the letter");
         assertEquals(20, JVMS.size());
         assertTrue(new File(System.getProperty("java.home")).isDirectory());
--- a/src/test/java/mulleinfront/emulator/DiscoveryBoundTest.java
+++ b/src/test/java/mulleinfront/emulator/DiscoveryBoundTest.java
@@ -22,125 +22,127 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * How long it takes until every client proxy has what discovery has, whatever became of its calls: a drain
- * counts as told 6 s after discovery had it and could be reached.
+ * The time until every client proxy has the latest list, whatever happens to its watches and discovery calls. The
+ * propagation deadline of a drain is 6 s after discovery knew of it and was reachable.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class DiscoveryBoundTest {
-    private static final double S = 1e6;
+    private static final double US_PER_S = 1e6;
     private static final int[] SIZES = {5, 30, 100, 200, 670};
-    /** What counts as told after 6 s has to be there by then with room to spare, seconds. */
-    private static final double BOUND = 5.5;
+    /** The longest allowed time in seconds, a margin below the propagation deadline of 6 s. */
+    private static final double BOUND_S = 5.5;
     /**
-     * Discovery answers a call of each in this time, seconds; where it gives calls up itself it has to be
-     * quicker.
+     * Discovery answers one call of each instance within this time, in seconds. It has to be faster where it also drops
+     * calls that wait too long.
      */
     private static final double ALL_CALL_S = 3;
 
-    private static final double ALL_CALL_GIVEN_UP_S = 2;
+    private static final double ALL_CALL_DROPPED_S = 2;
     private static final long SEEDS = 3;
 
-    /** What becomes of watches and calls before discovery can be reached again. */
-    enum Trouble {
-        /** It is down: watches end, each call is refused. */
+    /** What happens to watches and discovery calls until discovery is reachable again. */
+    enum DiscoveryFault {
+        /** Discovery is down: watches end and each call is refused. */
         REFUSED,
-        /** Watches fall silent, calls are taken and never answered. */
+        /** Watches send no data; calls are accepted and never answered. */
         SILENT,
-        /** Watches fall silent for good; calls are answered. */
+        /** Watches never send data again; calls are answered. */
         WATCHES_SILENT,
-        /** Watches end instead of telling; calls are answered. */
+        /** Watches end without sending the change; calls are answered. */
         RESET,
-        /** Others call so often that calls wait and are given up by discovery. */
+        /** Other callers overload discovery, so that calls queue and discovery drops them. */
         GIVEN_UP
     }
 
-    /** Discovery takes a call of each within some seconds, and gives one up that waits 2 s. */
-    private static String world(int instances, double allCallS) {
+    /** Discovery answers one call of each instance within {@code allCallS}, and drops a call that has waited 2 s. */
+    private static String scenarioLines(int instances, double allCallS) {
         return "length = \"40s\"\n[discovery]\ncall = \"" + (long) (allCallS * 1e6 / instances)
                 + "us\"\ntimeout = \"2s\"\n[proxies]\ncount = " + instances
                 + "\nstart-within = \"200ms\"\n[load]\nrate = \"20/s\"\n";
     }
 
-    private static String fault(String what, double at, double lasts) {
-        return String.format(Locale.ROOT, "[[fault]]\ndo = \"%s\"\nat = \"%dms\"\n", what, (long) (at * 1000))
-                + (lasts > 0 ? String.format(Locale.ROOT, "for = \"%dms\"\n", (long) (lasts * 1000)) : "");
+    private static String fault(String type, double atS, double durationS) {
+        return String.format(Locale.ROOT, "[[fault]]\ndo = \"%s\"\nat = \"%dms\"\n", type, (long) (atS * 1000))
+                + (durationS > 0 ? String.format(Locale.ROOT, "for = \"%dms\"\n", (long) (durationS * 1000)) : "");
     }
 
-    /** How it went: the longest time until the list was there, and discovery's calls. */
-    record Played(double longestS, long calls, long failed) {}
+    /** Result of a run: the longest time in seconds until an instance had the list, and the count of discovery calls. */
+    record RunResult(double longestS, long calls, long failed) {}
 
-    static Played play(int instances, double allCallS, Trouble trouble, long seed) throws Exception {
-        // The trouble's length differs by seed, so that it ends anywhere between two calls.
-        double at = 11 + 0.37 * seed;
-        double lasts = 7 + 1.3 * (seed % 5);
-        String faults = switch (trouble) {
-            case REFUSED -> fault("discovery-down", at, lasts);
-            case SILENT -> fault("discovery-silent", at, lasts);
-            case WATCHES_SILENT -> fault("watches-silent", at, 0);
-            case RESET -> fault("watches-reset", at, 0);
+    static RunResult play(int instances, double allCallS, DiscoveryFault fault, long seed) throws Exception {
+        // The fault's length differs by seed, so that it ends at varying points between two calls.
+        double faultAtS = 11 + 0.37 * seed;
+        double durationS = 7 + 1.3 * (seed % 5);
+        String faults = switch (fault) {
+            case REFUSED -> fault("discovery-down", faultAtS, durationS);
+            case SILENT -> fault("discovery-silent", faultAtS, durationS);
+            case WATCHES_SILENT -> fault("watches-silent", faultAtS, 0);
+            case RESET -> fault("watches-reset", faultAtS, 0);
             case GIVEN_UP ->
-                fault("discovery-crowd", at - 3, lasts) + "calls = \"" + Math.round(1.5 * instances / allCallS + 1)
-                        + "/s\"\n" + fault("watches-reset", at, 0);
+                fault("discovery-crowd", faultAtS - 3, durationS) + "calls = \""
+                        + Math.round(1.5 * instances / allCallS + 1) + "/s\"\n" + fault("watches-reset", faultAtS, 0);
         };
-        double reachable = switch (trouble) {
-            case REFUSED, SILENT -> at + lasts;
-            // What it had let wait is worked off: a call made before that is given up.
-            case GIVEN_UP -> at - 3 + lasts + 2;
-            case WATCHES_SILENT, RESET -> at + 0.001;
+        double reachableAtS = switch (fault) {
+            case REFUSED, SILENT -> faultAtS + durationS;
+            // Calls already queued are dropped after at most the timeout of 2 s.
+            case GIVEN_UP -> faultAtS - 3 + durationS + 2;
+            case WATCHES_SILENT, RESET -> faultAtS + 0.001;
         };
-        Map<Core<Call, Answer>, Long> told = new ConcurrentHashMap<>();
-        World world =
-                Worlds.world(Worlds.of(world(instances, allCallS) + faults), seed, Balancer::create, new Fitting() {
+        Map<Core<Call, Answer>, Long> listedAtUs = new ConcurrentHashMap<>();
+        World world = Worlds.world(
+                Worlds.of(scenarioLines(instances, allCallS) + faults), seed, Balancer::create, new Fitting() {
                     @Override
                     public void listed(Core<Call, Answer> core, Source source, List<Endpoint> entries, Time time) {
                         if (entries.stream()
                                 .anyMatch(e -> e.id().equals("new-0") && e.availability() == Availability.DRAINING)) {
-                            told.putIfAbsent(core, time.now());
+                            listedAtUs.putIfAbsent(core, time.now());
                         }
                         core.onEndpointList(source, entries);
                     }
                 });
-        Host drains = world.hosts.get(0);
-        assertEquals("new-0", drains.id);
-        world.queue.after((long) ((at + 0.001) * S), () -> {
-            drains.life.drain();
-            world.registry.know(new Registry.Entry(drains.listed(Availability.DRAINING), drains.address));
+        Host drainingHost = world.hosts.get(0);
+        assertEquals("new-0", drainingHost.id);
+        world.queue.after((long) ((faultAtS + 0.001) * US_PER_S), () -> {
+            drainingHost.life.drain();
+            world.registry.know(new Registry.Entry(drainingHost.listed(Availability.DRAINING), drainingHost.address));
         });
         World.Result result = world.play();
         assertEquals(List.of(), result.breaches());
-        assertEquals(instances, told.size(), "all were told");
-        long last = told.values().stream().mapToLong(Long::longValue).max().orElseThrow();
-        return new Played(
-                last / S - reachable,
+        assertEquals(instances, listedAtUs.size(), "all were told");
+        long lastListedAtUs =
+                listedAtUs.values().stream().mapToLong(Long::longValue).max().orElseThrow();
+        return new RunResult(
+                lastListedAtUs / US_PER_S - reachableAtS,
                 result.service().counts().get("discovery calls"),
                 result.service().counts().get("discovery calls failed"));
     }
 
     static List<Arguments> all() {
         List<Arguments> all = new ArrayList<>();
-        for (Trouble trouble : Trouble.values()) {
+        for (DiscoveryFault fault : DiscoveryFault.values()) {
             for (int instances : SIZES) {
-                if (trouble != Trouble.GIVEN_UP) {
-                    all.add(Arguments.of(trouble, instances));
+                if (fault != DiscoveryFault.GIVEN_UP) {
+                    all.add(Arguments.of(fault, instances));
                 }
             }
         }
         return all;
     }
 
-    /** Guards drains where discovery gives calls up, since too many call. */
+    /** Guards against drains that arrive late because discovery is overloaded and drops calls. */
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100, 200, 670})
     void allHaveTheDrainInTimeWhereACrowdHasCallsGivenUp(int instances) throws Exception {
-        allHaveTheDrainInTime(Trouble.GIVEN_UP, instances);
+        allHaveTheDrainInTime(DiscoveryFault.GIVEN_UP, instances);
     }
 
     @ParameterizedTest
     @MethodSource("all")
-    void allHaveTheDrainInTime(Trouble trouble, int instances) throws Exception {
+    void allHaveTheDrainInTime(DiscoveryFault fault, int instances) throws Exception {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Played p = play(instances, trouble == Trouble.GIVEN_UP ? ALL_CALL_GIVEN_UP_S : ALL_CALL_S, trouble, seed);
-            assertTrue(p.longestS() < BOUND, "seed " + seed + ": " + p);
+            RunResult result =
+                    play(instances, fault == DiscoveryFault.GIVEN_UP ? ALL_CALL_DROPPED_S : ALL_CALL_S, fault, seed);
+            assertTrue(result.longestS() < BOUND_S, "seed " + seed + ": " + result);
         }
     }
 }
--- a/src/test/java/mulleinfront/emulator/EventQueueTest.java
+++ b/src/test/java/mulleinfront/emulator/EventQueueTest.java
@@ -9,52 +9,52 @@
 import mulleinfront.core.Time;
 import org.junit.jupiter.api.Test;
 
-/** Virtual time: what runs when, and in which order. */
+/** Order and time of events in virtual time, and their cancellation. */
 class EventQueueTest {
     private final EventQueue queue = new EventQueue();
-    private final List<Object> ran = new ArrayList<>();
+    private final List<Object> executed = new ArrayList<>();
 
     @Test
-    void eventsOfOneInstantRunInTheOrderInWhichTheyWereAskedFor() {
+    void eventsAtOneInstantRunInSchedulingOrder() {
         for (int i = 0; i < 10_000; i++) {
             int n = i;
-            queue.after(5, () -> ran.add(n));
+            queue.after(5, () -> executed.add(n));
         }
-        queue.after(4, () -> ran.add("before"));
+        queue.after(4, () -> executed.add("before"));
         queue.runUntil(5);
-        assertEquals("before", ran.remove(0));
-        assertEquals(IntStream.range(0, 10_000).boxed().toList(), ran);
+        assertEquals("before", executed.remove(0));
+        assertEquals(IntStream.range(0, 10_000).boxed().toList(), executed);
     }
 
     @Test
-    void whatAnEventAsksForAtItsOwnInstantRunsAfterAllThatWaitThere() {
-        queue.after(1, () -> queue.after(0, () -> ran.add("asked last")));
-        queue.after(1, () -> ran.add("second"));
-        queue.after(-7, () -> ran.add("late ones run now"));
+    void eventScheduledForTheCurrentInstantRunsLast() {
+        queue.after(1, () -> queue.after(0, () -> executed.add("asked last")));
+        queue.after(1, () -> executed.add("second"));
+        queue.after(-7, () -> executed.add("late ones run now"));
         queue.runUntil(1);
-        assertEquals(List.of("late ones run now", "second", "asked last"), ran);
+        assertEquals(List.of("late ones run now", "second", "asked last"), executed);
         assertEquals(1, queue.now());
     }
 
     @Test
-    void theLastInstantIsIncludedAndTheNextIsNot() {
-        queue.after(10, () -> ran.add(queue.now()));
-        queue.after(11, () -> ran.add(queue.now()));
+    void runUntilIncludesTheLastInstant() {
+        queue.after(10, () -> executed.add(queue.now()));
+        queue.after(11, () -> executed.add(queue.now()));
         queue.runUntil(10);
-        assertEquals(List.of(10L), ran);
+        assertEquals(List.of(10L), executed);
         queue.runUntil(100);
-        assertEquals(List.of(10L, 11L), ran);
+        assertEquals(List.of(10L, 11L), executed);
         assertEquals(100, queue.now());
     }
 
     @Test
-    void whatIsCancelledDoesNotRunHoweverMuchThereIsOfIt() {
+    void cancelledEventsDoNotRun() {
         List<Time.Timer> timers = new ArrayList<>();
         List<Integer> kept = new ArrayList<>();
         Chance chance = Chance.of(1, "test");
         for (int i = 0; i < 50_000; i++) {
             int n = i;
-            timers.add(queue.after(1 + chance.below(1_000), () -> ran.add(n)));
+            timers.add(queue.after(1 + chance.below(1_000), () -> executed.add(n)));
         }
         for (int i = 0; i < 50_000; i++) {
             if (i % 10 == 0) {
@@ -65,10 +65,10 @@
             }
         }
         queue.runUntil(2_000);
-        assertEquals(kept, ran.stream().map(o -> (Integer) o).sorted().toList());
+        assertEquals(kept, executed.stream().map(o -> (Integer) o).sorted().toList());
         timers.forEach(Time.Timer::cancel);
-        queue.after(1, () -> ran.add("still works"));
+        queue.after(1, () -> executed.add("still works"));
         queue.runUntil(3_000);
-        assertTrue(ran.contains("still works"));
+        assertTrue(executed.contains("still works"));
     }
 }
--- a/src/test/java/mulleinfront/emulator/Broken.java
+++ b/src/test/java/mulleinfront/emulator/FaultyComponents.java
@@ -25,20 +25,20 @@
 import mulleinfront.core.Time;
 import mulleinfront.core.Wire;
 
-/** Cores and modules broken on purpose: each keeps all rules but the one that it is named after. */
-final class Broken {
-    private Broken() {}
+/** Deliberately faulty balancers, callers and wires: each violates only the invariant that its name describes. */
+final class FaultyComponents {
+    private FaultyComponents() {}
 
-    // ---- modules -------------------------------------------------------------------------------------
+    // ---- balancers -----------------------------------------------------------------------------------
 
-    /** The real module behind events and actions that a subclass may change. */
-    private abstract static class Module implements Balancer {
+    /** Delegates to the real balancer; subclasses may change its events and the targets of its sends. */
+    private abstract static class DelegatingBalancer implements Balancer {
         final Actions actions;
-        final Balancer real;
+        final Balancer delegate;
 
-        Module(Settings settings, long seed, long now, Actions actions) {
+        DelegatingBalancer(Settings settings, long seed, long now, Actions actions) {
             this.actions = actions;
-            this.real = Balancer.create(settings, seed, now, new Passed(actions, this));
+            this.delegate = Balancer.create(settings, seed, now, new ForwardingActions(actions, this));
         }
 
         String target(String requestId, String endpointId) {
@@ -47,117 +47,117 @@
 
         @Override
         public void onEndpoints(long now, Source source, List<Endpoint> endpoints) {
-            real.onEndpoints(now, source, endpoints);
+            delegate.onEndpoints(now, source, endpoints);
         }
 
         @Override
         public void onDiscoveryFailed(long now) {
-            real.onDiscoveryFailed(now);
+            delegate.onDiscoveryFailed(now);
         }
 
         @Override
         public void onDiscoveryFailed(long now, long quietUs) {
-            real.onDiscoveryFailed(now, quietUs);
+            delegate.onDiscoveryFailed(now, quietUs);
         }
 
         @Override
         public void onWatchEnded(long now) {
-            real.onWatchEnded(now);
+            delegate.onWatchEnded(now);
         }
 
         @Override
         public void onDiscoveryMoved(long now, long movedAgoUs) {
-            real.onDiscoveryMoved(now, movedAgoUs);
+            delegate.onDiscoveryMoved(now, movedAgoUs);
         }
 
         @Override
         public void onDiscoveryUnreachable(long now) {
-            real.onDiscoveryUnreachable(now);
+            delegate.onDiscoveryUnreachable(now);
         }
 
         @Override
         public void onRequest(long now, Request request) {
-            real.onRequest(now, request);
+            delegate.onRequest(now, request);
         }
 
         @Override
         public void onRequestAbandoned(long now, String requestId) {
-            real.onRequestAbandoned(now, requestId);
+            delegate.onRequestAbandoned(now, requestId);
         }
 
         @Override
         public void onStreamStarted(long now, String requestId, int attempt) {
-            real.onStreamStarted(now, requestId, attempt);
+            delegate.onStreamStarted(now, requestId, attempt);
         }
 
         @Override
         public void onAttemptEnded(long now, AttemptEnd end) {
-            real.onAttemptEnded(now, end);
+            delegate.onAttemptEnded(now, end);
         }
 
         @Override
-        public void onLoadReport(long now, String endpointId, double held) {
-            real.onLoadReport(now, endpointId, held);
+        public void onLoadReport(long now, String endpointId, double inFlight) {
+            delegate.onLoadReport(now, endpointId, inFlight);
         }
 
         @Override
         public void observe(Observer observer) {
-            real.observe(observer);
+            delegate.observe(observer);
         }
 
         @Override
-        public void onProbeEnded(long now, String endpointId, Outcome outcome, long lagUs) {
-            real.onProbeEnded(now, endpointId, outcome, lagUs);
+        public void onProbeEnded(long now, String endpointId, Outcome outcome, long latencyUs) {
+            delegate.onProbeEnded(now, endpointId, outcome, latencyUs);
         }
 
         @Override
         public void onTimer(long now) {
-            real.onTimer(now);
+            delegate.onTimer(now);
         }
     }
 
-    /** Actions on their way from the real module. */
-    private record Passed(Actions to, Module module) implements Actions {
+    /** Forwards the actions of the real balancer, with the targets of sends changed. */
+    private record ForwardingActions(Actions delegate, DelegatingBalancer balancer) implements Actions {
         @Override
         public void send(String requestId, String endpointId, long timeoutUs) {
-            to.send(requestId, module.target(requestId, endpointId), timeoutUs);
+            delegate.send(requestId, balancer.target(requestId, endpointId), timeoutUs);
         }
 
         @Override
         public void refuse(String requestId, long retryAfterUs) {
-            to.refuse(requestId, retryAfterUs);
+            delegate.refuse(requestId, retryAfterUs);
         }
 
         @Override
         public void fail(String requestId) {
-            to.fail(requestId);
+            delegate.fail(requestId);
         }
 
         @Override
         public void cancel(String requestId, int attempt) {
-            to.cancel(requestId, attempt);
+            delegate.cancel(requestId, attempt);
         }
 
         @Override
         public void probe(String endpointId) {
-            to.probe(endpointId);
+            delegate.probe(endpointId);
         }
 
         @Override
         public void subscribe() {
-            to.subscribe();
+            delegate.subscribe();
         }
 
         @Override
         public void wakeAt(long atUs) {
-            to.wakeAt(atUs);
+            delegate.wakeAt(atUs);
         }
     }
 
-    /** Takes every class for one that may be repeated: a payout that may have run is sent again. */
-    static Balancer resendsPayouts(Settings settings, long seed, long now, Actions actions) {
+    /** Treats every class as retryable: a payout that may have been executed is sent again. */
+    static Balancer resendsUnsafeRequests(Settings settings, long seed, long now, Actions actions) {
         return Balancer.create(
-                with(
+                withClasses(
                         settings,
                         c -> new RequestClass(
                                 c.name(),
@@ -174,10 +174,10 @@
                 actions);
     }
 
-    /** Takes the group that drops repeats for the whole fleet. */
-    static Balancer leavesTheGroup(Settings settings, long seed, long now, Actions actions) {
+    /** Assumes that the deduplication group is the whole fleet. */
+    static Balancer ignoresDedupGroup(Settings settings, long seed, long now, Actions actions) {
         return Balancer.create(
-                with(
+                withClasses(
                         settings,
                         c -> c.effect() != Effect.DEDUP
                                 ? c
@@ -196,63 +196,63 @@
                 actions);
     }
 
-    private static Settings with(Settings s, UnaryOperator<RequestClass> change) {
+    private static Settings withClasses(Settings settings, UnaryOperator<RequestClass> change) {
         return new Settings(
-                s.classes().stream().map(change).toList(),
-                s.tenantShares(),
-                s.overShareWorth(),
-                s.instances(),
-                s.probePrice(),
-                s.subscribe(),
-                s.weightsVary(),
-                s.limits(),
-                s.contract());
+                settings.classes().stream().map(change).toList(),
+                settings.tenantShares(),
+                settings.overShareWorth(),
+                settings.instances(),
+                settings.probePrice(),
+                settings.subscribe(),
+                settings.weightsVary(),
+                settings.limits(),
+                settings.contract());
     }
 
-    /** Sends most of what it has to the server that started last. */
-    static Balancer floodsTheNewest(Settings settings, long seed, long now, Actions actions) {
-        return new Newest(settings, seed, now, actions, 1);
+    /** Sends almost every request to the most recently started server. */
+    static Balancer floodsNewestServer(Settings settings, long seed, long now, Actions actions) {
+        return new NewestServerBalancer(settings, seed, now, actions, 1);
     }
 
-    /** Sends every third request there. */
-    static Balancer favoursTheNewest(Settings settings, long seed, long now, Actions actions) {
-        return new Newest(settings, seed, now, actions, 3);
+    /** Sends every third request to the most recently started server. */
+    static Balancer favoursNewestServer(Settings settings, long seed, long now, Actions actions) {
+        return new NewestServerBalancer(settings, seed, now, actions, 3);
     }
 
-    /** Balancer that redirects every n-th send to the ready server that started last. */
-    private static final class Newest extends Module {
-        private final int every;
-        private final Map<String, Long> ready = new HashMap<>();
-        private int sends;
+    /** Redirects every n-th send, or all of them for {@code every = 1}, to the ready server that started last. */
+    private static final class NewestServerBalancer extends DelegatingBalancer {
+        private final int redirectEvery;
+        private final Map<String, Long> readyStartTimesUs = new HashMap<>();
+        private int sendCount;
 
-        Newest(Settings settings, long seed, long now, Actions actions, int every) {
+        NewestServerBalancer(Settings settings, long seed, long now, Actions actions, int every) {
             super(settings, seed, now, actions);
-            this.every = every;
+            this.redirectEvery = every;
         }
 
         @Override
         public void onEndpoints(long now, Source source, List<Endpoint> endpoints) {
-            endpoints.forEach(e -> ready.remove(e.id()));
+            endpoints.forEach(e -> readyStartTimesUs.remove(e.id()));
             endpoints.stream()
                     .filter(e -> e.availability() == Availability.READY && e.startedAtUs() > 0)
-                    .forEach(e -> ready.put(e.id(), e.startedAtUs()));
+                    .forEach(e -> readyStartTimesUs.put(e.id(), e.startedAtUs()));
             super.onEndpoints(now, source, endpoints);
         }
 
         @Override
         String target(String requestId, String endpointId) {
-            return sends++ % every > 0
+            return sendCount++ % redirectEvery > 0
                     ? endpointId
-                    : ready.entrySet().stream()
+                    : readyStartTimesUs.entrySet().stream()
                             .max(Map.Entry.<String, Long>comparingByValue().thenComparing(Map.Entry.comparingByKey()))
                             .map(Map.Entry::getKey)
                             .orElse(endpointId);
         }
     }
 
-    /** Never hears of a drain. */
-    static Balancer deafToDrains(Settings settings, long seed, long now, Actions actions) {
-        return new Module(settings, seed, now, actions) {
+    /** Sees every listed endpoint as ready, and so ignores drains. */
+    static Balancer ignoresDrains(Settings settings, long seed, long now, Actions actions) {
+        return new DelegatingBalancer(settings, seed, now, actions) {
             @Override
             public void onEndpoints(long at, Source source, List<Endpoint> endpoints) {
                 super.onEndpoints(
@@ -272,8 +272,8 @@
         };
     }
 
-    /** Never asks discovery for anything: it takes its lists to come by themselves. */
-    static Balancer neverAsks(Settings settings, long seed, long now, Actions actions) {
+    /** Never calls discovery, since it expects lists to be pushed. */
+    static Balancer neverCallsDiscovery(Settings settings, long seed, long now, Actions actions) {
         return Balancer.create(
                 new Settings(
                         settings.classes(),
@@ -291,110 +291,110 @@
                 actions);
     }
 
-    /** Throws at its hundredth request. */
-    static Balancer throwsOnce(Balancer real) {
+    /** Throws an exception at the hundredth request. */
+    static Balancer throwsOnce(Balancer balancer) {
         int[] count = {0};
         return (Balancer) java.lang.reflect.Proxy.newProxyInstance(
-                Broken.class.getClassLoader(), new Class<?>[] {Balancer.class}, (self, method, args) -> {
+                FaultyComponents.class.getClassLoader(), new Class<?>[] {Balancer.class}, (self, method, args) -> {
                     if (method.getName().equals("onRequest") && ++count[0] == 100) {
                         throw new IllegalStateException("a defect");
                     }
-                    return method.invoke(real, args);
+                    return method.invoke(balancer, args);
                 });
     }
 
-    // ---- cores ---------------------------------------------------------------------------------------
+    // ---- callers and wires ---------------------------------------------------------------------------
 
-    /** A caller whose words a subclass may change. */
-    private static class Told implements ResponseHandler<Call, Answer> {
-        final ResponseHandler<Call, Answer> to;
+    /** Delegates to the real response handler; subclasses may change the responses. */
+    private static class DelegatingResponseHandler implements ResponseHandler<Call, Answer> {
+        final ResponseHandler<Call, Answer> delegate;
 
-        Told(ResponseHandler<Call, Answer> to) {
-            this.to = to;
+        DelegatingResponseHandler(ResponseHandler<Call, Answer> to) {
+            this.delegate = to;
         }
 
         @Override
-        public void opened(Core.RequestHandle<Call, Answer> exchange) {
-            to.opened(exchange);
+        public void opened(Core.RequestHandle<Call, Answer> handle) {
+            delegate.opened(handle);
         }
 
         @Override
         public void served(Answer answer) {
-            to.served(answer);
+            delegate.served(answer);
         }
 
         @Override
         public void refused(long retryAfterUs) {
-            to.refused(retryAfterUs);
+            delegate.refused(retryAfterUs);
         }
 
         @Override
         public void failed(boolean timeUp) {
-            to.failed(timeUp);
+            delegate.failed(timeUp);
         }
     }
 
-    private static Fitting caller(
-            java.util.function.BiFunction<ResponseHandler<Call, Answer>, Time, ResponseHandler<Call, Answer>> as) {
+    private static Fitting wrapHandler(
+            java.util.function.BiFunction<ResponseHandler<Call, Answer>, Time, ResponseHandler<Call, Answer>> wrapper) {
         return new Fitting() {
             @Override
             public ResponseHandler<Call, Answer> caller(ResponseHandler<Call, Answer> caller, Time time) {
-                return as.apply(caller, time);
+                return wrapper.apply(caller, time);
             }
         };
     }
 
-    /** One answer in a hundred never reaches its client. */
-    static Fitting forgets() {
+    /** Drops one response in a hundred. */
+    static Fitting dropsResponses() {
         int[] count = {0};
-        return caller((c, time) -> new Told(c) {
+        return wrapHandler((c, time) -> new DelegatingResponseHandler(c) {
             @Override
             public void served(Answer answer) {
                 if (++count[0] % 100 > 0) {
-                    to.served(answer);
+                    delegate.served(answer);
                 }
             }
         });
     }
 
-    /** One request in a hundred is answered twice. */
+    /** Answers one request in a hundred twice. */
     static Fitting answersTwice() {
         int[] count = {0};
-        return caller((c, time) -> new Told(c) {
+        return wrapHandler((c, time) -> new DelegatingResponseHandler(c) {
             @Override
             public void served(Answer answer) {
-                to.served(answer);
+                delegate.served(answer);
                 if (++count[0] % 100 == 0) {
-                    to.served(answer);
+                    delegate.served(answer);
                 }
             }
         });
     }
 
-    /** Now and then a client gets the answer before its own. */
-    static Fitting mixesAnswersUp() {
-        List<Answer> before = new ArrayList<>();
-        return caller((c, time) -> new Told(c) {
+    /** Gives one client in a hundred the preceding response in place of its own. */
+    static Fitting swapsResponses() {
+        List<Answer> responses = new ArrayList<>();
+        return wrapHandler((c, time) -> new DelegatingResponseHandler(c) {
             @Override
             public void served(Answer answer) {
-                before.add(answer);
-                to.served(before.size() % 100 == 0 ? before.get(before.size() - 2) : answer);
+                responses.add(answer);
+                delegate.served(responses.size() % 100 == 0 ? responses.get(responses.size() - 2) : answer);
             }
         });
     }
 
-    /** A failure is told to be a refusal. */
-    static Fitting callsFailuresHarmless() {
-        return caller((c, time) -> new Told(c) {
+    /** Reports failures as refusals. */
+    static Fitting reportsFailuresAsRefusals() {
+        return wrapHandler((c, time) -> new DelegatingResponseHandler(c) {
             @Override
             public void failed(boolean timeUp) {
-                to.refused(0);
+                delegate.refused(0);
             }
         });
     }
 
-    /** Makes an attempt on the real wire, possibly with altered arguments. */
-    private interface Made {
+    /** Makes an attempt on the real wire, possibly with changed arguments. */
+    private interface AttemptFactory {
         Wire.Attempt attempt(
                 Wire<Call, Answer> wire,
                 Time time,
@@ -407,7 +407,7 @@
                 Wire.AttemptListener<Answer> end);
     }
 
-    private static Fitting wire(Made made) {
+    private static Fitting wrapWire(AttemptFactory factory) {
         return new Fitting() {
             @Override
             public Wire<Call, Answer> wire(Wire<Call, Answer> wire, Time time) {
@@ -421,7 +421,7 @@
                             long timeoutUs,
                             BooleanSupplier wanted,
                             AttemptListener<Answer> end) {
-                        return made.attempt(wire, time, requestId, number, hostId, call, timeoutUs, wanted, end);
+                        return factory.attempt(wire, time, requestId, number, hostId, call, timeoutUs, wanted, end);
                     }
 
                     @Override
@@ -430,63 +430,66 @@
                     }
 
                     @Override
-                    public void subscribe(long patienceUs) {
-                        wire.subscribe(patienceUs);
+                    public void subscribe(long timeoutUs) {
+                        wire.subscribe(timeoutUs);
                     }
                 };
             }
         };
     }
 
-    /** Writes without asking whether it may: with a module that is deaf to drains, or a client that left. */
-    static Fitting writesUnasked() {
-        return wire((wire, time, requestId, number, hostId, call, timeoutUs, wanted, end) ->
+    /**
+     * Skips the check before the first byte whether the attempt is still wanted, so that requests are sent to draining
+     * endpoints or for disconnected clients.
+     */
+    static Fitting skipsWantedCheck() {
+        return wrapWire((wire, time, requestId, number, hostId, call, timeoutUs, wanted, end) ->
                 wire.attempt(requestId, number, hostId, call, timeoutUs, () -> true, end));
     }
 
-    /** Begins one attempt in fifty by itself, long after it was decided on and was over for the core. */
-    static Fitting sendsAfterTheEnd() {
+    /** Starts a further attempt for one in fifty, 3 s later, when the core may have ended the request. */
+    static Fitting sendsAfterEnd() {
         int[] count = {0};
-        return wire((wire, time, requestId, number, hostId, call, timeoutUs, wanted, end) -> {
-            Wire.Attempt plain = wire.attempt(requestId, number, hostId, call, timeoutUs, wanted, end);
-            if (plain != null && ++count[0] % 50 == 0) {
+        return wrapWire((wire, time, requestId, number, hostId, call, timeoutUs, wanted, end) -> {
+            Wire.Attempt attempt = wire.attempt(requestId, number, hostId, call, timeoutUs, wanted, end);
+            if (attempt != null && ++count[0] % 50 == 0) {
                 time.after(3_000_000, () -> {
-                    Wire.Attempt late = wire.attempt(
+                    Wire.Attempt lateAttempt = wire.attempt(
                             requestId, number, hostId, call, 1_000_000, () -> true, (outcome, answer) -> {});
-                    if (late != null) {
-                        late.start();
+                    if (lateAttempt != null) {
+                        lateAttempt.start();
                     }
                 });
             }
-            return plain;
+            return attempt;
         });
     }
 
-    /** Sends one attempt in fifty to two servers at once. */
-    static Fitting sendsSecondCopies() {
+    /** Sends a copy of one attempt in fifty to a second server. */
+    static Fitting sendsDuplicates() {
         int[] count = {0};
-        Set<String> seen = new HashSet<>();
-        return wire((wire, time, requestId, number, hostId, call, timeoutUs, wanted, end) -> {
-            seen.add(hostId);
-            Wire.Attempt plain = wire.attempt(requestId, number, hostId, call, timeoutUs, wanted, end);
-            String other = seen.stream()
+        Set<String> hostIds = new HashSet<>();
+        return wrapWire((wire, time, requestId, number, hostId, call, timeoutUs, wanted, end) -> {
+            hostIds.add(hostId);
+            Wire.Attempt attempt = wire.attempt(requestId, number, hostId, call, timeoutUs, wanted, end);
+            String other = hostIds.stream()
                     .filter(h -> !h.equals(hostId))
                     .sorted()
                     .findFirst()
                     .orElse(hostId);
-            if (plain != null && ++count[0] % 50 == 0) {
+            if (attempt != null && ++count[0] % 50 == 0) {
                 Wire.Attempt copy =
                         wire.attempt(requestId, number + 100, other, call, timeoutUs, wanted, (outcome, answer) -> {});
                 if (copy != null) {
                     time.after(10_000, copy::start);
                 }
             }
-            return plain;
+            return attempt;
         });
     }
 
-    /** Lists reach the core two seconds after they were told. */
-    static Fitting hearsOfListsLate() {
+    /** Delays list updates to the core by 2 s; cached lists are not delayed. */
+    static Fitting delaysLists() {
         return new Fitting() {
             @Override
             public void listed(Core<Call, Answer> core, Source source, List<Endpoint> endpoints, Time time) {
--- a/src/test/java/mulleinfront/emulator/GraphWorldTest.java
+++ b/src/test/java/mulleinfront/emulator/GraphWorldTest.java
@@ -25,12 +25,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Many services that call each other: a small form of what {@code scenarios/size} plays in full. */
+/** Many services that call each other: the scenarios of {@code scenarios/size} at a smaller size. */
 @Execution(ExecutionMode.CONCURRENT)
 class GraphWorldTest {
     private static final Path SIZE = Worlds.SHIPPED.resolve("size");
     private static final int HOSTS = 260;
-    /** Where it is not about how many there are. */
+    /** Used by tests that do not depend on the number of servers. */
     private static final int FEW_HOSTS = 110;
 
     private static final int FEW_SERVICES = 24;
@@ -44,18 +44,18 @@
     }
 
     private static GraphWorld world(
-            GraphSpec spec, long seed, Core.BalancerFactory maker, Fitting fitting, GraphApplication application) {
-        return new GraphWorld(spec, seed, new Trace(null), maker, fitting, application);
+            GraphSpec spec, long seed, Core.BalancerFactory factory, Fitting fitting, GraphApplication application) {
+        return new GraphWorld(spec, seed, new Trace(null), factory, fitting, application);
     }
 
     private static GraphWorld world(GraphSpec spec, long seed) {
         return world(spec, seed, Balancer::create, Fitting.PLAIN, GraphApplication.PLAIN);
     }
 
-    // ---- what is drawn -------------------------------------------------------------------------------
+    // ---- call graph generation -----------------------------------------------------------------------
 
     @Test
-    void theSizeIsWhatTheFileSays() throws Exception {
+    void sizeMatchesTheFile() throws Exception {
         GraphSpec spec = GraphReader.read(SIZE.resolve("world.toml"));
         assertEquals(670, spec.hosts());
         assertEquals(77, spec.services());
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void callsGoDownwardAndOneServiceStandsOnEveryPath() throws Exception {
+    void callsGoDownwardAndEveryPathPassesTheHub() throws Exception {
         GraphSpec spec = GraphReader.read(SIZE.resolve("world.toml"));
         for (long seed = 1; seed <= 50; seed++) {
             List<CallGraph.Node> nodes = CallGraph.draw(spec, seed).nodes();
@@ -76,11 +76,11 @@
             assertEquals(670, nodes.stream().mapToInt(CallGraph.Node::hosts).sum());
             Set<Integer> called = new HashSet<>();
             int hub = spec.fronts();
-            for (CallGraph.Node n : nodes) {
-                for (CallGraph.Edge e : n.calls()) {
-                    assertTrue(nodes.get(e.to()).level() > n.level(), "a way round by " + e);
-                    assertEquals(n.level() == 0, e.to() == hub, "a path past the hub, or back to it: " + e);
-                    called.add(e.to());
+            for (CallGraph.Node node : nodes) {
+                for (CallGraph.Edge edge : node.calls()) {
+                    assertTrue(nodes.get(edge.to()).level() > node.level(), "a way round by " + edge);
+                    assertEquals(node.level() == 0, edge.to() == hub, "a path past the hub, or back to it: " + edge);
+                    called.add(edge.to());
                 }
             }
             assertEquals(77 - spec.fronts(), called.size(), "somebody is called by nobody");
@@ -89,7 +89,7 @@
             assertEquals(
                     8,
                     nodes.stream()
-                            .filter(n -> n.level() > 0)
+                            .filter(node -> node.level() > 0)
                             .mapToDouble(CallGraph.Node::visits)
                             .sum(),
                     1e-6);
@@ -99,40 +99,44 @@
     }
 
     @Test
-    void aClientProxyKnowsTheServicesThatItCallsAndNoOthers() throws Exception {
+    void proxyKnowsOnlyTheServicesThatItCalls() throws Exception {
         GraphWorld world = world(small("world", 600, 1_000_000), 1);
-        for (GraphMachine m : world.machines) {
-            Set<Integer> knows =
-                    m.upstreams.stream().map(GraphMachine.Upstream::service).collect(Collectors.toSet());
-            Set<Integer> calls = m.node.calls().stream().map(CallGraph.Edge::to).collect(Collectors.toSet());
-            assertEquals(calls, knows);
-            assertEquals(m.node.level() == 0, m.host == null);
+        for (GraphMachine machine : world.machines) {
+            Set<Integer> knownServices = machine.upstreams.stream()
+                    .map(GraphMachine.Upstream::service)
+                    .collect(Collectors.toSet());
+            Set<Integer> calledServices =
+                    machine.node.calls().stream().map(CallGraph.Edge::to).collect(Collectors.toSet());
+            assertEquals(calledServices, knownServices);
+            assertEquals(machine.node.level() == 0, machine.host == null);
         }
-        assertEquals(5, world.machines.stream().map(m -> m.zone).distinct().count());
+        assertEquals(
+                5,
+                world.machines.stream().map(machine -> machine.zone).distinct().count());
     }
 
     @Test
-    void aRepeatMakesTheSameCallsAndOthersTheirOwn() throws Exception {
+    void repeatMakesTheSameCallsAndOtherRequestsDiffer() throws Exception {
         GraphWorld world = world(small("world", 600, 1_000_000), 1);
         for (CallGraph.Node node : world.nodes()) {
-            int[] made = new int[node.calls().size()];
-            Set<List<CallGraph.Edge>> all = new HashSet<>();
+            int[] callCounts = new int[node.calls().size()];
+            Set<List<CallGraph.Edge>> distinctCalls = new HashSet<>();
             for (int i = 0; i < 2_000; i++) {
                 List<CallGraph.Edge> calls = world.calls(node, "s" + i + ".4.7");
                 assertEquals(calls, world.calls(node, "s" + i + ".4.7"));
                 assertEquals(calls, world.calls(node, "k" + i + ".4.7"), "whatever its effect is");
-                calls.forEach(e -> made[node.calls().indexOf(e)]++);
-                all.add(calls);
+                calls.forEach(e -> callCounts[node.calls().indexOf(e)]++);
+                distinctCalls.add(calls);
             }
-            for (int e = 0; e < made.length; e++) {
-                assertEquals(node.calls().get(e).chance(), made[e] / 2_000.0, 0.05);
+            for (int e = 0; e < callCounts.length; e++) {
+                assertEquals(node.calls().get(e).chance(), callCounts[e] / 2_000.0, 0.05);
             }
-            assertTrue(node.level() == 0 || made.length == 0 || all.size() > 1, node.name());
+            assertTrue(node.level() == 0 || callCounts.length == 0 || distinctCalls.size() > 1, node.name());
         }
     }
 
     @Test
-    void aServerIsToldTheTimeOfItsAttemptOrOfTheWholeCall() throws Exception {
+    void serverGetsTheDeadlineOfItsAttemptOrOfTheCall() throws Exception {
         for (String file : List.of("world", "told")) {
             GraphWorld world = world(few(file, 100, 1_000_000), 1);
             GraphMachine front = world.machines.get(0);
@@ -141,16 +145,16 @@
             CallGraph.Edge edge = front.node.calls().get(0);
             Hop hop = new Hop(world, edge, root, 0, "s1.0", 900);
             Host hub = world.part(edge.to()).hosts.get(0);
-            Handling below = hop.serve(hub, 600, end -> {});
-            assertEquals(file.equals("told") ? 900 : 600, below.endsAt);
-            assertEquals(1, below.depth);
+            Handling downstream = hop.serve(hub, 600, end -> {});
+            assertEquals(file.equals("told") ? 900 : 600, downstream.endsAt);
+            assertEquals(1, downstream.depth);
         }
     }
 
-    // ---- what is played ------------------------------------------------------------------------------
+    // ---- runs ----------------------------------------------------------------------------------------
 
     @Test
-    void seventySevenServicesKeepTheRulesAndOneSeedHasOneDigest() throws Exception {
+    void seventySevenServicesSatisfyInvariantsDeterministically() throws Exception {
         GraphSpec spec = small("world", 1_000, 2_500_000);
         GraphReport first = world(spec, 1).play();
         assertEquals(List.of(), first.broken());
@@ -173,7 +177,7 @@
     }
 
     @Test
-    void everyFailureOfTheSizeHasItsFile() throws Exception {
+    void everyFaultHasItsFile() throws Exception {
         assertEquals(
                 List.of("edge", "host", "rack", "regions", "release", "restarts", "tenths", "told", "world", "zone"),
                 files());
@@ -181,7 +185,7 @@
 
     @ParameterizedTest
     @MethodSource("files")
-    void theRulesAreKeptThroughEach(String name) throws Exception {
+    void eachScenarioSatisfiesTheInvariants(String name) throws Exception {
         GraphSpec spec = few(name, name.equals("edge") ? 60 : 400, 5_000_000);
         GraphWorld world = world(spec, 5);
         GraphReport report = world.play();
@@ -197,7 +201,7 @@
     }
 
     @Test
-    void theTimeOfACallIsTheSumOfItsParts() throws Exception {
+    void callLatencyIsTheSumOfItsSpans() throws Exception {
         GraphWorld world = world(few("world", 800, 2_000_000), 1);
         world.play();
         GraphTally.Group all = world.tally.all;
@@ -213,13 +217,13 @@
     }
 
     @Test
-    void regionsApartAreReachedByNobodyAndAreBackAfterwards() throws Exception {
+    void partitionedRegionsAreUnreachableUntilThePartitionEnds() throws Exception {
         GraphSpec spec = few("world", 500, 6_000_000)
                 .failing(List.of(new GraphSpec.Failure(
                         GraphSpec.Kind.CUT, 2_000_000, 2_000_000, 0, -1, -1, false, 0, 0, false)));
         GraphWorld world = world(spec, 1);
         long[] served = new long[3];
-        // What is answered across the cut was on its way when it began.
+        // Responses that cross regions in the first 100 ms of the partition were already on their way.
         world.queue.after(2_100_000, () -> served[0] = world.servedAcrossRegions());
         world.queue.after(3_999_999, () -> served[1] = world.servedAcrossRegions());
         GraphReport report = world.play();
@@ -229,32 +233,32 @@
         assertTrue(world.servedAcrossRegions() > served[1], "nothing was answered after it");
     }
 
-    // ---- what is broken on purpose -------------------------------------------------------------------
+    // ---- detected violations -------------------------------------------------------------------------
 
-    /** The world with a line of its file changed. */
-    private static GraphSpec changed(String from, String to) throws Exception {
+    /** {@code size/world.toml} with one text replaced, at the smaller size. */
+    private static GraphSpec changedScenario(String from, String to) throws Exception {
         String text = Files.readString(SIZE.resolve("world.toml"));
         assertTrue(text.contains(from), from);
         return GraphReader.read("size/world.toml", Section.root("size/world.toml", text.replace(from, to), null))
                 .sized(FEW_HOSTS, FEW_SERVICES, 800, 2_500_000);
     }
 
-    /** Requests whose time is up while their calls are still looking for connections. */
-    private static GraphSpec impatient() throws Exception {
-        return changed("aim = \"400ms\"\ndeadline = \"1.5s\"", "aim = \"50ms\"\ndeadline = \"50ms\"");
+    /** Requests whose deadline passes while their calls still wait for connections. */
+    private static GraphSpec shortDeadlines() throws Exception {
+        return changedScenario("aim = \"400ms\"\ndeadline = \"1.5s\"", "aim = \"50ms\"\ndeadline = \"50ms\"");
     }
 
-    private static void caught(String words, GraphReport report) {
+    private static void assertDetected(String expectedText, GraphReport report) {
         assertTrue(report.brokenCount() > 0, "nothing was found");
         assertTrue(
-                report.broken().stream().anyMatch(b -> b.contains(words)),
-                words + " is not among "
+                report.broken().stream().anyMatch(b -> b.contains(expectedText)),
+                expectedText + " is not among "
                         + report.broken().subList(0, Math.min(3, report.broken().size())));
     }
 
     @Test
-    void aDeadlineThatIsNotPassedOnIsCaught() throws Exception {
-        caught(
+    void detectsDeadlineThatIsNotPropagated() throws Exception {
+        assertDetected(
                 "rule broken: the deadline is passed on",
                 world(few("world", 800, 2_500_000), 1, Balancer::create, Fitting.PLAIN, new GraphApplication() {
                             @Override
@@ -266,11 +270,11 @@
     }
 
     @Test
-    void callsThatGoOnForARequestThatIsOverAreCaught() throws Exception {
-        assertEquals(List.of(), world(impatient(), 1).play().broken());
-        caught(
+    void detectsMissingCancellation() throws Exception {
+        assertEquals(List.of(), world(shortDeadlines(), 1).play().broken());
+        assertDetected(
                 "rule broken: what is cancelled above is cancelled below",
-                world(impatient(), 1, Balancer::create, Fitting.PLAIN, new GraphApplication() {
+                world(shortDeadlines(), 1, Balancer::create, Fitting.PLAIN, new GraphApplication() {
                             @Override
                             public boolean cancelsBelow() {
                                 return false;
@@ -280,16 +284,16 @@
     }
 
     @Test
-    void aClientProxyThatSendsOnAfterACallWasCancelledIsCaught() throws Exception {
-        caught(
+    void detectsSendsAfterCancellation() throws Exception {
+        assertDetected(
                 "rule broken: no request is lost: sent to",
-                world(impatient(), 1, Balancer::create, Broken.sendsAfterTheEnd(), GraphApplication.PLAIN)
+                world(shortDeadlines(), 1, Balancer::create, FaultyComponents.sendsAfterEnd(), GraphApplication.PLAIN)
                         .play());
     }
 
     @Test
-    void aCallOfMoreEffectThanItsRequestIsCaught() throws Exception {
-        caught(
+    void detectsCallWithStrongerEffectThanItsRequest() throws Exception {
+        assertDetected(
                 "rule broken: no call has more of an effect than its request",
                 world(few("world", 800, 2_500_000), 1, Balancer::create, Fitting.PLAIN, new GraphApplication() {
                             @Override
@@ -301,18 +305,23 @@
     }
 
     @Test
-    void anUnsafeEffectThatARepeatAboveBringsAgainIsCaught() throws Exception {
-        GraphSpec failing = changed("errors = \"0.02%\"", "errors = \"10%\"");
+    void detectsUnsafeEffectRepeatedByUpstreamRetry() throws Exception {
+        GraphSpec failing = changedScenario("errors = \"0.02%\"", "errors = \"10%\"");
         assertEquals(List.of(), world(failing, 1).play().broken());
-        caught(
+        assertDetected(
                 "no effect happens twice along a path",
-                world(failing, 1, Broken::resendsPayouts, Broken.writesUnasked(), GraphApplication.PLAIN)
+                world(
+                                failing,
+                                1,
+                                FaultyComponents::resendsUnsafeRequests,
+                                FaultyComponents.skipsWantedCheck(),
+                                GraphApplication.PLAIN)
                         .play());
     }
 
     // ---- bad input -----------------------------------------------------------------------------------
 
-    private static String refused(String from, String to) throws Exception {
+    private static String rejectionMessage(String from, String to) throws Exception {
         String text = Files.readString(SIZE.resolve("world.toml"));
         assertTrue(text.contains(from), from);
         String changed = text.replace(from, to);
@@ -323,23 +332,25 @@
     }
 
     @Test
-    void badFilesAreRefusedInOneLine() throws Exception {
-        assertTrue(refused("zones = [\"darkhan\", \"erdenet\"]", "zones = [\"darkhan\", \"hovd\"]")
+    void badFilesAreRejectedWithOneLine() throws Exception {
+        assertTrue(rejectionMessage("zones = [\"darkhan\", \"erdenet\"]", "zones = [\"darkhan\", \"hovd\"]")
                 .matches("size/world.toml:\\d+: region.zones: there is no zone 'hovd'"));
-        assertTrue(refused("zones = [\"darkhan\", \"erdenet\"]", "zones = [\"darkhan\"]")
+        assertTrue(rejectionMessage("zones = [\"darkhan\", \"erdenet\"]", "zones = [\"darkhan\"]")
                 .matches("size/world.toml:\\d+: region: no \\[\\[region]] has the zone erdenet"));
-        assertTrue(
-                refused("services = 77", "services = 9").matches("size/world.toml:\\d+: graph.services: .*13 or more"));
-        assertTrue(refused("calls-per-request = 8", "calls-per-request = 2")
+        assertTrue(rejectionMessage("services = 77", "services = 9")
+                .matches("size/world.toml:\\d+: graph.services: .*13 or more"));
+        assertTrue(rejectionMessage("calls-per-request = 8", "calls-per-request = 2")
                 .matches("size/world.toml:\\d+: graph: calls-per-request: the chain .* more than 2.00"));
-        assertTrue(refused("count = 670", "count = 100")
+        assertTrue(rejectionMessage("count = 670", "count = 100")
                 .matches("size/world.toml:\\d+: graph: too few machines: 77 services of 3 .* more than 100"));
-        assertTrue(refused("fan-out = 4", "fan-in = 4").matches("size/world.toml:\\d+: graph.fan-in: unknown key"));
-        assertTrue(refused("effect = \"safe\"", "effect = \"unsafe\"").matches("size/world.toml:\\d+: class: .*safe"));
+        assertTrue(rejectionMessage("fan-out = 4", "fan-in = 4")
+                .matches("size/world.toml:\\d+: graph.fan-in: unknown key"));
+        assertTrue(rejectionMessage("effect = \"safe\"", "effect = \"unsafe\"")
+                .matches("size/world.toml:\\d+: class: .*safe"));
     }
 
     @Test
-    void theJsonHasEveryDepth() throws Exception {
+    void jsonReportHasEveryDepth() throws Exception {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         world(small("world", 400, 1_000_000), 1).play().json(bytes);
         String json = bytes.toString(StandardCharsets.UTF_8);
--- a/src/test/java/mulleinfront/emulator/HistogramTest.java
+++ b/src/test/java/mulleinfront/emulator/HistogramTest.java
@@ -6,37 +6,39 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** Accuracy of the histogram's quantiles, of its mean and of its share above a value. */
+/** Accuracy of the histogram's quantiles, its mean and its share of values above a threshold. */
 class HistogramTest {
     @Test
     void quantilesAreWithinABucket() {
         Chance chance = Chance.of(7, "times");
-        Histogram h = new Histogram();
+        Histogram histogram = new Histogram();
         long[] exact = new long[100_000];
         for (int i = 0; i < exact.length; i++) {
             exact[i] = (long) chance.lognormal(3_000, 3);
-            h.add(exact[i]);
+            histogram.add(exact[i]);
         }
         Arrays.sort(exact);
         for (double q : new double[] {0.001, 0.1, 0.5, 0.9, 0.99, 0.999, 1}) {
-            long is = exact[(int) Math.ceil(q * exact.length) - 1];
-            assertTrue(h.at(q) >= is && h.at(q) <= is + is / 128 + 1, q + ": " + h.at(q) + " for " + is);
+            long exactQuantile = exact[(int) Math.ceil(q * exact.length) - 1];
+            assertTrue(
+                    histogram.at(q) >= exactQuantile && histogram.at(q) <= exactQuantile + exactQuantile / 128 + 1,
+                    q + ": " + histogram.at(q) + " for " + exactQuantile);
         }
-        assertEquals(Arrays.stream(exact).average().orElseThrow(), h.mean(), 1e-6);
+        assertEquals(Arrays.stream(exact).average().orElseThrow(), histogram.mean(), 1e-6);
         long above = Arrays.stream(exact).filter(v -> v > 660).count();
-        assertEquals((double) above / exact.length, h.above(660), 0.005);
+        assertEquals((double) above / exact.length, histogram.above(660), 0.005);
     }
 
     @Test
-    void smallValuesAreExactAndNothingIsNothing() {
-        Histogram h = new Histogram();
-        assertEquals(-1, h.at(0.5));
+    void smallValuesAreExactAndEmptyHistogramHasNoQuantile() {
+        Histogram histogram = new Histogram();
+        assertEquals(-1, histogram.at(0.5));
         for (long v : new long[] {0, 5, 127, 128, 255}) {
-            h.add(v);
+            histogram.add(v);
         }
-        assertEquals(0, h.at(0.2));
-        assertEquals(127, h.at(0.6));
-        assertEquals(255, h.at(1));
-        assertEquals(0.4, h.above(127), 1e-9);
+        assertEquals(0, histogram.at(0.2));
+        assertEquals(127, histogram.at(0.6));
+        assertEquals(255, histogram.at(1));
+        assertEquals(0.4, histogram.above(127), 1e-9);
     }
 }
--- a/src/test/java/mulleinfront/emulator/IdleProcessesTest.java
+++ b/src/test/java/mulleinfront/emulator/IdleProcessesTest.java
@@ -12,42 +12,42 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Client proxies go on trying: none turns away all that it gets, 15 requests or more, for 4 s on end with no
- * attempt in between. Who admits nothing learns nothing, and stays closed when the fleet has long recovered.
+ * No client proxy rejects all its requests, when it gets at least 15, for 4 s without a single attempt. A proxy that
+ * admits nothing gets no responses to learn from, and so keeps rejecting after the servers have recovered.
  */
 class IdleProcessesTest {
-    private static final long ON_END_US = 4_000_000;
-    private static final int GETS = 15;
+    private static final long IDLE_US = 4_000_000;
+    private static final int MIN_REQUESTS = 15;
 
-    /** What one process got while it made no attempt. */
-    private static final class Idleness implements Noted.Notes {
-        private final Set<Idleness> idle;
-        private final ArrayDeque<Long> got = new ArrayDeque<>();
-        private long lastAttempt = Long.MIN_VALUE / 2;
+    /** The requests that one instance got since its last attempt. */
+    private static final class IdleRecorder implements RecordingBalancer.Recorder {
+        private final Set<IdleRecorder> idleInstances;
+        private final ArrayDeque<Long> requestTimesUs = new ArrayDeque<>();
+        private long lastAttemptUs = Long.MIN_VALUE / 2;
 
-        Idleness(Set<Idleness> idle) {
-            this.idle = idle;
+        IdleRecorder(Set<IdleRecorder> idle) {
+            this.idleInstances = idle;
         }
 
         @Override
-        public void told(long now, String event, Object[] args) {
+        public void onEvent(long now, String event, Object[] args) {
             if (event.equals("onRequest")) {
-                got.add(now);
-                while (got.peek() <= now - ON_END_US) {
-                    got.poll();
+                requestTimesUs.add(now);
+                while (requestTimesUs.peek() <= now - IDLE_US) {
+                    requestTimesUs.poll();
                 }
-                // Its own attempt for this request, if there is one, comes after: only those before count.
-                if (got.size() > GETS && now - lastAttempt > ON_END_US) {
-                    idle.add(this);
+                // An attempt for this request would follow this event, so only earlier requests count.
+                if (requestTimesUs.size() > MIN_REQUESTS && now - lastAttemptUs > IDLE_US) {
+                    idleInstances.add(this);
                 }
             }
         }
 
         @Override
-        public void decided(long now, String action, Object[] args) {
+        public void onAction(long now, String action, Object[] args) {
             if (action.equals("send")) {
-                lastAttempt = now;
-                got.clear();
+                lastAttemptUs = now;
+                requestTimesUs.clear();
             }
         }
     }
@@ -110,15 +110,15 @@
         "roll, 20, 200, 21",
         "jam, 20, 90, 21"
     })
-    void nobodyTurnsAwayAllForFourSeconds(String day, int proxies, int load, long seed) throws Exception {
-        // One in ten may: none does, so that one that begins to is seen.
-        Set<Idleness> idle = new HashSet<>();
+    void noProxyRejectsAllRequestsForFourSeconds(String fault, int proxies, int load, long seed) throws Exception {
+        // One proxy in ten would be tolerable; the test allows none, so that the first one is noticed.
+        Set<IdleRecorder> idleInstances = new HashSet<>();
         World world = Worlds.world(
-                scenario(load + "%", FAULTS.get(day)).withProxies(proxies),
+                scenario(load + "%", FAULTS.get(fault)).withProxies(proxies),
                 seed,
-                Noted.maker(s -> s, () -> new Idleness(idle)),
+                RecordingBalancer.factory(s -> s, () -> new IdleRecorder(idleInstances)),
                 Fitting.PLAIN);
         assertTrue(world.play().service().asks() > 1_000, "something was asked");
-        assertEquals(0, idle.size(), "of " + proxies + ", seed " + seed);
+        assertEquals(0, idleInstances.size(), "of " + proxies + ", seed " + seed);
     }
 }
--- a/src/test/java/mulleinfront/emulator/LargeFleetTest.java
+++ b/src/test/java/mulleinfront/emulator/LargeFleetTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Many client proxies with little traffic each: a small form of what {@code scenarios/large} plays in full. */
+/** Many client proxies with little traffic each: the scenarios of {@code scenarios/large} at a smaller size. */
 class LargeFleetTest {
     private static final Path LARGE = Worlds.SHIPPED.resolve("large");
 
@@ -26,8 +26,8 @@
     void everyLargeScenarioIsReadable() throws Exception {
         assertEquals(8, large().size());
         for (Path file : large()) {
-            Scenario s = ScenarioReader.read(file);
-            assertTrue(s.proxies().count() >= 5_000 || s.fleet() >= 5_000, file + " is not large");
+            Scenario scenario = ScenarioReader.read(file);
+            assertTrue(scenario.proxies().count() >= 5_000 || scenario.fleet() >= 5_000, file + " is not large");
         }
     }
 
@@ -37,32 +37,35 @@
 
     @ParameterizedTest
     @MethodSource("someMinutesOfEach")
-    void aTenthOfTheInstancesKeepTheRulesAndPushNobodyOver(String name) throws Exception {
+    void tenthOfTheInstancesSatisfiesInvariantsWithoutCrashes(String name) throws Exception {
         Scenario scenario = ScenarioReader.read(LARGE.resolve(name + ".toml")).withProxies(500);
         World world = Worlds.world(scenario, 1);
         world.playUntil(15_000_000);
         World.Result result = world.finish();
         assertEquals(List.of(), result.breaches());
-        for (Server s : result.service().servers()) {
-            assertTrue(!s.figures().fell, s.name() + " fell over");
-            assertEquals(0, s.figures().connectionsRefused, s.name() + " was asked for too many connections");
+        for (Server server : result.service().servers()) {
+            assertTrue(!server.figures().fell, server.name() + " fell over");
+            assertEquals(0, server.figures().connectionsRefused, server.name() + " was asked for too many connections");
         }
     }
 
     @Test
-    void whereInstancesAreManyEachKeepsFewConnections() throws Exception {
-        // 500 instances that each kept one to all of 14 servers would hold 500 at each, which takes 380.
+    void manyInstancesKeepFewConnectionsEach() throws Exception {
+        // If each of 500 instances kept a connection to each of the 14 servers, every server would have 500, above its
+        // limit of 380.
         World.Result result = Worlds.world(Worlds.of("length = \"30s\"\n").withProxies(500), 1)
                 .play();
         assertEquals(List.of(), result.breaches());
-        for (Server s : result.service().servers()) {
-            assertTrue(s.figures().mostConnections < 300, s.name() + " held " + s.figures().mostConnections);
-            assertEquals(0, s.figures().connectionsRefused);
+        for (Server server : result.service().servers()) {
+            assertTrue(
+                    server.figures().mostConnections < 300,
+                    server.name() + " held " + server.figures().mostConnections);
+            assertEquals(0, server.figures().connectionsRefused);
         }
     }
 
     @Test
-    void callsToDiscoveryAfterAnOutageAreSpread() throws Exception {
+    void discoveryCallsAfterAnOutageAreSpread() throws Exception {
         World.Result result = Worlds.world(Worlds.of("""
                 length = "30s"
                 [discovery]
@@ -78,7 +81,7 @@
     }
 
     @Test
-    void hostsOfATenthOfAMillisecondAndOfAHundredServeInOneFleet() throws Exception {
+    void fastAndSlowServersServeInOneFleet() throws Exception {
         World.Result result = Worlds.world(Worlds.of("""
                 length = "20s"
                 [load]
@@ -101,14 +104,14 @@
                 """), 1).play();
         assertEquals(List.of(), result.breaches());
         assertTrue(result.service().whole() > 0.95, "whole " + result.service().whole());
-        for (Server s : result.service().servers()) {
-            assertTrue(s.figures().served > 0, s.name() + " was left out");
-            assertTrue(!s.figures().fell, s.name() + " fell over");
+        for (Server server : result.service().servers()) {
+            assertTrue(server.figures().served > 0, server.name() + " was left out");
+            assertTrue(!server.figures().fell, server.name() + " fell over");
         }
     }
 
     @Test
-    void aHostThatPausesNowAndThenIsNotTakenForAFailedOne() throws Exception {
+    void pausingServersAreNotTreatedAsFailed() throws Exception {
         World.Result result = Worlds.world(Worlds.of("""
                 length = "30s"
                 [load]
@@ -127,16 +130,18 @@
         assertEquals(List.of(), result.breaches());
         assertTrue(result.service().whole() > 0.97, "whole " + result.service().whole());
         long most = result.service().servers().stream()
-                .mapToLong(s -> s.figures().served)
+                .mapToLong(server -> server.figures().served)
                 .max()
                 .orElseThrow();
-        for (Server s : result.service().servers()) {
-            assertTrue(s.figures().served > most / 4, s.name() + " served " + s.figures().served + " of " + most);
+        for (Server server : result.service().servers()) {
+            assertTrue(
+                    server.figures().served > most / 4,
+                    server.name() + " served " + server.figures().served + " of " + most);
         }
     }
 
     @Test
-    void anInstanceThatWakesAfterAnHourServesAtOnceAndByTheListAsItIsNow() throws Exception {
+    void instanceServesWithTheCurrentListAfterAnIdleHour() throws Exception {
         World world = Worlds.world(Worlds.of("""
                 length = "61m"
                 [proxies]
--- a/src/test/java/mulleinfront/emulator/SizeScenariosTest.java
+++ b/src/test/java/mulleinfront/emulator/OneServiceScenariosTest.java
@@ -12,24 +12,27 @@
 import mulleinfront.settings.BadFileException;
 import org.junit.jupiter.api.Test;
 
-/** The size as data, with all hosts in one service: one world, and a scenario for each of the faults that the page has rows for. */
-class SizeScenariosTest {
+/**
+ * The scenarios of {@code scenarios/size/one-service}, with all servers in one service: a base file without faults, and
+ * a file for each fault.
+ */
+class OneServiceScenariosTest {
     private static final Path FOLDER = Path.of("scenarios/size/one-service");
 
     @Test
-    void allStandOnTheOneWorldOfTheSize() throws IOException, BadFileException {
+    void allScenariosHaveTheFullSize() throws IOException, BadFileException {
         List<Path> files = new ArrayList<>();
         try (DirectoryStream<Path> all = Files.newDirectoryStream(FOLDER, "*.toml")) {
             all.forEach(files::add);
         }
         assertTrue(files.size() >= 9, files.toString());
         for (Path file : files) {
-            Scenario s = ScenarioReader.read(file);
-            assertEquals(670, s.fleet(), file.toString());
-            assertEquals(670, s.proxies().count(), file.toString());
-            assertEquals(5, s.zones().size(), file.toString());
-            assertEquals(40_000, s.load().perSecond(), 1e-9, file.toString());
-            assertEquals(file.endsWith("world.toml"), s.faults().isEmpty(), file.toString());
+            Scenario scenario = ScenarioReader.read(file);
+            assertEquals(670, scenario.fleet(), file.toString());
+            assertEquals(670, scenario.proxies().count(), file.toString());
+            assertEquals(5, scenario.zones().size(), file.toString());
+            assertEquals(40_000, scenario.load().perSecond(), 1e-9, file.toString());
+            assertEquals(file.endsWith("world.toml"), scenario.faults().isEmpty(), file.toString());
         }
     }
 }
--- a/src/test/java/mulleinfront/emulator/ReferenceTest.java
+++ b/src/test/java/mulleinfront/emulator/ReferenceTest.java
@@ -10,26 +10,27 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The yardsticks themselves. */
+/** Tests of the reference policies. */
 class ReferenceTest {
-    private static World.Result play(Reference r, String lines) throws Exception {
-        return World.under(r, Worlds.of(lines), 3).play();
+    private static World.Result play(Reference reference, String lines) throws Exception {
+        return World.under(reference, Worlds.of(lines), 3).play();
     }
 
     @ParameterizedTest
     @EnumSource(Reference.class)
-    void eachServesACalmDayAndAnswersEverything(Reference r) throws Exception {
-        World.Result result = play(r, "length = \"15s\"\n[load]\nof-capacity = \"30%\"\n");
+    void eachPolicyServesAndAnswersAllWithoutFaults(Reference reference) throws Exception {
+        World.Result result = play(reference, "length = \"15s\"\n[load]\nof-capacity = \"30%\"\n");
         assertEquals(List.of(), result.breaches());
         assertTrue(
-                result.service().service() > 0.85, r + ": " + result.service().service());
+                result.service().service() > 0.85,
+                reference + ": " + result.service().service());
         assertTrue(result.service().tries().getOrDefault("timed-out", 0L) == 0);
     }
 
     @ParameterizedTest
     @EnumSource(Reference.class)
-    void noneLosesOrRepeatsWhatMayHaveRun(Reference r) throws Exception {
-        World.Result result = play(r, """
+    void noPolicyLosesOrRepeatsPossiblyExecutedRequests(Reference reference) throws Exception {
+        World.Result result = play(reference, """
                 length = "20s"
                 [[fault]]
                 do = "hang"
@@ -46,33 +47,33 @@
                 at = "12s"
                 count = 2
                 """);
-        // They may push over what is cold; they are yardsticks of routing, not of caution.
+        // Reference policies may overload cold servers: they are baselines for routing, without slow start.
         assertEquals(
                 List.of(),
                 result.breaches().stream().filter(b -> b.rule() != Rule.COLD).toList());
     }
 
     @Test
-    void whoSeesMoreDoesBetterInTrouble() throws Exception {
-        String bad = "length = \"30s\"\n[load]\nof-capacity = \"50%\"\n"
+    void policiesWithMoreKnowledgeScoreHigherUnderFaults() throws Exception {
+        String lines = "length = \"30s\"\n[load]\nof-capacity = \"50%\"\n"
                 + "[[fault]]\ndo = \"slow\"\nat = \"3s\"\nfactor = 8\ncount = 3\n";
-        double random = play(Reference.RANDOM, bad).service().service();
-        double late = play(Reference.LATE, bad).service().service();
-        double oracle = play(Reference.ORACLE, bad).service().service();
+        double random = play(Reference.RANDOM, lines).service().service();
+        double late = play(Reference.LATE, lines).service().service();
+        double oracle = play(Reference.ORACLE, lines).service().service();
         assertTrue(random < late - 0.02 && late <= oracle + 0.01, random + ", " + late + ", " + oracle);
     }
 
     @Test
-    void oneSeedHasOneCourseUnderEach() throws Exception {
-        for (Reference r : Reference.values()) {
+    void eachPolicyIsDeterministic() throws Exception {
+        for (Reference reference : Reference.values()) {
             String lines = "length = \"5s\"\n";
-            assertEquals(play(r, lines).sha256(), play(r, lines).sha256(), r.word());
-            assertEquals(r, Reference.of(r.word()));
+            assertEquals(play(reference, lines).sha256(), play(reference, lines).sha256(), reference.word());
+            assertEquals(reference, Reference.of(reference.word()));
         }
     }
 
     @Test
-    void theTableHasTheProductAndAllReferences() throws Exception {
+    void tableHasTheProductAndAllReferences() throws Exception {
         Scenario scenario = Worlds.of("length = \"5s\"\n");
         List<Compared> all = Compared.play(scenario, 1, 2, 2);
         String table = Compared.table(scenario, 1, 2, all);
--- a/src/test/java/mulleinfront/emulator/ScenarioReaderTest.java
+++ b/src/test/java/mulleinfront/emulator/ScenarioReaderTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Scenario files are read whole or refused whole, with file, line and reason. */
+/** A scenario file is either read completely or rejected with file, line and reason. */
 class ScenarioReaderTest {
-    private static String refused(String lines) {
+    private static String rejectionMessage(String lines) {
         return assertThrows(BadFileException.class, () -> Worlds.of(lines), lines)
                 .getMessage();
     }
 
-    /** The lines begin at line 4 of the file; {@code \n} in a case is a line's end. */
+    /** The lines begin at line 4 of the file; {@code \n} in a case is a line break. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', textBlock = """
             lenght = "5s"                              | scenarios/test.toml:4: scenario.lenght: unknown key
@@ -87,14 +87,14 @@
             [[fault]]\\ndo = "surge"\\nat = "1s"\\nfactor = 2\\ntenant = "paris" | test.toml:8: fault.tenant: there is no
             [[fault]]\\ndo = "deploy"\\nat = "1s"\\npart = "50%"\\nbatch = "10%" | test.toml:4: fault: a deploy needs
             """)
-    void isRefused(String lines, String expected) {
-        String said = refused(lines.replace("\\n", "\n"));
-        assertTrue(said.contains(expected), said);
-        assertTrue(said.startsWith("scenarios/") && !said.contains("\n"), said);
+    void rejectsInvalidLines(String lines, String expected) {
+        String message = rejectionMessage(lines.replace("\\n", "\n"));
+        assertTrue(message.contains(expected), message);
+        assertTrue(message.startsWith("scenarios/") && !message.contains("\n"), message);
     }
 
     @Test
-    void whatIsWrongInTheWorldIsSaidWithItsFile() {
+    void errorsInTheBaseFileNameThatFile() {
         String wrong = assertThrows(
                         BadFileException.class,
                         () -> ScenarioReader.read(
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void aScenarioSaysOnlyWhatDiffersFromItsWorld() throws Exception {
+    void scenarioInheritsFromItsBaseFile() throws Exception {
         Scenario world = ScenarioReader.read(Path.of("scenarios/calm.toml"));
         Scenario other = Worlds.of("length = \"5s\"\n[proxies]\ncount = 9\n[load]\nof-capacity = \"50%\"\n");
         assertEquals(9, other.proxies().count());
@@ -132,19 +132,19 @@
     }
 
     @Test
-    void everyKeyIsOnTheOperatorsPage() throws Exception {
+    void everyKeyIsDocumented() throws Exception {
         String page = Files.readString(Path.of("docs/emulator.md"));
         Set<String> missing = new TreeSet<>();
         Pattern keys = Pattern.compile("(?:time|times|share|shares|number|numbers|count|rate|text|texts|flag|word"
                 + "|table|tables|ownTables|positive\\(s,|positive\\(head,|place\\(s,)\\(?\\s*\"([a-z-]+)\"");
         int found = 0;
         for (String source : new String[] {"ScenarioReader", "FaultReader"}) {
-            Matcher m =
+            Matcher matcher =
                     keys.matcher(Files.readString(Path.of("src/main/java/mulleinfront/emulator/" + source + ".java")));
-            while (m.find()) {
+            while (matcher.find()) {
                 found++;
-                if (!page.contains("`" + m.group(1) + "`")) {
-                    missing.add(m.group(1));
+                if (!page.contains("`" + matcher.group(1) + "`")) {
+                    missing.add(matcher.group(1));
                 }
             }
         }
--- a/src/test/java/mulleinfront/emulator/ServerModelTest.java
+++ b/src/test/java/mulleinfront/emulator/ServerModelTest.java
@@ -13,82 +13,82 @@
 import mulleinfront.settings.Range;
 import org.junit.jupiter.api.Test;
 
-/** The model of a server: against closed forms where there are any, and each trouble in its own figures. */
+/** The server model: queueing against closed-form results, and each fault with its effect on the metrics. */
 class ServerModelTest {
     private static final long MS = 1_000;
     private static final long S = 1_000_000;
 
     private final EventQueue queue = new EventQueue();
-    private final List<String> ran = new ArrayList<>();
-    private final List<String> ends = new ArrayList<>();
+    private final List<String> executed = new ArrayList<>();
+    private final List<String> completions = new ArrayList<>();
     private int ids;
 
-    /** A machine without any trouble, whose parts a test changes. */
-    private static final class Parts {
+    /** Builds a server spec without faults; tests change single values. */
+    private static final class SpecBuilder {
         int cores = 1;
         double speed = 1;
         int slots = 1;
-        int room = 1_000_000;
+        int queueCapacity = 1_000_000;
         int connections = 100;
         double errors;
-        long reportEvery;
+        long reportIntervalUs;
         double probeWork = 100;
-        int probes = 2;
+        int maxProbes = 2;
         boolean deep;
         double coldFrom = 1;
-        long coldFor;
+        long coldForUs;
         double coldWork;
         double crowdAt;
         double crowdLoss;
         ServerModel.Linger linger;
         Stops stops = Stops.ALL;
         boolean dropsExpired;
-        long keyMemory;
+        long keyMemoryUs;
         double keySaving;
         int keys = 10;
-        long pauseEvery;
+        long pauseIntervalUs;
 
-        Machine machine() {
+        Machine build() {
             return new Machine(
                     cores,
                     speed,
                     slots,
-                    room,
+                    queueCapacity,
                     connections,
                     0,
                     5 * S,
                     errors,
-                    reportEvery,
+                    reportIntervalUs,
                     probeWork,
-                    probes,
+                    maxProbes,
                     deep,
                     coldFrom,
-                    coldFor,
+                    coldForUs,
                     coldWork,
-                    pauseEvery,
+                    pauseIntervalUs,
                     new Range(10 * MS, 20 * MS),
                     crowdAt,
                     crowdLoss,
                     linger,
                     stops,
                     dropsExpired,
-                    keyMemory,
+                    keyMemoryUs,
                     keySaving,
                     keys);
         }
     }
 
-    private ServerModel server(Parts parts) {
-        return server(parts, null);
+    private ServerModel server(SpecBuilder spec) {
+        return server(spec, null);
     }
 
-    private ServerModel server(Parts parts, ServerModel.Group group) {
+    private ServerModel server(SpecBuilder spec, ServerModel.Group group) {
         return new ServerModel(
-                parts.machine(),
+                spec.build(),
                 queue,
                 Chance.of(1, "server"),
                 group,
-                (job, dropped) -> ran.add(job.requestId + (dropped ? " dropped" : "")),
+                (job, dropped) -> executed.add(job.requestId + (dropped ? " dropped" : "")),
                 true);
     }
 
@@ -101,7 +101,7 @@
                 effect,
                 effect == null ? 0 : 20 * S,
                 expiresAt,
-                (end, inflight) -> ends.add(queue.now() / MS + " " + id + " " + end));
+                (end, inflight) -> completions.add(queue.now() / MS + " " + id + " " + end));
     }
 
     private Job job(double workMs) {
@@ -114,285 +114,285 @@
         return job;
     }
 
-    private void until(long ms) {
+    private void runUntilMs(long ms) {
         queue.runUntil(ms * MS);
     }
 
     // ---- closed forms --------------------------------------------------------------------------------
 
-    /** Mean wait of Poisson arrivals at so many a second, over some million requests. */
-    private double meanWaitUs(int servers, double perSecond, boolean fixed) {
-        Parts parts = new Parts();
-        parts.cores = servers;
-        parts.slots = servers;
-        ServerModel server = server(parts);
+    /** Mean wait of two million Poisson arrivals at the given rate. */
+    private double meanWaitUs(int servers, double perSecond, boolean fixedWork) {
+        SpecBuilder spec = new SpecBuilder();
+        spec.cores = servers;
+        spec.slots = servers;
+        ServerModel server = server(spec);
         Chance chance = Chance.of(7, "arrivals");
         int count = 2_000_000;
         double at = 0;
         for (int i = 0; i < count; i++) {
             at += chance.exponential(1e6 / perSecond);
             queue.runUntil((long) at);
-            double work = fixed ? 10 * MS : chance.exponential(10 * MS);
+            double work = fixedWork ? 10 * MS : chance.exponential(10 * MS);
             server.offer(new Job("r", work, null, null, 0, Long.MAX_VALUE, (end, inflight) -> {}));
         }
         queue.runUntil((long) at + 100 * S);
-        Figures f = server.figures();
-        assertEquals(count, f.served);
-        return f.waitSumUs / f.begun;
+        Figures figures = server.figures();
+        assertEquals(count, figures.served);
+        return figures.waitSumUs / figures.begun;
     }
 
-    private static void within3Percent(double expected, double seen) {
-        assertEquals(1, seen / expected, 0.03, "mean wait " + seen + " us, by the closed form " + expected);
+    private static void assertWithinThreePercent(double expected, double measured) {
+        assertEquals(1, measured / expected, 0.03, "mean wait " + measured + " us, by the closed form " + expected);
     }
 
     @Test
-    void anMM1QueueWaitsAsTheClosedFormSays() {
-        // rho / (mu - lambda), at 70 of 100 a second
-        within3Percent(0.7 / (100 - 70) * 1e6, meanWaitUs(1, 70, false));
+    void mm1QueueWaitMatchesClosedForm() {
+        // rho / (mu - lambda), at 70 requests per second of 100
+        assertWithinThreePercent(0.7 / (100 - 70) * 1e6, meanWaitUs(1, 70, false));
     }
 
     @Test
-    void anMMcQueueWaitsAsErlangCSays() {
-        int c = 4;
-        double a = 3.2;
+    void mmcQueueWaitMatchesErlangC() {
+        int servers = 4;
+        double offeredLoad = 3.2;
         double sum = 0;
         double term = 1;
-        for (int k = 0; k < c; k++) {
+        for (int k = 0; k < servers; k++) {
             sum += term;
-            term *= a / (k + 1);
+            term *= offeredLoad / (k + 1);
         }
-        double last = term / (1 - a / c);
+        double last = term / (1 - offeredLoad / servers);
         double mustWait = last / (sum + last);
-        within3Percent(mustWait / (c * 100 - 320) * 1e6, meanWaitUs(c, 320, false));
+        assertWithinThreePercent(mustWait / (servers * 100 - 320) * 1e6, meanWaitUs(servers, 320, false));
     }
 
     @Test
-    void anMD1QueueWaitsHalfAsLong() {
-        within3Percent(0.7 / (2 * (100 - 70)) * 1e6, meanWaitUs(1, 70, true));
+    void md1QueueWaitMatchesClosedForm() {
+        assertWithinThreePercent(0.7 / (2 * (100 - 70)) * 1e6, meanWaitUs(1, 70, true));
     }
 
-    // ---- one trouble at a time -----------------------------------------------------------------------
+    // ---- one fault at a time -------------------------------------------------------------------------
 
     @Test
     void slotsBeyondCoresShareThem() {
-        Parts parts = new Parts();
-        parts.slots = 2;
-        ServerModel server = server(parts);
+        SpecBuilder spec = new SpecBuilder();
+        spec.slots = 2;
+        ServerModel server = server(spec);
         offer(server, 10);
         offer(server, 20);
-        until(100);
-        assertEquals(List.of("20 r0 SERVED", "30 r1 SERVED"), ends);
+        runUntilMs(100);
+        assertEquals(List.of("20 r0 SERVED", "30 r1 SERVED"), completions);
         assertEquals(30 * MS, server.figures().busyCoreUs, 1);
     }
 
     @Test
-    void beyondItsRoomItTurnsAwayUnseen() {
-        Parts parts = new Parts();
-        parts.room = 1;
-        ServerModel server = server(parts);
+    void fullQueueRejectsWithoutExecution() {
+        SpecBuilder spec = new SpecBuilder();
+        spec.queueCapacity = 1;
+        ServerModel server = server(spec);
         for (int i = 0; i < 3; i++) {
             offer(server, 10);
         }
-        until(100);
-        assertEquals(List.of("0 r2 NOT_RUN", "10 r0 SERVED", "20 r1 SERVED"), ends);
-        assertEquals(List.of("r0", "r1"), ran);
+        runUntilMs(100);
+        assertEquals(List.of("0 r2 NOT_RUN", "10 r0 SERVED", "20 r1 SERVED"), completions);
+        assertEquals(List.of("r0", "r1"), executed);
         assertEquals(1, server.figures().turnedAway);
     }
 
     @Test
-    void aPauseDelaysAllByItsLength() {
-        ServerModel server = server(new Parts());
+    void pauseDelaysRequestsByItsLength() {
+        ServerModel server = server(new SpecBuilder());
         offer(server, 10);
-        until(4);
+        runUntilMs(4);
         server.pause(170 * MS);
-        until(500);
-        assertEquals(List.of("180 r0 SERVED"), ends);
+        runUntilMs(500);
+        assertEquals(List.of("180 r0 SERVED"), completions);
         assertEquals(170 * MS, server.figures().pausedUs);
     }
 
     @Test
-    void pausesComeBySchedule() {
-        Parts parts = new Parts();
-        parts.pauseEvery = 100 * MS;
-        ServerModel server = server(parts);
-        until(100_000);
+    void pausesFollowTheirSchedule() {
+        SpecBuilder spec = new SpecBuilder();
+        spec.pauseIntervalUs = 100 * MS;
+        ServerModel server = server(spec);
+        runUntilMs(100_000);
         assertEquals(1000, server.figures().pausedUs / (15.0 * MS), 150, "pauses of 15 ms in the mean");
     }
 
     @Test
-    void aHungServerTakesAllAndAnswersNone() {
-        Parts parts = new Parts();
-        parts.room = 1;
-        ServerModel server = server(parts);
+    void hungServerAcceptsRequestsAndAnswersNone() {
+        SpecBuilder spec = new SpecBuilder();
+        spec.queueCapacity = 1;
+        ServerModel server = server(spec);
         server.hang(true);
         for (int i = 0; i < 5; i++) {
             offer(server, 10);
         }
-        server.probe((end, inflight) -> ends.add("probe " + end));
-        until(1_000);
-        assertEquals(List.of(), ends);
-        assertEquals(List.of(), ran);
+        server.probe((end, inflight) -> completions.add("probe " + end));
+        runUntilMs(1_000);
+        assertEquals(List.of(), completions);
+        assertEquals(List.of(), executed);
         assertEquals(5, server.held());
         server.hang(false);
-        until(2_000);
-        assertEquals(5, ends.size());
+        runUntilMs(2_000);
+        assertEquals(5, completions.size());
         assertEquals(1_000 * 5 * MS + (10 * 5 + 10 * 4 + 10 * 3 + 10 * 2 + 10) * MS, server.figures().heldSumUs, 9);
     }
 
     @Test
-    void slownessAndANeighbourTakeTheirPartWhileTheyAreThere() {
-        ServerModel server = server(new Parts());
+    void slownessAndNoisyNeighbourReduceSpeedWhileTheyLast() {
+        ServerModel server = server(new SpecBuilder());
         offer(server, 100);
         server.slow(4);
-        until(200);
+        runUntilMs(200);
         server.slow(1);
         server.neighbour(0.5);
-        until(240);
+        runUntilMs(240);
         server.neighbour(0);
-        until(1_000);
-        assertEquals(List.of("270 r0 SERVED"), ends, "200 / 4 + 40 / 2 + 30 = 100");
+        runUntilMs(1_000);
+        assertEquals(List.of("270 r0 SERVED"), completions, "200 / 4 + 40 / 2 + 30 = 100");
         assertEquals(100 * MS, server.figures().workDone, 1);
     }
 
     @Test
-    void errorsHaveRun() {
-        Parts parts = new Parts();
-        ServerModel server = server(parts);
+    void errorsAreReturnedAfterExecution() {
+        SpecBuilder spec = new SpecBuilder();
+        ServerModel server = server(spec);
         server.errors(1);
         offer(server, 10);
-        until(10);
+        runUntilMs(10);
         server.errors(0);
         offer(server, 10);
-        until(100);
-        assertEquals(List.of("10 r0 ERROR", "20 r1 SERVED"), ends);
-        assertEquals(List.of("r0", "r1"), ran);
+        runUntilMs(100);
+        assertEquals(List.of("10 r0 ERROR", "20 r1 SERVED"), completions);
+        assertEquals(List.of("r0", "r1"), executed);
         assertEquals(1, server.figures().errors);
         assertEquals(10 * MS, server.figures().workWasted, 1);
     }
 
     @Test
-    void aDrainingServerFinishesWhatItHasAndTakesNothingNew() {
-        ServerModel server = server(new Parts());
+    void drainingServerFinishesItsRequestsAndRejectsNewOnes() {
+        ServerModel server = server(new SpecBuilder());
         offer(server, 10);
         offer(server, 10);
         server.drain();
         offer(server, 10);
-        until(100);
-        assertEquals(List.of("0 r2 NOT_RUN", "10 r0 SERVED", "20 r1 SERVED"), ends);
+        runUntilMs(100);
+        assertEquals(List.of("0 r2 NOT_RUN", "10 r0 SERVED", "20 r1 SERVED"), completions);
     }
 
     @Test
-    void crowdingCostsEfficiency() {
-        Parts parts = new Parts();
-        parts.crowdAt = 1;
-        parts.crowdLoss = 0.5;
-        ServerModel server = server(parts);
+    void overloadReducesEfficiency() {
+        SpecBuilder spec = new SpecBuilder();
+        spec.crowdAt = 1;
+        spec.crowdLoss = 0.5;
+        ServerModel server = server(spec);
         for (int i = 0; i < 10; i++) {
             offer(server, 10);
         }
-        until(10_000);
-        assertEquals(10, ends.size());
-        // Nine of ten run while two or more are held: at half the speed, and 2/10 of 10 ms at full.
-        assertEquals("190 r9 SERVED", ends.get(9));
+        runUntilMs(10_000);
+        assertEquals(10, completions.size());
+        // The first nine run while two or more are in flight, at half speed: 20 ms each. The last takes 10 ms.
+        assertEquals("190 r9 SERVED", completions.get(9));
     }
 
     @Test
-    void slownessLingersUntilItHasRested() {
-        Parts parts = new Parts();
-        parts.linger = new ServerModel.Linger(1, 100 * MS, 3, 0.3, 500 * MS, 60 * S);
-        ServerModel server = server(parts);
+    void metastableSlowdownLastsUntilTheServerIsIdle() {
+        SpecBuilder spec = new SpecBuilder();
+        spec.linger = new ServerModel.Linger(1, 100 * MS, 3, 0.3, 500 * MS, 60 * S);
+        ServerModel server = server(spec);
         for (int i = 0; i < 8; i++) {
             offer(server, 50);
         }
-        until(200);
+        runUntilMs(200);
         assertTrue(server.lingering(), "8 held, 2 bearable");
-        until(2_000);
-        assertEquals(8, ends.size());
-        assertTrue(Long.parseLong(ends.get(7).split(" ")[0]) > 900, "three times slower: " + ends);
-        until(10_000);
+        runUntilMs(2_000);
+        assertEquals(8, completions.size());
+        assertTrue(Long.parseLong(completions.get(7).split(" ")[0]) > 900, "three times slower: " + completions);
+        runUntilMs(10_000);
         assertFalse(server.lingering(), "it has rested");
         assertTrue(server.figures().lingeredUs > 900 * MS);
         long before = queue.now() / MS;
         offer(server, 50);
-        until(20_000);
-        assertEquals(before + 50 + " r8 SERVED", ends.get(8));
+        runUntilMs(20_000);
+        assertEquals(before + 50 + " r8 SERVED", completions.get(8));
     }
 
     @Test
-    void slownessThatNeverRestsEndsByTime() {
-        Parts parts = new Parts();
-        parts.linger = new ServerModel.Linger(0, 100 * MS, 2, 0.1, 500 * MS, 3 * S);
-        ServerModel server = server(parts);
+    void metastableSlowdownEndsAfterItsLongestTime() {
+        SpecBuilder spec = new SpecBuilder();
+        spec.linger = new ServerModel.Linger(0, 100 * MS, 2, 0.1, 500 * MS, 3 * S);
+        ServerModel server = server(spec);
         for (int i = 0; i < 200; i++) {
             offer(server, 50);
         }
-        until(1_000);
+        runUntilMs(1_000);
         assertTrue(server.lingering());
         for (int i = 1_000; i < 30_000; i += 100) {
-            until(i);
+            runUntilMs(i);
         }
         assertTrue(server.figures().lingeredUs >= 3 * S - 100 * MS);
     }
 
     @Test
-    void itWarmsByTimeOrByWork() {
-        Parts parts = new Parts();
-        parts.coldFrom = 0.2;
-        parts.coldFor = 10 * S;
-        ServerModel byTime = server(parts);
+    void warmsUpByTimeOrByWork() {
+        SpecBuilder spec = new SpecBuilder();
+        spec.coldFrom = 0.2;
+        spec.coldForUs = 10 * S;
+        ServerModel byTime = server(spec);
         assertEquals(0.2, byTime.warmth(), 1e-9);
-        until(5_000);
+        runUntilMs(5_000);
         assertEquals(0.6, byTime.warmth(), 1e-9);
-        until(10_100);
+        runUntilMs(10_100);
         assertEquals(1, byTime.warmth());
-        parts.coldWork = 100 * MS;
-        ServerModel byWork = server(parts);
-        until(40_000);
+        spec.coldWork = 100 * MS;
+        ServerModel byWork = server(spec);
+        runUntilMs(40_000);
         assertEquals(0.2, byWork.warmth(), 1e-9, "it did nothing");
         offer(byWork, 50);
-        until(60_000);
+        runUntilMs(60_000);
         assertEquals(0.6, byWork.warmth(), 1e-3);
     }
 
     @Test
-    void aColdServerIsSlow() {
-        Parts parts = new Parts();
-        parts.coldFrom = 0.25;
-        parts.coldFor = 1_000 * S;
-        ServerModel server = server(parts);
+    void coldServerIsSlow() {
+        SpecBuilder spec = new SpecBuilder();
+        spec.coldFrom = 0.25;
+        spec.coldForUs = 1_000 * S;
+        ServerModel server = server(spec);
         offer(server, 10);
-        until(1_000);
-        assertEquals(List.of("40 r0 SERVED"), ends, "a quarter of the speed");
+        runUntilMs(1_000);
+        assertEquals(List.of("40 r0 SERVED"), completions, "a quarter of the speed");
     }
 
     @Test
-    void aFallenServerStaysDown() {
-        ServerModel server = server(new Parts());
+    void crashedServerStaysDown() {
+        ServerModel server = server(new SpecBuilder());
         offer(server, 10);
         server.fall();
         offer(server, 10);
-        until(1_000);
-        assertEquals(List.of(), ends);
+        runUntilMs(1_000);
+        assertEquals(List.of(), completions);
         assertTrue(server.stopped());
         assertTrue(server.figures().fell);
     }
 
     @Test
-    void aKeyMetLatelyIsLessWork() {
-        Parts parts = new Parts();
-        parts.keyMemory = S;
-        parts.keySaving = 0.6;
-        parts.keys = 2;
-        ServerModel server = server(parts);
+    void recentKeyNeedsLessWork() {
+        SpecBuilder spec = new SpecBuilder();
+        spec.keyMemoryUs = S;
+        spec.keySaving = 0.6;
+        spec.keys = 2;
+        ServerModel server = server(spec);
         server.offer(job(10 * MS, "a", null, Long.MAX_VALUE));
         server.offer(job(10 * MS, "a", null, Long.MAX_VALUE));
-        until(100);
+        runUntilMs(100);
         server.offer(job(10 * MS, "b", null, Long.MAX_VALUE));
         server.offer(job(10 * MS, "c", null, Long.MAX_VALUE));
         server.offer(job(10 * MS, "a", null, Long.MAX_VALUE));
-        until(2_000);
+        runUntilMs(2_000);
         server.offer(job(10 * MS, "a", null, Long.MAX_VALUE));
-        until(3_000);
+        runUntilMs(3_000);
         assertEquals(
                 List.of(
                         "10 r0 SERVED",
@@ -401,50 +401,51 @@
                         "120 r3 SERVED",
                         "130 r4 SERVED",
                         "2010 r5 SERVED"),
-                ends,
+                completions,
                 "forgotten for room, then for age");
         assertEquals(1, server.figures().keyHits);
     }
 
     @Test
-    void repeatsOfAnEffectAreDroppedInTheGroupAndWithinTheWindow() {
+    void repeatsAreDroppedWithinTheGroupAndTheWindow() {
         ServerModel.Group group = new ServerModel.Group();
-        ServerModel one = server(new Parts(), group);
-        ServerModel other = server(new Parts(), group);
-        ServerModel elsewhere = server(new Parts(), new ServerModel.Group());
+        ServerModel one = server(new SpecBuilder(), group);
+        ServerModel other = server(new SpecBuilder(), group);
+        ServerModel elsewhere = server(new SpecBuilder(), new ServerModel.Group());
         one.offer(job(10 * MS, null, "e", Long.MAX_VALUE));
-        until(100);
+        runUntilMs(100);
         other.offer(job(10 * MS, null, "e", Long.MAX_VALUE));
         elsewhere.offer(job(10 * MS, null, "e", Long.MAX_VALUE));
-        until(20_101);
+        runUntilMs(20_101);
         other.offer(job(10 * MS, null, "e", Long.MAX_VALUE));
-        until(30_000);
-        assertEquals(List.of("r0", "r1 dropped", "r2", "r3"), ran);
+        runUntilMs(30_000);
+        assertEquals(List.of("r0", "r1 dropped", "r2", "r3"), executed);
         assertEquals(1, other.figures().repeatsDropped);
     }
 
     @Test
-    void aRequestWithAShortWindowEndsNobodyElsesLongerOne() {
-        // Once many effects were kept, each request forgot all that were older than its own window.
-        ServerModel one = server(new Parts(), new ServerModel.Group());
+    void shortWindowDoesNotEndLongerOnes() {
+        // Guards against a purge that, once many effects are stored, drops all that are older than the request's own
+        // window.
+        ServerModel one = server(new SpecBuilder(), new ServerModel.Group());
         one.offer(job(1, null, "e", Long.MAX_VALUE));
         for (int i = 0; i < 1100; i++) {
-            until(1 + i);
+            runUntilMs(1 + i);
             one.offer(job(1, null, "e" + i, Long.MAX_VALUE));
         }
-        until(5_000);
+        runUntilMs(5_000);
         one.offer(new Job("short", 1, null, "s", S, Long.MAX_VALUE, (end, inflight) -> {}));
-        until(6_000);
+        runUntilMs(6_000);
         one.offer(job(1, null, "e", Long.MAX_VALUE));
-        until(7_000);
+        runUntilMs(7_000);
         assertEquals(1, one.figures().repeatsDropped);
     }
 
     @Test
     void connectionsAreCappedAndCounted() {
-        Parts parts = new Parts();
-        parts.connections = 2;
-        ServerModel server = server(parts);
+        SpecBuilder spec = new SpecBuilder();
+        spec.connections = 2;
+        ServerModel server = server(spec);
         assertTrue(server.connect());
         assertTrue(server.connect());
         assertFalse(server.connect());
@@ -455,60 +456,60 @@
     }
 
     @Test
-    void probesCostAndAreCapped() {
-        Parts parts = new Parts();
-        parts.probeWork = 5 * MS;
-        parts.deep = true;
-        ServerModel deep = server(parts);
+    void probesCostWorkAndAreCapped() {
+        SpecBuilder spec = new SpecBuilder();
+        spec.probeWork = 5 * MS;
+        spec.deep = true;
+        ServerModel deep = server(spec);
         for (int i = 0; i < 3; i++) {
-            deep.probe((end, inflight) -> ends.add(queue.now() / MS + " " + end));
+            deep.probe((end, inflight) -> completions.add(queue.now() / MS + " " + end));
         }
-        until(100);
-        assertEquals(List.of("0 NOT_RUN", "5 SERVED", "10 SERVED"), ends);
-        ends.clear();
-        parts.deep = false;
-        ServerModel shallow = server(parts);
+        runUntilMs(100);
+        assertEquals(List.of("0 NOT_RUN", "5 SERVED", "10 SERVED"), completions);
+        completions.clear();
+        spec.deep = false;
+        ServerModel shallow = server(spec);
         offer(shallow, 10);
-        shallow.probe((end, inflight) -> ends.add("probe " + inflight));
+        shallow.probe((end, inflight) -> completions.add("probe " + inflight));
         offer(shallow, 10);
-        until(200);
-        assertEquals(List.of("probe 1", "110 r0 SERVED", "125 r1 SERVED"), ends, "its work delays the next");
+        runUntilMs(200);
+        assertEquals(List.of("probe 1", "110 r0 SERVED", "125 r1 SERVED"), completions, "its work delays the next");
         assertEquals(1, shallow.figures().probes);
     }
 
     @Test
-    void loadReportsAreALittleOld() {
-        Parts parts = new Parts();
-        parts.reportEvery = 25 * MS;
-        parts.slots = 10;
-        parts.cores = 10;
-        ServerModel server = server(parts);
+    void loadReportsAreRefreshedPeriodically() {
+        SpecBuilder spec = new SpecBuilder();
+        spec.reportIntervalUs = 25 * MS;
+        spec.slots = 10;
+        spec.cores = 10;
+        ServerModel server = server(spec);
         List<Integer> reports = new ArrayList<>();
         for (int i = 1; i <= 4; i++) {
             server.offer(
                     new Job("r", i * 10 * MS, null, null, 0, Long.MAX_VALUE, (end, inflight) -> reports.add(inflight)));
         }
-        until(1_000);
+        runUntilMs(1_000);
         assertEquals(List.of(3, 3, 3, 0), reports);
     }
 
     @Test
-    void cancelledWorkStopsAsFarAsTheServerStopsIt() {
+    void cancellationStopsWorkAsConfigured() {
         for (Stops stops : Stops.values()) {
-            ends.clear();
+            completions.clear();
             ids = 0;
             long from = queue.now() / MS;
-            Parts parts = new Parts();
-            parts.stops = stops;
-            ServerModel server = server(parts);
+            SpecBuilder spec = new SpecBuilder();
+            spec.stops = stops;
+            ServerModel server = server(spec);
             Job running = offer(server, 10);
             Job waiting = offer(server, 10);
             offer(server, 10);
-            until(from + 5);
+            runUntilMs(from + 5);
             server.cancel(running);
             server.cancel(waiting);
             server.cancel(waiting);
-            until(from + 100);
+            runUntilMs(from + 100);
             assertEquals(
                     switch (stops) {
                         case NONE ->
@@ -516,21 +517,21 @@
                         case QUEUED -> List.of(from + 10 + " r0 SERVED", from + 20 + " r2 SERVED");
                         case ALL -> List.of(from + 15 + " r2 SERVED");
                     },
-                    ends);
+                    completions);
             assertEquals(stops == Stops.ALL ? 5 * MS : 0, server.figures().workWasted, 1);
         }
     }
 
     @Test
-    void whatExpiredWhileItWaitedIsDroppedUnseen() {
-        Parts parts = new Parts();
-        parts.dropsExpired = true;
-        ServerModel server = server(parts);
+    void expiredQueuedRequestsAreDroppedWithoutExecution() {
+        SpecBuilder spec = new SpecBuilder();
+        spec.dropsExpired = true;
+        ServerModel server = server(spec);
         offer(server, 10);
         server.offer(job(10 * MS, null, null, 9 * MS));
-        until(100);
-        assertEquals(List.of("10 r0 SERVED", "10 r1 NOT_RUN"), ends);
-        assertEquals(List.of("r0"), ran);
+        runUntilMs(100);
+        assertEquals(List.of("10 r0 SERVED", "10 r1 NOT_RUN"), completions);
+        assertEquals(List.of("r0"), executed);
         assertEquals(1, server.figures().expired);
     }
 }
--- a/src/test/java/mulleinfront/emulator/SoakRangesTest.java
+++ b/src/test/java/mulleinfront/emulator/SoakRangesTest.java
@@ -6,23 +6,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the soak draws goes beyond what the program waits for, on both sides: in two incidents it ended where the
- * program's own constants did, and found nothing.
+ * The ranges from which soak scenarios are generated extend below and above the program's own timeouts. Ranges that
+ * end where a constant does hide faults: two defects stayed undetected that way.
  */
 class SoakRangesTest {
-    private static void within(String what, double low, double constant, double high) {
+    private static void assertWithin(String name, double low, double constant, double high) {
         assertTrue(
-                low < constant && constant < high, what + ": " + constant + " is not between " + low + " and " + high);
+                low < constant && constant < high, name + ": " + constant + " is not between " + low + " and " + high);
     }
 
     @Test
-    void callsOfAllTakeLessAndMoreThanWhatCountsFromTheEndOfAWatch() {
-        within(
+    void callDurationsSpanThePropagationDeadlines() {
+        assertWithin(
                 "2 s after the end of a watch",
                 GeneratedScenario.ALL_CALL_US[0],
                 ToldDeadlines.WATCH_ENDED_US,
                 GeneratedScenario.ALL_CALL_US[1]);
-        within(
+        assertWithin(
                 "6 s in which all is told",
                 GeneratedScenario.ALL_CALL_US[0],
                 ToldDeadlines.REACHABLE_US,
@@ -30,13 +30,13 @@
     }
 
     @Test
-    void answersComeBeforeAndAfterACallIsGivenUp() {
-        within(
+    void responseTimesSpanTheCallTimeouts() {
+        assertWithin(
                 "patience of a call",
                 0,
                 Wire.CALL_TIMEOUT_US,
                 GeneratedScenario.CALL_TIMEOUT_US[1] + GeneratedScenario.MOST_LATE_US);
-        within(
+        assertWithin(
                 "patience of a call after a move",
                 0,
                 Wire.MOVED_CALL_TIMEOUT_US,
@@ -44,13 +44,13 @@
     }
 
     @Test
-    void listsStopForLessAndMoreThanTheSilenceOfAWatch() {
-        within(
+    void listPausesSpanTheWatchTimeouts() {
+        assertWithin(
                 "silence of a watch",
                 GeneratedScenario.LIST_PAUSE_US[0],
                 Wire.WATCH_TIMEOUT_US,
                 GeneratedScenario.LIST_PAUSE_US[1]);
-        within(
+        assertWithin(
                 "patience of a list",
                 GeneratedScenario.LIST_PAUSE_US[0],
                 Wire.LIST_TIMEOUT_US,
@@ -58,7 +58,8 @@
     }
 
     @Test
-    void outagesAreLongerThanWhatIsToldAndAllWaitsTogether() {
-        within("an outage", 0, ToldDeadlines.REACHABLE_US + Wire.CALL_TIMEOUT_US, GeneratedScenario.MOST_OUTAGE_US);
+    void outagesExceedThePropagationDeadlineAndCallTimeout() {
+        assertWithin(
+                "an outage", 0, ToldDeadlines.REACHABLE_US + Wire.CALL_TIMEOUT_US, GeneratedScenario.MOST_OUTAGE_US);
     }
 }
--- a/src/test/java/mulleinfront/emulator/WorldTest.java
+++ b/src/test/java/mulleinfront/emulator/WorldTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Whole worlds: the hard cases, and the shipped scenarios under a few seeds. */
+/** Whole simulation runs: hard cases, and the shipped scenarios with a few seeds. */
 class WorldTest {
     private static long count(Map<String, Long> counts, String name) {
         return counts.getOrDefault(name, 0L);
     }
 
-    private static World.Result kept(World.Result result) {
+    private static World.Result assertInvariants(World.Result result) {
         assertEquals(List.of(), result.breaches());
         Map<String, Long> tries = result.service().tries();
         assertEquals(0, count(tries, "timed-out"), "everything taken has its answer in time");
@@ -29,7 +29,7 @@
     }
 
     private static World.Result play(String lines) throws Exception {
-        return kept(Worlds.play(lines, 1));
+        return assertInvariants(Worlds.play(lines, 1));
     }
 
     static List<Path> shipped() throws Exception {
@@ -38,11 +38,11 @@
 
     @ParameterizedTest
     @MethodSource("shipped")
-    void shippedScenariosKeepTheRules(Path file) throws Exception {
+    void shippedScenariosSatisfyTheInvariants(Path file) throws Exception {
         Scenario scenario = ScenarioReader.read(file);
         for (long seed = 1001; seed <= 1006; seed++) {
-            World.Result result = kept(Worlds.world(scenario, seed).play());
-            // Where more is asked than can be done, what counts is how much of that is done.
+            World.Result result = assertInvariants(Worlds.world(scenario, seed).play());
+            // When the offered load exceeds the capacity, the goodput decides.
             assertTrue(
                     result.service().service() > 0.6 || result.goodput() > 0.8,
                     file + " seed " + seed + ": " + result.service().service() + ", goodput " + result.goodput());
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void whereServersTakeAndNeverAnswerEveryRequestHasItsTrueAnswerInTime() throws Exception {
+    void requestsGetCorrectAnswersInTimeWhenAllServersHang() throws Exception {
         World.Result result = play("""
                 length = "20s"
                 [[fault]]
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aNeighbourOnAndOffShowsInTheServersOwnFigures() throws Exception {
+    void noisyNeighbourIncreasesServerWaits() throws Exception {
         String load = "length = \"40s\"\n[load]\nof-capacity = \"60%\"\n";
         World.Result calm = play(load);
         World.Result shared = play(load + """
@@ -98,20 +98,20 @@
                 on = ["1s", "3s"]
                 off = ["1s", "3s"]
                 """);
-        assertTrue(wait(shared) > 1.3 * wait(calm), wait(shared) + " us against " + wait(calm));
+        assertTrue(meanWaitUs(shared) > 1.3 * meanWaitUs(calm), meanWaitUs(shared) + " us against " + meanWaitUs(calm));
     }
 
-    private static double wait(World.Result r) {
-        return r.service().servers().stream()
+    private static double meanWaitUs(World.Result result) {
+        return result.service().servers().stream()
                         .mapToDouble(s -> s.figures().waitSumUs)
                         .sum()
-                / r.service().servers().stream()
+                / result.service().servers().stream()
                         .mapToLong(s -> s.figures().begun)
                         .sum();
     }
 
     @Test
-    void whatAKilledClientProxyHeldIsItsClientsToRetry() throws Exception {
+    void clientsRetryOpenRequestsOfAKilledProxy() throws Exception {
         World.Result result = play("""
                 length = "20s"
                 [[fault]]
@@ -130,9 +130,9 @@
     }
 
     @Test
-    void listsToldOutOfOrderUndoNoDrain() throws Exception {
+    void reorderedListsUndoNoDrain() throws Exception {
         for (long seed = 1; seed <= 20; seed++) {
-            kept(Worlds.play("""
+            assertInvariants(Worlds.play("""
                     length = "25s"
                     [discovery]
                     notice = ["10ms", "50ms"]
@@ -154,9 +154,9 @@
     }
 
     @Test
-    void nothingIsWrittenToAServerToldToDrainWhileTheConnectionComesUp() throws Exception {
-        // The way to servers takes so long that connections come up well after the decision.
-        String slow = """
+    void nothingIsSentToAServerThatDrainsWhileItsConnectionOpens() throws Exception {
+        // The network latency is so high that connections open well after the decision to send.
+        String slowNetwork = """
                 length = "20s"
                 [network]
                 same = "40ms"
@@ -178,19 +178,20 @@
                 at = "9s"
                 count = 3
                 """;
-        World.Result result = play(slow);
+        World.Result result = play(slowNetwork);
         assertTrue(
                 count(result.service().outcomes(), "ignored") > 0,
                 "" + result.service().outcomes());
-        World.Result unasked = Worlds.world(Worlds.of(slow), 1, Balancer::create, Broken.writesUnasked())
+        World.Result withoutCheck = Worlds.world(
+                        Worlds.of(slowNetwork), 1, Balancer::create, FaultyComponents.skipsWantedCheck())
                 .play();
         assertTrue(
-                unasked.breaches().stream().anyMatch(b -> b.rule() == Rule.DRAINS),
+                withoutCheck.breaches().stream().anyMatch(b -> b.rule() == Rule.DRAINS),
                 "it is the check before the first byte that keeps the rule");
     }
 
     @Test
-    void tenThousandRequestsInOneInstantEachHaveOneAnswer() throws Exception {
+    void burstOfTenThousandRequestsGetsOneAnswerEach() throws Exception {
         World.Result result = play("""
                 length = "10s"
                 [proxies]
@@ -204,7 +205,7 @@
     }
 
     @Test
-    void anHourOfCalmCostsNothing() throws Exception {
+    void idleHourCausesFewEvents() throws Exception {
         World.Result result = play("""
                 length = "1h"
                 [load]
@@ -216,7 +217,7 @@
     }
 
     @Test
-    void anIdleWorldThatWakesAfterAnHourServes() throws Exception {
+    void servesABurstAfterAnIdleHour() throws Exception {
         World.Result result = play("""
                 length = "61m"
                 [load]
@@ -231,9 +232,9 @@
     }
 
     @Test
-    void pushedListsAndAllTroublesAtOnceKeepTheRules() throws Exception {
+    void pushedListsAndAllFaultsAtOnceSatisfyTheInvariants() throws Exception {
         for (long seed = 1; seed <= 5; seed++) {
-            World.Result result = kept(Worlds.play("""
+            World.Result result = assertInvariants(Worlds.play("""
                     length = "40s"
                     [discovery]
                     mode = "push"
@@ -302,35 +303,36 @@
     }
 
     @Test
-    void anotherSeedIsAnotherCourse() throws Exception {
+    void runsDependOnTheSeedOnly() throws Exception {
         String lines = "length = \"5s\"\n";
         assertEquals(Worlds.play(lines, 1).sha256(), Worlds.play(lines, 1).sha256());
         assertNotEquals(Worlds.play(lines, 1).sha256(), Worlds.play(lines, 2).sha256());
     }
 
     @Test
-    void sweepsDoNotDependOnHowManyWorldsArePlayedAtOnce() throws Exception {
+    void sweepResultsDoNotDependOnParallelism() throws Exception {
         Scenario scenario = Worlds.of("length = \"5s\"\n");
-        List<Sweep.SeedResult> one = Sweep.play(scenario, 3, 10, 1, null, p -> {});
-        assertEquals(one, Sweep.play(scenario, 3, 10, 5, null, p -> {}));
-        assertEquals(Worlds.world(scenario, 4).play().sha256(), one.get(1).sha256());
+        List<Sweep.SeedResult> sequential = Sweep.play(scenario, 3, 10, 1, null, p -> {});
+        assertEquals(sequential, Sweep.play(scenario, 3, 10, 5, null, p -> {}));
         assertEquals(
-                one.stream().mapToDouble(Sweep.SeedResult::service).min().orElseThrow(),
-                Sweep.worst(one, 3).get(0).service());
+                Worlds.world(scenario, 4).play().sha256(), sequential.get(1).sha256());
+        assertEquals(
+                sequential.stream().mapToDouble(Sweep.SeedResult::service).min().orElseThrow(),
+                Sweep.worst(sequential, 3).get(0).service());
     }
 
     @Test
-    void nothingIsLeftWhenAllIsOver() throws Exception {
+    void noRequestsOrConnectionsRemainAfterTheRun() throws Exception {
         World world = Worlds.world(Worlds.of("length = \"10s\"\nsettle = \"20s\"\n"), 1);
-        kept(world.play());
-        for (Instance each : world.proxies) {
-            Proxy p = (Proxy) each;
-            assertEquals(0, p.held(), "requests");
-            assertEquals(0, p.connections(), "connections close when idle");
+        assertInvariants(world.play());
+        for (Instance instance : world.proxies) {
+            Proxy proxy = (Proxy) instance;
+            assertEquals(0, proxy.held(), "requests");
+            assertEquals(0, proxy.connections(), "connections close when idle");
         }
-        for (Host h : world.hosts) {
-            assertEquals(0, h.links.size());
-            assertEquals(0, h.life.held());
+        for (Host host : world.hosts) {
+            assertEquals(0, host.links.size());
+            assertEquals(0, host.life.held());
         }
     }
 }
--- a/src/test/java/mulleinfront/emulator/Worlds.java
+++ b/src/test/java/mulleinfront/emulator/Worlds.java
@@ -8,7 +8,7 @@
 import mulleinfront.core.Core;
 import mulleinfront.settings.BadFileException;
 
-/** Small worlds for tests, written as scenario files are. */
+/** Builds simulations for tests, from scenario lines or files. */
 final class Worlds {
     static final Path SHIPPED = Path.of("scenarios");
 
@@ -20,7 +20,7 @@
         }
     }
 
-    /** A scenario on the world that is shipped: its lines follow {@code [scenario]} and a title. */
+    /** A scenario based on {@code calm.toml}; the given lines follow the title in the section {@code [scenario]}. */
     static Scenario of(String lines) throws BadFileException {
         return ScenarioReader.read(
                 "scenarios/test.toml", "[scenario]\ntitle = \"a test\"\nworld = \"calm.toml\"\n" + lines, world ->
@@ -39,8 +39,8 @@
         return world(scenario, seed, Balancer::create, Fitting.PLAIN);
     }
 
-    static World world(Scenario scenario, long seed, Core.BalancerFactory maker, Fitting fitting) {
-        return new World(scenario, seed, new Trace(null), maker, fitting);
+    static World world(Scenario scenario, long seed, Core.BalancerFactory factory, Fitting fitting) {
+        return new World(scenario, seed, new Trace(null), factory, fitting);
     }
 
     static World.Result play(String lines, long seed) throws BadFileException {
