--- a/src/test/java/mulleinfront/emulator/EventQueueTest.java
+++ b/src/test/java/mulleinfront/emulator/EventQueueTest.java
@@ -50,7 +50,7 @@
     @Test
     void cancelledEventsDoNotRun() {
         List<Time.Timer> timers = new ArrayList<>();
-        List<Integer> kept = new ArrayList<>();
+        List<Integer> expected = new ArrayList<>();
         Chance chance = Chance.of(1, "test");
         for (int i = 0; i < 50_000; i++) {
             int n = i;
@@ -58,14 +58,14 @@
         }
         for (int i = 0; i < 50_000; i++) {
             if (i % 10 == 0) {
-                kept.add(i);
+                expected.add(i);
             } else {
                 timers.get(i).cancel();
                 timers.get(i).cancel();
             }
         }
         queue.runUntil(2_000);
-        assertEquals(kept, executed.stream().map(o -> (Integer) o).sorted().toList());
+        assertEquals(expected, executed.stream().map(o -> (Integer) o).sorted().toList());
         timers.forEach(Time.Timer::cancel);
         queue.after(1, () -> executed.add("still works"));
         queue.runUntil(3_000);
--- a/src/test/java/mulleinfront/emulator/FaultyComponents.java
+++ b/src/test/java/mulleinfront/emulator/FaultyComponents.java
@@ -209,12 +209,12 @@
                 settings.contract());
     }
 
-    /** Sends almost every request to the most recently started server. */
+    /** Sends every request to the ready server that started last, if any started during the run. */
     static Balancer floodsNewestServer(Settings settings, long seed, long now, Actions actions) {
         return new NewestServerBalancer(settings, seed, now, actions, 1);
     }
 
-    /** Sends every third request to the most recently started server. */
+    /** Sends every third request to the ready server that started last, if any started during the run. */
     static Balancer favoursNewestServer(Settings settings, long seed, long now, Actions actions) {
         return new NewestServerBalancer(settings, seed, now, actions, 3);
     }
@@ -225,9 +225,9 @@
         private final Map<String, Long> readyStartTimesUs = new HashMap<>();
         private int sendCount;
 
-        NewestServerBalancer(Settings settings, long seed, long now, Actions actions, int every) {
+        NewestServerBalancer(Settings settings, long seed, long now, Actions actions, int redirectEvery) {
             super(settings, seed, now, actions);
-            this.redirectEvery = every;
+            this.redirectEvery = redirectEvery;
         }
 
         @Override
@@ -309,8 +309,8 @@
     private static class DelegatingResponseHandler implements ResponseHandler<Call, Answer> {
         final ResponseHandler<Call, Answer> delegate;
 
-        DelegatingResponseHandler(ResponseHandler<Call, Answer> to) {
-            this.delegate = to;
+        DelegatingResponseHandler(ResponseHandler<Call, Answer> delegate) {
+            this.delegate = delegate;
         }
 
         @Override
--- a/src/test/java/mulleinfront/emulator/GraphWorldTest.java
+++ b/src/test/java/mulleinfront/emulator/GraphWorldTest.java
@@ -207,8 +207,8 @@
         GraphTally.Group all = world.tally.all;
         double parts = 0;
         double added = 0;
-        for (Span s : List.of(Span.LOCAL, Span.ADMISSION, Span.RETRIES, Span.CONNECTION)) {
-            added += all.of(s).mean();
+        for (Span span : List.of(Span.LOCAL, Span.ADMISSION, Span.RETRIES, Span.CONNECTION)) {
+            added += all.of(span).mean();
         }
         parts = added + all.of(Span.NETWORK).mean() + all.of(Span.SERVER).mean();
         assertEquals(all.of(Span.ALL).mean(), parts, 1e-6);
--- a/src/test/java/mulleinfront/emulator/IdleProcessesTest.java
+++ b/src/test/java/mulleinfront/emulator/IdleProcessesTest.java
@@ -25,8 +25,8 @@
         private final ArrayDeque<Long> requestTimesUs = new ArrayDeque<>();
         private long lastAttemptUs = Long.MIN_VALUE / 2;
 
-        IdleRecorder(Set<IdleRecorder> idle) {
-            this.idleInstances = idle;
+        IdleRecorder(Set<IdleRecorder> idleInstances) {
+            this.idleInstances = idleInstances;
         }
 
         @Override
--- a/src/test/java/mulleinfront/emulator/LargeFleetTest.java
+++ b/src/test/java/mulleinfront/emulator/LargeFleetTest.java
@@ -129,14 +129,14 @@
                 """), 1).play();
         assertEquals(List.of(), result.breaches());
         assertTrue(result.service().whole() > 0.97, "whole " + result.service().whole());
-        long most = result.service().servers().stream()
+        long maxServed = result.service().servers().stream()
                 .mapToLong(server -> server.figures().served)
                 .max()
                 .orElseThrow();
         for (Server server : result.service().servers()) {
             assertTrue(
-                    server.figures().served > most / 4,
-                    server.name() + " served " + server.figures().served + " of " + most);
+                    server.figures().served > maxServed / 4,
+                    server.name() + " served " + server.figures().served + " of " + maxServed);
         }
     }
 
