--- a/src/main/java/mulleinfront/bench/AddedTime.java
+++ b/src/main/java/mulleinfront/bench/AddedTime.java
@@ -140,8 +140,8 @@
         return times;
     }
 
-    private static double ms(Histogram h, double percentile) {
-        return h.getValueAtPercentile(percentile) / 1e6;
+    private static double ms(Histogram histogram, double percentile) {
+        return histogram.getValueAtPercentile(percentile) / 1e6;
     }
 
     /** The processing time that a server reports, nanoseconds; -1 if the response does not contain one. */
--- a/src/main/java/mulleinfront/bench/CapacityFile.java
+++ b/src/main/java/mulleinfront/bench/CapacityFile.java
@@ -45,10 +45,10 @@
         JsonObject root;
         try (JsonParser in = JSON.createParser(Files.readAllBytes(file))) {
             in.nextToken();
-            if (!(value(in) instanceof JsonObject t) || in.nextToken() != null) {
+            if (!(value(in) instanceof JsonObject entry) || in.nextToken() != null) {
                 throw new BadFileException(file + ": must be one object");
             }
-            root = t;
+            root = entry;
         } catch (JsonProcessingException e) {
             throw new BadFileException(file + ":"
                     + (e.getLocation() == null ? 1 : e.getLocation().getLineNr()) + ": " + e.getOriginalMessage());
@@ -61,55 +61,62 @@
             size.put(name, given.number(name));
         }
         List<Slope> slopes = new ArrayList<>();
-        for (JsonObject t : root.objects("slopes")) {
+        for (JsonObject entry : root.objects("slopes")) {
             List<Fit.Point> points = new ArrayList<>();
-            for (Object p : t.list("points")) {
+            for (Object p : entry.list("points")) {
                 if (!(p instanceof List<?> two
                         && two.size() == 2
                         && two.get(0) instanceof Double x
                         && two.get(1) instanceof Double y)) {
-                    throw t.error("points must be pairs of size and figure");
+                    throw entry.error("points must be pairs of size and figure");
                 }
                 points.add(new Fit.Point(x, y));
             }
-            slopes.add(t.build(() ->
-                    new Slope(t.text("id"), t.text("what"), t.text("unit"), t.text("per"), points, t.text("command"))));
+            slopes.add(entry.build(() -> new Slope(
+                    entry.text("id"),
+                    entry.text("what"),
+                    entry.text("unit"),
+                    entry.text("per"),
+                    points,
+                    entry.text("command"))));
         }
         List<Row> rows = new ArrayList<>();
-        for (JsonObject t : root.objects("rows")) {
+        for (JsonObject entry : root.objects("rows")) {
             List<Row.Cell> cells = new ArrayList<>();
-            for (JsonObject c : t.objects("cells")) {
-                cells.add(cell(c));
+            for (JsonObject cellEntry : entry.objects("cells")) {
+                cells.add(cell(cellEntry));
             }
-            rows.add(new Row(t.text("role"), t.text("part"), t.text("when"), t.text("mechanism"), cells));
-            t.rejectUnknownKeys();
+            rows.add(new Row(
+                    entry.text("role"), entry.text("part"), entry.text("when"), entry.text("mechanism"), cells));
+            entry.rejectUnknownKeys();
         }
         List<Need> needs = new ArrayList<>();
-        for (JsonObject t : root.objects("needs")) {
-            needs.add(new Need(t.text("name"), t.text("rows"), t.texts("faults"), t.text("why")));
-            t.rejectUnknownKeys();
+        for (JsonObject entry : root.objects("needs")) {
+            needs.add(new Need(entry.text("name"), entry.text("rows"), entry.texts("faults"), entry.text("why")));
+            entry.rejectUnknownKeys();
         }
         root.has("figures"); // Written for people; computed again when the file is read.
         root.rejectUnknownKeys();
         return root.build(() -> new Capacity(new Size(size), slopes, rows, needs));
     }
 
-    private static Row.Cell cell(JsonObject c) throws BadFileException {
+    private static Row.Cell cell(JsonObject cellEntry) throws BadFileException {
         List<Row.Term> terms = new ArrayList<>();
-        for (JsonObject t : c.has("terms") ? c.objects("terms") : List.<JsonObject>of()) {
-            terms.add(new Row.Term(t.text("slope"), t.text("at"), t.has("times") ? t.texts("times") : List.of()));
-            t.rejectUnknownKeys();
+        for (JsonObject entry : cellEntry.has("terms") ? cellEntry.objects("terms") : List.<JsonObject>of()) {
+            terms.add(new Row.Term(
+                    entry.text("slope"), entry.text("at"), entry.has("times") ? entry.texts("times") : List.of()));
+            entry.rejectUnknownKeys();
         }
-        Row.Cell cell = c.build(() -> new Row.Cell(
-                Row.Measure.of(c.text("measure")),
+        Row.Cell cell = cellEntry.build(() -> new Row.Cell(
+                Row.Measure.of(cellEntry.text("measure")),
                 terms,
-                c.has("budget") ? c.text("budget") : null,
-                c.has("source") ? c.text("source") : null,
-                c.has("given") ? c.number("given") : Double.NaN));
+                cellEntry.has("budget") ? cellEntry.text("budget") : null,
+                cellEntry.has("source") ? cellEntry.text("source") : null,
+                cellEntry.has("given") ? cellEntry.number("given") : Double.NaN));
         if (!Double.isNaN(cell.given()) && (cell.source() == null)) {
-            throw c.error("a given figure needs its source");
+            throw cellEntry.error("a given figure needs its source");
         }
-        c.rejectUnknownKeys();
+        cellEntry.rejectUnknownKeys();
         return cell;
     }
 
@@ -120,60 +127,61 @@
 
     static String text(Capacity all) throws IOException {
         List<String> slopes = new ArrayList<>();
-        for (Slope s : all.slopes()) {
+        for (Slope slope : all.slopes()) {
             slopes.add(object(out -> {
-                out.writeStringField("id", s.id());
-                out.writeStringField("what", s.what());
-                out.writeStringField("unit", s.unit());
-                out.writeStringField("per", s.per());
+                out.writeStringField("id", slope.id());
+                out.writeStringField("what", slope.what());
+                out.writeStringField("unit", slope.unit());
+                out.writeStringField("per", slope.per());
                 out.writeArrayFieldStart("points");
-                for (Fit.Point p : s.points()) {
+                for (Fit.Point p : slope.points()) {
                     out.writeStartArray();
                     number(out, p.x());
                     number(out, p.y());
                     out.writeEndArray();
                 }
                 out.writeEndArray();
-                out.writeStringField("command", s.command());
+                out.writeStringField("command", slope.command());
             }));
         }
         List<String> rows = new ArrayList<>();
-        for (Row r : all.rows()) {
+        for (Row row : all.rows()) {
             rows.add(object(out -> {
-                out.writeStringField("role", r.role());
-                out.writeStringField("part", r.part());
-                out.writeStringField("when", r.when());
-                out.writeStringField("mechanism", r.mechanism());
+                out.writeStringField("role", row.role());
+                out.writeStringField("part", row.part());
+                out.writeStringField("when", row.when());
+                out.writeStringField("mechanism", row.mechanism());
                 out.writeArrayFieldStart("cells");
-                for (Row.Cell c : r.cells()) {
-                    cell(out, c);
+                for (Row.Cell cell : row.cells()) {
+                    cell(out, cell);
                 }
                 out.writeEndArray();
             }));
         }
         List<String> needs = new ArrayList<>();
-        for (Need n : all.needs()) {
+        for (Need need : all.needs()) {
             needs.add(object(out -> {
-                out.writeStringField("name", n.name());
-                out.writeStringField("rows", n.rows());
-                texts(out, "faults", n.faults());
-                out.writeStringField("why", n.why());
+                out.writeStringField("name", need.name());
+                out.writeStringField("rows", need.rows());
+                texts(out, "faults", need.faults());
+                out.writeStringField("why", need.why());
             }));
         }
         List<String> figures = new ArrayList<>();
-        for (Figure f : all.figures()) {
+        for (Figure figure : all.figures()) {
             figures.add(object(out -> {
                 out.writeStringField(
                         "row",
-                        f.row().role() + ", " + f.row().part() + ", " + f.row().when());
-                out.writeStringField("measure", f.cell().measure().word());
-                out.writeStringField("unit", f.cell().measure().unit());
+                        figure.row().role() + ", " + figure.row().part() + ", "
+                                + figure.row().when());
+                out.writeStringField("measure", figure.cell().measure().word());
+                out.writeStringField("unit", figure.cell().measure().unit());
                 out.writeFieldName("value");
-                number(out, f.value());
+                number(out, figure.value());
                 out.writeFieldName("budget");
-                number(out, f.budget());
+                number(out, figure.budget());
                 out.writeFieldName("over");
-                out.writeBoolean(f.over());
+                out.writeBoolean(figure.over());
             }));
         }
         return "{\n\"size\": "
@@ -188,12 +196,12 @@
                 + array("figures", figures) + "\n}\n";
     }
 
-    private static void cell(JsonGenerator out, Row.Cell c) throws IOException {
+    private static void cell(JsonGenerator out, Row.Cell cell) throws IOException {
         out.writeStartObject();
-        out.writeStringField("measure", c.measure().word());
-        if (!c.terms().isEmpty()) {
+        out.writeStringField("measure", cell.measure().word());
+        if (!cell.terms().isEmpty()) {
             out.writeArrayFieldStart("terms");
-            for (Row.Term t : c.terms()) {
+            for (Row.Term t : cell.terms()) {
                 out.writeStartObject();
                 out.writeStringField("slope", t.slope());
                 out.writeStringField("at", t.at());
@@ -204,15 +212,15 @@
             }
             out.writeEndArray();
         }
-        if (!Double.isNaN(c.given())) {
+        if (!Double.isNaN(cell.given())) {
             out.writeFieldName("given");
-            number(out, c.given());
+            number(out, cell.given());
         }
-        if (c.budget() != null) {
-            out.writeStringField("budget", c.budget());
+        if (cell.budget() != null) {
+            out.writeStringField("budget", cell.budget());
         }
-        if (c.source() != null) {
-            out.writeStringField("source", c.source());
+        if (cell.source() != null) {
+            out.writeStringField("source", cell.source());
         }
         out.writeEndObject();
     }
@@ -338,8 +346,8 @@
         }
 
         JsonObject object(String name) throws BadFileException {
-            if (has(name) && fields.get(name) instanceof JsonObject t) {
-                return t;
+            if (has(name) && fields.get(name) instanceof JsonObject entry) {
+                return entry;
             }
             throw error(name + " must be an object");
         }
@@ -354,10 +362,10 @@
         List<JsonObject> objects(String name) throws BadFileException {
             List<JsonObject> all = new ArrayList<>();
             for (Object o : list(name)) {
-                if (!(o instanceof JsonObject t)) {
+                if (!(o instanceof JsonObject entry)) {
                     throw error(name + " must hold objects");
                 }
-                all.add(t);
+                all.add(entry);
             }
             return all;
         }
--- a/src/main/java/mulleinfront/bench/Decisions.java
+++ b/src/main/java/mulleinfront/bench/Decisions.java
@@ -59,8 +59,8 @@
         for (int i = 0; i < lists; i++) {
             driver.applyFullList();
         }
-        double whole = (System.nanoTime() - from) / 1e3 / lists;
-        out.printf(Locale.ROOT, "%8d %12.2f %12.0f %14.1f %14.1f%n", endpoints, request, bytes, change, whole);
+        double fullList = (System.nanoTime() - from) / 1e3 / lists;
+        out.printf(Locale.ROOT, "%8d %12.2f %12.0f %14.1f %14.1f%n", endpoints, request, bytes, change, fullList);
         out.flush();
     }
 
@@ -79,7 +79,7 @@
         private int createdEndpoints;
         private int changeNumber;
 
-        Driver(int hosts) {
+        Driver(int endpoints) {
             RequestClass lookup = new RequestClass("lookup", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 2_000_000);
             balancer = Balancer.create(
                     new Settings(
@@ -95,7 +95,7 @@
                     1,
                     nowUs,
                     this);
-            for (int i = 0; i < hosts; i++) {
+            for (int i = 0; i < endpoints; i++) {
                 list.add(newEndpoint());
             }
             applyFullList();
--- a/src/main/java/mulleinfront/bench/ListCost.java
+++ b/src/main/java/mulleinfront/bench/ListCost.java
@@ -34,20 +34,20 @@
     }
 
     /** A full list as discovery writes it. */
-    static byte[] fullList(int hosts) {
+    static byte[] fullList(int servers) {
         List<String> all = new ArrayList<>();
-        for (int i = 0; i < hosts; i++) {
+        for (int i = 0; i < servers; i++) {
             all.add(entry(i, 0, "in_service"));
         }
         return list(1, true, all);
     }
 
     /** A delta as discovery writes it that replaces one server by its next incarnation. */
-    private static byte[] replacement(int version, int host, int incarnation) {
+    private static byte[] replacement(int version, int server, int incarnation) {
         return list(
                 version,
                 false,
-                List.of(entry(host, incarnation - 1, "terminated"), entry(host, incarnation, "in_service")));
+                List.of(entry(server, incarnation - 1, "terminated"), entry(server, incarnation, "in_service")));
     }
 
     private static byte[] list(int version, boolean full, List<String> entries) {
--- a/src/main/java/mulleinfront/bench/SnapshotCost.java
+++ b/src/main/java/mulleinfront/bench/SnapshotCost.java
@@ -33,19 +33,19 @@
         SlopeCollector out = new SlopeCollector("services", command);
         secondsToRead(service, 1);
         for (int count : services) {
-            ByteArrayOutputStream whole = new ByteArrayOutputStream();
+            ByteArrayOutputStream all = new ByteArrayOutputStream();
             for (int i = 0; i < count; i++) {
-                whole.write(("{\"service\":\"service-" + i + "\",\"settings\":").getBytes(StandardCharsets.US_ASCII));
-                whole.write(service);
-                whole.write("}\n".getBytes(StandardCharsets.US_ASCII));
+                all.write(("{\"service\":\"service-" + i + "\",\"settings\":").getBytes(StandardCharsets.US_ASCII));
+                all.write(service);
+                all.write("}\n".getBytes(StandardCharsets.US_ASCII));
             }
-            out.add(count, "configuration.whole.bytes", "the settings of all services", "bytes", whole.size());
+            out.add(count, "configuration.whole.bytes", "the settings of all services", "bytes", all.size());
             out.add(
                     count,
                     "configuration.change.bytes",
                     "the settings of one service",
                     "bytes",
-                    whole.size() / (double) count);
+                    all.size() / (double) count);
             out.add(
                     count,
                     "configuration.whole.processor",
--- a/src/main/java/mulleinfront/bench/Throughput.java
+++ b/src/main/java/mulleinfront/bench/Throughput.java
@@ -40,7 +40,7 @@
      * Measures with several numbers of connections.
      *
      * @param micros mean response time of the servers; 0 to respond at once
-     * @param open rate of the additional open loop, as a share of the lower of the relay's and the client proxy's
+     * @param openLoopShare rate of the additional open loop, as a share of the lower of the relay's and the client proxy's
      *     closed-loop rates; 0 for none
      */
     public void measure(long micros, int[] connections, double openLoopShare) throws IOException, InterruptedException {
--- a/src/main/java/mulleinfront/kit/DaemonProcess.java
+++ b/src/main/java/mulleinfront/kit/DaemonProcess.java
@@ -43,7 +43,7 @@
     /**
      * Membership addresses of a client proxy in a fleet.
      *
-     * @param file the fleet file
+     * @param fleetFile the fleet file
      */
     record FleetMembership(InetSocketAddress listen, List<InetSocketAddress> peers, Path fleetFile) {}
 
--- a/src/main/java/mulleinfront/kit/KitResult.java
+++ b/src/main/java/mulleinfront/kit/KitResult.java
@@ -10,7 +10,7 @@
  * @param virtual the run of the same scenario and seed on virtual time, or null
  * @param failures failures of client proxies other than rule violations: never ready, exited by itself, did not exit
  * @param quarters resource usage of the processes in each quarter of the run
- * @param lateMs how late the stand-ins handled due events: median, 99th percentile and maximum, in milliseconds
+ * @param latenessMs how late the stand-ins handled due events: median, 99th percentile and maximum, in milliseconds
  * @param daemonVersion the version that the client proxies reported
  * @param kitVersion the version of this program
  */
--- a/src/main/java/mulleinfront/kit/PartitionRelay.java
+++ b/src/main/java/mulleinfront/kit/PartitionRelay.java
@@ -50,7 +50,7 @@
 
     /**
      * @param sideOf the side of each member, from 0
-     * @param machines number of control-plane nodes
+     * @param nodes number of control-plane nodes
      */
     PartitionRelay(EventLoopGroup group, ScaleAddressPlan addresses, int members, int nodes, IntUnaryOperator sideOf) {
         this.group = group;
@@ -90,7 +90,7 @@
     /**
      * Relays connections from one side to an address on the other side or the same.
      *
-     * @param machine the control-plane node to count the bytes for; negative to count none
+     * @param node the control-plane node to count the bytes for; negative to count none
      */
     void relay(int fromSide, InetSocketAddress listen, int toSide, InetSocketAddress target, int node)
             throws IOException, InterruptedException {
--- a/src/main/java/mulleinfront/kit/RealRun.java
+++ b/src/main/java/mulleinfront/kit/RealRun.java
@@ -308,14 +308,15 @@
                 bound.add(discovery.listen(i, addresses.discovery(i)));
                 bound.add(discovery.listen(i, addresses.secondDiscovery(i)));
             }
-            for (int a = 0; a < scenario.fleet(); a++) {
-                servers.changed(a);
+            for (int server = 0; server < scenario.fleet(); server++) {
+                servers.changed(server);
             }
             return null;
         });
-        for (ChannelFuture f : bound) {
-            if (!f.await().isSuccess()) {
-                throw new IOException("discovery can't listen: " + f.cause().getMessage());
+        for (ChannelFuture binding : bound) {
+            if (!binding.await().isSuccess()) {
+                throw new IOException(
+                        "discovery can't listen: " + binding.cause().getMessage());
             }
         }
         for (int i = 0; i < daemons.length; i++) {
@@ -329,26 +330,26 @@
         String version = Version.OWN;
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(readyTimeoutMs);
         for (DaemonProcess daemon : daemons) {
-            String said = awaitReady(daemon, () -> System.nanoTime() < until && !interrupted);
-            if (said == null) {
+            String reported = awaitReady(daemon, () -> System.nanoTime() < until && !interrupted);
+            if (reported == null) {
                 failures.add(
                         "client proxy " + daemon.number() + " never got ready" + (daemon.alive() ? "" : ": it ended")
                                 + (daemon.lastLogLines().isEmpty() ? "" : ": " + daemon.lastLogLines()));
                 return version;
             }
-            version = said.equals(Version.OWN) ? version : said;
+            version = reported.equals(Version.OWN) ? version : reported;
         }
         return version;
     }
 
     /** Polls a proxy until it is ready; returns its version, or null if it exited or no time is left. */
     private static String awaitReady(DaemonProcess daemon, BooleanSupplier timeLeft) throws InterruptedException {
-        String said = daemon.readyVersion();
-        while (said == null && daemon.alive() && timeLeft.getAsBoolean()) {
+        String version = daemon.readyVersion();
+        while (version == null && daemon.alive() && timeLeft.getAsBoolean()) {
             Thread.sleep(READY_POLL_MS);
-            said = daemon.readyVersion();
+            version = daemon.readyVersion();
         }
-        return said;
+        return version;
     }
 
     private void monitor() throws InterruptedException {
--- a/src/main/java/mulleinfront/kit/ScaleControlPlane.java
+++ b/src/main/java/mulleinfront/kit/ScaleControlPlane.java
@@ -52,7 +52,7 @@
     private final Map<String, Long> newestVersions = new HashMap<>();
     private long proposals;
 
-    /** @param keep the shell command that runs the program's {@code keep} command */
+    /** @param keepCommand the shell command that runs the program's {@code keep} command */
     ScaleControlPlane(ScaleAddressPlan addresses, Path root, Path folder, String keepCommand) throws IOException {
         this.addresses = addresses;
         this.root = root;
@@ -68,8 +68,8 @@
     }
 
     /** The side of a node: two nodes are on the first side, one is on the other. */
-    static int side(int machine) {
-        return machine / 2;
+    static int side(int node) {
+        return node / 2;
     }
 
     /** The control file for the client proxies of a side. */
@@ -77,8 +77,8 @@
         return folder.resolve("control-side" + side + ".toml");
     }
 
-    private Path nodeFile(int machine) {
-        return folder.resolve("control-m" + machine + ".toml");
+    private Path nodeFile(int node) {
+        return folder.resolve("control-m" + node + ".toml");
     }
 
     private String controlFile(int own, int side, boolean events) {
@@ -114,21 +114,21 @@
         }
     }
 
-    void start(int machine) throws IOException {
-        processes[machine] = new DaemonProcess(
-                1_000 + machine,
-                keepCommand + " --config '" + nodeFile(machine) + "' --me " + (machine + 1) + " --dir '"
-                        + folder.toAbsolutePath().resolve("log-m" + machine) + "'",
+    void start(int node) throws IOException {
+        processes[node] = new DaemonProcess(
+                1_000 + node,
+                keepCommand + " --config '" + nodeFile(node) + "' --me " + (node + 1) + " --dir '"
+                        + folder.toAbsolutePath().resolve("log-m" + node) + "'",
                 root,
                 folder,
                 "",
-                addresses.node(machine));
+                addresses.node(node));
     }
 
-    void kill(int machine) throws InterruptedException {
-        DaemonProcess.Sample sample = processes[machine].sample();
-        earlierCpuMs[machine] += sample == null ? 0 : sample.cpuMs();
-        processes[machine].kill();
+    void kill(int node) throws InterruptedException {
+        DaemonProcess.Sample sample = processes[node].sample();
+        earlierCpuMs[node] += sample == null ? 0 : sample.cpuMs();
+        processes[node].kill();
     }
 
     /** Waits until the nodes have committed a first configuration version, and returns its number. */
@@ -149,7 +149,7 @@
     /**
      * Proposes a configuration version with a few hundred keys and one changed value.
      *
-     * @param must whether to retry until the time limit and then fail; otherwise each node is tried a few times
+     * @param required whether to retry until the time limit and then fail; otherwise each node is tried a few times
      * @return the committed version, or 0 if no node reports it as committed
      */
     long propose(String reason, boolean required) throws IOException, InterruptedException {
@@ -262,9 +262,9 @@
         return regressions;
     }
 
-    long cpuMs(int machine) {
-        DaemonProcess.Sample sample = processes[machine].sample();
-        return earlierCpuMs[machine] + (sample == null ? 0 : sample.cpuMs());
+    long cpuMs(int node) {
+        DaemonProcess.Sample sample = processes[node].sample();
+        return earlierCpuMs[node] + (sample == null ? 0 : sample.cpuMs());
     }
 
     /** The largest resident memory of a node, kilobytes. */
@@ -277,8 +277,8 @@
         return most;
     }
 
-    boolean alive(int machine) {
-        return processes[machine].alive();
+    boolean alive(int node) {
+        return processes[node].alive();
     }
 
     void close() {
--- a/src/main/java/mulleinfront/kit/ScaleRun.java
+++ b/src/main/java/mulleinfront/kit/ScaleRun.java
@@ -72,31 +72,31 @@
      * Parameters of a run.
      *
      * @param real number of client proxies that are processes of their own
-     * @param hollow number of simulated members
+     * @param simulated number of simulated members
      * @param perProcess simulated members per process
      * @param restS duration of the measurement without faults, seconds
-     * @param cutS duration of the network partition, seconds
+     * @param partitionS duration of the network partition, seconds
      * @param periodMs ping period of the members
-     * @param machines whether to run three control-plane nodes, with all members as subscribers
+     * @param controlPlane whether to run three control-plane nodes, with all members as subscribers
      */
     public record Plan(
             int real,
-            int hollow,
+            int simulated,
             int perProcess,
             long seed,
             int restS,
-            int cutS,
+            int partitionS,
             int periodMs,
-            boolean machines,
+            boolean controlPlane,
             Set<Fault> faults) {
         /** Rejects parameters out of range. */
         public Plan {
             require(real >= 1 && real <= 64, "--real: 1 to 64, since they are who tells what all see");
-            require(hollow >= 0 && real + hollow <= 5_000, "--hollow: 0 to " + (5_000 - real));
+            require(simulated >= 0 && real + simulated <= 5_000, "--hollow: 0 to " + (5_000 - real));
             require(perProcess >= 1 && perProcess <= 150, "--per-process: 1 to 150, for want of descriptors");
-            require(restS >= 1 && cutS >= 1, "--rest, --cut: 1 second at least");
+            require(restS >= 1 && partitionS >= 1, "--rest, --cut: 1 second at least");
             faults = faults.isEmpty() ? EnumSet.noneOf(Fault.class) : EnumSet.copyOf(faults);
-            if (!machines) {
+            if (!controlPlane) {
                 faults.removeAll(EnumSet.of(Fault.MACHINE, Fault.RELEASE));
             }
         }
@@ -108,23 +108,23 @@
         }
 
         int members() {
-            return real + hollow;
+            return real + simulated;
         }
 
-        int hollowProcesses() {
-            return (hollow + perProcess - 1) / perProcess;
+        int simulatedProcesses() {
+            return (simulated + perProcess - 1) / perProcess;
         }
 
         /** Total number of processes. */
         public int processes() {
-            return real + hollowProcesses() + (machines ? ScaleControlPlane.COUNT : 0);
+            return real + simulatedProcesses() + (controlPlane ? ScaleControlPlane.COUNT : 0);
         }
 
         /** Upper estimate of the memory that all processes need, kilobytes. */
         public long needsKb() {
             return real * REAL_PROCESS_KB
-                    + hollowProcesses() * SIMULATED_PROCESS_KB
-                    + (machines ? ScaleControlPlane.COUNT * NODE_KB : 0);
+                    + simulatedProcesses() * SIMULATED_PROCESS_KB
+                    + (controlPlane ? ScaleControlPlane.COUNT * NODE_KB : 0);
         }
     }
 
@@ -205,7 +205,7 @@
     private final PartitionRelay relay;
     private final ScaleDiscovery discovery;
     private final List<Unit> units = new ArrayList<>();
-    private final Unit[] unitOf;
+    private final Unit[] unitByMember;
     private final List<MemberView> views = new ArrayList<>();
     private final ScaleReport report = new ScaleReport();
     /** Null if the run has no control plane. */
@@ -236,16 +236,17 @@
                 folder.resolve("world.toml"),
                 "[scenario]\ntitle = \"a fleet at its size\"\nworld = \"" + world.toAbsolutePath()
                         + "\"\n[proxies]\ncount = " + plan.members() + "\n"));
-        this.controlPlane = plan.machines() ? new ScaleControlPlane(addresses, root, folder, program + " keep") : null;
-        for (int p = 0; p < plan.real() + plan.hollowProcesses(); p++) {
+        this.controlPlane =
+                plan.controlPlane() ? new ScaleControlPlane(addresses, root, folder, program + " keep") : null;
+        for (int p = 0; p < plan.real() + plan.simulatedProcesses(); p++) {
             int first = p < plan.real() ? p : plan.real() + (p - plan.real()) * plan.perProcess();
             int end = p < plan.real() ? p + 1 : Math.min(plan.members(), first + plan.perProcess());
             units.add(new Unit(p, IntStream.range(first, end).boxed().toList()));
         }
-        this.unitOf = new Unit[plan.members()];
-        units.forEach(unit -> unit.members.forEach(m -> unitOf[m] = unit));
+        this.unitByMember = new Unit[plan.members()];
+        units.forEach(unit -> unit.members.forEach(m -> unitByMember[m] = unit));
         this.relay = new PartitionRelay(
-                group, addresses, plan.members(), plan.machines() ? ScaleControlPlane.COUNT : 0, this::side);
+                group, addresses, plan.members(), plan.controlPlane() ? ScaleControlPlane.COUNT : 0, this::side);
         this.discovery =
                 new ScaleDiscovery(group, addresses, plan.members(), Math.max(ScaleDiscovery.CALLED_SERVICES + 1, (int)
                         Math.round(plan.members() / MEMBERS_PER_SERVICE)));
@@ -283,7 +284,7 @@
 
     /** Processes alternate between the two sides, so that real client proxies are on both. */
     private int side(int member) {
-        return unitOf[member].number % ScaleAddressPlan.SIDES;
+        return unitByMember[member].number % ScaleAddressPlan.SIDES;
     }
 
     private String config(int member) throws IOException {
@@ -379,12 +380,12 @@
      * @param budgetS upper limit of the duration; NaN if there is none
      */
     private void awaitActive(
-            String phase, String what, long version, long sinceMs, Collection<Integer> at, double budgetS)
+            String phase, String what, long version, long sinceMs, Collection<Integer> members, double budgetS)
             throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ACTIVATION_TIMEOUT_MS);
         for (; ; ) {
             controlPlane.catchUp();
-            long missing = at.stream()
+            long missing = members.stream()
                     .filter(m -> !controlPlane.hasVersion("n" + m, version))
                     .count();
             if (missing == 0) {
@@ -392,7 +393,7 @@
             }
             if (System.nanoTime() > until) {
                 report.fail(phase + ": " + what + ": after " + ACTIVATION_TIMEOUT_MS / 1000 + " s version " + version
-                        + " is not in force at " + missing + " of " + at.size());
+                        + " is not in force at " + missing + " of " + members.size());
                 return;
             }
             Thread.sleep(POLL_INTERVAL_MS);
@@ -400,14 +401,14 @@
         addDurations(
                 phase,
                 what,
-                at.stream()
+                members.stream()
                         .map(m -> Math.max(0, controlPlane.activeAtMs("n" + m, version, sinceMs) - sinceMs))
                         .toList(),
                 budgetS);
     }
 
-    private void addDurations(String phase, String what, List<Long> tookMs, double budgetS) {
-        List<Long> sorted = tookMs.stream().sorted().toList();
+    private void addDurations(String phase, String what, List<Long> durationsMs, double budgetS) {
+        List<Long> sorted = durationsMs.stream().sorted().toList();
         if (!sorted.isEmpty()) {
             report.add(
                     phase,
@@ -423,7 +424,7 @@
     private void proposeVersions(String phase, int count, long everyMs, Set<Integer> away)
             throws IOException, InterruptedException {
         Counts before = counts();
-        List<Integer> at = IntStream.range(0, plan.members())
+        List<Integer> members = IntStream.range(0, plan.members())
                 .filter(m -> !away.contains(m))
                 .boxed()
                 .toList();
@@ -433,24 +434,25 @@
             proposed.add(new long[] {controlPlane.propose(phase, true), began});
             Thread.sleep(Math.max(0, everyMs - (System.currentTimeMillis() - began)));
         }
-        List<Long> took = new ArrayList<>();
+        List<Long> durationsMs = new ArrayList<>();
         long[] newest = proposed.get(count - 1);
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ACTIVATION_TIMEOUT_MS);
         do {
             Thread.sleep(POLL_INTERVAL_MS);
             controlPlane.catchUp();
-        } while (System.nanoTime() < until && !at.stream().allMatch(m -> controlPlane.hasVersion("n" + m, newest[0])));
+        } while (System.nanoTime() < until
+                && !members.stream().allMatch(m -> controlPlane.hasVersion("n" + m, newest[0])));
         for (long[] p : proposed) {
-            for (int m : at) {
+            for (int m : members) {
                 long inForce = controlPlane.activeAtMs("n" + m, p[0], p[1]);
                 if (inForce < 0) {
                     report.fail(phase + ": version " + p[0] + " never was in force at n" + m);
                 } else {
-                    took.add(inForce - p[1]);
+                    durationsMs.add(inForce - p[1]);
                 }
             }
         }
-        addDurations(phase, "from proposed to in force, " + count + " versions", took, MAX_ACTIVATION_S);
+        addDurations(phase, "from proposed to in force, " + count + " versions", durationsMs, MAX_ACTIVATION_S);
         addCosts(phase, before);
     }
 
@@ -476,7 +478,7 @@
      * @param away members without a view to check
      */
     private void awaitViews(
-            String phase, String what, Collection<Integer> of, String state, long sinceMs, Set<Integer> away)
+            String phase, String what, Collection<Integer> members, String state, long sinceMs, Set<Integer> away)
             throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(convergenceBoundMs);
         List<Integer> observers = IntStream.range(0, plan.real())
@@ -486,10 +488,10 @@
         for (; ; ) {
             int missing = 0;
             for (int r : observers) {
-                MemberView v = views.get(r);
-                v.catchUp();
-                missing += (int) of.stream()
-                        .filter(m -> m != r && !v.state(m).equals(state))
+                MemberView view = views.get(r);
+                view.catchUp();
+                missing += (int) members.stream()
+                        .filter(m -> m != r && !view.state(m).equals(state))
                         .count();
             }
             if (missing == 0 || observers.isEmpty()) {
@@ -497,27 +499,27 @@
             }
             if (System.nanoTime() > until) {
                 report.fail(phase + ": " + what + ": after " + convergenceBoundMs / 1000 + " s, the bound, still "
-                        + missing + " of " + observers.size() * of.size() + " views are otherwise");
+                        + missing + " of " + observers.size() * members.size() + " views are otherwise");
                 return;
             }
             Thread.sleep(POLL_INTERVAL_MS);
         }
-        List<Long> took = new ArrayList<>();
+        List<Long> durationsMs = new ArrayList<>();
         for (int r : observers) {
-            for (int m : of) {
+            for (int m : members) {
                 if (m != r) {
-                    took.add(Math.max(0, views.get(r).sinceMs(m) - sinceMs));
+                    durationsMs.add(Math.max(0, views.get(r).sinceMs(m) - sinceMs));
                 }
             }
         }
-        if (!took.isEmpty()) {
-            Collections.sort(took);
+        if (!durationsMs.isEmpty()) {
+            Collections.sort(durationsMs);
             report.add(
                     phase,
                     what + ", mean over views",
-                    took.stream().mapToLong(t -> t).average().orElse(0) / 1e3,
+                    durationsMs.stream().mapToLong(t -> t).average().orElse(0) / 1e3,
                     "s");
-            report.add(phase, what + ", worst", took.get(took.size() - 1) / 1e3, "s");
+            report.add(phase, what + ", worst", durationsMs.get(durationsMs.size() - 1) / 1e3, "s");
         }
     }
 
@@ -585,35 +587,39 @@
     private void addCosts(String phase, Counts before, List<Unit> started) {
         Counts after = counts();
         double seconds = (after.atNanos - before.atNanos) / 1e9;
-        double allReal = 0;
-        double worstReal = 0;
-        double allHollow = 0;
+        double realPercent = 0;
+        double maxRealPercent = 0;
+        double simulatedPercent = 0;
         int real = 0;
-        int hollow = 0;
+        int simulated = 0;
         for (Unit unit : units) {
             double percent = (after.cpuMs[unit.number] - before.cpuMs[unit.number]) / seconds / 10;
             if (started.contains(unit)) {
                 continue;
             }
             if (unit.real()) {
-                allReal += percent;
-                worstReal = Math.max(worstReal, percent);
+                realPercent += percent;
+                maxRealPercent = Math.max(maxRealPercent, percent);
                 real++;
             } else {
-                allHollow += percent;
-                hollow += unit.members.size();
+                simulatedPercent += percent;
+                simulated += unit.members.size();
             }
         }
         if (real > 0) {
             report.add(
-                    phase, "processor of a real one, mean of " + real, allReal / real, "% of a core", MAX_CPU_PERCENT);
+                    phase,
+                    "processor of a real one, mean of " + real,
+                    realPercent / real,
+                    "% of a core",
+                    MAX_CPU_PERCENT);
         }
-        report.add(phase, "processor of a real one, the most", worstReal, "% of a core");
-        if (hollow > 0) {
+        report.add(phase, "processor of a real one, the most", maxRealPercent, "% of a core");
+        if (simulated > 0) {
             report.add(
                     phase,
-                    "processor of a hollow one, mean of " + hollow,
-                    allHollow / hollow,
+                    "processor of a hollow one, mean of " + simulated,
+                    simulatedPercent / simulated,
                     "% of a core",
                     MAX_CPU_PERCENT);
         }
@@ -682,14 +688,14 @@
     }
 
     /**
-     * Every {@code of}-th real process and process of simulated members, but never the first, which keeps observing.
+     * Every {@code divisor}-th real process and process of simulated members, but never the first, which keeps observing.
      */
     private List<Unit> selectUnits(int divisor, int remainder) {
         List<Unit> selected = new ArrayList<>();
         int real = 0;
-        int hollow = 0;
+        int simulated = 0;
         for (Unit unit : units) {
-            int index = unit.real() ? real++ : hollow++;
+            int index = unit.real() ? real++ : simulated++;
             if (index % divisor == remainder && unit.number > 0) {
                 selected.add(unit);
             }
@@ -718,14 +724,14 @@
     }
 
     private void killFifth() throws IOException, InterruptedException {
-        List<Unit> hit = selectUnits(5, 1);
-        Set<Integer> away = members(hit);
+        List<Unit> killed = selectUnits(5, 1);
+        Set<Integer> away = members(killed);
         Counts before = counts();
-        for (Unit unit : hit) {
+        for (Unit unit : killed) {
             recordCpu(unit);
         }
-        long at = System.currentTimeMillis();
-        for (Unit unit : hit) {
+        long killedAtMs = System.currentTimeMillis();
+        for (Unit unit : killed) {
             unit.process.kill();
             unit.members.forEach(m -> discovery.changed(m, "terminated", false));
         }
@@ -733,11 +739,12 @@
         if (controlPlane != null) {
             proposeVersions("versions while a fifth is away", 2, 1_000, away);
         }
-        awaitViews("a fifth killed at once", "until known to have failed", away, "failed", at, away);
-        addCosts("a fifth killed at once", before, hit);
-        long back = System.currentTimeMillis();
-        restartUnits(hit);
-        awaitViews("a fifth back", "until known to be alive, from their start", all(), "alive", back, Set.of());
+        awaitViews("a fifth killed at once", "until known to have failed", away, "failed", killedAtMs, away);
+        addCosts("a fifth killed at once", before, killed);
+        long restartedAtMs = System.currentTimeMillis();
+        restartUnits(killed);
+        awaitViews(
+                "a fifth back", "until known to be alive, from their start", all(), "alive", restartedAtMs, Set.of());
         if (controlPlane != null) {
             proposeVersions("versions after a fifth is back", 2, 1_000, Set.of());
         }
@@ -745,13 +752,13 @@
 
     private void partition() throws IOException, InterruptedException {
         Counts before = counts();
-        long at = System.currentTimeMillis();
+        long sinceMs = System.currentTimeMillis();
         relay.partitioned(true);
         if (controlPlane != null) {
             controlPlane.delayedReports(true);
         }
         long newest = 0;
-        long end = at + plan.cutS() * 1000L;
+        long end = sinceMs + plan.partitionS() * 1000L;
         for (int v = 0; controlPlane != null && v < PARTITION_VERSIONS; v++) {
             // The nodes on the majority side keep committing versions.
             newest = controlPlane.propose("during the cut", true);
@@ -760,10 +767,10 @@
         Thread.sleep(Math.max(0, end - System.currentTimeMillis()));
         addCosts("two sides cut", before);
         before = counts();
-        at = System.currentTimeMillis();
+        sinceMs = System.currentTimeMillis();
         relay.partitioned(false);
         if (controlPlane != null) {
-            List<Integer> behind = IntStream.range(0, plan.members())
+            List<Integer> otherSide = IntStream.range(0, plan.members())
                     .filter(m -> side(m) == 1)
                     .boxed()
                     .toList();
@@ -771,11 +778,11 @@
                     "the cut heals",
                     "from then until the version is in force on the other side",
                     newest,
-                    at,
-                    behind,
+                    sinceMs,
+                    otherSide,
                     MAX_ACTIVATION_S);
         }
-        awaitViews("the cut heals", "until all know all again", all(), "alive", at, Set.of());
+        awaitViews("the cut heals", "until all know all again", all(), "alive", sinceMs, Set.of());
         addCosts("the cut heals", before);
         if (controlPlane != null) {
             controlPlane.delayedReports(false);
@@ -788,18 +795,18 @@
         long newest = 0;
         long proposed = began;
         for (int tenth = 0; tenth < 10; tenth++) {
-            List<Unit> some = selectUnits(10, tenth);
-            for (Unit unit : some) {
+            List<Unit> tenthUnits = selectUnits(10, tenth);
+            for (Unit unit : tenthUnits) {
                 recordCpu(unit);
                 unit.members.forEach(m -> discovery.changed(m, "terminating", false));
                 unit.process.terminate();
             }
-            for (Unit unit : some) {
+            for (Unit unit : tenthUnits) {
                 if (!unit.process.awaitExit(EXIT_TIMEOUT_MS)) {
                     throw new IOException("process " + unit.number + " did not end on SIGTERM");
                 }
             }
-            restartUnits(some);
+            restartUnits(tenthUnits);
             if (controlPlane != null) {
                 newest = controlPlane.propose("restarted in tenths", true);
                 proposed = System.currentTimeMillis();
@@ -817,13 +824,13 @@
         report.add("restarted in tenths", "until the last is ready", (System.currentTimeMillis() - began) / 1e3, "s");
         awaitViews("restarted in tenths", "until all know all, from the begin", all(), "alive", began, Set.of());
         addCosts("restarted in tenths", before, units.subList(1, units.size()));
-        int[] left = Arrays.stream(units.stream()
+        int[] exited = Arrays.stream(units.stream()
                         .mapToInt(unit -> unit.process.alive() ? 0 : 1)
                         .toArray())
                 .filter(x -> x > 0)
                 .toArray();
-        if (left.length > 0) {
-            report.fail(left.length + " processes ended by themselves");
+        if (exited.length > 0) {
+            report.fail(exited.length + " processes ended by themselves");
         }
     }
 }
--- a/src/test/java/mulleinfront/kit/FleetProcessesTest.java
+++ b/src/test/java/mulleinfront/kit/FleetProcessesTest.java
@@ -43,7 +43,7 @@
 
     @Test
     void viewsConvergeAfterThreeKillsAndAHealedPartition() throws Exception {
-        KitResult r = play("""
+        KitResult result = play("""
                 length = "42s"
                 settle = "3s"
                 [load]
@@ -71,9 +71,9 @@
                 proxy = 8
                 for = "2s"
                 """);
-        assertEquals(List.of(), r.failures());
-        assertEquals(List.of(), r.sockets().breaches());
-        assertEquals(List.of(), r.sockets().fleet().breaches());
+        assertEquals(List.of(), result.failures());
+        assertEquals(List.of(), result.sockets().breaches());
+        assertEquals(List.of(), result.sockets().fleet().breaches());
         // The run exercised the auditor: crashes and a partition seen from both sides.
         assertTrue(logLines(0, "\"to\":\"failed\"").size() >= 4, "n0 saw the other side fail");
         assertTrue(logLines(7, "\"to\":\"failed\"").size() >= 5, "n7 saw the other side fail");
@@ -83,7 +83,7 @@
 
     @Test
     void auditorFindsAFalsifiedLogLine() throws Exception {
-        KitResult r = play("""
+        KitResult result = play("""
                 length = "16s"
                 settle = "1s"
                 [proxies]
@@ -93,7 +93,7 @@
                 [peers]
                 period = "50ms"
                 """);
-        assertEquals(List.of(), r.sockets().fleet().breaches());
+        assertEquals(List.of(), result.sockets().fleet().breaches());
         eventsAfterTheEndAreNotChecked();
         // The same logs with one falsified line must fail the audit.
         FleetTimeline timeline = new FleetTimeline(3, 1_000_000);
--- a/src/test/java/mulleinfront/kit/RealRunTest.java
+++ b/src/test/java/mulleinfront/kit/RealRunTest.java
@@ -49,10 +49,10 @@
         return new RealRun(scenario(lines), 1, command, Path.of("").toAbsolutePath(), folder, line -> {});
     }
 
-    private static void assertRulesKept(KitResult r) {
-        assertEquals(List.of(), r.failures());
-        assertEquals(List.of(), r.sockets().breaches());
-        assertTrue(r.sockets().service().tries().get("served") > 0);
+    private static void assertRulesKept(KitResult result) {
+        assertEquals(List.of(), result.failures());
+        assertEquals(List.of(), result.sockets().breaches());
+        assertTrue(result.sockets().service().tries().get("served") > 0);
     }
 
     @Test
@@ -63,7 +63,7 @@
 
     @Test
     void keepsTheRulesUnderFaultsThatTakeEffect() throws Exception {
-        KitResult r = run(DAEMON, """
+        KitResult result = run(DAEMON, """
                 length = "9s"
                 [proxies]
                 count = 2
@@ -104,11 +104,11 @@
                 at = "4s"
                 proxy = 1
                 """).play();
-        assertRulesKept(r);
-        assertEquals(4L, r.sockets().service().counts().get("client proxy starts"));
+        assertRulesKept(result);
+        assertEquals(4L, result.sockets().service().counts().get("client proxy starts"));
         assertEquals(
                 2,
-                r.sockets().service().servers().stream()
+                result.sockets().service().servers().stream()
                         .filter(s -> s.name().equals("new-1"))
                         .findFirst()
                         .orElseThrow()
@@ -156,7 +156,7 @@
         "answers-twice,LOST,answered"
     })
     void detectsTheRuleThatABrokenDaemonViolates(String fault, Rule rule, String words) throws Exception {
-        KitResult r = run(BROKEN + fault, """
+        KitResult result = run(BROKEN + fault, """
                 length = "3s"
                 [proxies]
                 count = 1
@@ -169,18 +169,18 @@
                 part = "100%"
                 """).play();
         if (rule == null) {
-            assertRulesKept(r);
+            assertRulesKept(result);
             return;
         }
         assertTrue(
-                r.sockets().breaches().stream()
+                result.sockets().breaches().stream()
                         .anyMatch(b -> b.rule() == rule && b.what().contains(words)),
-                fault + ": " + r.sockets().breaches());
+                fault + ": " + result.sockets().breaches());
         ByteArrayOutputStream xml = new ByteArrayOutputStream();
-        Report.junit("day", r, false, xml);
+        Report.junit("day", result, false, xml);
         assertEquals(1, xml.toString(StandardCharsets.UTF_8).split("<failure", -1).length - 1, xml.toString());
         ByteArrayOutputStream json = new ByteArrayOutputStream();
-        Report.json(r, false, json);
+        Report.json(result, false, json);
         List<String> names = new ArrayList<>();
         try (JsonParser in = new JsonFactory().createParser(json.toByteArray())) {
             for (JsonToken t; (t = in.nextToken()) != null; ) {
@@ -194,14 +194,14 @@
                 List.of("verdict", "daemon_version", "kit_version", "failures", "quarters", "late_ms", "sockets"),
                 names);
         assertTrue(
-                r.sockets().breaches().stream().allMatch(b -> b.rule() == rule),
-                fault + ": " + r.sockets().breaches());
+                result.sockets().breaches().stream().allMatch(b -> b.rule() == rule),
+                fault + ": " + result.sockets().breaches());
     }
 
     @Test
     void detectsRequestsToADrainingServer() throws Exception {
         // This daemon never calls discovery; the propagation deadline applies all the same.
-        KitResult r = run(BROKEN + "none", """
+        KitResult result = run(BROKEN + "none", """
                 length = "14s"
                 [proxies]
                 count = 1
@@ -213,13 +213,13 @@
                 servers = ["new-0", "new-1"]
                 """).play();
         assertTrue(
-                r.sockets().breaches().stream().anyMatch(b -> b.rule() == Rule.DRAINS),
-                r.failures() + " " + r.sockets().breaches());
+                result.sockets().breaches().stream().anyMatch(b -> b.rule() == Rule.DRAINS),
+                result.failures() + " " + result.sockets().breaches());
     }
 
     @Test
     void detectsAFloodedColdServer() throws Exception {
-        KitResult r = run(BROKEN + "floods", """
+        KitResult result = run(BROKEN + "floods", """
                 length = "7s"
                 [proxies]
                 count = 1
@@ -231,12 +231,12 @@
                 drain = "100ms"
                 servers = ["new-0"]
                 """).play();
-        assertTrue(r.sockets().service().servers().stream().anyMatch(s -> s.figures().fell), "new-0 fell over");
+        assertTrue(result.sockets().service().servers().stream().anyMatch(s -> s.figures().fell), "new-0 fell over");
     }
 
     @Test
     void detectsRequestsLostByAnImmediateExit() throws Exception {
-        KitResult r = run(BROKEN + "none", """
+        KitResult result = run(BROKEN + "none", """
                 length = "4s"
                 [proxies]
                 count = 1
@@ -253,66 +253,66 @@
                 proxy = 0
                 """).play();
         assertTrue(
-                r.sockets().breaches().stream()
+                result.sockets().breaches().stream()
                         .anyMatch(b -> b.rule() == Rule.LOST && b.what().contains("when its client proxy ended")),
-                r.sockets().breaches().toString());
+                result.sockets().breaches().toString());
     }
 
     @Test
     void detectsADescriptorLeak() throws Exception {
-        KitResult r = run(BROKEN + "leaks", "length = \"12s\"\n[proxies]\ncount = 1\n[load]\nrate = \"40/s\"\n")
+        KitResult result = run(BROKEN + "leaks", "length = \"12s\"\n[proxies]\ncount = 1\n[load]\nrate = \"40/s\"\n")
                 .play();
         assertTrue(
-                r.failures().stream().anyMatch(f -> f.startsWith("client proxies leak")),
-                r.failures() + " " + r.quarters());
+                result.failures().stream().anyMatch(f -> f.startsWith("client proxies leak")),
+                result.failures() + " " + result.quarters());
     }
 
     @Test
     void checksAnotherVersionOnlyOnRequest() throws Exception {
         String command = BROKEN + "other-version";
         String lines = "length = \"1s\"\n[proxies]\ncount = 1\n[load]\nrate = \"20/s\"\n";
-        KitResult not = run(command, lines).play();
-        assertNull(not.sockets());
-        assertEquals(KitResult.Verdict.WRONG_VERSION, not.verdict(false));
+        KitResult rejected = run(command, lines).play();
+        assertNull(rejected.sockets());
+        assertEquals(KitResult.Verdict.WRONG_VERSION, rejected.verdict(false));
         ByteArrayOutputStream xml = new ByteArrayOutputStream();
-        Report.junit("day", not, false, xml);
+        Report.junit("day", rejected, false, xml);
         assertEquals(4, xml.toString(StandardCharsets.UTF_8).split("<skipped", -1).length - 1, "no rule is judged");
         assertTrue(xml.toString(StandardCharsets.UTF_8).contains("name=\"the run says something\"><failure"));
-        String text = Report.text(not, false);
-        assertTrue(text.contains("the daemon says 9.9.9, this kit is " + not.kitVersion()), text);
+        String text = Report.text(rejected, false);
+        assertTrue(text.contains("the daemon says 9.9.9, this kit is " + rejected.kitVersion()), text);
         assertTrue(text.contains("--any-version"), text);
-        KitResult all = run(command, lines).anyVersion().play();
-        assertNotNull(all.sockets());
-        assertTrue(Report.text(all, true).contains("versions differ"));
+        KitResult accepted = run(command, lines).anyVersion().play();
+        assertNotNull(accepted.sockets());
+        assertTrue(Report.text(accepted, true).contains("versions differ"));
     }
 
     @Test
     void reportsADaemonThatIsNeverReadyExitsOrIgnoresSigterm() throws Exception {
         String lines = "length = \"3s\"\n[proxies]\ncount = 1\n[load]\nrate = \"20/s\"\n";
-        KitResult silent =
+        KitResult neverReady =
                 run("exec sleep 600", lines).withTimeouts(1_000, 5_000).play();
-        assertEquals(KitResult.Verdict.FAILED, silent.verdict(false));
+        assertEquals(KitResult.Verdict.FAILED, neverReady.verdict(false));
         assertTrue(
-                silent.failures().get(0).startsWith("client proxy 0 never got ready"),
-                silent.failures().toString());
-        KitResult gone = run("echo no way; exit 7", lines).play();
+                neverReady.failures().get(0).startsWith("client proxy 0 never got ready"),
+                neverReady.failures().toString());
+        KitResult exitedAtOnce = run("echo no way; exit 7", lines).play();
         assertTrue(
-                gone.failures().get(0).contains("it ended: ")
-                        && gone.failures().get(0).contains("no way"),
-                gone.failures().toString());
-        KitResult middle = run(
+                exitedAtOnce.failures().get(0).contains("it ended: ")
+                        && exitedAtOnce.failures().get(0).contains("no way"),
+                exitedAtOnce.failures().toString());
+        KitResult killed = run(
                         "(sleep 3; kill -9 $$) & " + BROKEN + "none",
                         "length = \"6s\"\n[proxies]\ncount = 1\n[load]\nrate = \"20/s\"\n")
                 .play();
         assertTrue(
-                middle.failures().stream().anyMatch(f -> f.contains("ended by itself, exit code 137")),
-                middle.failures().toString());
-        KitResult deaf = run("trap '' TERM; " + BROKEN + "none", lines)
+                killed.failures().stream().anyMatch(f -> f.contains("ended by itself, exit code 137")),
+                killed.failures().toString());
+        KitResult ignoresSigterm = run("trap '' TERM; " + BROKEN + "none", lines)
                 .withTimeouts(60_000, 500)
                 .play();
         assertTrue(
-                deaf.failures().stream().anyMatch(f -> f.contains("did not end within")),
-                deaf.failures().toString());
+                ignoresSigterm.failures().stream().anyMatch(f -> f.contains("did not end within")),
+                ignoresSigterm.failures().toString());
     }
 
     @Test
--- a/src/test/java/mulleinfront/kit/SoakTest.java
+++ b/src/test/java/mulleinfront/kit/SoakTest.java
@@ -35,15 +35,15 @@
 
     @Test
     void fourProcessesKeepTheRules() throws Exception {
-        Soak.Played played = play("mulleinfront.Main serve", 2);
-        assertEquals(List.of(), played.failures());
-        assertTrue(played.rehearsal().sockets().service().tries().get("served") > 100, "it was served");
+        Soak.Played result = play("mulleinfront.Main serve", 2);
+        assertEquals(List.of(), result.failures());
+        assertTrue(result.rehearsal().sockets().service().tries().get("served") > 100, "it was served");
     }
 
     @Test
     void failsADaemonThatBreaksARule() throws Exception {
-        Soak.Played played = play(BrokenDaemon.class.getName() + " answers-twice", 2);
-        assertFalse(played.failures().isEmpty());
+        Soak.Played result = play(BrokenDaemon.class.getName() + " answers-twice", 2);
+        assertFalse(result.failures().isEmpty());
     }
 
     /**
@@ -51,8 +51,8 @@
      */
     @Test
     void failsADaemonThatIgnoresTheEndOfItsWatch() throws Exception {
-        Soak.Played played = play(new Soak.Plan(6, 20, 0), DeafToEndsDaemon.class.getName(), 11);
-        assertTrue(played.failures().stream().anyMatch(f -> f.contains("drains are kept")), "" + played.failures());
+        Soak.Played result = play(new Soak.Plan(6, 20, 0), DeafToEndsDaemon.class.getName(), 11);
+        assertTrue(result.failures().stream().anyMatch(f -> f.contains("drains are kept")), "" + result.failures());
     }
 
     @Test
--- a/src/test/java/mulleinfront/kit/StaleListTest.java
+++ b/src/test/java/mulleinfront/kit/StaleListTest.java
@@ -50,14 +50,14 @@
                 folder.resolve("day.toml"),
                 "[scenario]\ntitle = \"a test\"\nworld = \""
                         + Path.of("scenarios/calm.toml").toAbsolutePath() + "\"\n" + WORLD + lines + DRAIN);
-        KitResult r =
+        KitResult result =
                 new RealRun(ScenarioReader.read(file), 1, DAEMON, Path.of("").toAbsolutePath(), folder, l -> {}).play();
-        assertEquals(List.of(), r.failures());
+        assertEquals(List.of(), result.failures());
         assertEquals(
                 List.of(),
-                r.sockets().breaches().stream().limit(3).toList(),
-                r.sockets().breachCount() + " in all");
-        assertTrue(r.sockets().service().tries().get("served") > 1_000, "it was served on");
+                result.sockets().breaches().stream().limit(3).toList(),
+                result.sockets().breachCount() + " in all");
+        assertTrue(result.sockets().service().tries().get("served") > 1_000, "it was served on");
     }
 
     /**
