--- a/src/main/java/mulleinfront/kit/AddressPlan.java
+++ b/src/main/java/mulleinfront/kit/AddressPlan.java
@@ -18,7 +18,7 @@
     /** Maximum number of server addresses, including unreachable listed servers and servers after a move. */
     static final int MAX_SERVERS = 60_000;
 
-    private static final int FIRST_SECOND_BYTE = 16;
+    private static final int FIRST_PROXY_SECOND_BYTE = 16;
     private static final int ADDRESSES_PER_THIRD_BYTE = 250;
     private static final int PORT_TRIES = 100;
     /** Third byte of the addresses under which a proxy reaches its peers; server addresses stay below it. */
@@ -48,7 +48,7 @@
         try {
             return new InetSocketAddress(
                     InetAddress.getByAddress(
-                            new byte[] {127, (byte) (FIRST_SECOND_BYTE + proxy), (byte) third, (byte) fourth}),
+                            new byte[] {127, (byte) (FIRST_PROXY_SECOND_BYTE + proxy), (byte) third, (byte) fourth}),
                     port);
         } catch (UnknownHostException e) {
             throw new IllegalStateException("a four-byte address was rejected", e);
--- a/src/main/java/mulleinfront/kit/DaemonProcess.java
+++ b/src/main/java/mulleinfront/kit/DaemonProcess.java
@@ -169,17 +169,18 @@
     Sample sample() {
         Path proc = Path.of("/proc", "" + process.pid());
         try {
-            String[] open = new File(proc.toFile(), "fd").list();
+            String[] descriptors = new File(proc.toFile(), "fd").list();
             String status = Files.readString(proc.resolve("status"));
-            int at = status.indexOf("VmRSS:");
+            int rssIndex = status.indexOf("VmRSS:");
             String stat = Files.readString(proc.resolve("stat"));
-            String[] words = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            if (open == null || at < 0) {
+            String[] statFields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+            if (descriptors == null || rssIndex < 0) {
                 return null;
             }
-            long kb = Long.parseLong(
-                    status.substring(at + 6, status.indexOf("kB", at)).strip());
-            return new Sample(open.length, kb, 10 * (Long.parseLong(words[11]) + Long.parseLong(words[12])));
+            long kb = Long.parseLong(status.substring(rssIndex + 6, status.indexOf("kB", rssIndex))
+                    .strip());
+            return new Sample(
+                    descriptors.length, kb, 10 * (Long.parseLong(statFields[11]) + Long.parseLong(statFields[12])));
         } catch (IOException e) {
             return null;
         }
--- a/src/main/java/mulleinfront/kit/FleetTimeline.java
+++ b/src/main/java/mulleinfront/kit/FleetTimeline.java
@@ -96,11 +96,11 @@
         }
         for (String line : Files.readAllLines(log)) {
             Map<String, String> fields = fields(line);
-            long at = Long.parseLong(fields.getOrDefault("timestamp", "0"));
+            long timestampMs = Long.parseLong(fields.getOrDefault("timestamp", "0"));
             switch (fields.getOrDefault("message", "")) {
-                case "began" -> add(at, () -> auditor.began(member, nowUs));
+                case "began" -> add(timestampMs, () -> auditor.began(member, nowUs));
                 case "changed" ->
-                    add(at, () -> {
+                    add(timestampMs, () -> {
                         changes++;
                         auditor.changed(member, change(fields, nowUs));
                     });
--- a/src/main/java/mulleinfront/kit/RealRun.java
+++ b/src/main/java/mulleinfront/kit/RealRun.java
@@ -371,12 +371,13 @@
 
     private List<KitResult.Quarter> quarters() {
         List<KitResult.Quarter> all = new ArrayList<>();
-        int each = samples.size() / QUARTERS;
-        for (int q = 0; q < QUARTERS && each > 1; q++) {
-            List<List<DaemonProcess.Sample>> part = samples.subList(q * each, (q + 1) * each);
+        int samplesPerQuarter = samples.size() / QUARTERS;
+        for (int quarter = 0; quarter < QUARTERS && samplesPerQuarter > 1; quarter++) {
+            List<List<DaemonProcess.Sample>> quarterSamples =
+                    samples.subList(quarter * samplesPerQuarter, (quarter + 1) * samplesPerQuarter);
             int descriptors = 0;
             long kb = 0;
-            for (List<DaemonProcess.Sample> at : part) {
+            for (List<DaemonProcess.Sample> at : quarterSamples) {
                 for (DaemonProcess.Sample s : at) {
                     descriptors = s == null ? descriptors : Math.max(descriptors, s.descriptors());
                     kb = s == null ? kb : Math.max(kb, s.residentKb());
@@ -385,10 +386,11 @@
             double cpu = 0;
             int counted = 0;
             for (int i = 0; i < daemons.length; i++) {
-                DaemonProcess.Sample from = part.get(0).get(i);
-                DaemonProcess.Sample to = part.get(each - 1).get(i);
+                DaemonProcess.Sample from = quarterSamples.get(0).get(i);
+                DaemonProcess.Sample to =
+                        quarterSamples.get(samplesPerQuarter - 1).get(i);
                 if (from != null && to != null && to.cpuMs() >= from.cpuMs()) {
-                    cpu += (to.cpuMs() - from.cpuMs()) / (double) (SAMPLE_INTERVAL_MS * (each - 1));
+                    cpu += (to.cpuMs() - from.cpuMs()) / (double) (SAMPLE_INTERVAL_MS * (samplesPerQuarter - 1));
                     counted++;
                 }
             }
--- a/src/main/java/mulleinfront/kit/ScaleControlPlane.java
+++ b/src/main/java/mulleinfront/kit/ScaleControlPlane.java
@@ -149,7 +149,7 @@
     /**
      * Proposes a configuration version with a few hundred keys and one changed value.
      *
-     * @param required whether to retry until the time limit and then fail; otherwise each node is tried a few times
+     * @param required whether to retry until the time limit and then fail; otherwise to give up after a few attempts
      * @return the committed version, or 0 if no node reports it as committed
      */
     long propose(String reason, boolean required) throws IOException, InterruptedException {
--- a/src/main/java/mulleinfront/kit/ScaleDiscovery.java
+++ b/src/main/java/mulleinfront/kit/ScaleDiscovery.java
@@ -34,9 +34,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stand-in discovery for a fleet of many services. The members of each service have a discovery address of their own
- * and watch lists with the servers of the services that they call. One further listener acts as all servers and answers
- * their probes.
+ * Stand-in discovery for a fleet of many services. Each service has one discovery address, where its members watch the
+ * lists with the servers of the services that they call. One further listener acts as all servers and answers their
+ * probes.
  */
 final class ScaleDiscovery {
     private static final long HEARTBEAT_MS = 2_000;
@@ -154,20 +154,20 @@
                 .append(full)
                 .append(",\"servers\":[");
         String comma = "";
-        for (int h : serverNumbers) {
+        for (int server : serverNumbers) {
             line.append(comma)
                     .append("{\"id\":\"h")
-                    .append(h)
+                    .append(server)
                     .append('-')
-                    .append(incarnations[h])
+                    .append(incarnations[server])
                     .append("\",\"addr\":\"")
-                    .append(NetUtil.toSocketAddressString(addresses.server(h)))
+                    .append(NetUtil.toSocketAddressString(addresses.server(server)))
                     .append("\",\"zone\":\"")
-                    .append((char) ('a' + h % 5))
+                    .append((char) ('a' + server % 5))
                     .append("\",\"kind\":\"host\",\"cell\":")
-                    .append(h % 5)
+                    .append(server % 5)
                     .append(",\"state\":\"")
-                    .append(states[h])
+                    .append(states[server])
                     .append("\",\"weight\":1,\"started_ms\":0}");
             comma = ",";
         }
--- a/src/main/java/mulleinfront/kit/StandInServers.java
+++ b/src/main/java/mulleinfront/kit/StandInServers.java
@@ -70,7 +70,7 @@
                 return;
             }
             boolean reachableAgain = behaviour == ConnectBehaviour.SILENT && wanted == ConnectBehaviour.OPEN;
-            shut();
+            unbind();
             behaviour = wanted;
             open(MAX_REBINDS);
             if (reachableAgain) {
@@ -111,7 +111,7 @@
             }
         }
 
-        private void shut() {
+        private void unbind() {
             if (listener != null) {
                 listener.close();
                 listener = null;
@@ -174,7 +174,8 @@
     }
 
     /**
-     * Applies the simulation's connection behaviour to a server's addresses; an address stays bound once it was listed.
+     * Applies the simulation's current connection behaviour to a server's addresses. They are set up when a list first
+     * names the server.
      */
     void changed(int address) {
         ServerAddress[] pairs = byAddress.computeIfAbsent(address, a -> {
@@ -208,7 +209,7 @@
     void close() {
         for (ServerAddress[] pairs : byAddress.values()) {
             for (ServerAddress p : pairs) {
-                p.shut();
+                p.unbind();
                 p.reset();
             }
         }
