--- a/src/main/java/mulleinfront/kit/RealRun.java
+++ b/src/main/java/mulleinfront/kit/RealRun.java
@@ -308,14 +308,15 @@
                 bound.add(discovery.listen(i, addresses.discovery(i)));
                 bound.add(discovery.listen(i, addresses.secondDiscovery(i)));
             }
-            for (int a = 0; a < scenario.fleet(); a++) {
-                servers.changed(a);
+            for (int server = 0; server < scenario.fleet(); server++) {
+                servers.changed(server);
             }
             return null;
         });
-        for (ChannelFuture f : bound) {
-            if (!f.await().isSuccess()) {
-                throw new IOException("discovery can't listen: " + f.cause().getMessage());
+        for (ChannelFuture binding : bound) {
+            if (!binding.await().isSuccess()) {
+                throw new IOException(
+                        "discovery can't listen: " + binding.cause().getMessage());
             }
         }
         for (int i = 0; i < daemons.length; i++) {
@@ -329,26 +330,26 @@
         String version = Version.OWN;
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(readyTimeoutMs);
         for (DaemonProcess daemon : daemons) {
-            String said = awaitReady(daemon, () -> System.nanoTime() < until && !interrupted);
-            if (said == null) {
+            String reported = awaitReady(daemon, () -> System.nanoTime() < until && !interrupted);
+            if (reported == null) {
                 failures.add(
                         "client proxy " + daemon.number() + " never got ready" + (daemon.alive() ? "" : ": it ended")
                                 + (daemon.lastLogLines().isEmpty() ? "" : ": " + daemon.lastLogLines()));
                 return version;
             }
-            version = said.equals(Version.OWN) ? version : said;
+            version = reported.equals(Version.OWN) ? version : reported;
         }
         return version;
     }
 
     /** Polls a proxy until it is ready; returns its version, or null if it exited or no time is left. */
     private static String awaitReady(DaemonProcess daemon, BooleanSupplier timeLeft) throws InterruptedException {
-        String said = daemon.readyVersion();
-        while (said == null && daemon.alive() && timeLeft.getAsBoolean()) {
+        String version = daemon.readyVersion();
+        while (version == null && daemon.alive() && timeLeft.getAsBoolean()) {
             Thread.sleep(READY_POLL_MS);
-            said = daemon.readyVersion();
+            version = daemon.readyVersion();
         }
-        return said;
+        return version;
     }
 
     private void monitor() throws InterruptedException {
@@ -370,12 +371,13 @@
 
     private List<KitResult.Quarter> quarters() {
         List<KitResult.Quarter> all = new ArrayList<>();
-        int each = samples.size() / QUARTERS;
-        for (int q = 0; q < QUARTERS && each > 1; q++) {
-            List<List<DaemonProcess.Sample>> part = samples.subList(q * each, (q + 1) * each);
+        int samplesPerQuarter = samples.size() / QUARTERS;
+        for (int quarter = 0; quarter < QUARTERS && samplesPerQuarter > 1; quarter++) {
+            List<List<DaemonProcess.Sample>> quarterSamples =
+                    samples.subList(quarter * samplesPerQuarter, (quarter + 1) * samplesPerQuarter);
             int descriptors = 0;
             long kb = 0;
-            for (List<DaemonProcess.Sample> at : part) {
+            for (List<DaemonProcess.Sample> at : quarterSamples) {
                 for (DaemonProcess.Sample s : at) {
                     descriptors = s == null ? descriptors : Math.max(descriptors, s.descriptors());
                     kb = s == null ? kb : Math.max(kb, s.residentKb());
@@ -384,10 +386,11 @@
             double cpu = 0;
             int counted = 0;
             for (int i = 0; i < daemons.length; i++) {
-                DaemonProcess.Sample from = part.get(0).get(i);
-                DaemonProcess.Sample to = part.get(each - 1).get(i);
+                DaemonProcess.Sample from = quarterSamples.get(0).get(i);
+                DaemonProcess.Sample to =
+                        quarterSamples.get(samplesPerQuarter - 1).get(i);
                 if (from != null && to != null && to.cpuMs() >= from.cpuMs()) {
-                    cpu += (to.cpuMs() - from.cpuMs()) / (double) (SAMPLE_INTERVAL_MS * (each - 1));
+                    cpu += (to.cpuMs() - from.cpuMs()) / (double) (SAMPLE_INTERVAL_MS * (samplesPerQuarter - 1));
                     counted++;
                 }
             }
