--- a/src/main/java/mulleinfront/Balancer.java
+++ b/src/main/java/mulleinfront/Balancer.java
@@ -150,7 +150,7 @@
          * Reports the expiry of the current list: the propagation deadline of changes that the list may lack. Nothing
          * may be sent from then on unless the list is renewed. {@link Long#MAX_VALUE}: the list does not expire.
          */
-        default void listValidUntil(long expiresAtUs) {}
+        default void onListExpiryChanged(long expiresAtUs) {}
 
         /** The current list has expired. */
         default void onListExpired(ListExpiryReason reason) {}
@@ -387,7 +387,7 @@
                     subscribe,
                     weightsVary,
                     limits,
-                    new Contract(askWithinUs, contract.coldFrom(), contract.coldUs(), contract.overload()),
+                    new Contract(askWithinUs, contract.coldFrom(), contract.coldUs(), contract.overloadFactor()),
                     instanceNumber);
         }
 
@@ -423,9 +423,9 @@
      * @param askWithinUs poll interval limit: longest time without a watch between two discovery calls
      * @param coldFrom least share of its capacity that an endpoint has at its start
      * @param coldUs longest time after which an endpoint is warm
-     * @param overload multiple of its current capacity that overloads a cold endpoint
+     * @param overloadFactor multiple of its current capacity that overloads a cold endpoint
      */
-    record Contract(long askWithinUs, double coldFrom, long coldUs, double overload) {
+    record Contract(long askWithinUs, double coldFrom, long coldUs, double overloadFactor) {
         /** Overload factor where a deployment states none: the lowest that deployments state. */
         private static final double DEFAULT_OVERLOAD_FACTOR = 2;
 
@@ -439,7 +439,7 @@
             Settings.require(askWithinUs > 0, "contract.askWithinUs must be above 0");
             Settings.require(coldFrom > 0 && coldFrom <= 1, "contract.coldFrom must be in (0, 1]");
             Settings.require(coldUs >= 0, "contract.coldUs is negative");
-            Settings.require(overload > 0, "contract.overloadFactor must be above 0");
+            Settings.require(overloadFactor > 0, "contract.overloadFactor must be above 0");
         }
     }
 }
--- a/src/main/java/mulleinfront/Logic.java
+++ b/src/main/java/mulleinfront/Logic.java
@@ -660,7 +660,7 @@
         double ownCapacity = relativeSize(endpoint) * slowStartShare(endpoint, now);
         double share = ownCapacity / Math.max(totalCapacity, ownCapacity);
         if (manyInstances) {
-            double sustainable = COLD_OVERLOAD_FRACTION * settings.contract().overload();
+            double sustainable = COLD_OVERLOAD_FRACTION * settings.contract().overloadFactor();
             share = Math.min(share, sustainable * ownCapacity / Math.max(maxTotalWeight, ownCapacity));
         }
         return Math.min(
--- a/src/main/java/mulleinfront/Subscription.java
+++ b/src/main/java/mulleinfront/Subscription.java
@@ -123,7 +123,7 @@
         if (newExpiry != expiresAt) {
             expiresAt = newExpiry;
             expired = false;
-            actions.listValidUntil(newExpiry);
+            actions.onListExpiryChanged(newExpiry);
         }
     }
 }
--- a/src/main/java/mulleinfront/bench/CapacityFile.java
+++ b/src/main/java/mulleinfront/bench/CapacityFile.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 import java.util.Set;
 import mulleinfront.capacity.Capacity;
-import mulleinfront.capacity.Figure;
+import mulleinfront.capacity.Estimate;
 import mulleinfront.capacity.Fit;
-import mulleinfront.capacity.Need;
+import mulleinfront.capacity.Requirement;
 import mulleinfront.capacity.Row;
 import mulleinfront.capacity.Size;
 import mulleinfront.capacity.Slope;
@@ -90,9 +90,10 @@
                     entry.text("role"), entry.text("part"), entry.text("when"), entry.text("mechanism"), cells));
             entry.rejectUnknownKeys();
         }
-        List<Need> needs = new ArrayList<>();
+        List<Requirement> needs = new ArrayList<>();
         for (JsonObject entry : root.objects("needs")) {
-            needs.add(new Need(entry.text("name"), entry.text("rows"), entry.texts("faults"), entry.text("why")));
+            needs.add(
+                    new Requirement(entry.text("name"), entry.text("rows"), entry.texts("faults"), entry.text("why")));
             entry.rejectUnknownKeys();
         }
         root.has("figures"); // Written for people; computed again when the file is read.
@@ -159,7 +160,7 @@
             }));
         }
         List<String> needs = new ArrayList<>();
-        for (Need need : all.needs()) {
+        for (Requirement need : all.requirements()) {
             needs.add(object(out -> {
                 out.writeStringField("name", need.name());
                 out.writeStringField("rows", need.rows());
@@ -168,20 +169,20 @@
             }));
         }
         List<String> figures = new ArrayList<>();
-        for (Figure figure : all.figures()) {
+        for (Estimate figure : all.estimates()) {
             figures.add(object(out -> {
                 out.writeStringField(
                         "row",
                         figure.row().role() + ", " + figure.row().part() + ", "
                                 + figure.row().when());
-                out.writeStringField("measure", figure.cell().measure().word());
+                out.writeStringField("measure", figure.cell().measure().outputName());
                 out.writeStringField("unit", figure.cell().measure().unit());
                 out.writeFieldName("value");
                 number(out, figure.value());
                 out.writeFieldName("budget");
                 number(out, figure.budget());
                 out.writeFieldName("over");
-                out.writeBoolean(figure.over());
+                out.writeBoolean(figure.isOverBudget());
             }));
         }
         return "{\n\"size\": "
@@ -198,7 +199,7 @@
 
     private static void cell(JsonGenerator out, Row.Cell cell) throws IOException {
         out.writeStartObject();
-        out.writeStringField("measure", cell.measure().word());
+        out.writeStringField("measure", cell.measure().outputName());
         if (!cell.terms().isEmpty()) {
             out.writeArrayFieldStart("terms");
             for (Row.Term t : cell.terms()) {
--- a/src/main/java/mulleinfront/bench/ListCost.java
+++ b/src/main/java/mulleinfront/bench/ListCost.java
@@ -14,7 +14,7 @@
 import mulleinfront.Balancer.Source;
 import mulleinfront.capacity.Slope;
 import mulleinfront.core.NoOpActions;
-import mulleinfront.settings.Listing;
+import mulleinfront.settings.EndpointList;
 
 /**
  * Measures the cost of endpoint lists by number of servers: their size, and the CPU time to parse and apply them.
@@ -76,7 +76,7 @@
         for (int i = -rounds / 4; i < rounds; i++) {
             from = i == 0 ? cpu() : from;
             now += 1_000;
-            balancer.onEndpoints(now, Source.FULL, endpoints(Listing.parse(full)));
+            balancer.onEndpoints(now, Source.FULL, endpoints(EndpointList.parse(full)));
         }
         out.add(
                 servers,
@@ -91,7 +91,7 @@
         from = cpu();
         for (int i = 0; i < rounds; i++) {
             now += 1_000;
-            balancer.onEndpoints(now, Source.DELTA, endpoints(Listing.parse(changes[i])));
+            balancer.onEndpoints(now, Source.DELTA, endpoints(EndpointList.parse(changes[i])));
         }
         out.add(
                 servers,
@@ -136,9 +136,9 @@
         }
     }
 
-    private static List<Endpoint> endpoints(Listing listing) {
+    private static List<Endpoint> endpoints(EndpointList listing) {
         List<Endpoint> all = new ArrayList<>();
-        for (Listing.Entry e : listing.entries()) {
+        for (EndpointList.Entry e : listing.entries()) {
             all.add(new Endpoint(e.id(), 0, e.cell(), 0, e.availability(), e.weight(), e.startedMs() * 1000));
         }
         return all;
--- a/src/main/java/mulleinfront/bench/MembershipCost.java
+++ b/src/main/java/mulleinfront/bench/MembershipCost.java
@@ -55,7 +55,7 @@
         this.firstSuspected = new long[count];
         this.lastFailed = new long[count];
         this.killedAt = new long[count];
-        run.watch((observer, c) -> recordChange(c));
+        run.addListener((observer, c) -> recordChange(c));
     }
 
     private void recordChange(Change change) {
@@ -147,7 +147,7 @@
         for (int i = from; i < from + many; i++) {
             // If not all live members have recorded the failure by now, the elapsed time is a lower bound.
             int alive = count - many;
-            long last = run.believing(i, MemberState.FAILED) < alive ? run.now() : lastFailed[i];
+            long last = run.countRecording(i, MemberState.FAILED) < alive ? run.now() : lastFailed[i];
             worst = Math.max(worst, (last - killedAt[i]) / 1e6);
             suspected = Math.max(suspected, (firstSuspected[i] - killedAt[i]) / 1e6);
         }
@@ -167,7 +167,7 @@
         one.set(0, count / 2);
         BitSet other = new BitSet();
         other.set(count / 2, count);
-        PeerFaults.End[] partition = new PeerFaults.End[1];
+        PeerFaults.ActiveFault[] partition = new PeerFaults.ActiveFault[1];
         phase(
                 "apart",
                 "while two halves are apart for a minute",
@@ -180,7 +180,7 @@
             run.after(SECOND / 4, new Runnable() {
                 @Override
                 public void run() {
-                    if (run.even() && run.believing(0, MemberState.ALIVE) == count && convergedUs[0] == 0) {
+                    if (run.viewsAgree() && run.countRecording(0, MemberState.ALIVE) == count && convergedUs[0] == 0) {
                         convergedUs[0] = run.now() - from;
                     } else if (convergedUs[0] == 0) {
                         run.after(SECOND / 4, this);
@@ -222,7 +222,7 @@
             lastSeen[i] = run.member(i);
             sent[i] = lastSeen[i] == null ? 0 : lastSeen[i].sentBytes();
         }
-        FleetRun.Figures before = run.figures();
+        FleetRun.TrafficCounts before = run.trafficCounts();
         long cpu = cpu();
         begin.run();
         long worst = 0;
@@ -237,7 +237,7 @@
             }
         }
         double memberSeconds = (double) count * seconds;
-        FleetRun.Figures after = run.figures();
+        FleetRun.TrafficCounts after = run.trafficCounts();
         String name = "membership." + id;
         out.add(
                 count,
--- a/src/main/java/mulleinfront/bench/SnapshotCost.java
+++ b/src/main/java/mulleinfront/bench/SnapshotCost.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import mulleinfront.capacity.Slope;
-import mulleinfront.settings.Listing;
+import mulleinfront.settings.EndpointList;
 import mulleinfront.settings.SettingsReader;
 
 /**
@@ -59,8 +59,8 @@
     /** The settings object of a configuration, without white space. */
     private static byte[] settings(byte[] configuration) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonParser in = Listing.JSON.createParser(configuration);
-                JsonGenerator out = Listing.JSON.createGenerator(bytes)) {
+        try (JsonParser in = EndpointList.JSON.createParser(configuration);
+                JsonGenerator out = EndpointList.JSON.createGenerator(bytes)) {
             in.nextToken();
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 boolean wanted = in.currentName().equals("settings");
@@ -84,7 +84,7 @@
         for (int i = -rounds / 2; i < rounds; i++) {
             from = i == 0 ? cpu() : from;
             for (int s = 0; s < services; s++) {
-                try (JsonParser in = Listing.JSON.createParser(service)) {
+                try (JsonParser in = EndpointList.JSON.createParser(service)) {
                     in.nextToken();
                     SettingsReader.read(in).toSettings();
                 }
--- a/src/main/java/mulleinfront/bench/Throughput.java
+++ b/src/main/java/mulleinfront/bench/Throughput.java
@@ -40,8 +40,8 @@
      * Measures with several numbers of connections.
      *
      * @param micros mean response time of the servers; 0 to respond at once
-     * @param openLoopShare rate of the additional open loop, as a share of the lower of the relay's and the client proxy's
-     *     closed-loop rates; 0 for none
+     * @param openLoopShare rate of the additional open loop, as a share of the lower of the relay's and the client
+     *     proxy's closed-loop rates; 0 for none
      */
     public void measure(long micros, int[] connections, double openLoopShare) throws IOException, InterruptedException {
         try (Child.Handle servers =
--- a/src/main/java/mulleinfront/benchlink/Adapter.java
+++ b/src/main/java/mulleinfront/benchlink/Adapter.java
@@ -169,7 +169,8 @@
     }
 
     /**
-     * One instance: its balancer, which is null while the instance is not running, and the actions of the current batch.
+     * One instance: its balancer, which is null while the instance is not running, and the actions of the current
+     * batch.
      */
     private final class Instance implements Actions {
         final int number;
--- a/src/main/java/mulleinfront/benchlink/EventReader.java
+++ b/src/main/java/mulleinfront/benchlink/EventReader.java
@@ -153,7 +153,7 @@
                 case "hop" -> event.attempt = in.getIntValue();
                 case "table" -> event.tableIndex = in.getIntValue();
                 case "complete" -> event.requestDone = in.getBooleanValue();
-                case "report" -> event.inFlight = LoadReport.held(in);
+                case "report" -> event.inFlight = LoadReport.inFlight(in);
                 case "rowsIn" -> event.endpoints = readEndpoints();
                 case "bootInfo" -> event.settings = SettingsReader.read(in);
                 default -> in.skipChildren();
--- a/src/main/java/mulleinfront/capacity/Capacity.java
+++ b/src/main/java/mulleinfront/capacity/Capacity.java
@@ -20,16 +20,16 @@
     private final Map<String, Slope> slopes = new TreeMap<>();
     private final Map<String, Fit> fits = new TreeMap<>();
     private final List<Row> rows;
-    private final List<Need> needs;
+    private final List<Requirement> requirements;
 
     /**
      * @throws IllegalArgumentException if a row names an unknown slope, size or budget, a name is not unique, or a
      *        slope can't be fitted
      */
-    public Capacity(Size size, List<Slope> slopes, List<Row> rows, List<Need> requirements) {
+    public Capacity(Size size, List<Slope> slopes, List<Row> rows, List<Requirement> requirements) {
         this.size = size;
         this.rows = List.copyOf(rows);
-        this.needs = List.copyOf(requirements);
+        this.requirements = List.copyOf(requirements);
         for (Slope slope : slopes) {
             try {
                 if (!slope.points().isEmpty()) {
@@ -49,7 +49,7 @@
                         "row " + row.role() + ", " + row.part() + ", " + row.when() + " is defined twice");
             }
         }
-        figures();
+        estimates();
         requirements.forEach(n -> n.faults().forEach(size::of));
     }
 
@@ -70,25 +70,25 @@
         return rows;
     }
 
-    public List<Need> needs() {
-        return needs;
+    public List<Requirement> requirements() {
+        return requirements;
     }
 
     /** Returns a copy with these slopes added; they replace slopes of the same id. */
-    public Capacity with(List<Slope> measured) {
+    public Capacity withSlopes(List<Slope> measured) {
         Map<String, Slope> merged = new TreeMap<>(slopes);
         measured.forEach(s -> merged.put(s.id(), s));
-        return new Capacity(size, List.copyOf(merged.values()), rows, needs);
+        return new Capacity(size, List.copyOf(merged.values()), rows, requirements);
     }
 
     /** Returns a copy at another fleet size. */
     public Capacity withSize(Size newSize) {
-        return new Capacity(newSize, slopes(), rows, needs);
+        return new Capacity(newSize, slopes(), rows, requirements);
     }
 
     /** Returns the estimate of each cell of each row, in the order of the rows. */
-    public List<Figure> figures() {
-        List<Figure> estimates = new ArrayList<>();
+    public List<Estimate> estimates() {
+        List<Estimate> estimates = new ArrayList<>();
         for (Row row : rows) {
             for (Row.Cell cell : row.cells()) {
                 estimates.add(estimate(row, cell));
@@ -100,7 +100,7 @@
         return estimates;
     }
 
-    Figure estimate(Row row, Row.Cell cell) {
+    Estimate estimate(Row row, Row.Cell cell) {
         double value = cell.terms().isEmpty() || !Double.isNaN(cell.given()) ? cell.given() : 0;
         for (Row.Term term : cell.terms()) {
             boolean isCount = term.slope().equals(Row.Term.COUNT);
@@ -116,7 +116,7 @@
             }
             value += summand;
         }
-        return new Figure(row, cell, value, cell.budget() == null ? Double.NaN : size.of(cell.budget()));
+        return new Estimate(row, cell, value, cell.budget() == null ? Double.NaN : size.of(cell.budget()));
     }
 
     private double factor(String text) {
@@ -131,43 +131,43 @@
      * Returns the estimate of each row that takes the largest share of its budget, largest share first. Rows without a
      * budgeted estimate are left out.
      */
-    public List<Figure> byBudgetShare() {
-        List<Figure> worst = new ArrayList<>();
+    public List<Estimate> byBudgetShare() {
+        List<Estimate> worst = new ArrayList<>();
         for (Row row : rows) {
             List<Row.Cell> cells =
                     row.hasNoMechanism() && row.cells().isEmpty() ? List.of(PLACEHOLDER_CELL) : row.cells();
             cells.stream()
                     .map(c -> estimate(row, c))
-                    .max(Comparator.comparingDouble(Figure::budgetShare))
+                    .max(Comparator.comparingDouble(Estimate::budgetShare))
                     .filter(f -> f.budgetShare() > 0)
                     .ifPresent(worst::add);
         }
-        worst.sort(Comparator.comparingDouble(Figure::budgetShare).reversed());
+        worst.sort(Comparator.comparingDouble(Estimate::budgetShare).reversed());
         return worst;
     }
 
     /** Returns the number of fault types of an ordinary day that need the mechanism. */
-    public int faultTypes(Need requirement) {
+    public int faultTypes(Requirement requirement) {
         return (int) requirement.faults().stream().distinct().count();
     }
 
     /** Returns how often on an ordinary day the mechanism is needed. */
-    public double occurrencesPerDay(Need requirement) {
+    public double occurrencesPerDay(Requirement requirement) {
         return requirement.faults().stream().distinct().mapToDouble(size::of).sum();
     }
 
     /** Returns the rows without a mechanism that this one would serve. */
-    public List<Row> unsupportedRows(Need requirement) {
+    public List<Row> unsupportedRows(Requirement requirement) {
         return rows.stream()
                 .filter(r -> r.hasNoMechanism() && r.part().equals(requirement.rows()))
                 .toList();
     }
 
     /** Returns the largest share of a budget among the rows that the mechanism serves or would serve. */
-    public double maxBudgetShare(Need requirement) {
+    public double maxBudgetShare(Requirement requirement) {
         return byBudgetShare().stream()
                 .filter(f -> f.row().part().equals(requirement.rows()))
-                .mapToDouble(Figure::budgetShare)
+                .mapToDouble(Estimate::budgetShare)
                 .findFirst()
                 .orElse(0);
     }
@@ -176,9 +176,9 @@
      * Returns the mechanisms by urgency: the largest share of a budget first, then the number of fault types and the
      * daily occurrences that need the mechanism.
      */
-    public List<Need> requirementsByUrgency() {
-        List<Need> sorted = new ArrayList<>(needs);
-        sorted.sort(Comparator.<Need>comparingDouble(n -> -maxBudgetShare(n))
+    public List<Requirement> requirementsByUrgency() {
+        List<Requirement> sorted = new ArrayList<>(requirements);
+        sorted.sort(Comparator.<Requirement>comparingDouble(n -> -maxBudgetShare(n))
                 .thenComparingInt(n -> -faultTypes(n))
                 .thenComparingDouble(n -> -occurrencesPerDay(n)));
         return sorted;
--- a/src/main/java/mulleinfront/capacity/Figure.java
+++ b/src/main/java/mulleinfront/capacity/Estimate.java
@@ -8,7 +8,7 @@
  * @param value the estimate in the measure's unit; NaN if it was not measured
  * @param budget the budget in the same unit; NaN if there is none
  */
-public record Figure(Row row, Row.Cell cell, double value, double budget) {
+public record Estimate(Row row, Row.Cell cell, double value, double budget) {
     /**
      * Returns the estimate as a share of its budget: infinite if the row has no mechanism, 0 if the estimate or the
      * budget is unknown.
@@ -21,7 +21,7 @@
     }
 
     /** Returns whether the estimate exceeds its budget. */
-    public boolean over() {
+    public boolean isOverBudget() {
         return budgetShare() > 1;
     }
 
--- a/src/main/java/mulleinfront/capacity/Fit.java
+++ b/src/main/java/mulleinfront/capacity/Fit.java
@@ -15,7 +15,7 @@
  */
 public record Fit(Form form, double base, double slope, double maxResidual) {
     /** Minimum number of distinct sizes; fewer do not show how a value grows. */
-    public static final int LEAST_POINTS = 4;
+    public static final int MIN_SIZES = 4;
     /** Values whose spread is at most this share of their mean count as constant. */
     private static final double CONSTANT_TOLERANCE = 0.1;
     /** A more complex form is chosen only if its residual is below this share of the simpler form's residual. */
@@ -69,12 +69,12 @@
     /**
      * Returns the fit of the simplest form that is close to the points.
      *
-     * @throws IllegalArgumentException if there are fewer than {@link #LEAST_POINTS} distinct sizes, a size is not
+     * @throws IllegalArgumentException if there are fewer than {@link #MIN_SIZES} distinct sizes, a size is not
      *        above 0, or a size or value is not a finite number
      */
     public static Fit select(List<Point> points) {
-        if (points.stream().mapToDouble(Point::x).distinct().count() < LEAST_POINTS) {
-            throw new IllegalArgumentException("a slope needs " + LEAST_POINTS + " sizes or more");
+        if (points.stream().mapToDouble(Point::x).distinct().count() < MIN_SIZES) {
+            throw new IllegalArgumentException("a slope needs " + MIN_SIZES + " sizes or more");
         }
         if (points.stream().anyMatch(p -> !Double.isFinite(p.y) || !Double.isFinite(p.x) || p.x <= 0)) {
             throw new IllegalArgumentException("a slope needs sizes above 0 and finite values");
--- a/src/main/java/mulleinfront/capacity/Page.java
+++ b/src/main/java/mulleinfront/capacity/Page.java
@@ -102,7 +102,7 @@
         StringBuilder out = new StringBuilder("| when |");
         for (Measure measure : Measure.values()) {
             out.append(' ')
-                    .append(measure.word())
+                    .append(measure.outputName())
                     .append(", ")
                     .append(measure.unit())
                     .append(" |");
@@ -111,7 +111,7 @@
                 .append(" --- |".repeat(Measure.values().length))
                 .append(" --- |\n");
         for (Row row : rows) {
-            Map<Measure, Figure> byMeasure = new EnumMap<>(Measure.class);
+            Map<Measure, Estimate> byMeasure = new EnumMap<>(Measure.class);
             row.cells().forEach(c -> byMeasure.put(c.measure(), capacity.estimate(row, c)));
             out.append("| ").append(row.when()).append(" |");
             for (Measure measure : Measure.values()) {
@@ -124,7 +124,7 @@
         return out.toString();
     }
 
-    private static String formatCell(Figure estimate) {
+    private static String formatCell(Estimate estimate) {
         if (estimate == null || Double.isNaN(estimate.value())) {
             return "not measured";
         }
@@ -180,19 +180,19 @@
         int shown = 0;
         Map<String, List<String>> unsupported = new LinkedHashMap<>();
         capacity.byBudgetShare().stream()
-                .map(Figure::row)
+                .map(Estimate::row)
                 .filter(Row::hasNoMechanism)
                 .forEach(r -> unsupported
                         .computeIfAbsent(r.role() + ", " + r.part(), p -> new ArrayList<>())
                         .add(r.when()));
         unsupported.forEach((part, when) -> appendRow(
                 out, part, String.join("; ", when), "nothing to measure", "-", "none carries it", "**none**"));
-        for (Figure estimate : capacity.byBudgetShare()) {
+        for (Estimate estimate : capacity.byBudgetShare()) {
             Row row = estimate.row();
             if (row.hasNoMechanism()) {
                 continue;
             }
-            if (!estimate.over() && ++shown > MAX_ROWS_WITHIN_BUDGET) {
+            if (!estimate.isOverBudget() && ++shown > MAX_ROWS_WITHIN_BUDGET) {
                 break;
             }
             Measure measure = estimate.cell().measure();
@@ -200,7 +200,7 @@
                     out,
                     row.role() + ", " + row.part(),
                     row.when(),
-                    measure.word() + " " + number(estimate.value()) + " " + measure.unit(),
+                    measure.outputName() + " " + number(estimate.value()) + " " + measure.unit(),
                     number(estimate.budget()),
                     percent(estimate.margin()),
                     row.mechanism());
@@ -213,7 +213,7 @@
                 + " change of an ordinary day that need it | times a day | why |\n"
                 + "| --- | --- | --- | --- | --- | --- |\n");
         int rank = 0;
-        for (Need requirement : capacity.requirementsByUrgency()) {
+        for (Requirement requirement : capacity.requirementsByUrgency()) {
             double worst = capacity.maxBudgetShare(requirement);
             appendRow(
                     out,
--- a/src/main/java/mulleinfront/capacity/Row.java
+++ b/src/main/java/mulleinfront/capacity/Row.java
@@ -65,16 +65,16 @@
         MEMORY("memory", "bytes"),
         TIME("time", "s");
 
-        private final String word;
+        private final String outputName;
         private final String unit;
 
         Measure(String outputName, String unit) {
-            this.word = outputName;
+            this.outputName = outputName;
             this.unit = unit;
         }
 
-        public String word() {
-            return word;
+        public String outputName() {
+            return outputName;
         }
 
         public String unit() {
@@ -88,7 +88,7 @@
          */
         public static Measure of(String outputName) {
             for (Measure measure : values()) {
-                if (measure.word.equals(outputName)) {
+                if (measure.outputName.equals(outputName)) {
                     return measure;
                 }
             }
--- a/src/main/java/mulleinfront/cli/Bench.java
+++ b/src/main/java/mulleinfront/cli/Bench.java
@@ -104,9 +104,9 @@
             long heapBytes = 0;
             for (int i = -1; i < rounds; i++) {
                 long before = i < 0 ? heapBytesAfterCollection() : 0;
-                World world = World.of(scenario, 100 + i, null);
+                World world = World.create(scenario, 100 + i, null);
                 long from = System.nanoTime();
-                last = world.play();
+                last = world.run();
                 double wall = (System.nanoTime() - from) / 1e9;
                 if (i >= 0) {
                     wallSeconds[i] = wall;
@@ -121,11 +121,11 @@
                     Locale.ROOT,
                     "%9d %9d %9d %9d %12.0f %14.1f %10.1f%n",
                     count,
-                    last.service().asks(),
+                    last.service().requests(),
                     last.events(),
                     last.decisions(),
                     virtualSeconds / median,
-                    median * 1e6 / last.service().asks(),
+                    median * 1e6 / last.service().requests(),
                     heapBytes / 1e6);
         }
 
--- a/src/main/java/mulleinfront/cli/CapacityCommand.java
+++ b/src/main/java/mulleinfront/cli/CapacityCommand.java
@@ -19,7 +19,7 @@
 import mulleinfront.bench.MembershipCost;
 import mulleinfront.bench.SnapshotCost;
 import mulleinfront.capacity.Capacity;
-import mulleinfront.capacity.Figure;
+import mulleinfront.capacity.Estimate;
 import mulleinfront.capacity.Fit;
 import mulleinfront.capacity.Page;
 import mulleinfront.capacity.Row;
@@ -133,11 +133,10 @@
     @Override
     public Integer call() throws BadFileException, IOException, InterruptedException {
         for (int[] points : List.of(sizes, rates, services)) {
-            if (Arrays.stream(points).distinct().count() < Fit.LEAST_POINTS
+            if (Arrays.stream(points).distinct().count() < Fit.MIN_SIZES
                     || Arrays.stream(points).anyMatch(n -> n < 10)) {
                 throw new ParameterException(
-                        spec.commandLine(),
-                        "a slope needs " + Fit.LEAST_POINTS + " sizes or more, each of 10 at least");
+                        spec.commandLine(), "a slope needs " + Fit.MIN_SIZES + " sizes or more, each of 10 at least");
             }
         }
         if (requests < 1 || hosts != null && hosts < 10) {
@@ -149,7 +148,7 @@
         List<Row> rows = rows(capacity);
         PrintWriter out = spec.commandLine().getOut();
         if (!withoutMeasuring) {
-            capacity = capacity.with(measure(capacity, rows, out));
+            capacity = capacity.withSlopes(measure(capacity, rows, out));
         }
         if (output != null) {
             CapacityFile.write(output, capacity);
@@ -232,19 +231,19 @@
             }
         }
         Set<Row> selected = Set.copyOf(rows);
-        List<Figure> estimates = capacity.figures().stream()
+        List<Estimate> estimates = capacity.estimates().stream()
                 .filter(estimate -> selected.contains(estimate.row()))
-                .sorted(Comparator.comparingDouble(Figure::budgetShare).reversed())
+                .sorted(Comparator.comparingDouble(Estimate::budgetShare).reversed())
                 .toList();
         out.printf(Locale.ROOT, "%n%-64s %-10s %12s %12s %8s%n", "row", "measure", "figure", "budget", "margin");
-        for (Figure estimate : estimates) {
+        for (Estimate estimate : estimates) {
             Row row = estimate.row();
             boolean bounded = !Double.isNaN(estimate.budget());
             out.printf(
                     Locale.ROOT,
                     "%-64s %-10s %12s %12s %8s%s%n",
                     row.role() + ", " + row.part() + ", " + row.when(),
-                    estimate.cell().measure().word(),
+                    estimate.cell().measure().outputName(),
                     Double.isNaN(estimate.value()) ? "-" : Page.number(estimate.value()),
                     bounded ? Page.number(estimate.budget()) : "-",
                     row.hasNoMechanism()
@@ -252,9 +251,9 @@
                             : bounded && !Double.isNaN(estimate.value())
                                     ? String.format(Locale.ROOT, "%.0f%%", 100 * estimate.margin())
                                     : "-",
-                    estimate.over() ? "  over" : "");
+                    estimate.isOverBudget() ? "  over" : "");
         }
-        boolean over = estimates.stream().anyMatch(Figure::over);
+        boolean over = estimates.stream().anyMatch(Estimate::isOverBudget);
         out.println(over ? "over budget, or carried by nothing" : "all within budget");
         return over ? CommandLine.VIOLATION : CommandLine.SUCCESS;
     }
--- a/src/main/java/mulleinfront/cli/CommandLine.java
+++ b/src/main/java/mulleinfront/cli/CommandLine.java
@@ -43,7 +43,7 @@
     static final class OwnVersion implements picocli.CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
-            return new String[] {"mulleinfront " + Version.OWN};
+            return new String[] {"mulleinfront " + Version.CURRENT};
         }
     }
 
--- a/src/main/java/mulleinfront/cli/ConfigCommand.java
+++ b/src/main/java/mulleinfront/cli/ConfigCommand.java
@@ -79,7 +79,7 @@
         @Override
         public Integer call() throws BadFileException {
             SortedMap<String, String> entries = FleetConfiguration.load(file);
-            int bytes = DifferenceLine.write(Difference.whole(new Version(1, entries, "", 0))).length;
+            int bytes = DifferenceLine.write(Difference.full(new Version(1, entries, "", 0))).length;
             spec.commandLine()
                     .getOut()
                     .printf(
@@ -115,7 +115,7 @@
          * @param body body of a POST request; null for a GET request
          * @throws IOException if there is no response or it is not a JSON object
          */
-        static Map<String, Object> call(ControlFile.Machine node, String path, byte[] body, int timeoutMs)
+        static Map<String, Object> call(ControlFile.Node node, String path, byte[] body, int timeoutMs)
                 throws IOException {
             InetSocketAddress address = node.clientAddress();
             String host = address.getAddress().getHostAddress();
@@ -215,8 +215,8 @@
             boolean possiblyCommitted = false;
             String lastError = "";
             for (int attempt = 0; attempt == 0 || System.nanoTime() < deadline; attempt++) {
-                ControlFile.Machine node =
-                        control.machines().get(attempt % control.machines().size());
+                ControlFile.Node node =
+                        control.nodes().get(attempt % control.nodes().size());
                 try {
                     Map<String, Object> answer = call(node, "/config/propose", body, TIMEOUT_MS);
                     String reason = String.valueOf(answer.getOrDefault("reason", ""));
@@ -289,7 +289,7 @@
             long newest = 0;
             int reachableNodes = 0;
             boolean healthy = true;
-            for (ControlFile.Machine node : control.machines()) {
+            for (ControlFile.Node node : control.nodes()) {
                 try {
                     Map<String, Object> response = call(node, "/config/status", null, TIMEOUT_MS);
                     reachableNodes++;
@@ -368,7 +368,7 @@
             ControlFile control = ControlFile.load(config);
             IOException lastError = null;
             List<Map<String, Object>> longest = null;
-            for (ControlFile.Machine node : control.machines()) {
+            for (ControlFile.Node node : control.nodes()) {
                 try {
                     List<Map<String, Object>> versions =
                             list(call(node, "/config/history", null, TIMEOUT_MS), "versions");
--- a/src/main/java/mulleinfront/cli/DrawCommand.java
+++ b/src/main/java/mulleinfront/cli/DrawCommand.java
@@ -41,13 +41,13 @@
     private long startMs;
 
     static GeneratedScenario.Family parseFamily(CommandSpec spec, String name) {
-        GeneratedScenario.Family parsed = GeneratedScenario.Family.of(name);
+        GeneratedScenario.Family parsed = GeneratedScenario.Family.forName(name);
         if (parsed == null) {
             throw new ParameterException(
                     spec.commandLine(),
                     "there is no family '" + name + "'; there are "
                             + Arrays.stream(GeneratedScenario.Family.values())
-                                    .map(GeneratedScenario.Family::word)
+                                    .map(GeneratedScenario.Family::outputName)
                                     .collect(Collectors.joining(", ")));
         }
         return parsed;
@@ -64,7 +64,7 @@
     public Integer call() {
         spec.commandLine()
                 .getOut()
-                .print(GeneratedScenario.of(
+                .print(GeneratedScenario.generate(
                         parseFamily(spec, family),
                         seed,
                         requirePositive(spec, instances),
--- a/src/main/java/mulleinfront/cli/Emulate.java
+++ b/src/main/java/mulleinfront/cli/Emulate.java
@@ -11,7 +11,7 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
-import mulleinfront.emulator.Compared;
+import mulleinfront.emulator.BalancerComparison;
 import mulleinfront.emulator.ReportWriter;
 import mulleinfront.emulator.Scenario;
 import mulleinfront.emulator.ScenarioReader;
@@ -111,7 +111,7 @@
             // The parameter can't be declared as required, because the subcommands run without it.
             throw new ParameterException(spec.commandLine(), "Missing required parameter: 'SCENARIO'");
         }
-        Sweep.Source source = source();
+        Sweep.ScenarioSource source = source();
         if (seeds != null && balancers == null && trace == null && json == null) {
             return sweep(source);
         }
@@ -126,7 +126,7 @@
                 spec.commandLine(), "--trace and --json are for one seed and not possible with --seeds");
     }
 
-    private Sweep.Source source() throws BadFileException {
+    private Sweep.ScenarioSource source() throws BadFileException {
         if (family == null) {
             Scenario scenario = ScenarioReader.read(file);
             return ignoredSeed -> scenario;
@@ -135,21 +135,21 @@
             throw new ParameterException(
                     spec.commandLine(), "--balancers needs a scenario file and is not possible with --drawn");
         }
-        return Sweep.Source.drawn(
+        return Sweep.ScenarioSource.generated(
                 DrawCommand.parseFamily(spec, family),
                 DrawCommand.requirePositive(spec, instances),
                 startMs < 0 ? -1 : startMs * 1000);
     }
 
     private Reference reference() {
-        Reference reference = balancer == null ? null : Reference.of(balancer);
+        Reference reference = balancer == null ? null : Reference.forName(balancer);
         if (balancer != null && reference == null) {
             throw new ParameterException(
                     spec.commandLine(),
                     "--balancer: unknown balancer '" + balancer
                             + "'; there are "
                             + Arrays.stream(Reference.values())
-                                    .map(Reference::word)
+                                    .map(Reference::outputName)
                                     .collect(Collectors.joining(", ")));
         }
         return reference;
@@ -162,11 +162,11 @@
                     spec.commandLine(), "--balancers takes the value all, and excludes --balancer, --trace and --json");
         }
         long[] range = seeds == null ? new long[] {seed, seed} : seedRange();
-        List<Compared> results = Compared.play(scenario, range[0], range[1], jobs);
+        List<BalancerComparison> results = BalancerComparison.run(scenario, range[0], range[1], jobs);
         PrintWriter out = spec.commandLine().getOut();
-        out.print(Compared.table(scenario, range[0], range[1], results));
+        out.print(BalancerComparison.table(scenario, range[0], range[1], results));
         out.flush();
-        return results.get(0).broken() == 0 ? CommandLine.SUCCESS : CommandLine.VIOLATION;
+        return results.get(0).seedsWithBreaches() == 0 ? CommandLine.SUCCESS : CommandLine.VIOLATION;
     }
 
     private int runOne(Scenario scenario) throws IOException, BadFileException {
@@ -176,8 +176,10 @@
             throw new ParameterException(spec.commandLine(), "--trace is not possible with a reference balancer");
         }
         try (OutputStream output = trace == null ? null : open(trace)) {
-            result = (reference == null ? World.of(scenario, seed, output) : World.under(reference, scenario, seed))
-                    .play();
+            result = (reference == null
+                            ? World.create(scenario, seed, output)
+                            : World.withReference(reference, scenario, seed))
+                    .run();
         }
         if (json != null) {
             try (OutputStream output = open(json)) {
@@ -187,7 +189,7 @@
         PrintWriter out = spec.commandLine().getOut();
         out.print(ReportWriter.text(result));
         out.flush();
-        return result.broken() == 0 ? CommandLine.SUCCESS : CommandLine.VIOLATION;
+        return result.totalBreachCount() == 0 ? CommandLine.SUCCESS : CommandLine.VIOLATION;
     }
 
     private static OutputStream open(Path path) throws BadFileException {
@@ -198,7 +200,7 @@
         }
     }
 
-    private int sweep(Sweep.Source source) throws InterruptedException {
+    private int sweep(Sweep.ScenarioSource source) throws InterruptedException {
         long[] range = seedRange();
         if (jobs < 1) {
             throw new ParameterException(spec.commandLine(), "--jobs must be 1 or more");
@@ -208,7 +210,7 @@
         boolean terminal = System.console() != null;
         PrintWriter err = spec.commandLine().getErr();
         long[] progress = {0, 0};
-        List<Sweep.SeedResult> results = Sweep.play(source, range[0], range[1], jobs, reference(), result -> {
+        List<Sweep.SeedResult> results = Sweep.run(source, range[0], range[1], jobs, reference(), result -> {
             progress[0]++;
             progress[1] += result.breaches() > 0 ? 1 : 0;
             if (terminal) {
@@ -240,7 +242,7 @@
                         .average()
                         .orElse(0),
                 results.stream().mapToDouble(Sweep.SeedResult::goodput).min().orElse(0),
-                results.stream().mapToInt(Sweep.SeedResult::fell).sum());
+                results.stream().mapToInt(Sweep.SeedResult::crashedServers).sum());
         Sweep.starts(results).forEach(out::println);
         List<Sweep.SeedResult> broken =
                 results.stream().filter(result -> result.breaches() > 0).toList();
--- a/src/main/java/mulleinfront/cli/ExplainCommand.java
+++ b/src/main/java/mulleinfront/cli/ExplainCommand.java
@@ -78,12 +78,14 @@
 
     private Cause parseCause() {
         return Arrays.stream(Cause.values())
-                .filter(candidate -> candidate.word().equals(cause))
+                .filter(candidate -> candidate.outputName().equals(cause))
                 .findFirst()
                 .orElseThrow(() -> new ParameterException(
                         spec.commandLine(),
                         "--cause: unknown cause '" + cause
                                 + "'; there are "
-                                + Arrays.stream(Cause.values()).map(Cause::word).collect(Collectors.joining(", "))));
+                                + Arrays.stream(Cause.values())
+                                        .map(Cause::outputName)
+                                        .collect(Collectors.joining(", "))));
     }
 }
--- a/src/main/java/mulleinfront/cli/FleetCommand.java
+++ b/src/main/java/mulleinfront/cli/FleetCommand.java
@@ -17,8 +17,8 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import mulleinfront.settings.BadFileException;
+import mulleinfront.settings.EndpointList;
 import mulleinfront.settings.FleetFile;
-import mulleinfront.settings.Listing;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -70,7 +70,7 @@
         Socket send(String command) throws IOException, BadFileException {
             InetSocketAddress socketAddress;
             try {
-                socketAddress = Listing.address(address);
+                socketAddress = EndpointList.parseAddress(address);
             } catch (IOException e) {
                 throw new BadFileException("--door: " + e.getMessage());
             }
@@ -259,9 +259,9 @@
                             Locale.ROOT,
                             "fleet %s: a failed member is suspected after %.1f s on"
                                     + " average, and recorded as failed by all within %.0f s among %d members%n",
-                            fleet.figures().fleet(),
-                            1.5 * fleet.figures().periodUs() / 1e6,
-                            fleet.figures().convergenceBoundUs(members) / 1e6,
+                            fleet.settings().fleet(),
+                            1.5 * fleet.settings().periodUs() / 1e6,
+                            fleet.settings().convergenceBoundUs(members) / 1e6,
                             members);
             spec.commandLine().getOut().flush();
             return CommandLine.SUCCESS;
--- a/src/main/java/mulleinfront/cli/GraphCommand.java
+++ b/src/main/java/mulleinfront/cli/GraphCommand.java
@@ -96,7 +96,7 @@
         long startCpuNs = cpuTimeNs();
         GraphReport report;
         try (OutputStream output = trace == null ? null : open(trace)) {
-            report = createWorld(graph, output).play();
+            report = createWorld(graph, output).run();
         }
         double cpuSeconds = (cpuTimeNs() - startCpuNs) / 1e9;
         if (json != null) {
@@ -111,9 +111,9 @@
                 "played in %.1f s, %.1f s of processor: %.2f virtual seconds of load a CPU second%n",
                 (System.nanoTime() - startNs) / 1e9,
                 cpuSeconds,
-                report.askedUs() / 1e6 / Math.max(1e-3, cpuSeconds));
+                report.lengthUs() / 1e6 / Math.max(1e-3, cpuSeconds));
         out.flush();
-        return report.brokenCount() == 0 ? CommandLine.SUCCESS : CommandLine.VIOLATION;
+        return report.violationCount() == 0 ? CommandLine.SUCCESS : CommandLine.VIOLATION;
     }
 
     private GraphWorld createWorld(GraphSpec graph, OutputStream output) {
--- a/src/main/java/mulleinfront/cli/KeepCommand.java
+++ b/src/main/java/mulleinfront/cli/KeepCommand.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
-import mulleinfront.handout.HandoutServer;
+import mulleinfront.handout.ConfigServer;
 import mulleinfront.keep.ReplicaNode;
 import mulleinfront.keep.ReplicaSettings;
 import mulleinfront.settings.BadFileException;
@@ -59,14 +59,13 @@
     @Override
     public Integer call() throws BadFileException, IOException, InterruptedException {
         ControlFile file = ControlFile.load(config);
-        if (nodeNumber < 1 || nodeNumber > file.machines().size()) {
-            throw new BadFileException(
-                    "--me: must be from 1 to " + file.machines().size());
+        if (nodeNumber < 1 || nodeNumber > file.nodes().size()) {
+            throw new BadFileException("--me: must be from 1 to " + file.nodes().size());
         }
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        ControlFile.Machine self = file.machines().get(nodeNumber - 1);
+        ControlFile.Node self = file.nodes().get(nodeNumber - 1);
         TreeMap<String, InetSocketAddress> replicas = new TreeMap<>();
-        file.machines().forEach(node -> replicas.put(node.name(), node.consensus()));
+        file.nodes().forEach(node -> replicas.put(node.name(), node.consensus()));
         ReplicaSettings settings;
         try {
             settings = new ReplicaSettings(self.name(), replicas, directory);
@@ -76,9 +75,9 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         ReplicaNode node = new ReplicaNode(settings, loop);
-        HandoutServer server;
+        ConfigServer server;
         try {
-            server = HandoutServer.start(
+            server = ConfigServer.start(
                     self.name(),
                     loop,
                     self.clientAddress(),
--- a/src/main/java/mulleinfront/cli/Kit.java
+++ b/src/main/java/mulleinfront/cli/Kit.java
@@ -109,10 +109,11 @@
                 }
             });
             Runtime.getRuntime().addShutdownHook(hook);
-            KitResult socketsResult = run.play();
+            KitResult socketsResult = run.run();
             KitResult result = socketsResult.sockets() == null
                     ? socketsResult
-                    : socketsResult.beside(World.of(scenario, seed, null).play());
+                    : socketsResult.withVirtualRun(
+                            World.create(scenario, seed, null).run());
             String text = Report.text(result, anyVersion);
             synchronized (out) {
                 out.print(text);
--- a/src/main/java/mulleinfront/cli/ScaleCommand.java
+++ b/src/main/java/mulleinfront/cli/ScaleCommand.java
@@ -149,7 +149,7 @@
                         Path.of("").toAbsolutePath(),
                         directory,
                         line -> spec.commandLine().getErr().println("kit scale: " + line))
-                .play();
+                .run();
         spec.commandLine().getOut().print(report.text());
         spec.commandLine().getOut().flush();
         try (OutputStream json = Files.newOutputStream(directory.resolve("report.json"))) {
--- a/src/main/java/mulleinfront/cli/SoakCommand.java
+++ b/src/main/java/mulleinfront/cli/SoakCommand.java
@@ -92,7 +92,7 @@
         List<Long> failed = new ArrayList<>();
         boolean busy = false;
         for (long seed : parseSeeds(seeds)) {
-            Soak.Played result = soak.play(seed, directory.resolve("seed-" + seed));
+            Soak.SeedResult result = soak.run(seed, directory.resolve("seed-" + seed));
             if (result.tooBusy()) {
                 busy = true;
             } else if (!result.failures().isEmpty()) {
@@ -114,15 +114,15 @@
         return !failed.isEmpty() ? CommandLine.VIOLATION : busy ? Kit.TOO_BUSY : CommandLine.SUCCESS;
     }
 
-    private void print(Soak.Played result) {
+    private void print(Soak.SeedResult result) {
         PrintWriter out = spec.commandLine().getOut();
         List<String> failures = result.failures();
         String verdict = result.tooBusy()
                 ? "not judged, the machine was too busy"
                 : failures.isEmpty() ? "kept" : failures.size() + " failures";
-        long served = result.rehearsal().sockets() == null
+        long served = result.result().sockets() == null
                 ? 0
-                : result.rehearsal().sockets().service().tries().getOrDefault("served", 0L);
+                : result.result().sockets().service().tries().getOrDefault("served", 0L);
         out.printf(Locale.ROOT, "seed %d: %s; %d tries served%n", result.seed(), verdict, served);
         failures.stream().limit(MAX_FAILURES_PRINTED).forEach(failure -> out.println("  " + failure));
         out.flush();
--- a/src/main/java/mulleinfront/config/Checksum.java
+++ b/src/main/java/mulleinfront/config/Checksum.java
@@ -13,7 +13,7 @@
      */
     public static long of(Version version) {
         HashStream64 hash = Hashing.xxh3_64().hashStream();
-        hash.putLong(version.number()).putLong(version.decidedAtMillis()).putString(version.why());
+        hash.putLong(version.number()).putLong(version.proposedAtMs()).putString(version.description());
         hash.putInt(version.entries().size());
         version.entries().forEach((key, value) -> hash.putString(key).putString(value));
         return hash.getAsLong();
--- a/src/main/java/mulleinfront/config/ConfigPublisher.java
+++ b/src/main/java/mulleinfront/config/ConfigPublisher.java
@@ -149,7 +149,7 @@
         if (openWatches.isEmpty()) {
             quorumContact = versionLog.hasQuorumContact();
         }
-        subscriber.byteTokens = settings.burst();
+        subscriber.byteTokens = settings.burstBytes();
         subscriber.activeVersion = baseVersion;
         subscriber.checksumMatches = matchesOwnVersion(baseVersion, checksum);
         // A different version under the same number can't be the base of a delta.
@@ -165,7 +165,7 @@
     }
 
     private boolean matchesOwnVersion(long number, long checksum) {
-        Version ownVersion = number == 0 ? null : versionLog.at(number);
+        Version ownVersion = number == 0 ? null : versionLog.find(number);
         if (ownVersion == null) {
             return true;
         }
@@ -250,7 +250,7 @@
             return;
         }
         subscriber.byteTokens = Math.min(
-                settings.burst(),
+                settings.burstBytes(),
                 subscriber.byteTokens + (nowUs - subscriber.refilledUs) * 1e-6 * settings.bytesPerS());
         subscriber.refilledUs = nowUs;
         while (subscriber.writable && (subscriber.line != null || startNewestDelta(nowUs, subscriber))) {
@@ -269,7 +269,9 @@
             send(nowUs, subscriber, line, from, from + pieceBytes);
         }
         // A line in progress needs no heartbeat in between: its pieces are a sign of life themselves.
-        if (subscriber.line == null && subscriber.writable && nowUs - subscriber.lastSentUs >= settings.heartbeatUs()) {
+        if (subscriber.line == null
+                && subscriber.writable
+                && nowUs - subscriber.lastSentUs >= settings.heartbeatIntervalUs()) {
             byte[] heartbeatLine = currentHeartbeat();
             send(nowUs, subscriber, heartbeatLine, 0, heartbeatLine.length);
         }
@@ -312,8 +314,8 @@
     }
 
     private Difference smallestDelta(long baseVersion, Version newest) {
-        Difference fullDelta = Difference.whole(newest);
-        Version base = baseVersion == 0 ? null : versionLog.at(baseVersion);
+        Difference fullDelta = Difference.full(newest);
+        Version base = baseVersion == 0 ? null : versionLog.find(baseVersion);
         if (base == null) {
             return fullDelta;
         }
--- a/src/main/java/mulleinfront/config/ConfigSubscriber.java
+++ b/src/main/java/mulleinfront/config/ConfigSubscriber.java
@@ -158,7 +158,7 @@
             return;
         }
         try {
-            Version updated = delta.on(activeVersion);
+            Version updated = delta.applyTo(activeVersion);
             checksum = delta.checksum();
             activeVersion = updated;
             needsFullVersion = false;
@@ -188,7 +188,7 @@
     public void onTimer(long nowUs) {
         long timerDelayUs = nowUs - timerUs;
         timerUs = Long.MAX_VALUE;
-        if (timerDelayUs > settings.silenceUs() / 2) {
+        if (timerDelayUs > settings.watchTimeoutUs() / 2) {
             // This process stalled: received data is not read yet, so the timeouts of the node start again.
             lastHeardUs = nowUs;
             watchRequestedUs = nowUs;
@@ -206,7 +206,7 @@
                 }
             }
             case CONNECTING -> {
-                if (nowUs >= watchRequestedUs + settings.connectUs()) {
+                if (nowUs >= watchRequestedUs + settings.connectTimeoutUs()) {
                     actions.closeWatch();
                     onAttemptFailed(nowUs);
                 }
@@ -218,7 +218,7 @@
     }
 
     private void checkWatch(long nowUs) {
-        if (nowUs >= lastHeardUs + settings.silenceUs()) {
+        if (nowUs >= lastHeardUs + settings.watchTimeoutUs()) {
             actions.closeWatch();
             onAttemptFailed(nowUs);
         } else if (behindSinceUs >= 0 && nowUs >= behindSinceUs + behindTimeoutUs()) {
@@ -226,7 +226,7 @@
             actions.closeWatch();
             orderIndex = (orderIndex + 1) % nodeOrder.length;
             state = State.WAITING;
-            nextAttemptUs = nowUs + random.nextLong(settings.spreadUs());
+            nextAttemptUs = nowUs + random.nextLong(settings.reconnectSpreadUs());
         } else if (nowUs >= nextReportUs) {
             report(nowUs);
         }
@@ -237,11 +237,11 @@
      * left in a row for being behind, since moving on gains nothing then.
      */
     private long behindTimeoutUs() {
-        return consecutiveNodesBehind < nodeOrder.length ? settings.behindUs() : 5 * settings.behindUs();
+        return consecutiveNodesBehind < nodeOrder.length ? settings.behindTimeoutUs() : 5 * settings.behindTimeoutUs();
     }
 
     private void report(long nowUs) {
-        nextReportUs = nowUs + settings.reportUs();
+        nextReportUs = nowUs + settings.reportIntervalUs();
         actions.report(activeVersion.number(), checksum);
     }
 
@@ -253,12 +253,13 @@
         long maxDelayUs;
         if (wasWatching && consecutiveFailures == 1) {
             // Many subscribers lose the same node at once and must not all reconnect at the same moment.
-            maxDelayUs = settings.spreadUs();
+            maxDelayUs = settings.reconnectSpreadUs();
         } else if (consecutiveFailures < nodeOrder.length) {
-            maxDelayUs = settings.spreadUs() / 4;
+            maxDelayUs = settings.reconnectSpreadUs() / 4;
         } else {
             maxDelayUs = Math.min(
-                    settings.mostRetryUs(), settings.retryUs() << Math.min(10, consecutiveFailures - nodeOrder.length));
+                    settings.maxRetryDelayUs(),
+                    settings.retryDelayUs() << Math.min(10, consecutiveFailures - nodeOrder.length));
         }
         nextAttemptUs = nowUs + random.nextLong(maxDelayUs);
         updateTimer(nowUs);
@@ -267,10 +268,10 @@
     private void updateTimer(long nowUs) {
         long dueUs = switch (state) {
             case WAITING -> nextAttemptUs;
-            case CONNECTING -> watchRequestedUs + settings.connectUs();
+            case CONNECTING -> watchRequestedUs + settings.connectTimeoutUs();
             case WATCHING ->
                 Math.min(
-                        Math.min(lastHeardUs + settings.silenceUs(), nextReportUs),
+                        Math.min(lastHeardUs + settings.watchTimeoutUs(), nextReportUs),
                         behindSinceUs < 0 ? Long.MAX_VALUE : behindSinceUs + behindTimeoutUs());
             case ENDED -> Long.MAX_VALUE;
         };
--- a/src/main/java/mulleinfront/config/Difference.java
+++ b/src/main/java/mulleinfront/config/Difference.java
@@ -25,8 +25,8 @@
         long to,
         SortedMap<String, String> changed,
         SortedSet<String> removed,
-        String why,
-        long decidedAtMillis,
+        String description,
+        long proposedAtMs,
         long checksum) {
 
     public Difference {
@@ -45,16 +45,16 @@
         TreeSet<String> removed = new TreeSet<>(from.entries().keySet());
         removed.removeAll(to.entries().keySet());
         return new Difference(
-                from.number(), to.number(), changed, removed, to.why(), to.decidedAtMillis(), Checksum.of(to));
+                from.number(), to.number(), changed, removed, to.description(), to.proposedAtMs(), Checksum.of(to));
     }
 
     /** Returns a delta that holds the full version. */
-    public static Difference whole(Version version) {
+    public static Difference full(Version version) {
         return between(Version.NONE, version);
     }
 
     /** Whether this delta holds the full configuration. */
-    public boolean isWhole() {
+    public boolean isFull() {
         return from == Version.NONE.number();
     }
 
@@ -77,8 +77,8 @@
      * @return the target version
      * @throws VersionMismatchException if the base version differs, or the checksum of the result does not match
      */
-    public Version on(Version current) throws VersionMismatchException {
-        Version base = isWhole() ? Version.NONE : current;
+    public Version applyTo(Version current) throws VersionMismatchException {
+        Version base = isFull() ? Version.NONE : current;
         if (base.number() != from) {
             throw new VersionMismatchException(
                     "delta from version " + from + " to " + to + " can't be applied to version " + base.number());
@@ -86,7 +86,7 @@
         TreeMap<String, String> entries = new TreeMap<>(base.entries());
         entries.keySet().removeAll(removed);
         entries.putAll(changed);
-        Version version = new Version(to, entries, why, decidedAtMillis);
+        Version version = new Version(to, entries, description, proposedAtMs);
         if (Checksum.of(version) != checksum) {
             throw new VersionMismatchException("version " + to + " does not match its checksum");
         }
--- a/src/main/java/mulleinfront/config/Proposal.java
+++ b/src/main/java/mulleinfront/config/Proposal.java
@@ -12,4 +12,5 @@
  * @param description one line for people
  * @param proposedAtMs time by the proposer's clock, milliseconds since 1970
  */
-public record Proposal(String id, long basedOn, SortedMap<String, String> entries, String why, long atMillis) {}
+public record Proposal(
+        String id, long baseVersion, SortedMap<String, String> entries, String description, long proposedAtMs) {}
--- a/src/main/java/mulleinfront/config/PublisherSettings.java
+++ b/src/main/java/mulleinfront/config/PublisherSettings.java
@@ -13,7 +13,12 @@
  * @param maxSubscribers maximum number of open watches
  */
 public record PublisherSettings(
-        long heartbeatUs, int bytesPerS, int burst, long subscriberTimeoutUs, long sendTimeoutUs, int maxSubscribers) {
+        long heartbeatIntervalUs,
+        int bytesPerS,
+        int burstBytes,
+        long subscriberTimeoutUs,
+        long sendTimeoutUs,
+        int maxSubscribers) {
     /** Defaults that keep the bound of 6 s from a proposal until its version is active at every subscriber. */
     public static final PublisherSettings DEFAULTS =
             new PublisherSettings(500_000, 8_000, 2_000, 6_000_000, 30_000_000, 2_000);
--- a/src/main/java/mulleinfront/config/SubscriberSettings.java
+++ b/src/main/java/mulleinfront/config/SubscriberSettings.java
@@ -14,13 +14,13 @@
  */
 public record SubscriberSettings(
         int machines,
-        long silenceUs,
-        long connectUs,
-        long spreadUs,
-        long retryUs,
-        long mostRetryUs,
-        long behindUs,
-        long reportUs) {
+        long watchTimeoutUs,
+        long connectTimeoutUs,
+        long reconnectSpreadUs,
+        long retryDelayUs,
+        long maxRetryDelayUs,
+        long behindTimeoutUs,
+        long reportIntervalUs) {
 
     /** Defaults that keep the bound of 6 s from a proposal until its version is active at every subscriber. */
     public static SubscriberSettings defaults(int machines) {
--- a/src/main/java/mulleinfront/config/Version.java
+++ b/src/main/java/mulleinfront/config/Version.java
@@ -13,7 +13,7 @@
  * @param proposedAtMs when the version was proposed by the proposer's clock, milliseconds since 1970; for people
  *        only, never compared with another clock
  */
-public record Version(long number, SortedMap<String, String> entries, String why, long decidedAtMillis) {
+public record Version(long number, SortedMap<String, String> entries, String description, long proposedAtMs) {
     /** The empty version that is active before any version is committed. */
     public static final Version NONE = new Version(0, new TreeMap<>(), "", 0);
 
--- a/src/main/java/mulleinfront/config/VersionLog.java
+++ b/src/main/java/mulleinfront/config/VersionLog.java
@@ -15,7 +15,7 @@
      *
      * @return that version, or null if this node no longer retains it or does not have it yet
      */
-    Version at(long number);
+    Version find(long number);
 
     /** Proposes a version. The result is passed on once, later. */
     void propose(Proposal proposal, Consumer<ProposalResult> onResult);
@@ -24,7 +24,7 @@
      * Registers a listener. It is called once for each newly committed version, in order, after the version is durable
      * at this node.
      */
-    void listen(Consumer<Version> onCommitted);
+    void addListener(Consumer<Version> onCommitted);
 
     /**
      * Whether this node has recently heard from a majority, so that its newest version was up to date then.
@@ -41,7 +41,7 @@
      * @param version number of the committed version, otherwise of the newest version at this node
      * @param reason one line for people; empty if the proposal was committed
      */
-    record ProposalResult(ProposalOutcome what, long number, String reason) {}
+    record ProposalResult(ProposalOutcome outcome, long version, String reason) {}
 
     /** Outcome of a proposal. */
     enum ProposalOutcome {
--- a/src/main/java/mulleinfront/core/Core.java
+++ b/src/main/java/mulleinfront/core/Core.java
@@ -126,7 +126,7 @@
     }
 
     /**
-     * Creates a core without a balancer; {@link #begin} creates the balancer.
+     * Creates a core without a balancer; {@link #createBalancer} creates the balancer.
      *
      * @param settings settings of the deployment
      * @param time the clock and timers of the owning thread
@@ -149,7 +149,7 @@
      */
     public Core(Settings settings, Time time, Wire<Q, A> wire, Consumer<Throwable> exceptionHandler, Metrics metrics) {
         this.metrics = metrics;
-        this.ruleGuard = metrics.guard;
+        this.ruleGuard = metrics.ruleGuard;
         this.settings = settings;
         this.time = time;
         this.wire = wire;
@@ -157,7 +157,7 @@
     }
 
     /** Creates the balancer. Must be called once, before any event, and be followed by {@link #processQueue}. */
-    public void begin(BalancerFactory factory, long seed) {
+    public void createBalancer(BalancerFactory factory, long seed) {
         instanceLimits = new InstanceLimits(settings.instances(), seed);
         startedAt = time.now();
         balancer = factory.create(settings, seed, startedAt, this);
@@ -168,8 +168,8 @@
         instanceLimits.setLiveInstances(instances);
     }
 
-    /** Sets the observer of unserved requests. Must be called after {@link #begin}. */
-    public void observe(Balancer.Observer newObserver) {
+    /** Sets the observer of unserved requests. Must be called after {@link #createBalancer}. */
+    public void setObserver(Balancer.Observer newObserver) {
         observer = newObserver;
         balancer.observe(newObserver);
     }
@@ -265,7 +265,7 @@
         run(() -> balancer.onDiscoveryFailed(time.now(), idleUs));
     }
 
-    /** Sets how long ago the process started, microseconds. Must be called after {@link #begin}. */
+    /** Sets how long ago the process started, microseconds. Must be called after {@link #createBalancer}. */
     public void processStarted(long agoUs) {
         run(() -> balancer.onProcessStart(time.now(), agoUs));
     }
@@ -426,7 +426,7 @@
         handle.deadlineTimer.cancel();
         startDeadlineTimer(handle, Math.min(handle.timeoutUs, untilShutdownUs));
         if (handle.activeAttempt != null) {
-            handle.activeAttempt.endWithin(
+            handle.activeAttempt.setTimeout(
                     handle.attemptTimeoutUs == 0 ? remainingUs : Math.min(remainingUs, handle.attemptTimeoutUs));
         }
     }
@@ -547,7 +547,7 @@
                 handle.reading ? Wire.NO_TIMEOUT : timeoutUs == 0 ? remainingUs : Math.min(remainingUs, timeoutUs);
         Wire.Attempt attempt = prevented
                 ? null
-                : wire.attempt(
+                : wire.prepareAttempt(
                         handle.request.id(),
                         number,
                         endpointId,
@@ -765,7 +765,7 @@
     }
 
     @Override
-    public void listValidUntil(long atUs) {
+    public void onListExpiryChanged(long atUs) {
         listValidUntil = atUs;
     }
 
--- a/src/main/java/mulleinfront/core/EnumCounts.java
+++ b/src/main/java/mulleinfront/core/EnumCounts.java
@@ -21,7 +21,7 @@
         counts[constant.ordinal()]++;
     }
 
-    public long of(E constant) {
+    public long count(E constant) {
         return counts[constant.ordinal()];
     }
 
--- a/src/main/java/mulleinfront/core/Metrics.java
+++ b/src/main/java/mulleinfront/core/Metrics.java
@@ -49,7 +49,7 @@
     }
 
     /** Checks of the invariants: actions that were prevented, and violations. */
-    public final RuleGuard guard = new RuleGuard();
+    public final RuleGuard ruleGuard = new RuleGuard();
 
     public final EnumCounts<Answer> answers = new EnumCounts<>(Answer.class);
     /** Attempts by outcome. */
@@ -70,7 +70,7 @@
         clientCloses.appendTo(out, "client_closes");
         endpointCloses.appendTo(out, "endpoint_closes");
         discovery.appendTo(out, "discovery");
-        guard.appendTo(out);
+        ruleGuard.appendTo(out);
         return out.length() == 0 ? "none" : out.substring(1);
     }
 }
--- a/src/main/java/mulleinfront/core/RuleGuard.java
+++ b/src/main/java/mulleinfront/core/RuleGuard.java
@@ -50,7 +50,7 @@
     private Listener listener = (check, requestId) -> {};
 
     /** Sets the listener that is called with violations from now on. */
-    public void listen(Listener newListener) {
+    public void setListener(Listener newListener) {
         listener = newListener;
     }
 
@@ -83,11 +83,11 @@
     }
 
     public long prevented(Check check) {
-        return prevented.of(check);
+        return prevented.count(check);
     }
 
     public long violations(Check check) {
-        return violations.of(check);
+        return violations.count(check);
     }
 
     /** Returns the number of violations of all invariants. */
--- a/src/main/java/mulleinfront/core/UnservedCounts.java
+++ b/src/main/java/mulleinfront/core/UnservedCounts.java
@@ -35,7 +35,7 @@
     }
 
     /** Returns the unserved requests of a cause over all classes. */
-    public long of(Cause cause) {
+    public long count(Cause cause) {
         long sum = 0;
         for (long count : counts[cause.ordinal()]) {
             sum += count;
@@ -65,11 +65,11 @@
     public String summary() {
         StringBuilder out = new StringBuilder();
         for (Cause cause : Cause.values()) {
-            if (of(cause) > 0) {
+            if (count(cause) > 0) {
                 out.append(out.length() == 0 ? "" : ", ")
                         .append(cause.outputName())
                         .append(' ')
-                        .append(of(cause))
+                        .append(count(cause))
                         .append(" (young ")
                         .append(recentlyStarted(cause));
                 for (int classIndex = 0; classIndex < classes.size(); classIndex++) {
--- a/src/main/java/mulleinfront/core/Wire.java
+++ b/src/main/java/mulleinfront/core/Wire.java
@@ -95,7 +95,7 @@
         void cancel();
 
         /** Sets the timeout, counted from now, once the request has been read completely. */
-        default void endWithin(long timeoutUs) {}
+        default void setTimeout(long timeoutUs) {}
     }
 
     /**
@@ -106,13 +106,13 @@
      * @param endpointId id of an endpoint of the last list
      * @param message the message to send
      * @param timeoutUs time from now until the attempt times out, microseconds, above 0; {@link #NO_TIMEOUT} while
-     *        the request is still being read, until {@link Attempt#endWithin} is called
+     *        the request is still being read, until {@link Attempt#setTimeout} is called
      * @param maySend called right before the first byte is written: if it returns false, nothing is sent and the
      *        attempt ends as {@link Outcome#IGNORED}
      * @param listener called with the events of the attempt
      * @return the attempt, or null if the endpoint is unknown or the request can't be sent from its beginning
      */
-    Attempt attempt(
+    Attempt prepareAttempt(
             String requestId,
             int number,
             String endpointId,
--- a/src/main/java/mulleinfront/emulator/Auditor.java
+++ b/src/main/java/mulleinfront/emulator/Auditor.java
@@ -32,14 +32,14 @@
     private final ArrayDeque<AcceptedRequest> byArrival = new ArrayDeque<>();
 
     private final Map<Integer, ProxyView> views = new HashMap<>();
-    private final ToldDeadlines deadlines;
+    private final PropagationDeadlines deadlines;
     private final Set<Integer> pausedProxies = new HashSet<>();
     private final Map<String, Location> locations = new HashMap<>();
     private final Map<String, ColdServer> coldServers = new HashMap<>();
     private final List<Breach> breaches = new ArrayList<>();
     private int breachCount;
     /** Entries of all lists and deltas sent to client proxies. */
-    long entriesTold;
+    long entriesSent;
 
     private long disconnectSlackUs;
 
@@ -50,15 +50,15 @@
         DRAINS("drains are kept"),
         COLD("a cold host is not pushed over");
 
-        private final String words;
+        private final String description;
 
         Rule(String words) {
-            this.words = words;
+            this.description = words;
         }
 
         /** Description of the invariant. */
-        public String words() {
-            return words;
+        public String description() {
+            return description;
         }
     }
 
@@ -74,7 +74,7 @@
     public record Breach(Rule rule, long atUs, int proxy, String request, String what) {
         @Override
         public String toString() {
-            return "rule broken: " + rule.words() + ": " + what + (request == null ? "" : ", request " + request)
+            return "rule broken: " + rule.description() + ": " + what + (request == null ? "" : ", request " + request)
                     + (proxy < 0 ? "" : ", client proxy " + proxy) + ", at "
                     + String.format(Locale.ROOT, "%.6f", atUs / 1e6) + " s";
         }
@@ -152,7 +152,7 @@
 
     Auditor(Scenario scenario) {
         this.scenario = scenario;
-        this.deadlines = new ToldDeadlines(scenario.rules().askWithinUs());
+        this.deadlines = new PropagationDeadlines(scenario.rules().askWithinUs());
     }
 
     /** The first 100 violations, in the order in which they were detected. */
@@ -178,7 +178,7 @@
 
     // ---- requests ------------------------------------------------------------------------------------
 
-    void taken(int proxy, String id, int classIndex, long now, long deadlineAt) {
+    void requestAccepted(int proxy, String id, int classIndex, long now, long deadlineAt) {
         AcceptedRequest request = new AcceptedRequest(
                 id, proxy, scenario.classes().get(classIndex).type(), deadlineAt);
         request.excused = pausedProxies.contains(proxy);
@@ -194,12 +194,12 @@
      * Sets how long a proxy may take to notice that a client has disconnected: on sockets the close may cross data
      * that the proxy sends.
      */
-    void leaveSlack(long us) {
+    void setDisconnectSlack(long us) {
         disconnectSlackUs = us;
     }
 
     /** Forgets a request that was never accepted: its connection closed before the proxy read it. */
-    void untaken(String id) {
+    void requestNotAccepted(String id) {
         AcceptedRequest request = requests.remove(id);
         if (request != null) {
             request.ended = true;
@@ -240,7 +240,7 @@
 
     void refused(int proxy, String id, long now) {
         AcceptedRequest request = end(proxy, id, now, "refused");
-        if (request == null || Scenario.refusable(request.type)) {
+        if (request == null || Scenario.refusalHarmless(request.type)) {
             return;
         }
         for (SentAttempt attempt : request.attempts) {
@@ -265,7 +265,7 @@
     }
 
     /** Records that a request's client disconnected. */
-    void left(int proxy, String id, long now) {
+    void clientDisconnected(int proxy, String id, long now) {
         AcceptedRequest request = requests.get(id);
         if (request != null && !request.ended) {
             request.ended = true;
@@ -389,7 +389,7 @@
     /**
      * Records that a proxy is paused or resumes; requests that are open during a pause need not be answered in time.
      */
-    void stands(int proxy, boolean paused, long now) {
+    void proxyPaused(int proxy, boolean paused, long now) {
         deadlines.proxyConnected(proxy, !paused, now);
         if (paused ? pausedProxies.add(proxy) : pausedProxies.remove(proxy)) {
             requests.values().stream()
@@ -413,7 +413,7 @@
         }
     }
 
-    void asked(int proxy, long now) {
+    void discoveryCalled(int proxy, long now) {
         deadlines.discoveryCalled(proxy, now);
     }
 
@@ -427,12 +427,12 @@
     }
 
     /** Propagation deadlines of list changes. */
-    ToldDeadlines deadlines() {
+    PropagationDeadlines deadlines() {
         return deadlines;
     }
 
-    void told(int proxy, long version, Source source, List<Registry.Entry> entries, long now) {
-        entriesTold += entries.size();
+    void listReceived(int proxy, long version, Source source, List<Registry.Entry> entries, long now) {
+        entriesSent += entries.size();
         Map<String, ListedServer> servers = views.get(proxy).servers;
         if (source != Source.DELTA) {
             for (ListedServer server : servers.values()) {
@@ -485,7 +485,7 @@
             return;
         }
         Long listedAt = drainListedAt.get(host);
-        if (scenario.discovery().asked() && listedAt != null) {
+        if (scenario.discovery().polled() && listedAt != null) {
             long deadline = deadlines.deadline(proxy, listedAt);
             if (deadline < now - grace) {
                 addBreach(
--- a/src/main/java/mulleinfront/emulator/Compared.java
+++ b/src/main/java/mulleinfront/emulator/BalancerComparison.java
@@ -10,41 +10,43 @@
  *
  * @param name the balancer's name
  * @param reference the reference balancer; null: the product
- * @param worlds the result for each seed
+ * @param results the result for each seed
  */
-public record Compared(String name, Reference reference, List<Sweep.SeedResult> worlds) {
+public record BalancerComparison(String name, Reference reference, List<Sweep.SeedResult> results) {
 
     /** Runs the product first, then each reference balancer in order. */
-    public static List<Compared> play(Scenario scenario, long from, long to, int jobs) throws InterruptedException {
-        List<Compared> all = new ArrayList<>();
-        all.add(new Compared("mulleinfront", null, Sweep.play(scenario, from, to, jobs, null, p -> {})));
+    public static List<BalancerComparison> run(Scenario scenario, long from, long to, int jobs)
+            throws InterruptedException {
+        List<BalancerComparison> all = new ArrayList<>();
+        all.add(new BalancerComparison("mulleinfront", null, Sweep.run(scenario, from, to, jobs, null, p -> {})));
         for (Reference reference : Reference.values()) {
-            all.add(new Compared(
-                    reference.word(), reference, Sweep.play(scenario, from, to, jobs, reference, p -> {})));
+            all.add(new BalancerComparison(
+                    reference.outputName(), reference, Sweep.run(scenario, from, to, jobs, reference, p -> {})));
         }
         return all;
     }
 
     public double mean() {
-        return Sweep.mean(worlds);
+        return Sweep.mean(results);
     }
 
     public double worst() {
-        return worlds.stream().mapToDouble(Sweep.SeedResult::service).min().orElse(0);
+        return results.stream().mapToDouble(Sweep.SeedResult::service).min().orElse(0);
     }
 
     /** Number of seeds with a violation. */
-    public int broken() {
-        return (int) worlds.stream().filter(p -> p.breaches() > 0).count();
+    public int seedsWithBreaches() {
+        return (int) results.stream().filter(p -> p.breaches() > 0).count();
     }
 
     /** The lowest ratio of this balancer's service score to another's on the same seed. */
-    double lowestRatioTo(Compared other) {
+    double lowestRatioTo(BalancerComparison other) {
         double lowest = Double.POSITIVE_INFINITY;
-        for (int i = 0; i < worlds.size(); i++) {
+        for (int i = 0; i < results.size(); i++) {
             lowest = Math.min(
                     lowest,
-                    worlds.get(i).service() / Math.max(1e-9, other.worlds.get(i).service()));
+                    results.get(i).service()
+                            / Math.max(1e-9, other.results.get(i).service()));
         }
         return lowest;
     }
@@ -53,7 +55,7 @@
      * A table with a line for each balancer, followed by the product's ratio to the references that know the servers'
      * true state.
      */
-    public static String table(Scenario scenario, long from, long to, List<Compared> all) {
+    public static String table(Scenario scenario, long from, long to, List<BalancerComparison> all) {
         StringBuilder out = new StringBuilder();
         out.append(String.format(
                 Locale.ROOT,
@@ -67,23 +69,23 @@
                 "goodput",
                 "broken",
                 ""));
-        for (Compared compared : all) {
+        for (BalancerComparison compared : all) {
             out.append(String.format(
                     Locale.ROOT,
                     "%-14s %8.4f %8.4f %8.3f %8d  %s%n",
                     compared.name,
                     compared.mean(),
                     compared.worst(),
-                    compared.worlds.stream()
+                    compared.results.stream()
                             .mapToDouble(Sweep.SeedResult::goodput)
                             .average()
                             .orElse(0),
-                    compared.broken(),
-                    compared.reference == null ? "the product" : compared.reference.words()));
+                    compared.seedsWithBreaches(),
+                    compared.reference == null ? "the product" : compared.reference.description()));
         }
-        Compared product = all.get(0);
-        for (Compared compared : all) {
-            if (compared.reference != null && compared.reference.seesLateUs() >= 0) {
+        BalancerComparison product = all.get(0);
+        for (BalancerComparison compared : all) {
+            if (compared.reference != null && compared.reference.knowledgeDelayUs() >= 0) {
                 out.append(String.format(
                         Locale.ROOT,
                         "of %s: %.3f of its mean service, on the worst seed %.3f%n",
--- a/src/main/java/mulleinfront/emulator/CallGraph.java
+++ b/src/main/java/mulleinfront/emulator/CallGraph.java
@@ -8,8 +8,8 @@
 
 /**
  * A randomly generated acyclic graph of services and their calls. Services of level 0 (front services) receive requests
- * from outside. All of them call the first service of level 1, which is therefore on every path. Calls go only to deeper
- * levels. One chain reaches the deepest level; the other calls are drawn from a skewed distribution of callees.
+ * from outside. All of them call the first service of level 1, which is therefore on every path. Calls go only to
+ * deeper levels. One chain reaches the deepest level; the other calls are drawn from a skewed distribution of callees.
  */
 final class CallGraph {
     /**
@@ -18,17 +18,17 @@
      * @param number number among all edges
      * @param from number of the calling service
      * @param to number of the called service
-     * @param chance fraction of the caller's requests that make this call
+     * @param probability fraction of the caller's requests that make this call
      * @param optional whether the caller answers even if this call fails
      * @param reads whether the call is safe, whatever the request's effect is
      */
-    record Edge(int number, int from, int to, double chance, boolean optional, boolean reads) {}
+    record Edge(int number, int from, int to, double probability, boolean optional, boolean reads) {}
 
     /**
      * One service.
      *
      * @param level number of its level; 0: it receives requests from outside
-     * @param inTurn whether it makes its calls sequentially, in the order of {@code calls}
+     * @param sequential whether it makes its calls sequentially, in the order of {@code calls}
      * @param work work of a call to it, as a multiple of the class's work
      * @param visits mean number of calls to it per request from outside
      * @param hosts number of machines that run it
@@ -37,7 +37,7 @@
             int number,
             String name,
             int level,
-            boolean inTurn,
+            boolean sequential,
             double work,
             double visits,
             int hosts,
@@ -50,7 +50,7 @@
     private static final int BISECTION_ROUNDS = 60;
 
     private final GraphSpec spec;
-    private final Chance chance;
+    private final RandomStream chance;
     private final int[] level;
     /** The chain's service of each level. */
     private final int[] chain;
@@ -58,7 +58,7 @@
     private final List<UnscaledEdge> drawEdges = new ArrayList<>();
     private final List<Node> nodes = new ArrayList<>();
 
-    private CallGraph(GraphSpec spec, Chance chance) {
+    private CallGraph(GraphSpec spec, RandomStream chance) {
         this.spec = spec;
         this.chance = chance;
         this.level = new int[spec.services()];
@@ -71,12 +71,12 @@
      * @throws IllegalArgumentException if there are too few services or machines, or the chain alone causes
      *         more calls than the requested mean per request
      */
-    static CallGraph draw(GraphSpec spec, long seed) {
+    static CallGraph generate(GraphSpec spec, long seed) {
         if (spec.services() < spec.fronts() + spec.depth()) {
             throw new IllegalArgumentException("fewer services than fronts and levels: " + spec.services() + " for "
                     + spec.fronts() + " and " + spec.depth());
         }
-        CallGraph graph = new CallGraph(spec, Chance.of(seed, "graph"));
+        CallGraph graph = new CallGraph(spec, RandomStream.of(seed, "graph"));
         graph.assignLevels();
         graph.drawEdges();
         graph.scaleProbabilities();
@@ -97,7 +97,7 @@
             chain[l] = next;
         }
         for (; next < spec.services(); next++) {
-            level[next] = spec.depth() < 2 ? 1 : 2 + chance.below(spec.depth() - 1);
+            level[next] = spec.depth() < 2 ? 1 : 2 + chance.uniformBelow(spec.depth() - 1);
         }
     }
 
@@ -114,15 +114,15 @@
         // Every other service is called by a service of a level between the front and its own.
         for (int t = spec.fronts() + spec.depth(); t < n; t++) {
             List<Integer> above = above(level[t]);
-            add(called, above.get(chance.below(above.size())), t);
+            add(called, above.get(chance.uniformBelow(above.size())), t);
         }
-        double[] popularity = Chance.zipf(n, spec.skew());
+        double[] popularity = RandomStream.zipfWeights(n, spec.skew());
         int[] ranks = new int[n];
         for (int i = 0; i < n; i++) {
             ranks[i] = i;
         }
         for (int i = n - 1; i > 0; i--) {
-            int j = chance.below(i + 1);
+            int j = chance.uniformBelow(i + 1);
             int swapped = ranks[i];
             ranks[i] = ranks[j];
             ranks[j] = swapped;
@@ -134,10 +134,10 @@
                 weights[t] = level[t] > level[s] ? popularity[ranks[t]] : 0;
                 sum += weights[t];
             }
-            int furtherCalls = chance.below(spec.fanOut() + 1);
-            double[] summed = Chance.sum(weights);
+            int furtherCalls = chance.uniformBelow(spec.fanOut() + 1);
+            double[] summed = RandomStream.cumulative(weights);
             for (int i = 0; i < furtherCalls && sum > 0; i++) {
-                add(called, s, chance.place(summed));
+                add(called, s, chance.weightedIndex(summed));
             }
         }
     }
@@ -158,7 +158,7 @@
             drawEdges.add(new UnscaledEdge(
                     from,
                     to,
-                    chance.between(0.1, 0.6),
+                    chance.uniformBetween(0.1, 0.6),
                     false,
                     chance.happens(spec.optionalShare()),
                     chance.happens(spec.readShare())));
@@ -216,7 +216,7 @@
         double[] visits = visits(low);
         double[] work = new double[visits.length];
         for (int s = 0; s < work.length; s++) {
-            work[s] = spec.workFactor().draw(chance::between);
+            work[s] = spec.workFactor().draw(chance::uniformBetween);
         }
         int[] hosts = hosts(visits, work);
         TreeMap<Integer, List<Edge>> edges = new TreeMap<>();
--- a/src/main/java/mulleinfront/emulator/Cause.java
+++ b/src/main/java/mulleinfront/emulator/Cause.java
@@ -35,19 +35,19 @@
     /** The client disconnected. */
     CLIENT_GONE("client gone");
 
-    private final String words;
+    private final String description;
 
     Cause(String words) {
-        this.words = words;
+        this.description = words;
     }
 
     /** Description for people. */
-    public String words() {
-        return words;
+    public String description() {
+        return description;
     }
 
     /** The output name in files. */
-    public String word() {
+    public String outputName() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/src/main/java/mulleinfront/emulator/Clients.java
+++ b/src/main/java/mulleinfront/emulator/Clients.java
@@ -16,8 +16,8 @@
 
     private final World world;
     private final Scenario scenario;
-    private final Chance arrivals;
-    private final Chance behaviour;
+    private final RandomStream arrivals;
+    private final RandomStream behaviour;
     private final double[] cumulativeProxyWeights;
     private final double[] cumulativeClassWeights;
     private final double[] cumulativeKeyWeights;
@@ -32,7 +32,7 @@
     private long nextId;
 
     /** The result of a try as the client sees it. */
-    enum How {
+    enum TryResult {
         SERVED,
         REFUSED,
         FAILED,
@@ -98,17 +98,17 @@
 
     /** One try: a request message with its own id. */
     static final class Try {
-        final ClientRequest ask;
+        final ClientRequest request;
         final Call call;
         final long sentAt;
         final long deadlineAt;
         private boolean over;
         private Time.Timer timeout;
         /** The result; null while the try is open. */
-        How result;
+        TryResult result;
 
         private Try(ClientRequest request, Call call, long sentAt, long deadlineAt) {
-            this.ask = request;
+            this.request = request;
             this.call = call;
             this.sentAt = sentAt;
             this.deadlineAt = deadlineAt;
@@ -120,15 +120,16 @@
         this.scenario = world.scenario;
         this.arrivals = world.chance("arrivals");
         this.behaviour = world.chance("habits");
-        double[] weights =
-                Chance.zipf(scenario.proxies().count(), scenario.proxies().spread());
-        this.cumulativeProxyWeights = Chance.sum(weights);
-        this.cumulativeClassWeights = Chance.sum(scenario.classes().stream()
+        double[] weights = RandomStream.zipfWeights(
+                scenario.proxies().count(), scenario.proxies().spread());
+        this.cumulativeProxyWeights = RandomStream.cumulative(weights);
+        this.cumulativeClassWeights = RandomStream.cumulative(scenario.classes().stream()
                 .mapToDouble(Scenario.ClassSpec::share)
                 .toArray());
         this.cumulativeKeyWeights = scenario.load().keys() == 0
                 ? null
-                : Chance.sum(Chance.zipf(scenario.load().keys(), scenario.load().zipf()));
+                : RandomStream.cumulative(RandomStream.zipfWeights(
+                        scenario.load().keys(), scenario.load().zipf()));
         int count = Math.max(1, scenario.tenants().size());
         this.tenantWeights = new double[count];
         this.surge = new double[count];
@@ -154,7 +155,7 @@
         for (int i = 0; i < weights.length; i++) {
             weights[i] *= surge[i];
         }
-        cumulativeTenantWeights = Chance.sum(weights);
+        cumulativeTenantWeights = RandomStream.cumulative(weights);
         surgeLoadFactor = cumulativeTenantWeights[cumulativeTenantWeights.length - 1] / withoutSurge;
     }
 
@@ -167,7 +168,7 @@
     }
 
     void begin(long at) {
-        if (scenario.load().shape() == Scenario.Shape.BURSTY) {
+        if (scenario.load().shape() == Scenario.LoadShape.BURSTY) {
             world.queue.after(at, this::toggleBurst);
         }
         world.queue.after(at, this::scheduleArrival);
@@ -203,7 +204,7 @@
         world.queue.after((long) Math.min(gap, 1e6), () -> {
             if (world.queue.now() < scenario.lengthUs()) {
                 if (arrives) {
-                    ask();
+                    sendRequest();
                 }
                 scheduleArrival();
             }
@@ -211,13 +212,13 @@
     }
 
     /** Sends one request with a drawn class, tenant, key and client proxy. */
-    void ask() {
-        int classIndex = arrivals.place(cumulativeClassWeights);
+    void sendRequest() {
+        int classIndex = arrivals.weightedIndex(cumulativeClassWeights);
         Scenario.ClassSpec spec = scenario.classes().get(classIndex);
-        int tenant = arrivals.place(cumulativeTenantWeights);
-        String key = cumulativeKeyWeights == null ? null : "k" + arrivals.place(cumulativeKeyWeights);
+        int tenant = arrivals.weightedIndex(cumulativeTenantWeights);
+        String key = cumulativeKeyWeights == null ? null : "k" + arrivals.weightedIndex(cumulativeKeyWeights);
         double work = spec.drawUs(arrivals);
-        int proxy = arrivals.place(cumulativeProxyWeights);
+        int proxy = arrivals.weightedIndex(cumulativeProxyWeights);
         ClientRequest request = new ClientRequest(
                 classIndex,
                 spec.type(),
@@ -228,16 +229,16 @@
                 overShare(tenant),
                 world.queue.now(),
                 proxy,
-                scenario.clients().patience().draw(behaviour::between),
-                behaviour.happens(scenario.clients().honour()),
+                scenario.clients().timeoutFraction().draw(behaviour::uniformBetween),
+                behaviour.happens(scenario.clients().retryAfterShare()),
                 null);
-        world.tally.requestArrived(request, world.proxies.get(proxy));
-        world.account.requestArrived(request);
+        world.statistics.requestArrived(request, world.proxies.get(proxy));
+        world.lossAttribution.requestArrived(request);
         startTry(request);
     }
 
     /** Sends a call of the graph simulation, which replaces the generated load. */
-    void call(Hop hop, int proxy, int tenant, String key, double work) {
+    void sendCall(Hop hop, int proxy, int tenant, String key, double work) {
         ClientRequest request = new ClientRequest(
                 hop.classIndex,
                 scenario.classes().get(hop.classIndex).type(),
@@ -251,14 +252,14 @@
                 1,
                 false,
                 hop);
-        world.tally.requestArrived(request, world.proxies.get(proxy));
-        world.account.requestArrived(request);
+        world.statistics.requestArrived(request, world.proxies.get(proxy));
+        world.lossAttribution.requestArrived(request);
         startTry(request);
     }
 
     /** The application cancels a call. */
-    void giveUp(Try clientTry) {
-        abandon(clientTry, How.LEFT);
+    void cancelCall(Try clientTry) {
+        abandon(clientTry, TryResult.LEFT);
     }
 
     private boolean overShare(int tenant) {
@@ -279,10 +280,10 @@
                 now + (long) (request.deadlineFactor * request.type.deadlineUs()),
                 request.arrivedAt + request.type.deadlineUs());
         if (request.hop != null) {
-            deadline = Math.min(deadline, request.hop.endAt);
+            deadline = Math.min(deadline, request.hop.deadlineAt);
         }
         if (deadline - now < 1_000) {
-            finish(request, How.TIMED_OUT);
+            finish(request, TryResult.TIMED_OUT);
             return;
         }
         request.tries++;
@@ -300,43 +301,44 @@
                 now,
                 deadline);
         if (request.hop != null) {
-            request.hop.tried(clientTry, now);
+            request.hop.tryStarted(clientTry, now);
         }
-        world.tally.trySent();
-        world.account.trySent(clientTry);
+        world.statistics.trySent();
+        world.lossAttribution.trySent(clientTry);
         Instance proxy = world.proxies.get(request.proxy);
         world.queue.after(clientDelay(), () -> {
             if (clientTry.over) {
                 return;
             }
             if (!proxy.running()) {
-                answered(clientTry, How.UNREACHABLE, 0);
+                deliverResult(clientTry, TryResult.UNREACHABLE, 0);
                 return;
             }
-            proxy.take(clientTry);
+            proxy.accept(clientTry);
         });
         clientTry.timeout = world.queue.after(
-                deadline + scenario.rules().answerSlackUs() - now, () -> abandon(clientTry, How.TIMED_OUT));
-        if (behaviour.happens(scenario.clients().leave())) {
-            world.queue.after((long) ((deadline - now) * behaviour.unit()), () -> abandon(clientTry, How.LEFT));
+                deadline + scenario.rules().answerSlackUs() - now, () -> abandon(clientTry, TryResult.TIMED_OUT));
+        if (behaviour.happens(scenario.clients().disconnectShare())) {
+            world.queue.after(
+                    (long) ((deadline - now) * behaviour.uniform()), () -> abandon(clientTry, TryResult.LEFT));
         }
     }
 
     private long clientDelay() {
-        return (long) scenario.network().client().draw(behaviour::between);
+        return (long) scenario.network().client().draw(behaviour::uniformBetween);
     }
 
     /** The client stops waiting and closes its connection. */
-    private void abandon(Try clientTry, How result) {
+    private void abandon(Try clientTry, TryResult result) {
         if (!clientTry.over) {
             clientTry.over = true;
-            world.proxies.get(clientTry.ask.proxy).gone(clientTry);
+            world.proxies.get(clientTry.request.proxy).clientDisconnected(clientTry);
             tryEnded(clientTry, result, 0);
         }
     }
 
     /** Delivers the client proxy's result to the client after the network delay. */
-    void answered(Try clientTry, How result, long retryAfterUs) {
+    void deliverResult(Try clientTry, TryResult result, long retryAfterUs) {
         world.queue.after(clientDelay(), () -> {
             if (!clientTry.over) {
                 clientTry.over = true;
@@ -347,18 +349,20 @@
     }
 
     /** Processes a try's result in the client: it makes a further try if a repeat is safe and time is left. */
-    private void tryEnded(Try clientTry, How result, long retryAfterUs) {
-        ClientRequest request = clientTry.ask;
+    private void tryEnded(Try clientTry, TryResult result, long retryAfterUs) {
+        ClientRequest request = clientTry.request;
         long now = world.queue.now();
         clientTry.result = result;
-        world.account.tryEnded(clientTry);
-        world.tally.tryEnded(request, result);
-        if (result == How.SERVED || result == How.LEFT) {
+        world.lossAttribution.tryEnded(clientTry);
+        world.statistics.tryEnded(request, result);
+        if (result == TryResult.SERVED || result == TryResult.LEFT) {
             finish(request, result);
             return;
         }
-        boolean safeToRepeat = result == How.REFUSED || result == How.UNREACHABLE || Scenario.refusable(request.type);
-        double wait = scenario.clients().backoff().draw(behaviour::between)
+        boolean safeToRepeat = result == TryResult.REFUSED
+                || result == TryResult.UNREACHABLE
+                || Scenario.refusalHarmless(request.type);
+        double wait = scenario.clients().backoff().draw(behaviour::uniformBetween)
                 * (scenario.clients().doubling() ? 1 << Math.min(16, request.tries - 1) : 1);
         if (request.honoursRetryAfter) {
             wait = Math.max(wait, retryAfterUs);
@@ -371,7 +375,7 @@
         }
         world.queue.after((long) wait, () -> {
             if (request.hop != null && request.hop.over()) {
-                finish(request, How.LEFT);
+                finish(request, TryResult.LEFT);
             } else {
                 startTry(request);
             }
@@ -379,9 +383,9 @@
     }
 
     /** Completes a request; no further try follows. */
-    private void finish(ClientRequest request, How result) {
-        double lostValue = world.tally.requestEnded(request, result == How.SERVED, world.queue.now());
-        world.account.requestEnded(request, lostValue, world.queue.now());
+    private void finish(ClientRequest request, TryResult result) {
+        double lostValue = world.statistics.requestEnded(request, result == TryResult.SERVED, world.queue.now());
+        world.lossAttribution.requestEnded(request, lostValue, world.queue.now());
         if (request.hop != null) {
             request.hop.ended(result, world.queue.now());
         }
--- a/src/main/java/mulleinfront/emulator/Fitting.java
+++ b/src/main/java/mulleinfront/emulator/CoreWiring.java
@@ -9,11 +9,11 @@
 import mulleinfront.core.Wire;
 
 /**
- * How a core is connected to the other parts of its client proxy. {@link #PLAIN} connects them unchanged; tests use
+ * How a core is connected to the other parts of its client proxy. {@link #UNCHANGED} connects them unchanged; tests use
  * deliberately faulty ones to show that the auditor detects violations.
  */
-interface Fitting {
-    Fitting PLAIN = new Fitting() {};
+interface CoreWiring {
+    CoreWiring UNCHANGED = new CoreWiring() {};
 
     /** The wire that the core sends on. */
     default Wire<Call, Answer> wire(Wire<Call, Answer> wire, Time time) {
@@ -21,12 +21,12 @@
     }
 
     /** The handler of the core's responses. */
-    default ResponseHandler<Call, Answer> caller(ResponseHandler<Call, Answer> caller, Time time) {
+    default ResponseHandler<Call, Answer> responseHandler(ResponseHandler<Call, Answer> caller, Time time) {
         return caller;
     }
 
     /** Passes a list update to the core. */
-    default void listed(Core<Call, Answer> core, Source source, List<Endpoint> endpoints, Time time) {
+    default void deliverList(Core<Call, Answer> core, Source source, List<Endpoint> endpoints, Time time) {
         core.onEndpointList(source, endpoints);
     }
 }
--- a/src/main/java/mulleinfront/emulator/DatagramFaults.java
+++ b/src/main/java/mulleinfront/emulator/DatagramFaults.java
@@ -13,9 +13,9 @@
     /** Additional delay of a datagram that later ones overtake, microseconds. */
     private static final Range OVERTAKEN_DELAY_US = new Range(1_000, 50_000);
 
-    private final Chance chance;
+    private final RandomStream chance;
     private final List<DatagramFault> activeFaults = new ArrayList<>();
-    private final List<Past> past = new ArrayList<>();
+    private final List<RecordedDatagram> recorded = new ArrayList<>();
     private boolean recording;
 
     /** An active fault; see {@link PeerFaults#beginFault}. */
@@ -32,18 +32,18 @@
         }
 
         /** Whether the fault is a network partition: no affected datagram is delivered. */
-        public boolean cut() {
+        public boolean isPartition() {
             return lossShare >= 1;
         }
     }
 
     /** A delivered copy of a datagram, possibly with changed bytes, and its additional delay in microseconds. */
-    public record Copy(byte[] bytes, long lateUs) {}
+    public record Copy(byte[] bytes, long extraDelayUs) {}
 
     /** A recorded datagram. */
-    public record Past(int from, int to, byte[] bytes) {}
+    public record RecordedDatagram(int from, int to, byte[] bytes) {}
 
-    public DatagramFaults(Chance chance) {
+    public DatagramFaults(RandomStream chance) {
         this.chance = chance;
     }
 
@@ -57,24 +57,24 @@
 
     /** Whether any datagrams get from one member to another: no partition separates them. */
     public boolean passes(int from, int to) {
-        return activeFaults.stream().noneMatch(fault -> fault.cut() && fault.affects(from, to));
+        return activeFaults.stream().noneMatch(fault -> fault.isPartition() && fault.affects(from, to));
     }
 
     /** Starts or stops recording datagrams, up to 4,096 of them. */
-    public void remember(boolean enabled) {
+    public void setRecording(boolean enabled) {
         recording = enabled;
     }
 
     /** A recorded datagram, chosen at random; null if there is none. */
-    public Past past() {
-        return past.isEmpty() ? null : past.get(chance.below(past.size()));
+    public RecordedDatagram recorded() {
+        return recorded.isEmpty() ? null : recorded.get(chance.uniformBelow(recorded.size()));
     }
 
     /** Applies the active faults to a datagram: returns no, one or two copies. */
     public List<Copy> deliver(int from, int to, byte[] bytes, int length) {
         byte[] copy = Arrays.copyOf(bytes, length);
-        if (recording && past.size() < MAX_RECORDED_DATAGRAMS) {
-            past.add(new Past(from, to, copy));
+        if (recording && recorded.size() < MAX_RECORDED_DATAGRAMS) {
+            recorded.add(new RecordedDatagram(from, to, copy));
         }
         long extraDelayUs = 0;
         boolean duplicate = false;
@@ -85,39 +85,41 @@
             if (chance.happens(fault.lossShare())) {
                 return List.of();
             }
-            extraDelayUs += (long) fault.extraDelayUs().draw(chance::between)
-                    + (chance.happens(fault.overtakenShare()) ? (long) OVERTAKEN_DELAY_US.draw(chance::between) : 0);
+            extraDelayUs += (long) fault.extraDelayUs().draw(chance::uniformBetween)
+                    + (chance.happens(fault.overtakenShare())
+                            ? (long) OVERTAKEN_DELAY_US.draw(chance::uniformBetween)
+                            : 0);
             duplicate |= chance.happens(fault.duplicateShare());
             copy = chance.happens(fault.corruptedShare()) ? corrupted(copy) : copy;
         }
         Copy first = new Copy(copy, extraDelayUs);
         return duplicate
-                ? List.of(first, new Copy(copy, extraDelayUs + (long) OVERTAKEN_DELAY_US.draw(chance::between)))
+                ? List.of(first, new Copy(copy, extraDelayUs + (long) OVERTAKEN_DELAY_US.draw(chance::uniformBetween)))
                 : List.of(first);
     }
 
     private byte[] corrupted(byte[] bytes) {
         if (chance.happens(0.3)) {
-            return Arrays.copyOf(bytes, chance.below(bytes.length));
+            return Arrays.copyOf(bytes, chance.uniformBelow(bytes.length));
         }
         byte[] other = bytes.clone();
-        for (int i = 1 + chance.below(3); i > 0; i--) {
-            other[chance.below(other.length)] ^= (byte) (1 + chance.below(255));
+        for (int i = 1 + chance.uniformBelow(3); i > 0; i--) {
+            other[chance.uniformBelow(other.length)] ^= (byte) (1 + chance.uniformBelow(255));
         }
         return other;
     }
 
     /** A random datagram, as a sender outside the fleet may send. */
     public byte[] randomBytes() {
-        byte[] bytes = new byte[chance.below(300)];
+        byte[] bytes = new byte[chance.uniformBelow(300)];
         for (int i = 0; i < bytes.length; i++) {
-            bytes[i] = (byte) chance.below(256);
+            bytes[i] = (byte) chance.uniformBelow(256);
         }
         return bytes;
     }
 
     /** The number of a member, chosen at random. */
-    public int anybody(int members) {
-        return chance.below(members);
+    public int randomMember(int members) {
+        return chance.uniformBelow(members);
     }
 }
--- a/src/main/java/mulleinfront/emulator/DiscoveryClient.java
+++ b/src/main/java/mulleinfront/emulator/DiscoveryClient.java
@@ -50,14 +50,14 @@
         if (watch == null) {
             watch = new Watch(timeoutUs);
             watch.startTimeout();
-            world.audit.asked(proxy, time.now());
+            world.auditor.discoveryCalled(proxy, time.now());
             world.registry.call(watch);
         }
     }
 
     void stop() {
         if (watch != null) {
-            world.registry.leave(watch);
+            world.registry.closeWatch(watch);
             watch.end();
             watch = null;
         }
@@ -67,15 +67,15 @@
     void discoveryMoved() {
         if (watch != null) {
             stop();
-            world.audit.watchFailed(proxy, time.now(), false);
+            world.auditor.watchFailed(proxy, time.now(), false);
         }
         core.discoveryMoved(0);
         watch(Wire.movedCallTimeoutUs(world.scenario.rules().askWithinUs()));
     }
 
     /** Applies a list update, first to the wire and then to the balancer. */
-    void applyUpdate(Registry.News news, Source source) {
-        world.audit.told(proxy, news.version(), source, news.entries(), time.now());
+    void applyUpdate(Registry.ListUpdate news, Source source) {
+        world.auditor.listReceived(proxy, news.version(), source, news.entries(), time.now());
         boolean full = source != Source.DELTA;
         version = full ? news.version() : Math.max(version, news.version());
         Set<String> removed = full ? new HashSet<>(addresses.keySet()) : new HashSet<>();
@@ -94,7 +94,7 @@
             }
         }
         removed.stream().sorted().forEach(id -> wire.closeIdle(addresses.remove(id)));
-        world.wiring.listed(core, source, endpoints, time);
+        world.wiring.deliverList(core, source, endpoints, time);
     }
 
     /** A watch, or the call that opens it. */
@@ -115,7 +115,7 @@
         private Watch(long timeoutUs) {
             this.timeoutUs = timeoutUs;
             this.calledAt = time.now();
-            toldTo = version;
+            sentVersion = version;
         }
 
         @Override
@@ -129,7 +129,7 @@
         }
 
         @Override
-        boolean over() {
+        boolean ended() {
             return over;
         }
 
@@ -156,21 +156,21 @@
         }
 
         @Override
-        void silence(long agoUs) {
+        void stopReceiving(long agoUs) {
             cancelTimeout();
             lastDataAt = time.now() - agoUs;
             timeout = time.after(Wire.WATCH_TIMEOUT_US - agoUs, this::onTimeout);
         }
 
         @Override
-        void hear(Registry.News news) {
+        void receive(Registry.ListUpdate news) {
             if (!over && watch == this) {
                 if (!listReceived) {
                     cancelTimeout();
                     listReceived = true;
                 }
                 applyUpdate(news, news.full() ? Source.FULL : Source.DELTA);
-                world.audit.watching(proxy);
+                world.auditor.watching(proxy);
             }
         }
 
@@ -187,7 +187,7 @@
         }
 
         @Override
-        void cutShort(Registry.News news) {
+        void receiveTruncated(Registry.ListUpdate news) {
             fail();
         }
 
@@ -198,9 +198,9 @@
             }
             end();
             watch = null;
-            world.registry.leave(this);
-            world.audit.watchFailed(proxy, time.now(), !reset && !timedOut);
-            if (!world.scenario.discovery().asked()) {
+            world.registry.closeWatch(this);
+            world.auditor.watchFailed(proxy, time.now(), !reset && !timedOut);
+            if (!world.scenario.discovery().polled()) {
                 time.after(
                         begun ? agentBackoff.delayAfterWatchUs() : agentBackoff.delayAfterCallUs(),
                         () -> DiscoveryClient.this.watch(Wire.CALL_TIMEOUT_US));
--- a/src/main/java/mulleinfront/emulator/EmulatedWire.java
+++ b/src/main/java/mulleinfront/emulator/EmulatedWire.java
@@ -18,7 +18,7 @@
  */
 final class EmulatedWire implements Wire<Call, Answer> {
     /** Round trips of a connection handshake before a request can be sent. */
-    static final int HANDSHAKE_TRIPS = 2;
+    static final int HANDSHAKE_ROUND_TRIPS = 2;
 
     private final World world;
     private final Time time;
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public Wire.Attempt attempt(
+    public Wire.Attempt prepareAttempt(
             String requestId,
             int number,
             String hostId,
@@ -95,7 +95,7 @@
             end.ended(Outcome.IGNORED, null);
             return;
         }
-        world.tally.probes++;
+        world.statistics.probes++;
         new Attempt(null, 0, address, null, world.scenario.limits().dialTimeoutUs(), () -> true, end).start();
     }
 
@@ -136,11 +136,11 @@
         ServerModel.Job job = link.current == null ? null : link.current.job;
         Attempt endedAttempt = link.current != null && link.current.over ? link.current : null;
         link.current = null;
-        if (world.network.passes(proxy, zone, link.host)) {
+        if (world.network.delivers(proxy, zone, link.host)) {
             world.queue.after(world.network.delay(zone, link.host.zone), () -> {
                 world.release(link);
                 if (job != null) {
-                    link.life.cancel(job);
+                    link.process.cancel(job);
                 }
                 if (endedAttempt != null) {
                     endedAttempt.cancelFurtherCalls();
@@ -264,7 +264,7 @@
         @Override
         public void start() {
             if (hop != null) {
-                hop.begins(number, time.now());
+                hop.attemptStarted(number, time.now());
             }
             Link reused = takeIdle(address);
             if (reused != null) {
@@ -280,10 +280,10 @@
             }
             newConnections++;
             dial = time.after(world.scenario.limits().dialTimeoutUs(), () -> finish(Outcome.CONNECT_ERROR, null));
-            Host host = world.at(address);
+            Host host = world.hostAt(address);
             // An unused or unreachable address gives no response, so the dial times out; a reachable machine without
             // a process refuses the connection.
-            if (host == null || !world.network.passes(proxy, zone, host)) {
+            if (host == null || !world.network.delivers(proxy, zone, host)) {
                 return;
             }
             time.after(roundTripsUs(host, 1), () -> accept(host));
@@ -298,21 +298,21 @@
         }
 
         private void accept(Host host) {
-            if (over || !world.network.passes(proxy, zone, host)) {
+            if (over || !world.network.delivers(proxy, zone, host)) {
                 return;
             }
-            if (!host.alive() || host.address != address || !host.life.connect()) {
+            if (!host.alive() || host.address != address || !host.process.connect()) {
                 finish(Outcome.CONNECT_ERROR, null);
                 return;
             }
-            Link made = new Link(host, host.life, EmulatedWire.this, time.now());
+            Link made = new Link(host, host.process, EmulatedWire.this, time.now());
             host.links.add(made);
             openLinks.add(made);
-            world.tally.connectionOpened(openLinks.size());
+            world.statistics.connectionOpened(openLinks.size());
             made.current = this;
             link = made;
-            time.after(roundTripsUs(host, HANDSHAKE_TRIPS - 1), () -> {
-                if (!over && made.open && made.life == host.life && world.network.passes(proxy, zone, host)) {
+            time.after(roundTripsUs(host, HANDSHAKE_ROUND_TRIPS - 1), () -> {
+                if (!over && made.open && made.process == host.process && world.network.delivers(proxy, zone, host)) {
                     write(made);
                 }
             });
@@ -332,14 +332,14 @@
             }
             Host host = to.host;
             if (requestId != null) {
-                world.audit.sent(proxy, requestId, number, host.id, time.now());
-                world.account.sent(requestId, number, host);
-                world.tally.sent(zone == host.zone);
+                world.auditor.sent(proxy, requestId, number, host.id, time.now());
+                world.lossAttribution.attemptSent(requestId, number, host);
+                world.statistics.attemptSent(zone == host.zone);
             }
             if (hop != null) {
-                hop.written(number, newConnections > 0, zone, host.zone, time.now());
+                hop.attemptWritten(number, newConnections > 0, zone, host.zone, time.now());
             }
-            if (host.chance.happens(host.resetBefore)) {
+            if (host.chance.happens(host.resetBeforeProbability)) {
                 // The server accepted the connection and reset it before the whole request arrived, so the request
                 // surely did not run.
                 close(to);
@@ -352,7 +352,7 @@
                 return;
             }
             written = true;
-            if (world.network.passes(proxy, zone, host)) {
+            if (world.network.delivers(proxy, zone, host)) {
                 world.queue.after(world.network.delay(zone, host.zone), () -> arrive(to));
             }
         }
@@ -360,18 +360,18 @@
         /** Delivers the request to the server, if its process still has the connection. */
         private void arrive(Link to) {
             Host host = to.host;
-            if (!world.network.passes(proxy, zone, host) || to.life.stopped() || !to.accepted) {
+            if (!world.network.delivers(proxy, zone, host) || to.process.stopped() || !to.accepted) {
                 return;
             }
-            if (time.now() - to.lastResponseAt > to.life.machine().idleCloseUs()) {
+            if (time.now() - to.lastResponseAt > to.process.spec().idleCloseUs()) {
                 world.reset(to);
                 return;
             }
             if (requestId == null) {
-                to.life.probe((result, inflight) -> respond(to, result, inflight));
+                to.process.probe((result, inflight) -> respond(to, result, inflight));
                 return;
             }
-            double work = call.work() + (to.unused ? to.life.handshakeWork() : 0);
+            double work = call.work() + (to.unused ? to.process.handshakeWork() : 0);
             to.unused = false;
             ServerModel.Job made = new ServerModel.Job(
                     requestId,
@@ -382,18 +382,18 @@
                     endsAt,
                     (result, inflight) -> ownWorkDone(to, result, inflight));
             if (hop != null) {
-                hop.arrived(number, world.queue.now());
+                hop.attemptArrived(number, world.queue.now());
             }
             if (!over) {
                 job = made;
             }
-            world.arrived(host, proxy, requestId, work);
-            if (to.life.stopped()) {
+            world.workArrived(host, proxy, requestId, work);
+            if (to.process.stopped()) {
                 return;
             }
-            to.life.offer(made);
+            to.process.offer(made);
             if (over) {
-                to.life.cancel(made);
+                to.process.cancel(made);
             }
         }
 
@@ -422,17 +422,17 @@
             Host host = to.host;
             to.lastResponseAt = world.queue.now();
             if (hop != null) {
-                hop.left(number, world.queue.now());
+                hop.responseSent(number, world.queue.now());
             }
-            if (requestId != null && host.chance.happens(host.resetAfter)) {
+            if (requestId != null && host.chance.happens(host.resetAfterProbability)) {
                 world.reset(to);
                 return;
             }
-            if (!world.network.passes(proxy, zone, host)) {
+            if (!world.network.delivers(proxy, zone, host)) {
                 return;
             }
             world.queue.after(world.network.delay(zone, host.zone), () -> {
-                if (world.network.passes(proxy, zone, host)) {
+                if (world.network.delivers(proxy, zone, host)) {
                     process.runOrDefer(() -> {
                         if (to.open && to.current == this) {
                             answered(to, result, inflight);
@@ -447,7 +447,7 @@
             if (to.host.chance.happens(world.scenario.limits().reports())) {
                 end.loadReported(inflight);
             }
-            if (to.host.address == address && to.host.life == to.life && !to.life.draining()) {
+            if (to.host.address == address && to.host.process == to.process && !to.process.draining()) {
                 addIdle(to);
             } else {
                 to.current = null;
@@ -499,9 +499,9 @@
                 link = null;
             }
             if (requestId != null) {
-                world.audit.attemptEnded(proxy, requestId, number, outcome, time.now());
-                world.account.attemptEnded(requestId, number, world.at(address), outcome);
-                world.tally.outcome(outcome);
+                world.auditor.attemptEnded(proxy, requestId, number, outcome, time.now());
+                world.lossAttribution.attemptEnded(requestId, number, world.hostAt(address), outcome);
+                world.statistics.attemptEnded(outcome);
             }
             end.ended(outcome, answer);
         }
--- a/src/main/java/mulleinfront/emulator/Explain.java
+++ b/src/main/java/mulleinfront/emulator/Explain.java
@@ -16,13 +16,13 @@
      */
     public static List<String> request(Scenario scenario, long seed, String id) {
         List<String> lines = new ArrayList<>();
-        World world = World.of(scenario, seed, null);
-        world.account.setListener((request, cause) -> {
+        World world = World.create(scenario, seed, null);
+        world.lossAttribution.setListener((request, cause) -> {
             if (request.tryIds.contains(id)) {
                 describe(world, request, cause, lines::add);
             }
         });
-        world.play();
+        world.run();
         return lines;
     }
 
@@ -35,20 +35,20 @@
     public static List<String> cause(Scenario scenario, long seed, Cause wanted, long from, int maxRequests) {
         List<String> lines = new ArrayList<>();
         int[] described = {0};
-        World world = World.of(scenario, seed, null);
-        world.account.setListener((request, cause) -> {
+        World world = World.create(scenario, seed, null);
+        world.lossAttribution.setListener((request, cause) -> {
             if (cause == wanted && request.arrivedAt >= from && described[0] < maxRequests) {
                 described[0]++;
                 describe(world, request, cause, lines::add);
             }
         });
-        world.play();
+        world.run();
         return lines;
     }
 
     private static void describe(World world, Clients.ClientRequest request, Cause cause, Consumer<String> to) {
-        world.account.history(request).forEach(to);
-        to.accept(cause == null ? "             served in time" : "             lost: " + cause.words());
+        world.lossAttribution.history(request).forEach(to);
+        to.accept(cause == null ? "             served in time" : "             lost: " + cause.description());
         to.accept("");
     }
 }
--- a/src/main/java/mulleinfront/emulator/FaultReader.java
+++ b/src/main/java/mulleinfront/emulator/FaultReader.java
@@ -30,16 +30,16 @@
         List<Fault> all = new ArrayList<>();
         for (Section section : sections) {
             all.add(read(section));
-            section.done();
+            section.rejectUnknownKeys();
         }
         return all;
     }
 
     private Fault read(Section section) throws BadFileException {
-        Kind kind = section.word("do", null, Kind.class);
+        Kind kind = section.enumValue("do", null, Kind.class);
         long at = section.time("at", null);
         if (at > scenario.lengthUs()) {
-            throw section.wrong("at", "the scenario is over by then");
+            throw section.error("at", "the scenario is over by then");
         }
         long forUs = hasDuration(kind) ? section.time("for", 0L) : 0;
         double factor = 1;
@@ -52,46 +52,46 @@
             case SLOW -> factor = section.number("factor", null, 1);
             case NEIGHBOUR -> {
                 share = section.share("takes", null, 0.99);
-                on = section.times("on", Range.of(forUs > 0 ? forUs : scenario.lengthUs()));
-                off = section.times("off", ZERO);
+                on = section.timeRange("on", Range.of(forUs > 0 ? forUs : scenario.lengthUs()));
+                off = section.timeRange("off", ZERO);
             }
             case ERRORS, RESET_BEFORE, RESET_AFTER -> share = section.share("rate", null, 1);
             case PAUSE -> forUs = section.time("for", null);
             case RESTART -> {
                 drain = section.time("drain", 0L);
-                moved = section.flag("moved", false);
+                moved = section.bool("moved", false);
             }
             case DEPLOY -> {
                 share = section.share("batch", null, 1);
                 drain = section.time("drain", 3_000_000L);
-                moved = section.flag("moved", true);
+                moved = section.bool("moved", true);
                 if (share <= 0 || forUs <= 0) {
-                    throw section.wrong("a deploy needs a batch of more than zero, and a duration (for)");
+                    throw section.error("a deploy needs a batch of more than zero, and a duration (for)");
                 }
             }
-            case DISCOVERY_LATE -> on = section.times("by", null);
+            case DISCOVERY_LATE -> on = section.timeRange("by", null);
             case DISCOVERY_SHUFFLE -> factor = section.count("lists", 5, 2);
             case DISCOVERY_CROWD -> factor = section.rate("calls", null);
             case DISCOVERY_REFUSES, DISCOVERY_CUTS, DISCOVERY_ENDS -> factor = section.count("of-each", 1, 1);
             case DISCOVERY_PAUSES -> {
                 factor = section.count("of-each", 1, 1);
-                on = section.times("by", null);
+                on = section.timeRange("by", null);
             }
             case CROWD_PROXY -> factor = section.count("connections", null, 1);
-            case RELOAD_PROXY -> on = section.times("within", ZERO);
+            case RELOAD_PROXY -> on = section.timeRange("within", ZERO);
             case SURGE -> factor = section.number("factor", null, 0);
             case KILL_PROXY, END_PROXY -> {
-                on = section.times("within", ZERO);
+                on = section.timeRange("within", ZERO);
                 drain = kind == Kind.KILL_PROXY ? section.time("down", 0L) : 0;
             }
             case ROLL_PROXIES -> {
                 share = section.share("batch", null, 1);
                 if (share <= 0 || forUs <= 0) {
-                    throw section.wrong("a roll needs a batch of more than zero, and a duration (for)");
+                    throw section.error("a roll needs a batch of more than zero, and a duration (for)");
                 }
             }
             case PAUSE_PROXY -> forUs = positiveTime(section, "for");
-            case CUT_PROXY -> moved = section.flag("discovery", false);
+            case CUT_PROXY -> moved = section.bool("discovery", false);
             case STRANGERS -> factor = section.rate("rate", null);
             case REPEAT_DATAGRAMS -> {
                 factor = section.rate("rate", null);
@@ -116,24 +116,24 @@
         int proxy = -1;
         int tenant = -1;
         if (targetsServers(kind)) {
-            named = section.texts("servers");
+            named = section.strings("servers");
             for (String name : named) {
                 if (!servers.contains(name)) {
-                    throw section.wrong("servers", "there is no server " + name);
+                    throw section.error("servers", "there is no server " + name);
                 }
             }
             zone = section.has("zone") ? indexOfName(section, "zone", scenario.zones()) : -1;
             count = section.has("count")
                     ? section.count("count", null, 1)
-                    : section.has("part") ? countOfPart(section, scenario.fleet()) : -1;
-            if (count > scenario.fleet()) {
-                throw section.wrong("count", "there are only " + scenario.fleet() + " servers");
+                    : section.has("part") ? countOfPart(section, scenario.serverCount()) : -1;
+            if (count > scenario.serverCount()) {
+                throw section.error("count", "there are only " + scenario.serverCount() + " servers");
             }
             if (named.isEmpty() && zone < 0 && count < 0) {
-                throw section.wrong("names nobody: it needs servers, count, part or zone");
+                throw section.error("names nobody: it needs servers, count, part or zone");
             }
             if (!named.isEmpty() && (zone >= 0 || count >= 0)) {
-                throw section.wrong("servers", "names all targets: count, part and zone don't go with it");
+                throw section.error("servers", "names all targets: count, part and zone don't go with it");
             }
         } else if (targetsProxies(kind)) {
             proxy = section.has("proxy") ? section.count("proxy", null, 0) : -1;
@@ -143,11 +143,11 @@
                             ? countOfPart(section, scenario.proxies().count())
                             : -1;
             if (proxy < 0 == count < 0) {
-                throw section.wrong("names nobody: it needs either proxy (its number), count or part");
+                throw section.error("names nobody: it needs either proxy (its number), count or part");
             }
             if (proxy >= scenario.proxies().count()
                     || count > scenario.proxies().count()) {
-                throw section.wrong(
+                throw section.error(
                         proxy >= 0 ? "proxy" : "count",
                         "there are only " + scenario.proxies().count() + " client proxies, from 0 on");
             }
@@ -155,7 +155,7 @@
                 zone = indexOfName(section, "zone", scenario.zones());
             }
             if (kind == Kind.CUT_PROXY && zone < 0 && !moved) {
-                throw section.wrong("names nothing to cut it from: it needs discovery = true, a zone, or both");
+                throw section.error("names nothing to cut it from: it needs discovery = true, a zone, or both");
             }
         } else if (kind == Kind.BURST) {
             count = section.count("requests", null, 1);
@@ -166,7 +166,7 @@
                     scenario.tenants().stream().map(Scenario.Tenant::name).toList());
         }
         if (targetsPeerNetwork(kind) && scenario.peers() == null) {
-            throw section.wrong("do", "client proxies do not speak to each other here: there is no [peers]");
+            throw section.error("do", "client proxies do not speak to each other here: there is no [peers]");
         }
         return new Fault(
                 kind,
@@ -194,30 +194,30 @@
         List<Integer> from = numbers(section, "from");
         List<Integer> to = numbers(section, "to");
         if (cut && from.isEmpty()) {
-            throw section.wrong("from", "a partition needs the numbers of one side, as \"0-4, 7\"");
+            throw section.error("from", "a partition needs the numbers of one side, as \"0-4, 7\"");
         }
         return new Scenario.DatagramEffects(
                 from,
                 to,
-                cut && section.flag("one-way", false),
+                cut && section.bool("one-way", false),
                 cut ? 1 : section.share("lose", 0.0, 1),
                 cut ? 0 : section.share("twice", 0.0, 1),
                 cut ? 0 : section.share("overtaken", 0.0, 1),
                 cut ? 0 : section.share("change", 0.0, 1),
-                cut ? ZERO : section.times("late", ZERO));
+                cut ? ZERO : section.timeRange("late", ZERO));
     }
 
     /** Numbers of client proxies, as in "0-4, 7"; empty if the key is absent. */
     private List<Integer> numbers(Section section, String key) throws BadFileException {
         List<Integer> all = new ArrayList<>();
-        String text = section.text(key, "");
+        String text = section.string(key, "");
         for (String part : text.isEmpty() ? new String[0] : text.split(",")) {
             String[] ends = part.strip().split("-", 2);
             try {
                 int low = Integer.parseInt(ends[0]);
                 int high = Integer.parseInt(ends[ends.length - 1]);
                 if (low > high || high >= scenario.proxies().count()) {
-                    throw section.wrong(
+                    throw section.error(
                             key,
                             "'" + part.strip() + "' is no range of the "
                                     + scenario.proxies().count() + " client proxies, from 0 on");
@@ -226,7 +226,7 @@
                     all.add(i);
                 }
             } catch (NumberFormatException e) {
-                throw section.wrong(key, "'" + part.strip() + "' is no number or range, as \"0-4, 7\"");
+                throw section.error(key, "'" + part.strip() + "' is no number or range, as \"0-4, 7\"");
             }
         }
         return all;
@@ -235,7 +235,7 @@
     private static long positiveTime(Section section, String key) throws BadFileException {
         long time = section.time(key, null);
         if (time <= 0) {
-            throw section.wrong(key, "must be more than zero");
+            throw section.error(key, "must be more than zero");
         }
         return time;
     }
@@ -245,10 +245,10 @@
     }
 
     private static int indexOfName(Section section, String key, List<String> names) throws BadFileException {
-        String name = section.text(key, null);
+        String name = section.string(key, null);
         int at = names.indexOf(name);
         if (at < 0) {
-            throw section.wrong(key, "there is no " + key + " " + name);
+            throw section.error(key, "there is no " + key + " " + name);
         }
         return at;
     }
--- a/src/main/java/mulleinfront/emulator/FleetAuditor.java
+++ b/src/main/java/mulleinfront/emulator/FleetAuditor.java
@@ -72,15 +72,15 @@
     private final boolean[] paused;
     private final boolean[] leaving;
     private final long[] memberChangedAtUs;
-    private final Links links;
+    private final LinkState links;
     private long linksChangedAtUs;
     private final List<Breach> breaches = new ArrayList<>();
     private int breachCount;
     private int[] groupOf;
 
     /** Which datagrams are delivered now. */
-    public interface Links {
-        boolean pass(int from, int to);
+    public interface LinkState {
+        boolean passes(int from, int to);
 
         /** Whether all datagrams are delivered: no partition is active, the usual case. */
         boolean whole();
@@ -89,7 +89,7 @@
     /**
      * @param boundUs longest time that a wrong state may last
      */
-    public FleetAuditor(int members, long boundUs, Links links) {
+    public FleetAuditor(int members, long boundUs, LinkState links) {
         this.members = members;
         this.boundUs = boundUs;
         this.links = links;
@@ -120,7 +120,7 @@
     // ---- true state ----------------------------------------------------------------------------------
 
     /** A process starts; it knows no other member yet. */
-    public void began(int member, long now) {
+    public void started(int member, long now) {
         views[member] = new ReportedView(members);
         running[member] = true;
         paused[member] = false;
@@ -141,7 +141,7 @@
     }
 
     /** A process is paused or resumes. */
-    public void stands(int member, boolean on, long now) {
+    public void pauseChanged(int member, boolean on, long now) {
         paused[member] = on;
         memberChangedAtUs[member] = now;
     }
@@ -179,8 +179,8 @@
                     observer,
                     change.member(),
                     "member " + observer + " believed "
-                            + MemberState.values()[view.state[change.member()]].word() + " of " + change.member()
-                            + " and now believes " + change.to().word() + " of the same life or an earlier one");
+                            + MemberState.values()[view.state[change.member()]].outputName() + " of " + change.member()
+                            + " and now believes " + change.to().outputName() + " of the same life or an earlier one");
         }
         view.incarnation[change.member()] = change.incarnation();
         view.state[change.member()] = (byte) change.to().ordinal();
@@ -189,7 +189,7 @@
     // ---- checks --------------------------------------------------------------------------------------
 
     /** Checks the present states; to be called periodically, several times per bound. */
-    public void look(long now) {
+    public void check(long now) {
         groupOf = reachabilityGroups();
         long[] changedAt = new long[members];
         Arrays.setAll(changedAt, member -> Math.max(memberChangedAtUs[member], linksChangedAtUs));
@@ -215,15 +215,15 @@
                             observer,
                             member,
                             "member " + observer + " calls " + member + " "
-                                    + MemberState.values()[state[member]].word());
+                                    + MemberState.values()[state[member]].outputName());
                 } else if (!running[member] && recordedPresent) {
                     breach(
                             Rule.CALLED_ALIVE,
                             now,
                             observer,
                             member,
-                            "member " + observer + " calls " + member + " " + MemberState.values()[state[member]].word()
-                                    + ", which is dead");
+                            "member " + observer + " calls " + member + " "
+                                    + MemberState.values()[state[member]].outputName() + ", which is dead");
                 }
             }
         }
@@ -296,7 +296,7 @@
                 if (!seen[next]
                         && running[next]
                         && !paused[next]
-                        && (forward ? links.pass(current, next) : links.pass(next, current))) {
+                        && (forward ? links.passes(current, next) : links.passes(next, current))) {
                     seen[next] = true;
                     stack[top++] = next;
                 }
--- a/src/main/java/mulleinfront/emulator/FleetReport.java
+++ b/src/main/java/mulleinfront/emulator/FleetReport.java
@@ -12,15 +12,15 @@
  * @param traffic datagrams that members sent and read; null: not known
  * @param members number of members
  * @param lengthUs length of the run in microseconds
- * @param even whether all running members had the same view at the end
+ * @param viewsAgree whether all running members had the same view at the end
  */
 public record FleetReport(
         List<FleetAuditor.Breach> breaches,
         int breachCount,
-        FleetRun.Figures traffic,
+        FleetRun.TrafficCounts traffic,
         int members,
         long lengthUs,
-        boolean even) {
+        boolean viewsAgree) {
 
     /** Lines for the text report. */
     List<String> lines() {
@@ -36,7 +36,7 @@
                         members,
                         traffic.dropped(),
                         traffic.rateLimited(),
-                        even ? "even" : "not even");
+                        viewsAgree ? "even" : "not even");
         if (breachCount == 0) {
             return List.of(first, "fleet rules: all kept");
         }
--- a/src/main/java/mulleinfront/emulator/FleetRun.java
+++ b/src/main/java/mulleinfront/emulator/FleetRun.java
@@ -33,32 +33,33 @@
     }
 
     private final EventQueue queue;
-    private final Chance chance;
+    private final RandomStream chance;
     private final PeerNetwork network;
     private final IntFunction<FleetSettings> settings;
-    private final Maker memberFactory;
+    private final MemberFactory memberFactory;
     private final Peer[] peers;
     private final long[] clockMs;
-    private final FleetAuditor judge;
+    private final FleetAuditor auditor;
     private final long checkIntervalUs;
     private final List<MemberListener> listeners = new ArrayList<>();
     private int activePartitions;
-    private Figures endedMemberCounts = new Figures(0, 0, 0, 0, 0);
+    private TrafficCounts endedMemberCounts = new TrafficCounts(0, 0, 0, 0, 0);
 
     /** Creates a member; tests may create deliberately broken ones. */
-    public interface Maker {
+    public interface MemberFactory {
         /** Creates a member; the arguments are those of {@link Fleet}'s constructor. */
         Fleet create(FleetSettings settings, RandomGenerator random, long now, long wallClockMs, Fleet.Actions out);
     }
 
     /** Counts of datagrams and bytes that members sent, and of datagrams that they read, dropped or held back. */
-    public record Figures(long datagrams, long bytes, long read, long dropped, long rateLimited) {
-        private Figures plus(Fleet f) {
-            long lost = f.drops().values().stream().mapToLong(Long::longValue).sum();
-            return new Figures(
+    public record TrafficCounts(long datagrams, long bytes, long read, long dropped, long rateLimited) {
+        private TrafficCounts plus(Fleet f) {
+            long lost =
+                    f.dropCounts().values().stream().mapToLong(Long::longValue).sum();
+            return new TrafficCounts(
                     datagrams + f.sentDatagrams(),
                     bytes + f.sentBytes(),
-                    read + f.received(),
+                    read + f.receivedDatagrams(),
                     dropped + lost,
                     rateLimited + f.rateLimitedDatagrams());
         }
@@ -70,11 +71,12 @@
     }
 
     /** A fleet without other parts of a scenario, with members from a factory. */
-    public static FleetRun alone(int members, long seed, IntFunction<FleetSettings> settings, Maker memberFactory) {
+    public static FleetRun alone(
+            int members, long seed, IntFunction<FleetSettings> settings, MemberFactory memberFactory) {
         EventQueue queue = new EventQueue();
-        Chance delayChance = Chance.of(seed, "way");
-        return new FleetRun(queue, Chance.of(seed, "fleet"), members, settings, memberFactory, (from, to) ->
-                (long) delayChance.between(100, 2_000));
+        RandomStream delayChance = RandomStream.of(seed, "way");
+        return new FleetRun(queue, RandomStream.of(seed, "fleet"), members, settings, memberFactory, (from, to) ->
+                (long) delayChance.uniformBetween(100, 2_000));
     }
 
     /**
@@ -82,10 +84,10 @@
      */
     FleetRun(
             EventQueue queue,
-            Chance chance,
+            RandomStream chance,
             int members,
             IntFunction<FleetSettings> settings,
-            Maker memberFactory,
+            MemberFactory memberFactory,
             PeerNetwork.Delay delay) {
         this.queue = queue;
         this.chance = chance;
@@ -95,9 +97,9 @@
         this.peers = new Peer[members];
         this.clockMs = new long[members];
         long bound = settings.apply(0).convergenceBoundUs(members);
-        this.judge = new FleetAuditor(members, bound, new FleetAuditor.Links() {
+        this.auditor = new FleetAuditor(members, bound, new FleetAuditor.LinkState() {
             @Override
-            public boolean pass(int from, int to) {
+            public boolean passes(int from, int to) {
                 return network.faults().passes(from, to);
             }
 
@@ -107,20 +109,20 @@
             }
         });
         this.checkIntervalUs = bound / CHECKS_PER_BOUND;
-        queue.after(checkIntervalUs, this::look);
+        queue.after(checkIntervalUs, this::check);
     }
 
-    private void look() {
-        judge.look(queue.now());
-        queue.after(checkIntervalUs, this::look);
+    private void check() {
+        auditor.check(queue.now());
+        queue.after(checkIntervalUs, this::check);
     }
 
-    public void watch(MemberListener watch) {
+    public void addListener(MemberListener watch) {
         listeners.add(watch);
     }
 
-    public FleetAuditor judge() {
-        return judge;
+    public FleetAuditor auditor() {
+        return auditor;
     }
 
     public long now() {
@@ -146,7 +148,7 @@
         return peers[number] == null ? null : peers[number].fleet();
     }
 
-    public boolean up(int number) {
+    public boolean isRunning(int number) {
         return peers[number] != null && peers[number].alive();
     }
 
@@ -158,7 +160,7 @@
     }
 
     /** Starts a process whose member comes from the given factory. */
-    public void start(int number, Maker factory) {
+    public void start(int number, MemberFactory factory) {
         RandomGenerator random = new SplittableRandom(chance.nextLong());
         Peer peer = new Peer(
                 queue,
@@ -174,16 +176,16 @@
             endedMemberCounts = endedMemberCounts.plus(peers[number].fleet());
         }
         peers[number] = peer;
-        judge.began(number, queue.now());
-        peer.fleet().listen(new Fleet.Listener() {
+        auditor.started(number, queue.now());
+        peer.fleet().addListener(new Fleet.Listener() {
             @Override
             public void changed(Change change) {
-                judge.changed(number, change);
+                auditor.changed(number, change);
                 listeners.forEach(w -> w.changed(number, change));
             }
 
             @Override
-            public void reach(long now, Reachability reach, boolean settled, long digest) {
+            public void reachabilityChanged(long now, Reachability reach, boolean settled, long digest) {
                 listeners.forEach(w -> w.reach(number, now, reach, settled));
             }
         });
@@ -192,54 +194,54 @@
 
     /** Ends a process without notice, as SIGKILL does. */
     public void kill(int number) {
-        if (up(number)) {
+        if (isRunning(number)) {
             peers[number].kill();
-            judge.ended(number, queue.now());
+            auditor.ended(number, queue.now());
         }
     }
 
     /** Lets a member announce that it leaves; its owner kills the process later. */
     public void leave(int number) {
-        if (up(number)) {
-            judge.leaves(number, queue.now());
+        if (isRunning(number)) {
+            auditor.leaves(number, queue.now());
             peers[number].leave();
         }
     }
 
     /** Pauses a process for a duration, as SIGSTOP does. */
-    public void stop(int number, long us) {
-        stop(number);
+    public void pause(int number, long us) {
+        pause(number);
         Peer stopped = peers[number];
         queue.after(us, () -> {
             if (peers[number] == stopped) {
-                go(number);
+                resume(number);
             }
         });
     }
 
-    void stop(int number) {
-        if (up(number)) {
-            peers[number].stop();
-            judge.stands(number, true, queue.now());
+    void pause(int number) {
+        if (isRunning(number)) {
+            peers[number].pause();
+            auditor.pauseChanged(number, true, queue.now());
         }
     }
 
-    void go(int number) {
-        if (up(number) && peers[number].paused()) {
-            judge.stands(number, false, queue.now());
-            peers[number].go();
+    void resume(int number) {
+        if (isRunning(number) && peers[number].paused()) {
+            auditor.pauseChanged(number, false, queue.now());
+            peers[number].resume();
         }
     }
 
     @Override
-    public void clockJumps(int number, long ms) {
+    public void shiftClock(int number, long ms) {
         clockMs[number] += ms;
     }
 
     // ---- faults of the network -------------------------------------------------------------------------
 
     @Override
-    public End beginFault(
+    public ActiveFault beginFault(
             BitSet from,
             BitSet to,
             double lossShare,
@@ -250,27 +252,27 @@
         DatagramFaults.DatagramFault fault = new DatagramFaults.DatagramFault(
                 from, to, lossShare, duplicateShare, overtakenShare, corruptedShare, extraDelayUs);
         network.faults().begin(fault);
-        partitionsChanged(fault.cut() ? 1 : 0);
+        partitionsChanged(fault.isPartition() ? 1 : 0);
         return () -> {
             network.faults().end(fault);
-            partitionsChanged(fault.cut() ? -1 : 0);
+            partitionsChanged(fault.isPartition() ? -1 : 0);
         };
     }
 
     private void partitionsChanged(int change) {
         activePartitions += change;
         if (change != 0) {
-            judge.linksChanged(queue.now());
+            auditor.linksChanged(queue.now());
         }
     }
 
     @Override
-    public void repeat(long recordUs, double perSecond, long durationUs) {
-        network.faults().remember(true);
+    public void repeatDatagrams(long recordUs, double perSecond, long durationUs) {
+        network.faults().setRecording(true);
         queue.after(recordUs, () -> {
-            network.faults().remember(false);
+            network.faults().setRecording(false);
             every(perSecond, durationUs, () -> {
-                DatagramFaults.Past recorded = network.faults().past();
+                DatagramFaults.RecordedDatagram recorded = network.faults().recorded();
                 if (recorded != null) {
                     network.deliver(recorded.from(), recorded.to(), recorded.bytes(), 0);
                 }
@@ -279,13 +281,13 @@
     }
 
     @Override
-    public void strangers(double perSecond, long durationUs) {
+    public void sendFromUnknownSenders(double perSecond, long durationUs) {
         every(
                 perSecond,
                 durationUs,
                 () -> network.deliver(
                         PeerNetwork.UNKNOWN_SENDER,
-                        network.faults().anybody(peers.length),
+                        network.faults().randomMember(peers.length),
                         network.faults().randomBytes(),
                         0));
     }
@@ -312,8 +314,8 @@
     // ---- results ---------------------------------------------------------------------------------------
 
     /** Counts of all members so far, including processes that ended. */
-    public Figures figures() {
-        Figures sum = endedMemberCounts;
+    public TrafficCounts trafficCounts() {
+        TrafficCounts sum = endedMemberCounts;
         for (Peer p : peers) {
             sum = p == null ? sum : sum.plus(p.fleet());
         }
@@ -324,19 +326,19 @@
     public long dropped(DropReason why) {
         long sum = 0;
         for (Peer p : peers) {
-            sum += p == null ? 0 : p.fleet().drops().getOrDefault(why, 0L);
+            sum += p == null ? 0 : p.fleet().dropCounts().getOrDefault(why, 0L);
         }
         return sum;
     }
 
     /** The report of the run so far. */
     public FleetReport report() {
-        Figures f = figures();
-        return new FleetReport(judge.breaches(), judge.breachCount(), f, members(), queue.now(), even());
+        TrafficCounts f = trafficCounts();
+        return new FleetReport(auditor.breaches(), auditor.breachCount(), f, members(), queue.now(), viewsAgree());
     }
 
     /** Whether all members that run and are not paused have the same view. */
-    public boolean even() {
+    public boolean viewsAgree() {
         long digest = 0;
         boolean any = false;
         for (Peer p : peers) {
@@ -352,7 +354,7 @@
     }
 
     /** Number of running members that record a member in this state. */
-    public int believing(int member, MemberState state) {
+    public int countRecording(int member, MemberState state) {
         int count = 0;
         for (Peer p : peers) {
             count += p != null && p.alive() && p.fleet().state(member) == state ? 1 : 0;
--- a/src/main/java/mulleinfront/emulator/GeneratedScenario.java
+++ b/src/main/java/mulleinfront/emulator/GeneratedScenario.java
@@ -27,14 +27,14 @@
         SOAK;
 
         /** The output name, also used on the command line. */
-        public String word() {
-            return Section.form(this);
+        public String outputName() {
+            return Section.outputName(this);
         }
 
         /** The family with that name; null if there is none. */
-        public static Family of(String word) {
+        public static Family forName(String word) {
             return Arrays.stream(values())
-                    .filter(f -> f.word().equals(word))
+                    .filter(f -> f.outputName().equals(word))
                     .findFirst()
                     .orElse(null);
         }
@@ -113,20 +113,20 @@
     /** Default and least length of a soak, in seconds. */
     public static final int SOAK_S = 60;
 
-    public static final int LEAST_SOAK_S = 12;
+    public static final int MIN_SOAK_S = 12;
     /**
      * Least and most time in microseconds in which discovery processes one call of every client proxy. Known
      * deployments state 2 to 8 s.
      */
-    static final double[] ALL_CALL_US = {2e5, 8e6};
+    static final double[] CALLS_OF_ALL_PROXIES_US = {2e5, 8e6};
     /** Least and most timeout of a discovery call, microseconds. */
     static final double[] CALL_TIMEOUT_US = {2e6, 3e6};
     /** Most additional delay of a discovery response, and least and most pause within a list, microseconds. */
-    static final double MOST_LATE_US = 2.9e6;
+    static final double MAX_EXTRA_DELAY_US = 2.9e6;
 
     static final double[] LIST_PAUSE_US = {1e6, 4e6};
     /** Longest time that discovery is down or sends nothing, microseconds. */
-    static final double MOST_OUTAGE_US = 1.2e7;
+    static final double MAX_OUTAGE_US = 1.2e7;
     /** SIGKILL follows SIGTERM after the longest deadline of {@link #SOAK_CLASSES} plus 0.7 s. */
     private static final String KILL_AFTER = "2.8s";
     /** One in this many soaks has overload: additional discovery calls, and a connection flood. */
@@ -171,11 +171,11 @@
             worth = 5
             """;
 
-    private final Chance chance;
+    private final RandomStream chance;
     private final StringBuilder out = new StringBuilder();
 
     private GeneratedScenario(Family family, long seed) {
-        this.chance = Chance.of(seed, family.word());
+        this.chance = RandomStream.of(seed, family.outputName());
     }
 
     /**
@@ -184,7 +184,7 @@
      * @param instances number of client proxies, at least 1
      * @param startUs time from the start of a client proxy's process until it is ready; negative: drawn at random
      */
-    public static String of(Family family, long seed, int instances, long startUs) {
+    public static String generate(Family family, long seed, int instances, long startUs) {
         GeneratedScenario scenario = new GeneratedScenario(family, seed);
         return switch (family) {
             case HERD -> scenario.herdScenario(seed, instances, startUs);
@@ -196,7 +196,7 @@
     /**
      * Generates a soak of a given length.
      *
-     * @param lengthS how long clients send requests, seconds, at least {@link #LEAST_SOAK_S}
+     * @param lengthS how long clients send requests, seconds, at least {@link #MIN_SOAK_S}
      * @param alsoListed additional servers that full lists name, all of them draining
      */
     public static String soak(long seed, int instances, int lengthS, int alsoListed) {
@@ -209,7 +209,7 @@
     }
 
     private double between(double low, double high) {
-        return chance.between(low, high);
+        return chance.uniformBetween(low, high);
     }
 
     private static String time(double us) {
@@ -223,7 +223,7 @@
      * @return the number of servers
      */
     private int addDeployment(int instances, long startUs, String known) {
-        int zones = 2 + chance.below(3);
+        int zones = 2 + chance.uniformBelow(3);
         int hosts = Math.max(12, Math.min(200, (int) (instances * between(0.5, 0.75))));
         out.append("\n[network]\nzones = [");
         for (int i = 0; i < zones; i++) {
@@ -245,7 +245,7 @@
         line(
                 "core = %.2f%ncold-request = \"%s\"%nwarm-request = \"%s\"",
                 between(0.4, 0.6), time(between(6e3, 1e4)), time(between(8e2, 1.4e3)));
-        line("warm-after = %d", 150 + chance.below(150));
+        line("warm-after = %d", 150 + chance.uniformBelow(150));
         for (String group : new String[] {"new", "old"}) {
             boolean fresh = group.equals("new");
             line(
@@ -285,7 +285,7 @@
                 "%n[[fault]]%ndo = \"discovery-crowd\"%nat = \"%s\"%nfor = \"%s\"%ncalls = \"%.1f/s\"",
                 time(kill - between(0, 8e6)), time(between(1e7, 2e7)), between(0.2, 0.5) * instances / 5);
         String[] bad = {"do = \"errors\"%nrate = \"50%%\"", "do = \"hang\"", "do = \"slow\"%nfactor = 6"};
-        line("%n[[fault]]%n" + bad[chance.below(bad.length)] + "%nat = \"2s\"%npart = \"%.1f%%\"", 12.5);
+        line("%n[[fault]]%n" + bad[chance.uniformBelow(bad.length)] + "%nat = \"2s\"%npart = \"%.1f%%\"", 12.5);
         return out.toString();
     }
 
@@ -299,20 +299,20 @@
         line("%n[network]%nzones = [\"zone-a\", \"zone-b\", \"zone-c\"]");
         line(
                 "%n[discovery]%ncall = \"%s\"%ntimeout = \"%s\"%nalso-listed = %d",
-                time(between(ALL_CALL_US) / instances), time(between(CALL_TIMEOUT_US)), alsoListed);
+                time(between(CALLS_OF_ALL_PROXIES_US) / instances), time(between(CALL_TIMEOUT_US)), alsoListed);
         line("notice = [\"100ms\", \"1.5s\"]%nsilent-notice = [\"3s\", \"6s\"]");
-        line("%n[rules]%nask-within = \"%s\"", time(chance.below(2) == 0 ? 1e7 : between(1.8e6, 6e6)));
+        line("%n[rules]%nask-within = \"%s\"", time(chance.uniformBelow(2) == 0 ? 1e7 : between(1.8e6, 6e6)));
         line(
                 "%n[proxies]%ncount = %d%nspread = %.2f%nstart-within = \"%s\"%nknown = \"%s\"%nknown-age = \"5s\"%nkill-after = \"%s\"",
                 instances,
                 between(0, 0.8),
                 time(between(1e5, 2e6)),
-                chance.below(2) == 0 ? "current" : "stale",
+                chance.uniformBelow(2) == 0 ? "current" : "stale",
                 KILL_AFTER);
         line(
                 "%n[clients]%nretries = %d%nbackoff = [\"12ms\", \"150ms\"]%nleave = \"%.1f%%\"",
-                chance.below(3), between(0, 6));
-        int hosts = 8 + chance.below(9);
+                chance.uniformBelow(3), between(0, 6));
+        int hosts = 8 + chance.uniformBelow(9);
         line("%n[[servers]]%nname = \"host\"%ncount = %d%ncores = 2%nspeed = [0.8, 1.6]%nerrors = \"0.2%%\"", hosts);
         line(
                 "cold-from = [\"20%%\", \"40%%\"]%ncold-for = [\"5s\", \"20s\"]%nconnections-per-core = %d",
@@ -321,9 +321,9 @@
         out.append(SOAK_CLASSES);
         line(
                 "%n[load]%nrate = \"%.0f/s\"%nshape = \"bursty\"%nkeys = %d",
-                instances * between(4, 9), chance.below(2) * 300);
+                instances * between(4, 9), chance.uniformBelow(2) * 300);
         double last = lengthS - FAULT_MARGIN_S;
-        if (chance.below(OVERLOAD_ONE_IN) == 0) {
+        if (chance.uniformBelow(OVERLOAD_ONE_IN) == 0) {
             addOverload(last, instances);
         }
         for (double at = FAULT_MARGIN_S + between(0, 3); at < last; at += MIN_DISCOVERY_FAULT_GAP_S + between(0, 4)) {
@@ -343,18 +343,20 @@
         beginFault("crowd-proxy", between(FAULT_MARGIN_S, lastS / 2))
                 .line(
                         "count = %d%nconnections = %d%nfor = \"%s\"",
-                        1 + chance.below(Math.max(1, instances / 3)), 30 + chance.below(300), time(between(2e6, 1e7)));
+                        1 + chance.uniformBelow(Math.max(1, instances / 3)),
+                        30 + chance.uniformBelow(300),
+                        time(between(2e6, 1e7)));
     }
 
     /** Adds SIGHUP and SIGTERM to one process, in quick succession and each possibly more than once. */
     private void addSignals(double atS, int instances) {
-        int proxy = chance.below(instances);
+        int proxy = chance.uniformBelow(instances);
         double at = atS;
-        for (int reloads = chance.below(4); reloads > 0; reloads--) {
+        for (int reloads = chance.uniformBelow(4); reloads > 0; reloads--) {
             beginFault("reload-proxy", at).line("proxy = %d", proxy);
             at += between(0.02, 1.2);
         }
-        for (int ends = chance.below(3); ends > 0; ends--) {
+        for (int ends = chance.uniformBelow(3); ends > 0; ends--) {
             beginFault("end-proxy", at).line("proxy = %d", proxy);
             at += between(0.01, 0.4);
         }
@@ -370,8 +372,8 @@
 
     /** Adds a fault of discovery, in three of four cases with servers that start to drain as it begins. */
     private void addDiscoveryFault(double atS) {
-        if (chance.below(4) > 0) {
-            beginFault("drain", atS).line("count = %d", 1 + chance.below(2));
+        if (chance.uniformBelow(4) > 0) {
+            beginFault("drain", atS).line("count = %d", 1 + chance.uniformBelow(2));
         }
         String[] kinds = {
             "discovery-down",
@@ -384,14 +386,16 @@
             "watches-silent",
             "watches-reset"
         };
-        String kind = kinds[chance.below(kinds.length)];
+        String kind = kinds[chance.uniformBelow(kinds.length)];
         beginFault(kind, atS);
         switch (kind) {
-            case "discovery-down", "discovery-silent" -> line("for = \"%s\"", time(between(5e5, MOST_OUTAGE_US)));
+            case "discovery-down", "discovery-silent" -> line("for = \"%s\"", time(between(5e5, MAX_OUTAGE_US)));
             case "discovery-late" -> {
-                line("by = [\"0ms\", \"%s\"]%nfor = \"%s\"", time(between(1e5, MOST_LATE_US)), time(between(1e6, 8e6)));
+                line(
+                        "by = [\"0ms\", \"%s\"]%nfor = \"%s\"",
+                        time(between(1e5, MAX_EXTRA_DELAY_US)), time(between(1e6, 8e6)));
                 // Makes all proxies call discovery during the fault; without calls it would have no effect.
-                if (chance.below(2) == 0) {
+                if (chance.uniformBelow(2) == 0) {
                     beginFault("watches-reset", atS + 0.1);
                 } else {
                     beginFault("discovery-ends", atS + 0.1)
@@ -401,21 +405,21 @@
             case "discovery-pauses" ->
                 line(
                         "of-each = %d%nby = [\"%s\", \"%s\"]%nfor = \"%s\"",
-                        1 + chance.below(2),
+                        1 + chance.uniformBelow(2),
                         time(LIST_PAUSE_US[0]),
                         time(LIST_PAUSE_US[1]),
                         time(FAILING_CALLS_S * 1e6));
             case "discovery-refuses", "discovery-cuts", "discovery-ends" ->
-                line("of-each = %d%nfor = \"%s\"", 1 + chance.below(2), time(FAILING_CALLS_S * 1e6));
+                line("of-each = %d%nfor = \"%s\"", 1 + chance.uniformBelow(2), time(FAILING_CALLS_S * 1e6));
             default -> {}
         }
     }
 
     /** Adds a fault of servers, connections or client proxies. */
     private void addFault(double atS, double leftS, int instances, int hosts) {
-        int proxies = 1 + chance.below(Math.max(1, instances / 3));
+        int proxies = 1 + chance.uniformBelow(Math.max(1, instances / 3));
         double lasts = Math.min(leftS, between(0.5, 5));
-        switch (chance.below(14)) {
+        switch (chance.uniformBelow(14)) {
             case 0 ->
                 beginFault("kill-proxy", atS)
                         .line(
@@ -448,11 +452,13 @@
                                 hosts / 2, between(5, 40), time(lasts * 1e6));
             case 9 ->
                 beginFault("restart", atS)
-                        .line("count = 1%ndrain = \"%s\"%nmoved = %b", time(between(0, 2e6)), chance.below(2) == 0);
+                        .line(
+                                "count = 1%ndrain = \"%s\"%nmoved = %b",
+                                time(between(0, 2e6)), chance.uniformBelow(2) == 0);
             case 10 -> beginFault("vanish", atS).line("count = 1%nfor = \"%s\"", time(lasts * 1e6));
             case 12 -> addSignals(atS, instances);
             case 11 -> beginFault("pause", atS).line("count = 1%nfor = \"%s\"", time(between(5e4, 8e5)));
-            default -> beginFault("burst", atS).line("requests = %d", 10 + chance.below(10 * instances));
+            default -> beginFault("burst", atS).line("requests = %d", 10 + chance.uniformBelow(10 * instances));
         }
     }
 
@@ -471,10 +477,10 @@
                 time(startUs >= 0 ? startUs : between(5e5, 2e6)));
         line(
                 "%n[clients]%nretries = %d%nbackoff = [\"12ms\", \"100ms\"]%nhonour = \"%.0f%%\"",
-                1 + chance.below(2), between(30, 90));
+                1 + chance.uniformBelow(2), between(30, 90));
         line("patience = [\"%.0f%%\", \"100%%\"]", between(50, 90));
         line("%n[limits]%nattempts = 5%nprobes = false%nretry-after = \"1.5s\"");
-        String stops = chance.below(2) == 0 ? "none" : "queued";
+        String stops = chance.uniformBelow(2) == 0 ? "none" : "queued";
         String linger = String.format(
                 Locale.ROOT,
                 "linger-at = %.1f%nlinger-after = \"%s\"%nlinger-slower = %.2f%n"
@@ -492,7 +498,7 @@
                     group, fresh ? hosts * 3 / 8 : hosts - hosts * 3 / 8, fresh ? "1.5, 2.1" : "0.77, 1");
             line(
                     "slots-per-core = %d%nqueue-per-core = %d%nstops = \"%s\"%ndrops-expired = false",
-                    8 + chance.below(17), 230 + chance.below(500), stops);
+                    8 + chance.uniformBelow(17), 230 + chance.uniformBelow(500), stops);
             line("connections-per-core = 750%nhandshake-work = [\"770us\", \"2ms\"]%nidle-close = \"30s\"");
             line("report-every = [\"48ms\", \"450ms\"]");
             line("crowd-at = %.1f%ncrowd-loss = \"%.0f%%\"%n%s", between(3.8, 8.3), between(17, 30), linger);
--- a/src/main/java/mulleinfront/emulator/GraphApplication.java
+++ b/src/main/java/mulleinfront/emulator/GraphApplication.java
@@ -5,7 +5,7 @@
  * them.
  */
 interface GraphApplication {
-    GraphApplication PLAIN = new GraphApplication() {};
+    GraphApplication DEFAULT = new GraphApplication() {};
 
     /**
      * The deadline of a call: the deadline of its request less the reserve for the transfer of the response.
@@ -13,12 +13,12 @@
      * @param endsAt the deadline of the request
      * @param deadlineUs the full timeout of the call's class
      */
-    default long endOf(long endsAt, long now, long deadlineUs, long reserveUs) {
+    default long callDeadline(long endsAt, long now, long deadlineUs, long reserveUs) {
         return endsAt - reserveUs;
     }
 
     /** Whether the calls of a request are cancelled with the request. */
-    default boolean cancelsBelow() {
+    default boolean cancelsCalls() {
         return true;
     }
 
--- a/src/main/java/mulleinfront/emulator/GraphAuditor.java
+++ b/src/main/java/mulleinfront/emulator/GraphAuditor.java
@@ -86,16 +86,17 @@
 
     /** An application makes a call. */
     void called(Hop hop) {
-        if (hop.endAt > hop.caller.endsAt) {
+        if (hop.deadlineAt > hop.caller.endsAt) {
             breach(
                     Rule.DEADLINE,
                     hop,
-                    "it may take " + (hop.endAt - hop.caller.endsAt)
+                    "it may take " + (hop.deadlineAt - hop.caller.endsAt)
                             + " us longer than the request that it is made for");
         }
         Effect effect = effect(hop.classIndex);
-        Effect most =
-                hop.caller.above == null ? effect(hop.caller.request.classIndex) : effect(hop.caller.above.classIndex);
+        Effect most = hop.caller.incoming == null
+                ? effect(hop.caller.request.classIndex)
+                : effect(hop.caller.incoming.classIndex);
         if (strength(effect) > strength(most)) {
             breach(Rule.EFFECT, hop, "a " + most + " request makes a " + effect + " call");
         }
@@ -121,8 +122,8 @@
                     hop,
                     "sent " + (now - hop.caller.overAt()) + " us after the request that it is made for was over");
         }
-        if (now > hop.endAt) {
-            breach(Rule.DEADLINE, hop, "sent " + (now - hop.endAt) + " us after its time");
+        if (now > hop.deadlineAt) {
+            breach(Rule.DEADLINE, hop, "sent " + (now - hop.deadlineAt) + " us after its time");
         }
     }
 
--- a/src/main/java/mulleinfront/emulator/Part.java
+++ b/src/main/java/mulleinfront/emulator/GraphContext.java
@@ -6,7 +6,7 @@
  * Interface between the simulation of one service and the simulation of the graph that it belongs to. The service's
  * simulation has its servers and the client proxies of all machines that call it.
  */
-interface Part {
+interface GraphContext {
     /** The event queue that all parts share. */
     EventQueue queue();
 
--- a/src/main/java/mulleinfront/emulator/GraphReader.java
+++ b/src/main/java/mulleinfront/emulator/GraphReader.java
@@ -34,7 +34,7 @@
     public static GraphSpec read(Path file) throws BadFileException {
         String text = ScenarioReader.text(file);
         String world =
-                Section.root(file.toString(), text, null).table("scenario").text("world", "");
+                Section.root(file.toString(), text, null).table("scenario").string("world", "");
         Section base = null;
         if (!world.isEmpty()) {
             Path baseFile = file.resolveSibling(world);
@@ -51,34 +51,34 @@
         Section graph = root.table("graph");
         List<Section> failures = root.ownTables("failure");
         if (!root.has("graph")) {
-            throw root.wrong("graph", "there is no [graph]: run the scenario of a single service with emulate");
+            throw root.error("graph", "there is no [graph]: run the scenario of a single service with emulate");
         }
         Scenario world = ScenarioReader.read(file, root);
         if (world.servers().size() != 1) {
-            throw root.wrong(
+            throw root.error(
                     "servers",
                     "a graph needs exactly one [[servers]]: it gives the machine spec and the number of machines");
         }
-        if (world.load().shape() != Scenario.Shape.STEADY) {
-            throw root.table("load").wrong("shape", "a graph needs a steady load");
+        if (world.load().shape() != Scenario.LoadShape.STEADY) {
+            throw root.table("load").error("shape", "a graph needs a steady load");
         }
         if (world.classes().stream().noneMatch(c -> c.type().effect() == Effect.RETRYABLE)) {
-            throw root.wrong("class", "read calls need a class whose effect is safe");
+            throw root.error("class", "read calls need a class whose effect is safe");
         }
         int[] regionOf = new int[world.zones().size()];
         List<String> names = regions(root, regions, world.zones(), regionOf);
         int depth = graph.count("depth", 10, 1);
         int fronts = graph.count("fronts", 3, 1);
         int services = graph.count("services", null, fronts + depth);
-        Range work = graph.numbers("work-factor", Range.of(1), 0);
+        Range work = graph.numberRange("work-factor", Range.of(1), 0);
         if (work.low() <= 0) {
-            throw graph.wrong("work-factor", "must be more than zero");
+            throw graph.error("work-factor", "must be more than zero");
         }
         GraphSpec spec = new GraphSpec(
                 world,
                 names,
                 regionOf,
-                graph.times("between-regions", Range.of(0)),
+                graph.timeRange("between-regions", Range.of(0)),
                 services,
                 depth,
                 fronts,
@@ -88,28 +88,28 @@
                 graph.number("skew", 0.8, 0),
                 graph.share("chain", 0.75, 1),
                 graph.number("calls-per-request", null, 1),
-                graph.word("rate-of", RateOf.CALLS, RateOf.class) == RateOf.CALLS,
+                graph.enumValue("rate-of", RateOf.CALLS, RateOf.class) == RateOf.CALLS,
                 work,
                 graph.share("in-turn", 0.5, 1),
                 graph.share("optional", 0.3, 1),
                 graph.share("reads", 0.6, 1),
-                graph.word("told", GraphSpec.PropagatedDeadline.ATTEMPT, GraphSpec.PropagatedDeadline.class),
+                graph.enumValue("told", GraphSpec.PropagatedDeadline.ATTEMPT, GraphSpec.PropagatedDeadline.class),
                 graph.time("reserve", 2_000L),
                 graph.count("rack", 20, 1),
                 graph.time("added-budget", 660L),
                 List.of());
-        graph.done();
+        graph.rejectUnknownKeys();
         try {
-            CallGraph.draw(spec, 1);
+            CallGraph.generate(spec, 1);
         } catch (IllegalArgumentException e) {
-            throw graph.wrong(e.getMessage());
+            throw graph.error(e.getMessage());
         }
         List<Failure> all = new ArrayList<>();
         for (Section section : failures) {
             all.add(failure(section, world));
-            section.done();
+            section.rejectUnknownKeys();
         }
-        return spec.failing(all);
+        return spec.withFailures(all);
     }
 
     private static List<String> regions(Section root, List<Section> regions, List<String> zones, int[] regionOf)
@@ -118,51 +118,51 @@
         List<String> names = new ArrayList<>();
         Set<String> seen = new HashSet<>();
         for (Section section : regions) {
-            String name = section.text("name", null);
+            String name = section.string("name", null);
             if (!seen.add(name)) {
-                throw section.wrong("name", "there is another region called " + name);
+                throw section.error("name", "there is another region called " + name);
             }
-            for (String zone : section.texts("zones")) {
+            for (String zone : section.strings("zones")) {
                 int z = zones.indexOf(zone);
                 if (z < 0) {
-                    throw section.wrong("zones", "there is no zone '" + zone + "'");
+                    throw section.error("zones", "there is no zone '" + zone + "'");
                 }
                 if (regionOf[z] >= 0) {
-                    throw section.wrong("zones", zone + " is in another region too");
+                    throw section.error("zones", zone + " is in another region too");
                 }
                 regionOf[z] = names.size();
             }
             names.add(name);
-            section.done();
+            section.rejectUnknownKeys();
         }
         for (int z = 0; z < regionOf.length; z++) {
             if (regionOf[z] < 0) {
-                throw root.wrong("region", "no [[region]] has the zone " + zones.get(z));
+                throw root.error("region", "no [[region]] has the zone " + zones.get(z));
             }
         }
         return names;
     }
 
     private static Failure failure(Section section, Scenario world) throws BadFileException {
-        Kind kind = section.word("do", null, Kind.class);
+        Kind kind = section.enumValue("do", null, Kind.class);
         long at = section.time("at", null);
         if (at > world.lengthUs()) {
-            throw section.wrong("at", "the scenario is over by then");
+            throw section.error("at", "the scenario is over by then");
         }
         if (kind == Kind.CUT) {
             return new Failure(kind, at, section.time("for", null), 0, -1, -1, false, 0, 0, false);
         }
         int zone = -1;
         if (section.has("zone")) {
-            zone = world.zones().indexOf(section.text("zone", null));
+            zone = world.zones().indexOf(section.string("zone", null));
             if (zone < 0) {
-                throw section.wrong("zone", "there is no such zone");
+                throw section.error("zone", "there is no such zone");
             }
         }
         double batch = section.share("batch", 0.0, 1);
         long within = section.time("within", 0L);
         if (batch > 0 && within <= 0) {
-            throw section.wrong("batch", "batches need the time within which all of them begin");
+            throw section.error("batch", "batches need the time within which all of them begin");
         }
         boolean restart = kind == Kind.RESTART;
         return new Failure(
@@ -172,9 +172,9 @@
                 within,
                 section.has("count") ? section.count("count", null, 1) : -1,
                 zone,
-                section.flag("rack", false),
+                section.bool("rack", false),
                 batch,
                 restart ? section.time("drain", 3_000_000L) : 0,
-                restart && section.flag("proxies", false));
+                restart && section.bool("proxies", false));
     }
 }
--- a/src/main/java/mulleinfront/emulator/GraphReport.java
+++ b/src/main/java/mulleinfront/emulator/GraphReport.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Locale;
 import mulleinfront.UnservedReason.Cause;
+import mulleinfront.emulator.GraphTally.CallStatistics;
 import mulleinfront.emulator.GraphTally.DepthStatistics;
-import mulleinfront.emulator.GraphTally.Group;
 import mulleinfront.emulator.GraphTally.SecondStatistics;
 import mulleinfront.emulator.GraphTally.Span;
 import mulleinfront.settings.Section;
@@ -29,7 +29,7 @@
     private final long seed;
     private final String sha256;
     private final long decisions;
-    private final List<String> broken;
+    private final List<String> violations;
 
     GraphReport(GraphWorld graph, List<World.Result> results, long seed, String sha256, long decisions) {
         this.graph = graph;
@@ -39,7 +39,7 @@
         this.seed = seed;
         this.sha256 = sha256;
         this.decisions = decisions;
-        this.broken = GraphWorld.broken(graph, results);
+        this.violations = GraphWorld.violations(graph, results);
     }
 
     // ---- metrics -------------------------------------------------------------------------------------
@@ -55,12 +55,12 @@
     }
 
     /** Descriptions of violations: the first ones along paths and of each service. */
-    public List<String> broken() {
-        return broken;
+    public List<String> violations() {
+        return violations;
     }
 
     /** Number of all violations. */
-    public int brokenCount() {
+    public int violationCount() {
         int sum = graph.audit.breachCount();
         for (World.Result r : results) {
             sum += r == null ? 0 : r.breachCount();
@@ -79,12 +79,12 @@
     }
 
     /** Virtual time in microseconds in which requests were sent. */
-    public long askedUs() {
+    public long lengthUs() {
         return spec.world().lengthUs();
     }
 
     /** Number of cold servers that crashed from overload. */
-    public int fell() {
+    public int crashedServers() {
         int sum = 0;
         for (World.Result r : results) {
             sum += r == null ? 0 : r.crashedServers();
@@ -94,7 +94,7 @@
 
     /** 99th percentile of the time added to answered calls, microseconds. */
     public long addedP99Us() {
-        return tally.all.of(Span.ADDED).at(0.99);
+        return tally.all.histogram(Span.ADDED).quantile(0.99);
     }
 
     /**
@@ -122,7 +122,7 @@
     private double maxColdLoad() {
         double most = 0;
         for (GraphMachine m : graph.machines) {
-            most = Math.max(most, m.host == null ? 0 : m.host.budget.most());
+            most = Math.max(most, m.host == null ? 0 : m.host.coldLoad.highestUse());
         }
         return most;
     }
@@ -130,7 +130,7 @@
     private long listEntriesSent() {
         long sum = 0;
         for (CallGraph.Node n : graph.nodes()) {
-            sum += n.level() == 0 ? 0 : graph.part(n.number()).audit.entriesTold;
+            sum += n.level() == 0 ? 0 : graph.part(n.number()).auditor.entriesSent;
         }
         return sum;
     }
@@ -227,8 +227,8 @@
                 START_PHASE_SECONDS,
                 service(0, START_PHASE_SECONDS),
                 service(START_PHASE_SECONDS, Integer.MAX_VALUE),
-                tally.requestTimes.at(0.5) / 1e3,
-                tally.requestTimes.at(0.99) / 1e3);
+                tally.requestTimes.quantile(0.5) / 1e3,
+                tally.requestTimes.quantile(0.99) / 1e3);
         for (int c = 0; c < tally.classAsked.length; c++) {
             line(
                     out,
@@ -262,14 +262,14 @@
                 out,
                 "cold servers: most sent to one %.0f%% of what pushes it over; fell over: %d",
                 100 * maxColdLoad(),
-                fell());
+                crashedServers());
         line(out, "keyed effects run again in another group by a repeat above: %d", graph.audit.repeatedKeyedEffects());
         line(out, "");
-        if (brokenCount() == 0) {
+        if (violationCount() == 0) {
             line(out, "rules: all four kept in each service, and those along the paths");
         } else {
-            line(out, "rules: %d broken", brokenCount());
-            broken.stream().limit(20).forEach(b -> line(out, "  %s", b));
+            line(out, "rules: %d broken", violationCount());
+            violations.stream().limit(20).forEach(b -> line(out, "  %s", b));
         }
         line(out, "decisions: %d, sha256 %s", decisions, sha256);
         return out.toString();
@@ -303,23 +303,23 @@
         }
     }
 
-    private static void row(StringBuilder out, String name, Group group) {
-        Histogram h = group.of(Span.ADDED);
+    private static void row(StringBuilder out, String name, CallStatistics group) {
+        Histogram h = group.histogram(Span.ADDED);
         line(
                 out,
                 "%5s %9d %8.4f %8d %8d %8d %8d %8d %8d  %.3f / %.3f / %.3f",
                 name,
                 group.calls,
                 group.service(),
-                group.ended(Clients.How.SERVED),
-                group.ended(Clients.How.REFUSED),
-                group.ended(Clients.How.FAILED),
-                group.ended(Clients.How.TIMED_OUT),
-                group.ended(Clients.How.UNREACHABLE) + group.ended(Clients.How.BROKEN),
-                group.ended(Clients.How.LEFT),
-                h.at(0.5) / 1e3,
-                h.at(0.99) / 1e3,
-                h.at(0.999) / 1e3);
+                group.ended(Clients.TryResult.SERVED),
+                group.ended(Clients.TryResult.REFUSED),
+                group.ended(Clients.TryResult.FAILED),
+                group.ended(Clients.TryResult.TIMED_OUT),
+                group.ended(Clients.TryResult.UNREACHABLE) + group.ended(Clients.TryResult.BROKEN),
+                group.ended(Clients.TryResult.LEFT),
+                h.quantile(0.5) / 1e3,
+                h.quantile(0.99) / 1e3,
+                h.quantile(0.999) / 1e3);
     }
 
     private void spans(StringBuilder out) {
@@ -329,7 +329,7 @@
         }
     }
 
-    private void spans(StringBuilder out, String which, Group group) {
+    private void spans(StringBuilder out, String which, CallStatistics group) {
         line(out, "");
         line(
                 out,
@@ -343,19 +343,19 @@
                 "most",
                 which,
                 spec.addedTimeBudgetUs() / 1e3,
-                100 * group.of(Span.ADDED).above(spec.addedTimeBudgetUs()),
+                100 * group.histogram(Span.ADDED).fractionAbove(spec.addedTimeBudgetUs()),
                 100.0 * group.newConnections / Math.max(1, group.attempts));
         for (Span span : Span.values()) {
-            Histogram h = group.of(span);
+            Histogram h = group.histogram(span);
             line(
                     out,
                     "%-11s %9.3f %9.3f %9.3f %9.3f %9.3f",
-                    Section.form(span),
+                    Section.outputName(span),
                     h.mean() / 1e3,
-                    h.at(0.5) / 1e3,
-                    h.at(0.99) / 1e3,
-                    h.at(0.999) / 1e3,
-                    h.most() / 1e3);
+                    h.quantile(0.5) / 1e3,
+                    h.quantile(0.99) / 1e3,
+                    h.quantile(0.999) / 1e3,
+                    h.max() / 1e3);
         }
     }
 
@@ -448,17 +448,19 @@
             out.writeNumberField("service", service());
             out.writeNumberField("service_first_s", service(0, START_PHASE_SECONDS));
             out.writeNumberField("service_after", service(START_PHASE_SECONDS, Integer.MAX_VALUE));
-            out.writeNumberField("request_p50_us", tally.requestTimes.at(0.5));
-            out.writeNumberField("request_p99_us", tally.requestTimes.at(0.99));
+            out.writeNumberField("request_p50_us", tally.requestTimes.quantile(0.5));
+            out.writeNumberField("request_p99_us", tally.requestTimes.quantile(0.99));
             out.writeNumberField("added_budget_us", spec.addedTimeBudgetUs());
-            out.writeNumberField("added_over_budget", tally.all.of(Span.ADDED).above(spec.addedTimeBudgetUs()));
+            out.writeNumberField(
+                    "added_over_budget", tally.all.histogram(Span.ADDED).fractionAbove(spec.addedTimeBudgetUs()));
             out.writeObjectFieldStart("all");
             group(out, tally.all);
             out.writeEndObject();
             out.writeObjectFieldStart("later");
             group(out, tally.afterStartPhase);
             out.writeNumberField(
-                    "added_over_budget", tally.afterStartPhase.of(Span.ADDED).above(spec.addedTimeBudgetUs()));
+                    "added_over_budget",
+                    tally.afterStartPhase.histogram(Span.ADDED).fractionAbove(spec.addedTimeBudgetUs()));
             out.writeEndObject();
             out.writeArrayFieldStart("depths");
             for (int d = 1; d <= spec.depth(); d++) {
@@ -479,11 +481,11 @@
             out.writeNumberField("connections_mean", tally.meanConnections);
             out.writeNumberField("connections_most", tally.mostConnections);
             out.writeNumberField("cold_most_part_of_fall", maxColdLoad());
-            out.writeNumberField("fell", fell());
+            out.writeNumberField("fell", crashedServers());
             out.writeNumberField("keyed_effects_again", graph.audit.repeatedKeyedEffects());
-            out.writeNumberField("rules_broken", brokenCount());
+            out.writeNumberField("rules_broken", violationCount());
             out.writeArrayFieldStart("broken");
-            for (String b : broken) {
+            for (String b : violations) {
                 out.writeString(b);
             }
             out.writeEndArray();
@@ -491,12 +493,12 @@
         }
     }
 
-    private static void group(JsonGenerator out, Group group) throws IOException {
+    private static void group(JsonGenerator out, CallStatistics group) throws IOException {
         out.writeNumberField("calls", group.calls);
         out.writeNumberField("service", group.service());
         out.writeObjectFieldStart("ended");
-        for (Clients.How how : Clients.How.values()) {
-            out.writeNumberField(Section.form(how), group.ended(how));
+        for (Clients.TryResult how : Clients.TryResult.values()) {
+            out.writeNumberField(Section.outputName(how), group.ended(how));
         }
         out.writeEndObject();
         out.writeNumberField("attempts", group.attempts);
@@ -505,13 +507,13 @@
         out.writeNumberField("attempts_on_new_connections", group.newConnections);
         out.writeObjectFieldStart("times_us");
         for (Span span : Span.values()) {
-            Histogram h = group.of(span);
-            out.writeObjectFieldStart(Section.form(span));
+            Histogram h = group.histogram(span);
+            out.writeObjectFieldStart(Section.outputName(span));
             out.writeNumberField("mean", h.mean());
             for (int i = 0; i < QUANTILES.length; i++) {
-                out.writeNumberField(QUANTILE_NAMES[i], h.at(QUANTILES[i]));
+                out.writeNumberField(QUANTILE_NAMES[i], h.quantile(QUANTILES[i]));
             }
-            out.writeNumberField("most", h.most());
+            out.writeNumberField("most", h.max());
             out.writeEndObject();
         }
         out.writeEndObject();
@@ -520,7 +522,7 @@
     private void services(JsonGenerator out) throws IOException {
         out.writeArrayFieldStart("service_list");
         for (CallGraph.Node n : graph.nodes()) {
-            Group group = tally.services[n.number()];
+            CallStatistics group = tally.services[n.number()];
             out.writeStartObject();
             out.writeStringField("name", n.name());
             out.writeNumberField("level", n.level());
@@ -530,10 +532,10 @@
                     n.level() == 0 ? 0 : graph.part(n.number()).proxies.size());
             out.writeNumberField("visits", n.visits());
             out.writeNumberField("calls", group.calls);
-            out.writeNumberField("served", group.ended(Clients.How.SERVED));
-            out.writeNumberField("refused", group.ended(Clients.How.REFUSED));
+            out.writeNumberField("served", group.ended(Clients.TryResult.SERVED));
+            out.writeNumberField("refused", group.ended(Clients.TryResult.REFUSED));
             out.writeNumberField("service", group.service());
-            out.writeNumberField("added_p99_us", group.of(Span.ADDED).at(0.99));
+            out.writeNumberField("added_p99_us", group.histogram(Span.ADDED).quantile(0.99));
             out.writeEndObject();
         }
         out.writeEndArray();
--- a/src/main/java/mulleinfront/emulator/GraphScript.java
+++ b/src/main/java/mulleinfront/emulator/GraphScript.java
@@ -14,9 +14,9 @@
  */
 final class GraphScript {
     private final GraphWorld graph;
-    private final Chance chance;
+    private final RandomStream chance;
 
-    GraphScript(GraphWorld graph, Chance chance) {
+    GraphScript(GraphWorld graph, RandomStream chance) {
         this.graph = graph;
         this.chance = chance;
     }
@@ -42,11 +42,11 @@
             }
         }
         if (failure.rack() && !candidates.isEmpty()) {
-            GraphMachine one = candidates.get(chance.below(candidates.size()));
+            GraphMachine one = candidates.get(chance.uniformBelow(candidates.size()));
             candidates.removeIf(machine -> machine.zone != one.zone || machine.rack != one.rack);
         }
         while (failure.count() >= 0 && candidates.size() > failure.count()) {
-            candidates.remove(chance.below(candidates.size()));
+            candidates.remove(chance.uniformBelow(candidates.size()));
         }
         return candidates;
     }
@@ -62,7 +62,7 @@
                     ? 0
                     : (indexInService * Math.max(1, batches / machine.node.hosts()) + machine.node.number()) % batches;
             long after =
-                    batches > 0 ? failure.withinUs() * batch / batches : (long) (failure.withinUs() * chance.unit());
+                    batches > 0 ? failure.withinUs() * batch / batches : (long) (failure.withinUs() * chance.uniform());
             graph.queue.after(after, () -> {
                 if (!machine.down && !machine.disconnected) {
                     action.accept(machine);
@@ -81,9 +81,9 @@
         machine.cancelHandlings();
         if (machine.host != null) {
             World part = graph.part(machine.node.number());
-            machine.host.vanished = true;
-            part.stop(machine.host);
-            part.registry.happened(machine.host, Availability.GONE, true);
+            machine.host.disconnected = true;
+            part.stopServer(machine.host);
+            part.registry.serverChanged(machine.host, Availability.GONE, true);
         }
         machine.upstreams.forEach(u -> u.instance().kill(failure.forUs()));
         // The client proxy starts before the server: an application without it can't call other services.
@@ -93,10 +93,10 @@
     private void restore(GraphMachine machine) {
         machine.down = false;
         if (machine.host != null) {
-            machine.host.vanished = false;
+            machine.host.disconnected = false;
             World part = graph.part(machine.node.number());
             part.resetAll(machine.host);
-            part.start(machine.host, false);
+            part.startServer(machine.host, false);
         }
     }
 
@@ -105,22 +105,22 @@
         machine.down = true;
         World part = machine.host == null ? null : graph.part(machine.node.number());
         if (part != null) {
-            part.drain(machine.host);
+            part.drainServer(machine.host);
         }
         graph.queue.after(failure.drainUs(), () -> {
             machine.cancelHandlings();
             if (part != null) {
-                part.stop(machine.host);
+                part.stopServer(machine.host);
             }
             long up = startUs() + 1;
             if (failure.proxies()) {
-                machine.upstreams.forEach(u -> u.instance().end());
+                machine.upstreams.forEach(u -> u.instance().terminate());
                 up += graph.spec.world().proxies().lateCallsUs() + startUs();
             }
             graph.queue.after(up, () -> {
                 machine.down = false;
                 if (part != null) {
-                    part.start(machine.host, false);
+                    part.startServer(machine.host, false);
                 }
             });
         });
@@ -129,18 +129,18 @@
     /** A machine loses the network for a time: neither its server nor its client proxy is connected. */
     private void vanish(Failure failure, GraphMachine machine) {
         setDisconnected(machine, true);
-        boolean noticed =
-                failure.forUs() > graph.spec.world().discovery().silentNotice().high();
+        boolean noticed = failure.forUs()
+                > graph.spec.world().discovery().silentNoticeDelay().high();
         World part = machine.host == null ? null : graph.part(machine.node.number());
         if (part != null && noticed) {
-            part.registry.happened(machine.host, Availability.GONE, true);
+            part.registry.serverChanged(machine.host, Availability.GONE, true);
         }
         graph.queue.after(failure.forUs(), () -> {
             setDisconnected(machine, false);
             if (part != null) {
                 part.resetAll(machine.host);
                 if (noticed) {
-                    part.registry.happened(machine.host, Availability.READY, false);
+                    part.registry.serverChanged(machine.host, Availability.READY, false);
                 }
             }
             machine.upstreams.forEach(u -> resetCrossedConnections(u.part(), link -> link.owner.proxy() == u.proxy()));
@@ -150,11 +150,11 @@
     private void setDisconnected(GraphMachine machine, boolean on) {
         machine.disconnected = on;
         if (machine.host != null) {
-            machine.host.vanished = on;
+            machine.host.disconnected = on;
         }
         machine.upstreams.forEach(u -> {
-            u.part().network.away(u.proxy(), on);
-            u.part().registry.cut(u.proxy(), on);
+            u.part().network.disconnect(u.proxy(), on);
+            u.part().registry.partition(u.proxy(), on);
         });
     }
 
@@ -174,7 +174,7 @@
             for (int a = 0; a < region.length; a++) {
                 for (int b = a + 1; b < region.length; b++) {
                     if (region[a] != region[b]) {
-                        part.network.cutPair(a, b, on);
+                        part.network.partitionZones(a, b, on);
                     }
                 }
             }
@@ -184,7 +184,7 @@
         }
         for (GraphMachine machine : graph.machines) {
             if (region[machine.zone] != region[0]) {
-                machine.upstreams.forEach(u -> u.part().registry.cut(u.proxy(), on));
+                machine.upstreams.forEach(u -> u.part().registry.partition(u.proxy(), on));
             }
         }
     }
--- a/src/main/java/mulleinfront/emulator/GraphSpec.java
+++ b/src/main/java/mulleinfront/emulator/GraphSpec.java
@@ -107,11 +107,11 @@
 
     /** Number of machines. */
     public int hosts() {
-        return world.fleet();
+        return world.serverCount();
     }
 
     /** This graph with other failures. */
-    GraphSpec failing(List<Failure> newFailures) {
+    GraphSpec withFailures(List<Failure> newFailures) {
         return new GraphSpec(
                 world,
                 regions,
