--- a/src/main/java/mulleinfront/emulator/GraphTally.java
+++ b/src/main/java/mulleinfront/emulator/GraphTally.java
@@ -29,8 +29,8 @@
     }
 
     /** Statistics of a group of calls, such as those of one depth or of one service. */
-    static final class Group {
-        final long[] ended = new long[Clients.How.values().length];
+    static final class CallStatistics {
+        final long[] ended = new long[Clients.TryResult.values().length];
         final Histogram[] spans = new Histogram[Span.values().length];
         double asked;
         double inTime;
@@ -42,15 +42,15 @@
         /** Number of answers from another region. */
         long servedAcross;
 
-        Group() {
+        CallStatistics() {
             Arrays.setAll(spans, i -> new Histogram());
         }
 
-        Histogram of(Span span) {
+        Histogram histogram(Span span) {
             return spans[span.ordinal()];
         }
 
-        long ended(Clients.How how) {
+        long ended(Clients.TryResult how) {
             return ended[how.ordinal()];
         }
 
@@ -91,12 +91,12 @@
     static final long START_PHASE_US = 5_000_000;
 
     private final GraphSpec spec;
-    final Group all = new Group();
+    final CallStatistics all = new CallStatistics();
     /** Calls made after the start phase. */
-    final Group afterStartPhase = new Group();
+    final CallStatistics afterStartPhase = new CallStatistics();
 
-    final Group[] depths;
-    final Group[] services;
+    final CallStatistics[] depths;
+    final CallStatistics[] services;
     final DepthStatistics[] deepest;
     final List<SecondStatistics> seconds = new ArrayList<>();
     final Histogram requestTimes = new Histogram();
@@ -117,13 +117,13 @@
 
     GraphTally(GraphSpec spec) {
         this.spec = spec;
-        this.depths = new Group[spec.depth() + 1];
-        this.services = new Group[spec.services()];
+        this.depths = new CallStatistics[spec.depth() + 1];
+        this.services = new CallStatistics[spec.services()];
         this.deepest = new DepthStatistics[spec.depth() + 1];
         this.classAsked = new double[spec.world().classes().size()];
         this.classEarned = new double[classAsked.length];
-        Arrays.setAll(depths, i -> new Group());
-        Arrays.setAll(services, i -> new Group());
+        Arrays.setAll(depths, i -> new CallStatistics());
+        Arrays.setAll(services, i -> new CallStatistics());
         Arrays.setAll(deepest, i -> new DepthStatistics());
     }
 
@@ -188,7 +188,7 @@
         countSent(depths[depth], fromZone, toZone, connected);
     }
 
-    private void countSent(Group group, int fromZone, int toZone, boolean connected) {
+    private void countSent(CallStatistics group, int fromZone, int toZone, boolean connected) {
         group.attempts++;
         group.acrossZones += fromZone == toZone ? 0 : 1;
         group.acrossRegions += spec.regionOf()[fromZone] == spec.regionOf()[toZone] ? 0 : 1;
@@ -196,33 +196,33 @@
     }
 
     /** A call has ended for the application that made it. */
-    void callEnded(Hop hop, Clients.How how, long now) {
+    void callEnded(Hop hop, Clients.TryResult how, long now) {
         countEnded(all, hop, how, now);
         if (hop.createdAt() >= START_PHASE_US) {
             countEnded(afterStartPhase, hop, how, now);
         }
         countEnded(depths[hop.depth()], hop, how, now);
         countEnded(services[hop.edge.to()], hop, how, now);
-        if (how == Clients.How.REFUSED) {
+        if (how == Clients.TryResult.REFUSED) {
             second(now).refused++;
         }
-        if (how == Clients.How.SERVED && hop.span(Span.ADDED, now) > spec.addedTimeBudgetUs()) {
+        if (how == Clients.TryResult.SERVED && hop.span(Span.ADDED, now) > spec.addedTimeBudgetUs()) {
             hop.caller.request.callsOverBudget++;
         }
     }
 
-    private void countEnded(Group group, Hop hop, Clients.How how, long now) {
+    private void countEnded(CallStatistics group, Hop hop, Clients.TryResult how, long now) {
         group.ended[how.ordinal()]++;
-        if (how == Clients.How.LEFT) {
+        if (how == Clients.TryResult.LEFT) {
             return;
         }
         double worth = spec.world().classes().get(hop.classIndex).type().worth();
         group.asked += worth;
-        if (how == Clients.How.SERVED) {
+        if (how == Clients.TryResult.SERVED) {
             group.servedAcross += hop.acrossRegions() ? 1 : 0;
             group.inTime += now <= hop.caller.request.targetAt ? worth : 0;
             for (Span span : Span.values()) {
-                group.of(span).add(hop.span(span, now));
+                group.histogram(span).add(hop.span(span, now));
             }
         }
     }
--- a/src/main/java/mulleinfront/emulator/GraphWorld.java
+++ b/src/main/java/mulleinfront/emulator/GraphWorld.java
@@ -33,8 +33,8 @@
     final GraphAuditor audit;
     final GraphApplication application;
     final List<GraphMachine> machines = new ArrayList<>();
-    private final Chance arrivalChance;
-    private final Chance workChance;
+    private final RandomStream arrivalChance;
+    private final RandomStream workChance;
     private final CallGraph graph;
     private final Trace trace;
     private final long seed;
@@ -63,38 +63,39 @@
             long seed,
             Trace trace,
             Core.BalancerFactory balancerFactory,
-            Fitting fitting,
+            CoreWiring fitting,
             GraphApplication application) {
         this.spec = spec;
         this.seed = seed;
         this.trace = trace;
         this.application = application;
-        this.graph = CallGraph.draw(spec, seed);
+        this.graph = CallGraph.generate(spec, seed);
         this.tally = new GraphTally(spec);
         this.audit = new GraphAuditor(this);
-        this.arrivalChance = Chance.of(seed, "arrivals");
-        this.workChance = Chance.of(seed, "works");
+        this.arrivalChance = RandomStream.of(seed, "arrivals");
+        this.workChance = RandomStream.of(seed, "works");
         this.oneWay = zoneDelays();
         this.parts = new World[spec.services()];
         this.firstMachine = new int[spec.services()];
         Scenario scenario = spec.world();
-        this.classes = Chance.sum(scenario.classes().stream()
+        this.classes = RandomStream.cumulative(scenario.classes().stream()
                 .mapToDouble(Scenario.ClassSpec::share)
                 .toArray());
         this.tenants = scenario.tenants().isEmpty()
                 ? new double[] {1}
-                : Chance.sum(scenario.tenants().stream()
+                : RandomStream.cumulative(scenario.tenants().stream()
                         .mapToDouble(t -> t.share() * t.usage())
                         .toArray());
         this.keys = scenario.load().keys() == 0
                 ? null
-                : Chance.sum(Chance.zipf(scenario.load().keys(), scenario.load().zipf()));
+                : RandomStream.cumulative(RandomStream.zipfWeights(
+                        scenario.load().keys(), scenario.load().zipf()));
         this.readClass = firstSafeClass();
         buildMachines();
         this.fronts = new double[spec.fronts()][];
         for (int f = 0; f < fronts.length; f++) {
-            fronts[f] = Chance.sum(
-                    Chance.zipf(nodes().get(f).hosts(), scenario.proxies().spread()));
+            fronts[f] = RandomStream.cumulative(RandomStream.zipfWeights(
+                    nodes().get(f).hosts(), scenario.proxies().spread()));
         }
         for (CallGraph.Node node : nodes()) {
             if (node.level() > 0) {
@@ -103,7 +104,7 @@
         }
         this.countedProcesses = new ServerModel[machines.size()];
         this.countedBusyUs = new double[machines.size()];
-        new GraphScript(this, Chance.of(seed, "failures")).schedule();
+        new GraphScript(this, RandomStream.of(seed, "failures")).schedule();
         queue.after(scenario.proxies().startWithinUs(), this::scheduleRequest);
         queue.after(SECOND_US, this::recordSecond);
     }
@@ -111,7 +112,7 @@
     /** Creates a simulation with the real balancer. */
     public static GraphWorld of(GraphSpec spec, long seed, OutputStream traceFile) {
         return new GraphWorld(
-                spec, seed, new Trace(traceFile), Balancer::create, Fitting.PLAIN, GraphApplication.PLAIN);
+                spec, seed, new Trace(traceFile), Balancer::create, CoreWiring.UNCHANGED, GraphApplication.DEFAULT);
     }
 
     // ---- building ------------------------------------------------------------------------------------
@@ -126,7 +127,7 @@
     }
 
     private long[][] zoneDelays() {
-        Chance chance = Chance.of(seed, "ways");
+        RandomStream chance = RandomStream.of(seed, "ways");
         int zones = spec.regionOf().length;
         long[][] ways = new long[zones][zones];
         Scenario.Network network = spec.world().network();
@@ -135,7 +136,7 @@
                 boolean far = spec.regionOf()[a] != spec.regionOf()[b];
                 ways[a][b] =
                         Math.max(1, (long) (a == b ? network.same() : far ? spec.betweenRegions() : network.cross())
-                                .draw(chance::between));
+                                .draw(chance::uniformBetween));
                 ways[b][a] = ways[a][b];
             }
         }
@@ -143,20 +144,20 @@
     }
 
     private void buildMachines() {
-        Chance chance = Chance.of(seed, "machines");
+        RandomStream chance = RandomStream.of(seed, "machines");
         int zones = spec.regionOf().length;
         int racks = Math.max(1, (spec.hosts() / zones + spec.hostsPerRack() - 1) / spec.hostsPerRack());
         int number = 0;
         for (CallGraph.Node node : nodes()) {
             firstMachine[node.number()] = number;
             for (int i = 0; i < node.hosts(); i++, number++) {
-                machines.add(new GraphMachine(number, node, number % zones, chance.below(racks), (long)
-                        (spec.world().proxies().startWithinUs() * chance.unit())));
+                machines.add(new GraphMachine(number, node, number % zones, chance.uniformBelow(racks), (long)
+                        (spec.world().proxies().startWithinUs() * chance.uniform())));
             }
         }
     }
 
-    private void buildService(CallGraph.Node node, Core.BalancerFactory balancerFactory, Fitting fitting) {
+    private void buildService(CallGraph.Node node, Core.BalancerFactory balancerFactory, CoreWiring fitting) {
         List<GraphMachine> callers = new ArrayList<>();
         for (GraphMachine m : machines) {
             if (m.node.calls().stream().anyMatch(e -> e.to() == node.number())) {
@@ -178,7 +179,7 @@
         }
         Scenario.Load load = new Scenario.Load(
                 spec.requestsPerSecond() * node.visits(),
-                Scenario.Shape.STEADY,
+                Scenario.LoadShape.STEADY,
                 spec.requestsPerSecond() * node.visits(),
                 0,
                 SECOND_US,
@@ -195,7 +196,7 @@
         int first = firstMachine[node.number()];
         World part = new World(
                 scenario,
-                Chance.of(seed, "service " + node.number()).nextLong(),
+                RandomStream.of(seed, "service " + node.number()).nextLong(),
                 trace,
                 (world, zone) -> balancerFactory,
                 fitting,
@@ -213,7 +214,7 @@
     }
 
     /** A service as a part of the graph's simulation. */
-    private final class Service implements Part {
+    private final class Service implements GraphContext {
         private final CallGraph.Node node;
         private final int first;
         private final List<GraphMachine> callers;
@@ -305,14 +306,14 @@
     /** Starts a request from outside at a running front machine; the load balancer in front of it is not simulated. */
     private void startRequest() {
         long now = queue.now();
-        int classIndex = arrivalChance.place(classes);
-        int tenant = arrivalChance.place(tenants);
-        String key = keys == null ? null : "k" + arrivalChance.place(keys);
-        int front = arrivalChance.below(spec.fronts());
-        int firstIndex = arrivalChance.place(fronts[front]);
-        double timeoutFraction = spec.world().clients().patience().draw(arrivalChance::between);
-        boolean leaves = arrivalChance.happens(spec.world().clients().leave());
-        double leavesAt = leaves ? arrivalChance.unit() : 0;
+        int classIndex = arrivalChance.weightedIndex(classes);
+        int tenant = arrivalChance.weightedIndex(tenants);
+        String key = keys == null ? null : "k" + arrivalChance.weightedIndex(keys);
+        int front = arrivalChance.uniformBelow(spec.fronts());
+        int firstIndex = arrivalChance.weightedIndex(fronts[front]);
+        double timeoutFraction = spec.world().clients().timeoutFraction().draw(arrivalChance::uniformBetween);
+        boolean leaves = arrivalChance.happens(spec.world().clients().disconnectShare());
+        double leavesAt = leaves ? arrivalChance.uniform() : 0;
         int count = fronts[front].length;
         GraphMachine machine = null;
         for (int i = 0; i < count && (machine == null || machine.down || machine.disconnected); i++) {
@@ -386,9 +387,9 @@
     List<CallGraph.Edge> calls(CallGraph.Node node, String effect) {
         List<CallGraph.Edge> chosen = new ArrayList<>(4);
         if (!node.calls().isEmpty()) {
-            Chance chance = Chance.of(seed, effect.substring(1));
+            RandomStream chance = RandomStream.of(seed, effect.substring(1));
             for (CallGraph.Edge e : node.calls()) {
-                if (chance.happens(e.chance())) {
+                if (chance.happens(e.probability())) {
                     chosen.add(e);
                 }
             }
@@ -398,12 +399,14 @@
 
     /** Creates a call on behalf of a request. */
     Hop hop(Handling above, CallGraph.Edge edge) {
-        int ofRequest = above.above == null ? above.request.classIndex : above.above.classIndex;
+        int ofRequest = above.incoming == null ? above.request.classIndex : above.incoming.classIndex;
         int classIndex =
                 application.classOf(effectLetter(ofRequest) == SAFE ? ofRequest : readClass, ofRequest, edge.reads());
         String effect = application.effectId(
-                effectLetter(classIndex), above.above == null ? above.request.id : above.above.effect, edge.number());
-        long endAt = application.endOf(
+                effectLetter(classIndex),
+                above.incoming == null ? above.request.id : above.incoming.effect,
+                edge.number());
+        long endAt = application.callDeadline(
                 above.endsAt,
                 queue.now(),
                 spec.world().classes().get(classIndex).type().deadlineUs(),
@@ -417,7 +420,7 @@
     void call(Hop hop, GraphMachine from) {
         GraphMachine.Upstream u = from.upstream(hop.edge.to());
         double work = u.part().scenario.classes().get(hop.classIndex).drawUs(workChance);
-        u.part().clients.call(hop, u.proxy(), hop.caller.request.tenant, hop.caller.request.key, work);
+        u.part().clients.sendCall(hop, u.proxy(), hop.caller.request.tenant, hop.caller.request.key, work);
     }
 
     // ---- statistics per second -----------------------------------------------------------------------
@@ -428,12 +431,12 @@
         int most = 0;
         long open = 0;
         for (GraphMachine m : machines) {
-            if (m.host != null && m.host.life != null) {
-                double now = m.host.life.figures().busyCoreUs;
-                sum += now - (countedProcesses[m.number] == m.host.life ? countedBusyUs[m.number] : 0);
-                countedProcesses[m.number] = m.host.life;
+            if (m.host != null && m.host.process != null) {
+                double now = m.host.process.statistics().busyCoreUs;
+                sum += now - (countedProcesses[m.number] == m.host.process ? countedBusyUs[m.number] : 0);
+                countedProcesses[m.number] = m.host.process;
                 countedBusyUs[m.number] = now;
-                cores += m.host.machine.cores();
+                cores += m.host.spec.cores();
             }
             int connections = 0;
             for (GraphMachine.Upstream u : m.upstreams) {
@@ -453,7 +456,7 @@
     // ---- running -------------------------------------------------------------------------------------
 
     /** Runs the simulation to its end. */
-    public GraphReport play() {
+    public GraphReport run() {
         queue.runUntil(spec.world().lengthUs() + spec.world().settleUs());
         List<World.Result> results = new ArrayList<>();
         for (World part : parts) {
@@ -463,7 +466,7 @@
     }
 
     /** Descriptions of the violations: those along paths, and those of the four rules by service. */
-    static List<String> broken(GraphWorld graph, List<World.Result> results) {
+    static List<String> violations(GraphWorld graph, List<World.Result> results) {
         List<String> all = new ArrayList<>();
         graph.audit.breaches().forEach(b -> all.add(b.toString()));
         for (World.Result r : results) {
--- a/src/main/java/mulleinfront/emulator/Handling.java
+++ b/src/main/java/mulleinfront/emulator/Handling.java
@@ -12,7 +12,7 @@
     /** The external request that it is a part of. */
     final GraphRequest request;
     /** The incoming call; null if it is the external request itself. */
-    final Hop above;
+    final Hop incoming;
 
     final GraphMachine machine;
     /** When the caller stops waiting. */
@@ -20,7 +20,7 @@
 
     final int depth;
     private final GraphWorld graph;
-    private final Done done;
+    private final ResponseListener done;
     private List<CallGraph.Edge> edges;
     private final Set<Hop> open = new LinkedHashSet<>();
     private int nextEdge;
@@ -29,15 +29,21 @@
     private long overAt = -1;
 
     /** Receives the application's response. */
-    interface Done {
+    interface ResponseListener {
         /** Called with {@code SERVED} or {@code ERROR}. */
         void done(ServerModel.End end);
     }
 
-    Handling(GraphWorld graph, GraphRequest request, Hop incoming, GraphMachine machine, long endsAt, Done done) {
+    Handling(
+            GraphWorld graph,
+            GraphRequest request,
+            Hop incoming,
+            GraphMachine machine,
+            long endsAt,
+            ResponseListener done) {
         this.graph = graph;
         this.request = request;
-        this.above = incoming;
+        this.incoming = incoming;
         this.machine = machine;
         this.endsAt = endsAt;
         this.depth = incoming == null ? 0 : incoming.depth();
@@ -51,9 +57,9 @@
     void begin() {
         machine.handlings.add(this);
         request.reached(depth);
-        edges = graph.calls(machine.node, above == null ? request.id : above.effect);
+        edges = graph.calls(machine.node, incoming == null ? request.id : incoming.effect);
         openCalls = edges.size();
-        if (machine.node.inTurn() || openCalls == 0) {
+        if (machine.node.sequential() || openCalls == 0) {
             callNext();
             return;
         }
@@ -79,14 +85,14 @@
     }
 
     /** Processes the end of one of its calls. */
-    void ended(Hop hop, Clients.How result) {
+    void ended(Hop hop, Clients.TryResult result) {
         open.remove(hop);
         if (overAt >= 0) {
             return;
         }
-        if (result != Clients.How.SERVED && !hop.edge.optional()) {
+        if (result != Clients.TryResult.SERVED && !hop.edge.optional()) {
             finish(ServerModel.End.ERROR);
-        } else if (machine.node.inTurn()) {
+        } else if (machine.node.sequential()) {
             callNext();
         } else if (--openCalls == 0) {
             finish(ServerModel.End.SERVED);
@@ -104,7 +110,7 @@
      */
     void cancel() {
         if (overAt < 0) {
-            close(graph.application.cancelsBelow());
+            close(graph.application.cancelsCalls());
         }
     }
 
--- a/src/main/java/mulleinfront/emulator/Histogram.java
+++ b/src/main/java/mulleinfront/emulator/Histogram.java
@@ -9,7 +9,7 @@
 
     private long[] counts = new long[BUCKETS_PER_OCTAVE];
     private long count;
-    private long most;
+    private long max;
     private double sum;
 
     void add(long us) {
@@ -21,7 +21,7 @@
         counts[bucket]++;
         count++;
         sum += value;
-        most = Math.max(most, value);
+        max = Math.max(max, value);
     }
 
     private static int bucketOf(long value) {
@@ -41,8 +41,8 @@
         return count;
     }
 
-    long most() {
-        return most;
+    long max() {
+        return max;
     }
 
     double mean() {
@@ -53,20 +53,20 @@
      * The smallest value that at least this fraction of the values does not exceed, to within a bucket; -1 if there
      * are no values.
      */
-    long at(double fraction) {
+    long quantile(double fraction) {
         long rank = (long) Math.ceil(fraction * count);
         long seen = 0;
         for (int i = 0; i < counts.length; i++) {
             seen += counts[i];
             if (counts[i] > 0 && seen >= rank) {
-                return Math.min(most, lowerBound(i + 1) - 1);
+                return Math.min(max, lowerBound(i + 1) - 1);
             }
         }
         return -1;
     }
 
     /** Fraction of the values that are above the given one, to within a bucket. */
-    double above(long us) {
+    double fractionAbove(long us) {
         long seen = 0;
         for (int i = 0; i < counts.length && lowerBound(i) <= us; i++) {
             seen += counts[i];
--- a/src/main/java/mulleinfront/emulator/Hop.java
+++ b/src/main/java/mulleinfront/emulator/Hop.java
@@ -13,7 +13,7 @@
     /** The id of the call's effect; it is the same for every repeat of the request further up. */
     final String effect;
     /** The call's deadline. */
-    final long endAt;
+    final long deadlineAt;
 
     private final GraphWorld graph;
     private Clients.Try current;
@@ -36,7 +36,7 @@
         this.caller = above;
         this.classIndex = classIndex;
         this.effect = effect;
-        this.endAt = endAt;
+        this.deadlineAt = endAt;
     }
 
     /** Number of calls from the request from outside down to this one, inclusive. */
@@ -49,7 +49,7 @@
      * level would multiply.
      */
     int retries() {
-        return caller.above == null ? graph.spec.world().clients().retries() : 0;
+        return caller.incoming == null ? graph.spec.world().clients().retries() : 0;
     }
 
     boolean over() {
@@ -63,7 +63,7 @@
 
     // ---- progress --------------------------------------------------------------------------------------
 
-    void tried(Clients.Try t, long now) {
+    void tryStarted(Clients.Try t, long now) {
         current = t;
         createdAt = createdAt < 0 ? now : createdAt;
         sentAt = now;
@@ -71,18 +71,18 @@
         lastAttempt = -1;
     }
 
-    void taken(long now) {
+    void accepted(long now) {
         acceptedAt = now;
     }
 
     /** An attempt begins: it waits for a connection. */
-    void begins(int attempt, long now) {
+    void attemptStarted(int attempt, long now) {
         firstAttemptAt = firstAttemptAt < 0 ? now : firstAttemptAt;
         lastAttempt = attempt;
         lastAttemptAt = now;
     }
 
-    void written(int attempt, boolean fresh, int fromZone, int toZone, long now) {
+    void attemptWritten(int attempt, boolean fresh, int fromZone, int toZone, long now) {
         graph.audit.sent(this, now);
         graph.tally.attemptSent(depth(), createdAt, fromZone, toZone, fresh);
         if (attempt == lastAttempt) {
@@ -92,14 +92,14 @@
         }
     }
 
-    void arrived(int attempt, long now) {
+    void attemptArrived(int attempt, long now) {
         if (attempt == lastAttempt) {
             arrivedAt = now;
         }
     }
 
     /** The server sends its response. */
-    void left(int attempt, long now) {
+    void responseSent(int attempt, long now) {
         if (attempt == lastAttempt) {
             responseSentAt = now;
         }
@@ -114,15 +114,15 @@
      *
      * @param endsAt when the client proxy's timeout of this attempt ends
      */
-    Handling serve(Host host, long endsAt, Handling.Done done) {
-        long deadline = graph.spec.propagatedDeadline() == GraphSpec.PropagatedDeadline.ATTEMPT ? endsAt : endAt;
+    Handling serve(Host host, long endsAt, Handling.ResponseListener done) {
+        long deadline = graph.spec.propagatedDeadline() == GraphSpec.PropagatedDeadline.ATTEMPT ? endsAt : deadlineAt;
         return new Handling(graph, caller.request, this, graph.machine(host), deadline, done);
     }
 
     // ---- end -------------------------------------------------------------------------------------------
 
     /** The application received the call's final result. */
-    void ended(Clients.How how, long now) {
+    void ended(Clients.TryResult how, long now) {
         if (over) {
             return;
         }
@@ -135,9 +135,9 @@
     void giveUp() {
         if (!over) {
             over = true;
-            graph.tally.callEnded(this, Clients.How.LEFT, graph.queue.now());
+            graph.tally.callEnded(this, Clients.TryResult.LEFT, graph.queue.now());
             if (current != null) {
-                graph.part(edge.to()).clients.giveUp(current);
+                graph.part(edge.to()).clients.cancelCall(current);
             }
         }
     }
--- a/src/main/java/mulleinfront/emulator/Host.java
+++ b/src/main/java/mulleinfront/emulator/Host.java
@@ -13,24 +13,24 @@
     final int kind;
     final int cell;
     final double weight;
-    final ServerModel.Machine machine;
+    final ServerModel.Spec spec;
     /** Open connections to the current process, in the order in which they were accepted. */
     final Set<Link> links = new LinkedHashSet<>();
     /** The address on which the server listens; a server that moves gets a new number. */
     int address;
     /** The current process; null while there is none. */
-    ServerModel life;
+    ServerModel process;
     /** When the current process started; 0 if before the run. */
     long startedAt;
     /** Whether the machine is disconnected from the network. */
-    boolean vanished;
+    boolean disconnected;
 
-    double resetBefore;
-    double resetAfter;
+    double resetBeforeProbability;
+    double resetAfterProbability;
     /** Work received within the recent window while cold, by which a cold server crashes. */
-    final LoadWindow budget;
+    final LoadWindow coldLoad;
 
-    final Chance chance;
+    final RandomStream chance;
 
     Host(
             String id,
@@ -38,21 +38,21 @@
             int kind,
             int cell,
             double weight,
-            ServerModel.Machine spec,
+            ServerModel.Spec spec,
             LoadWindow coldLoad,
-            Chance chance) {
+            RandomStream chance) {
         this.id = id;
         this.zone = zone;
         this.kind = kind;
         this.cell = cell;
         this.weight = weight;
-        this.machine = spec;
-        this.budget = coldLoad;
+        this.spec = spec;
+        this.coldLoad = coldLoad;
         this.chance = chance;
     }
 
     boolean alive() {
-        return life != null && !life.stopped();
+        return process != null && !process.stopped();
     }
 
     Endpoint listed(Availability availability) {
@@ -66,7 +66,7 @@
         private final ArrayDeque<double[]> arrivals = new ArrayDeque<>();
         private double sum;
         private double markedSum;
-        private double most;
+        private double highestUse;
 
         LoadWindow(long windowUs, double multiple) {
             this.windowUs = windowUs;
@@ -89,13 +89,13 @@
                 markedSum -= first[2];
             }
             double sustainable = loadMultiple * capacity * windowUs;
-            most = Math.max(most, sum / sustainable);
+            highestUse = Math.max(highestUse, sum / sustainable);
             return sum > sustainable;
         }
 
         /** The highest work within a window, as a fraction of the sustainable load at that time. */
-        double most() {
-            return most;
+        double highestUse() {
+            return highestUse;
         }
 
         /** Fraction of the work within the window that is marked. */
--- a/src/main/java/mulleinfront/emulator/HybridSimulation.java
+++ b/src/main/java/mulleinfront/emulator/HybridSimulation.java
@@ -120,19 +120,24 @@
         this.externalProxies = externalProxies;
         this.initialListUnknown = new boolean[scenario.proxies().count()];
         this.world = new World(
-                scenario.withSlack(slackUs), seed, new Trace(null), (w, zone) -> Balancer::create, Fitting.PLAIN, this);
-        this.world.audit.leaveSlack(slackUs);
+                scenario.withSlack(slackUs),
+                seed,
+                new Trace(null),
+                (w, zone) -> Balancer::create,
+                CoreWiring.UNCHANGED,
+                this);
+        this.world.auditor.setDisconnectSlack(slackUs);
     }
 
     // ---- time ----------------------------------------------------------------------------------------
 
     /** Runs all events that are due up to an instant, in microseconds since the start. */
     public void runUntil(long instant) {
-        world.playUntil(instant);
+        world.runUntil(instant);
     }
 
     /** The instant of the next event. */
-    public long nextAt() {
+    public long nextEventAt() {
         return world.queue.nextAt();
     }
 
@@ -154,9 +159,9 @@
 
     /** The initial list of a client proxy that starts now; the auditor counts it as known to the proxy from now on. */
     public ListUpdate begin(int proxy) {
-        Registry.News known = world.known();
-        world.audit.proxyStarted(proxy, world.queue.now());
-        world.audit.told(proxy, known.version(), Source.CACHED, known.entries(), world.queue.now());
+        Registry.ListUpdate known = world.initialList();
+        world.auditor.proxyStarted(proxy, world.queue.now());
+        world.auditor.listReceived(proxy, known.version(), Source.CACHED, known.entries(), world.queue.now());
         world.proxies.get(proxy).starts++;
         // Version -1: the list is so old that discovery no longer has the changes since.
         initialListUnknown[proxy] = known.version() < 0;
@@ -164,7 +169,7 @@
         return initialListUnknown[proxy] ? new ListUpdate(0, update.full(), update.servers()) : update;
     }
 
-    private static ListUpdate toListUpdate(Registry.News news) {
+    private static ListUpdate toListUpdate(Registry.ListUpdate news) {
         List<Listed> servers = new ArrayList<>();
         news.entries().forEach(e -> servers.add(new Listed(e.endpoint(), e.address())));
         return new ListUpdate(news.version(), news.full(), servers);
@@ -179,9 +184,9 @@
     public void ended(int proxy, boolean killed, Runnable then) {
         world.queue.after(CHECK_DELAY_US, () -> {
             if (killed) {
-                world.audit.proxyKilled(proxy);
+                world.auditor.proxyKilled(proxy);
             } else {
-                world.audit.proxyEnded(proxy, world.queue.now());
+                world.auditor.proxyEnded(proxy, world.queue.now());
             }
             then.run();
         });
@@ -202,18 +207,18 @@
 
             @Override
             void pause(long us) {
-                world.audit.stands(number, true, world.queue.now());
+                world.auditor.proxyPaused(number, true, world.queue.now());
                 externalProxies.pause(number, us);
-                world.queue.after(us, () -> world.audit.stands(number, false, world.queue.now()));
+                world.queue.after(us, () -> world.auditor.proxyPaused(number, false, world.queue.now()));
             }
 
             @Override
-            void end() {
+            void terminate() {
                 externalProxies.end(number);
             }
 
             @Override
-            void crowd(int connections, long forUs) {
+            void floodConnections(int connections, long forUs) {
                 externalProxies.floodConnections(number, connections, forUs);
             }
 
@@ -223,7 +228,7 @@
             }
 
             @Override
-            void take(Clients.Try t) {
+            void accept(Clients.Try t) {
                 tries.put(t.call.id(), new PendingTry(t, number));
                 world.queue.after(REQUEST_ID_RETENTION_US, () -> tries.remove(t.call.id()));
                 externalProxies.send(new Outgoing(
@@ -232,16 +237,16 @@
                         t.call.classIndex(),
                         t.call.key(),
                         t.call.effect(),
-                        t.ask.tenant,
+                        t.request.tenant,
                         t.deadlineAt - t.sentAt));
             }
 
             @Override
-            void gone(Clients.Try t) {
+            void clientDisconnected(Clients.Try t) {
                 PendingTry pending = tries.get(t.call.id());
                 if (pending != null) {
                     pending.left = true;
-                    world.audit.left(number, t.call.id(), world.queue.now());
+                    world.auditor.clientDisconnected(number, t.call.id(), world.queue.now());
                     externalProxies.leave(number, t.call.id());
                 }
             }
@@ -251,19 +256,19 @@
     // ---- clients -------------------------------------------------------------------------------------
 
     /** A try's last byte was written to its client proxy. */
-    public void taken(String id) {
+    public void tryWritten(String id) {
         PendingTry pending = tries.get(id);
         if (pending != null) {
-            world.audit.taken(
+            world.auditor.requestAccepted(
                     pending.proxy,
                     id,
                     pending.clientTry.call.classIndex(),
                     world.queue.now(),
                     pending.clientTry.deadlineAt);
-            world.account.taken(id);
+            world.lossAttribution.tryAccepted(id);
             if (pending.left) {
                 // The client left while the try was being written, before the auditor knew of the try.
-                world.audit.left(pending.proxy, id, world.queue.now());
+                world.auditor.clientDisconnected(pending.proxy, id, world.queue.now());
             }
         }
     }
@@ -281,15 +286,15 @@
         }
         long now = world.queue.now();
         if (status == 200) {
-            world.audit.served(pending.proxy, id, answerOf, now);
-            world.clients.answered(pending.clientTry, Clients.How.SERVED, 0);
+            world.auditor.served(pending.proxy, id, answerOf, now);
+            world.clients.deliverResult(pending.clientTry, Clients.TryResult.SERVED, 0);
         } else if (status == 429 || status == 503) {
-            world.audit.refused(pending.proxy, id, now);
-            world.account.refused(id);
-            world.clients.answered(pending.clientTry, Clients.How.REFUSED, retryAfterUs);
+            world.auditor.refused(pending.proxy, id, now);
+            world.lossAttribution.tryRefused(id);
+            world.clients.deliverResult(pending.clientTry, Clients.TryResult.REFUSED, retryAfterUs);
         } else {
-            world.audit.failed(pending.proxy, id, now);
-            world.clients.answered(pending.clientTry, Clients.How.FAILED, 0);
+            world.auditor.failed(pending.proxy, id, now);
+            world.clients.deliverResult(pending.clientTry, Clients.TryResult.FAILED, 0);
         }
     }
 
@@ -297,10 +302,10 @@
      * A reused connection closed while this try was written to it: if no attempt followed, the proxy did not accept
      * the try.
      */
-    public void crossed(String id) {
+    public void closedDuringWrite(String id) {
         PendingTry pending = tries.get(id);
         if (pending != null && pending.attempts == 0) {
-            world.audit.untaken(id);
+            world.auditor.requestNotAccepted(id);
         }
     }
 
@@ -309,15 +314,16 @@
      *
      * @param id the request whose answer came before on the connection; null: none
      */
-    public void answeredAgain(int proxy, String id) {
-        world.audit.failed(proxy, String.valueOf(id), world.queue.now());
+    public void unexpectedResponse(int proxy, String id) {
+        world.auditor.failed(proxy, String.valueOf(id), world.queue.now());
     }
 
     /** A client could not connect, or its connection ended before it had a complete response. */
     public void unanswered(String id, boolean connected) {
         PendingTry pending = tries.get(id);
         if (pending != null) {
-            world.clients.answered(pending.clientTry, connected ? Clients.How.BROKEN : Clients.How.UNREACHABLE, 0);
+            world.clients.deliverResult(
+                    pending.clientTry, connected ? Clients.TryResult.BROKEN : Clients.TryResult.UNREACHABLE, 0);
         }
     }
 
@@ -333,8 +339,8 @@
 
     /** How an address reacts now to a new connection from a client proxy. */
     public ConnectBehaviour connectBehaviour(int proxy, int address) {
-        Host host = world.at(address);
-        if (host == null || !world.network.passes(proxy, world.zoneOf(proxy), host)) {
+        Host host = world.hostAt(address);
+        if (host == null || !world.network.delivers(proxy, world.zoneOf(proxy), host)) {
             return ConnectBehaviour.SILENT;
         }
         return host.alive() && host.address == address ? ConnectBehaviour.OPEN : ConnectBehaviour.REFUSED;
@@ -342,10 +348,10 @@
 
     /** Opens a connection; null if the server accepts no more or resets it. */
     public Connection connect(int proxy, int address) {
-        Host host = world.at(address);
+        Host host = world.hostAt(address);
         if (connectBehaviour(proxy, address) != ConnectBehaviour.OPEN
-                || host.chance.happens(host.resetBefore)
-                || !host.life.connect()) {
+                || host.chance.happens(host.resetBeforeProbability)
+                || !host.process.connect()) {
             return null;
         }
         return new Connection(proxy, host);
@@ -364,7 +370,7 @@
         private Connection(int proxy, Host host) {
             this.proxy = proxy;
             this.host = host;
-            this.process = host.life;
+            this.process = host.process;
         }
 
         private long delay() {
@@ -372,7 +378,7 @@
         }
 
         private boolean passes() {
-            return open && world.network.passes(proxy, world.zoneOf(proxy), host) && !process.stopped();
+            return open && world.network.delivers(proxy, world.zoneOf(proxy), host) && !process.stopped();
         }
 
         /** Either side closed the connection: its request was given up and may have run. */
@@ -390,7 +396,7 @@
 
         /** A probe arrived; the reply says whether the server is healthy; there may be no reply. */
         public void probe(Reply reply) {
-            world.tally.probes++;
+            world.statistics.probes++;
             world.queue.after(delay(), () -> {
                 if (passes()) {
                     process.probe((end, inflight) -> world.queue.after(delay(), () -> {
@@ -411,26 +417,26 @@
         public void request(String id, String effect, long firstByteAt, Reply reply) {
             PendingTry pending = tries.get(id);
             if (pending == null) {
-                world.audit.sent(proxy, id, 0, host.id, firstByteAt);
+                world.auditor.sent(proxy, id, 0, host.id, firstByteAt);
                 reply.answer(400, false);
                 return;
             }
             Attempt attempt = new Attempt(this, pending, pending.attempts++, reply);
-            world.account.sent(id, attempt.number, host);
+            world.lossAttribution.attemptSent(id, attempt.number, host);
             Attempt before = pending.lastAttempt;
             pending.lastAttempt = attempt;
             current = attempt;
             // Attempts are checked in order: an attempt is checked after an earlier one that is still to be checked.
             long closing = before == null || before.ended ? 0 : CHECK_DELAY_US;
             attempt.checkedAt = Math.max(world.queue.now() + closing, before == null ? 0 : before.checkedAt);
-            at(attempt.checkedAt, () -> world.audit.sent(proxy, id, attempt.number, host.id, firstByteAt));
-            world.tally.sent(world.zoneOf(proxy) == host.zone);
-            if (world.queue.now() - lastResponseAt > process.machine().idleCloseUs()) {
+            at(attempt.checkedAt, () -> world.auditor.sent(proxy, id, attempt.number, host.id, firstByteAt));
+            world.statistics.attemptSent(world.zoneOf(proxy) == host.zone);
+            if (world.queue.now() - lastResponseAt > process.spec().idleCloseUs()) {
                 attempt.reset();
                 return;
             }
             // A new connection first has its handshake, as in the emulated network.
-            int ways = unused ? 2 * EmulatedWire.HANDSHAKE_TRIPS + 1 : 1;
+            int ways = unused ? 2 * EmulatedWire.HANDSHAKE_ROUND_TRIPS + 1 : 1;
             long us = 0;
             for (int i = 0; i < ways; i++) {
                 us += delay();
@@ -468,7 +474,7 @@
 
         private void arrive() {
             Connection c = connection;
-            if (!world.network.passes(c.proxy, world.zoneOf(c.proxy), c.host) || c.process.stopped()) {
+            if (!world.network.delivers(c.proxy, world.zoneOf(c.proxy), c.host) || c.process.stopped()) {
                 return;
             }
             Call call = pending.clientTry.call;
@@ -482,7 +488,7 @@
                     call.windowUs(),
                     pending.clientTry.deadlineAt,
                     (end, inflight) -> done(end));
-            world.arrived(c.host, c.proxy, call.id(), work);
+            world.workArrived(c.host, c.proxy, call.id(), work);
             if (c.process.stopped()) {
                 return;
             }
@@ -495,7 +501,7 @@
         private void done(ServerModel.End end) {
             Connection c = connection;
             c.lastResponseAt = world.queue.now();
-            if (c.host.chance.happens(c.host.resetAfter)) {
+            if (c.host.chance.happens(c.host.resetAfterProbability)) {
                 reset();
                 return;
             }
@@ -537,10 +543,10 @@
                 ended = true;
                 at(
                         checkedAt,
-                        () -> world.audit.attemptEnded(
+                        () -> world.auditor.attemptEnded(
                                 connection.proxy, pending.clientTry.call.id(), number, outcome, world.queue.now()));
-                world.account.attemptEnded(pending.clientTry.call.id(), number, connection.host, outcome);
-                world.tally.outcome(outcome);
+                world.lossAttribution.attemptEnded(pending.clientTry.call.id(), number, connection.host, outcome);
+                world.statistics.attemptEnded(outcome);
             }
         }
     }
@@ -548,20 +554,20 @@
     // ---- discovery -----------------------------------------------------------------------------------
 
     /** Sends the output of a discovery watch to a client proxy. */
-    public interface Lines {
+    public interface WatchOutput {
         /** The call is accepted: heartbeats start. */
-        void begin();
+        void startHeartbeats();
 
-        void told(ListUpdate news);
+        void sendUpdate(ListUpdate news);
 
         /** Heartbeats stop or resume. */
-        void silent(boolean on);
+        void setSilent(boolean on);
 
         /** Sends the first half of a list; the full list follows later. */
-        void begins(ListUpdate news);
+        void sendFirstHalf(ListUpdate news);
 
         /** Sends a truncated list and breaks the connection. */
-        void cutShort(ListUpdate news);
+        void sendTruncated(ListUpdate news);
 
         /**
          * The call or the watch has failed.
@@ -574,14 +580,14 @@
     /** A client proxy's discovery call and watch. */
     public final class Watch extends Watcher {
         private final int proxy;
-        private final Lines output;
-        private boolean over;
+        private final WatchOutput output;
+        private boolean ended;
         private boolean accepted;
 
-        private Watch(int proxy, long after, Lines output) {
+        private Watch(int proxy, long after, WatchOutput output) {
             this.proxy = proxy;
             this.output = output;
-            this.toldTo = after;
+            this.sentVersion = after;
         }
 
         @Override
@@ -595,74 +601,74 @@
         }
 
         @Override
-        boolean over() {
-            return over;
+        boolean ended() {
+            return ended;
         }
 
         @Override
         void begin() {
             if (accepted) {
-                output.silent(false);
+                output.setSilent(false);
             } else {
                 accepted = true;
-                output.begin();
+                output.startHeartbeats();
             }
         }
 
         @Override
-        void silence(long agoUs) {
-            output.silent(true);
+        void stopReceiving(long agoUs) {
+            output.setSilent(true);
         }
 
         @Override
-        void hear(Registry.News news) {
-            if (!over) {
-                output.told(HybridSimulation.toListUpdate(news));
-                world.audit.told(
+        void receive(Registry.ListUpdate news) {
+            if (!ended) {
+                output.sendUpdate(HybridSimulation.toListUpdate(news));
+                world.auditor.listReceived(
                         proxy,
                         news.version(),
                         news.full() ? Source.FULL : Source.DELTA,
                         news.entries(),
                         world.queue.now());
-                world.audit.watching(proxy);
+                world.auditor.watching(proxy);
             }
         }
 
         @Override
-        void begins(Registry.News news) {
-            if (!over) {
-                output.begins(HybridSimulation.toListUpdate(news));
+        void receiveFirstHalf(Registry.ListUpdate news) {
+            if (!ended) {
+                output.sendFirstHalf(HybridSimulation.toListUpdate(news));
             }
         }
 
         @Override
         void fail() {
             if (end()) {
-                world.audit.watchFailed(proxy, world.queue.now(), !reset);
+                world.auditor.watchFailed(proxy, world.queue.now(), !reset);
                 output.fail(reset);
             }
         }
 
         @Override
-        void cutShort(Registry.News news) {
-            if (!over) {
-                output.cutShort(HybridSimulation.toListUpdate(news));
+        void receiveTruncated(Registry.ListUpdate news) {
+            if (!ended) {
+                output.sendTruncated(HybridSimulation.toListUpdate(news));
                 end();
-                world.audit.watchFailed(proxy, world.queue.now(), true);
+                world.auditor.watchFailed(proxy, world.queue.now(), true);
             }
         }
 
         /** The client proxy closed its connection. */
         public void closed() {
             if (end()) {
-                world.audit.watchFailed(proxy, world.queue.now(), false);
+                world.auditor.watchFailed(proxy, world.queue.now(), false);
             }
         }
 
         private boolean end() {
-            boolean ends = !over;
-            over = true;
-            world.registry.leave(this);
+            boolean ends = !ended;
+            ended = true;
+            world.registry.closeWatch(this);
             return ends;
         }
     }
@@ -672,9 +678,9 @@
      *
      * @param after the proxy's current version; -1: none
      */
-    public Watch watch(int proxy, long after, Lines output) {
+    public Watch watch(int proxy, long after, WatchOutput output) {
         Watch watch = new Watch(proxy, initialListUnknown[proxy] && after == 0 ? -1 : after, output);
-        world.audit.asked(proxy, world.queue.now());
+        world.auditor.discoveryCalled(proxy, world.queue.now());
         world.registry.call(watch);
         return watch;
     }
--- a/src/main/java/mulleinfront/emulator/Instance.java
+++ b/src/main/java/mulleinfront/emulator/Instance.java
@@ -26,17 +26,17 @@
     abstract void pause(long us);
 
     /** SIGTERM. */
-    abstract void end();
+    abstract void terminate();
 
     /** SIGHUP, with a configuration that has a new discovery address. */
     abstract void reload();
 
     /** Opens idle client connections for a time; no effect where client connections are not simulated. */
-    void crowd(int connections, long forUs) {}
+    void floodConnections(int connections, long forUs) {}
 
     /** Accepts a try whose last byte has arrived. */
-    abstract void take(Clients.Try t);
+    abstract void accept(Clients.Try t);
 
     /** Reports that the client of a try has disconnected. */
-    abstract void gone(Clients.Try t);
+    abstract void clientDisconnected(Clients.Try t);
 }
--- a/src/main/java/mulleinfront/emulator/Link.java
+++ b/src/main/java/mulleinfront/emulator/Link.java
@@ -4,7 +4,7 @@
 final class Link {
     final Host host;
     final int address;
-    final ServerModel life;
+    final ServerModel process;
     final EmulatedWire owner;
     /** The current attempt; null while idle. */
     EmulatedWire.Attempt current;
@@ -24,7 +24,7 @@
     Link(Host host, ServerModel process, EmulatedWire owner, long now) {
         this.host = host;
         this.address = host.address;
-        this.life = process;
+        this.process = process;
         this.owner = owner;
         this.lastResponseAt = now;
     }
--- a/src/main/java/mulleinfront/emulator/LossAttribution.java
+++ b/src/main/java/mulleinfront/emulator/LossAttribution.java
@@ -68,7 +68,7 @@
             this.host = host;
             this.at = at;
             this.serverState = serverState;
-            this.inFlight = host == null || !host.alive() ? 0 : host.life.held();
+            this.inFlight = host == null || !host.alive() ? 0 : host.process.inFlight();
         }
     }
 
@@ -87,17 +87,17 @@
 
     void trySent(Clients.Try clientTry) {
         histories.put(clientTry.call.id(), new TryHistory(clientTry));
-        clientTry.ask.tryIds.add(clientTry.call.id());
+        clientTry.request.tryIds.add(clientTry.call.id());
     }
 
-    void taken(String id) {
+    void tryAccepted(String id) {
         TryHistory history = histories.get(id);
         if (history != null) {
             history.acceptedAt = world.queue.now();
         }
     }
 
-    void sent(String id, int number, Host host) {
+    void attemptSent(String id, int number, Host host) {
         TryHistory history = histories.get(id);
         if (history != null && (history.attempts.isEmpty() || lastAttempt(history).number != number)) {
             history.attempts.add(
@@ -123,7 +123,7 @@
         lastAttempt(history).endedAt = world.queue.now();
     }
 
-    void refused(String id) {
+    void tryRefused(String id) {
         TryHistory history = histories.get(id);
         if (history != null && history.attempts.isEmpty()) {
             history.refusal = refusalCause(history.clientTry);
@@ -132,38 +132,39 @@
 
     /** The true state of a server now, as a cause of loss for a request that goes to it. */
     private Cause serverState(Clients.Try clientTry, Host host) {
-        if (host.vanished || !world.network.passes(clientTry.ask.proxy, world.zoneOf(clientTry.ask.proxy), host)) {
+        if (host.disconnected
+                || !world.network.delivers(clientTry.request.proxy, world.zoneOf(clientTry.request.proxy), host)) {
             return Cause.UNREACHABLE;
         }
-        if (!host.alive() || host.life.draining()) {
+        if (!host.alive() || host.process.draining()) {
             return Cause.DRAINED;
         }
-        if (host.life.hung()) {
+        if (host.process.hung()) {
             return Cause.HANGING;
         }
-        if (host.life.faulty()) {
+        if (host.process.faulty()) {
             return Cause.BAD;
         }
-        return host.life.warmth() < 1
+        return host.process.warmth() < 1
                 ? Cause.COLD
-                : host.life.held() >= host.life.machine().cores() ? Cause.CROWDED : Cause.LONG_WORK;
+                : host.process.inFlight() >= host.process.spec().cores() ? Cause.CROWDED : Cause.LONG_WORK;
     }
 
     /** The cause of a refusal, by whether any server could have run the refused request at once. */
     private Cause refusalCause(Clients.Try clientTry) {
-        if (!world.proxies.get(clientTry.ask.proxy).hasReadyServers()) {
+        if (!world.proxies.get(clientTry.request.proxy).hasReadyServers()) {
             return Cause.NO_LIST;
         }
         boolean cold = false;
         for (Host host : world.hosts) {
             if (!host.alive()
-                    || host.life.draining()
-                    || host.life.hung()
-                    || !world.network.passes(clientTry.ask.proxy, world.zoneOf(clientTry.ask.proxy), host)) {
+                    || host.process.draining()
+                    || host.process.hung()
+                    || !world.network.delivers(clientTry.request.proxy, world.zoneOf(clientTry.request.proxy), host)) {
                 continue;
             }
-            if (host.life.held() < host.life.machine().cores() && !host.life.faulty()) {
-                if (host.life.warmth() >= 1) {
+            if (host.process.inFlight() < host.process.spec().cores() && !host.process.faulty()) {
+                if (host.process.warmth() >= 1) {
                     return Cause.REFUSED_WITH_ROOM;
                 }
                 cold = true;
@@ -210,10 +211,11 @@
             if (history == null) {
                 continue;
             }
-            if (history.clientTry.result == Clients.How.LEFT) {
+            if (history.clientTry.result == Clients.TryResult.LEFT) {
                 return Cause.CLIENT_GONE;
             }
-            if (history.clientTry.result == Clients.How.UNREACHABLE || history.clientTry.result == Clients.How.BROKEN) {
+            if (history.clientTry.result == Clients.TryResult.UNREACHABLE
+                    || history.clientTry.result == Clients.TryResult.BROKEN) {
                 return Cause.OWN_RESTART;
             }
             Cause first = firstCause(history, now);
@@ -236,7 +238,7 @@
             if (attempt.outcome == Outcome.RESET
                     && attempt.serverState != Cause.UNREACHABLE
                     && attempt.serverState != Cause.DRAINED) {
-                return history.clientTry.ask.type.effect() == Effect.RETRYABLE ? Cause.BAD : Cause.ANSWER_LOST;
+                return history.clientTry.request.type.effect() == Effect.RETRYABLE ? Cause.BAD : Cause.ANSWER_LOST;
             }
             return attempt.serverState;
         }
@@ -300,7 +302,7 @@
                                 ? "no zone"
                                 : world.scenario.zones().get(attempt.host.zone),
                         attempt.inFlight,
-                        attempt.serverState.word());
+                        attempt.serverState.outputName());
                 if (attempt.outcome != null) {
                     addLine(
                             lines,
@@ -308,7 +310,7 @@
                             attempt.endedAt,
                             "  attempt %d ended: %s",
                             attempt.number,
-                            Section.form(attempt.outcome));
+                            Section.outputName(attempt.outcome));
                 }
             }
             if (history.clientTry.result != null) {
@@ -318,8 +320,8 @@
                         history.endedAt,
                         "%s: %s%s",
                         id,
-                        Section.form(history.clientTry.result),
-                        history.refusal == null ? "" : " (" + history.refusal.words() + ")");
+                        Section.outputName(history.clientTry.result),
+                        history.refusal == null ? "" : " (" + history.refusal.description() + ")");
             }
         }
         return lines;
@@ -335,7 +337,7 @@
 
     /** The report so far; requests that are still open count as not served. */
     LossReport report() {
-        List.copyOf(open).forEach(request -> requestEnded(request, world.tally.worth(request), world.queue.now()));
+        List.copyOf(open).forEach(request -> requestEnded(request, world.statistics.worth(request), world.queue.now()));
         Map<LossReport.Part, Map<String, Map<Cause, Double>>> named = new LinkedHashMap<>();
         for (LossReport.Part part : LossReport.Part.values()) {
             named.put(part, parts.get(part.ordinal()));
--- a/src/main/java/mulleinfront/emulator/LossReport.java
+++ b/src/main/java/mulleinfront/emulator/LossReport.java
@@ -21,7 +21,7 @@
         WINDOW;
 
         /** The output name in files. */
-        public String word() {
+        public String outputName() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
--- a/src/main/java/mulleinfront/emulator/Network.java
+++ b/src/main/java/mulleinfront/emulator/Network.java
@@ -10,7 +10,7 @@
 final class Network {
     private final long[][] oneWay;
     private final double jitter;
-    private final Chance chance;
+    private final RandomStream chance;
     private final int[] partitionedZones;
     private final Set<Host> partitionedHosts = new HashSet<>();
     /** Partitions of single client proxies: by proxy, a count for each zone; null: none. */
@@ -18,28 +18,28 @@
     /** Partitions between pairs of zones, as counts; null: none. */
     private int[][] partitionedPairs;
     /** Client proxies whose machine is disconnected from the network. */
-    private final BitSet away = new BitSet();
+    private final BitSet disconnect = new BitSet();
 
     /**
      * The network of one service in a graph simulation, whose zones have the delays of the whole simulation.
      *
      * @param oneWay delay from and to each zone, microseconds
      */
-    Network(long[][] oneWay, double jitter, Chance chance) {
+    Network(long[][] oneWay, double jitter, RandomStream chance) {
         this.jitter = jitter;
         this.chance = chance;
         this.oneWay = oneWay;
         this.partitionedZones = new int[oneWay.length];
     }
 
-    Network(Scenario.Network spec, int zones, Chance chance) {
+    Network(Scenario.Network spec, int zones, RandomStream chance) {
         this.jitter = spec.jitter();
         this.chance = chance;
         this.oneWay = new long[zones][zones];
         this.partitionedZones = new int[zones];
         for (int a = 0; a < zones; a++) {
             for (int b = a; b < zones; b++) {
-                long us = Math.max(1, (long) (a == b ? spec.same() : spec.cross()).draw(chance::between));
+                long us = Math.max(1, (long) (a == b ? spec.same() : spec.cross()).draw(chance::uniformBetween));
                 oneWay[a][b] = us;
                 oneWay[b][a] = us;
             }
@@ -48,13 +48,13 @@
 
     /** Delay of one message, microseconds, at least 1. */
     long delay(int from, int to) {
-        double us = oneWay[from][to] * (1 + jitter * chance.unit());
+        double us = oneWay[from][to] * (1 + jitter * chance.uniform());
         return Math.max(1, (long) us);
     }
 
     /** Whether a message between a client proxy's zone and a server would arrive now. */
-    boolean passes(int zone, Host host) {
-        return !host.vanished
+    boolean delivers(int zone, Host host) {
+        return !host.disconnected
                 && !partitionedHosts.contains(host)
                 && (zone == host.zone || partitionedZones[zone] == 0 && partitionedZones[host.zone] == 0)
                 && (partitionedPairs == null || partitionedPairs[zone][host.zone] == 0);
@@ -64,37 +64,37 @@
      * Whether a message between a client proxy and a server would arrive now, including partitions of the single
      * proxy.
      */
-    boolean passes(int proxy, int zone, Host host) {
-        return passes(zone, host)
-                && !away.get(proxy)
+    boolean delivers(int proxy, int zone, Host host) {
+        return delivers(zone, host)
+                && !disconnect.get(proxy)
                 && (partitionedProxies == null
                         || !partitionedProxies.containsKey(proxy)
                         || partitionedProxies.get(proxy)[host.zone] == 0);
     }
 
     /** Begins or ends a partition between one client proxy and the servers of a zone. */
-    void cut(int proxy, int zone, boolean on) {
+    void partition(int proxy, int zone, boolean on) {
         partitionedProxies = partitionedProxies == null ? new HashMap<>() : partitionedProxies;
         partitionedProxies.computeIfAbsent(proxy, p -> new int[partitionedZones.length])[zone] += on ? 1 : -1;
     }
 
     /** Begins or ends a partition between two zones. */
-    void cutPair(int a, int b, boolean on) {
+    void partitionZones(int a, int b, boolean on) {
         partitionedPairs = partitionedPairs == null ? new int[oneWay.length][oneWay.length] : partitionedPairs;
         partitionedPairs[a][b] += on ? 1 : -1;
         partitionedPairs[b][a] += on ? 1 : -1;
     }
 
     /** Disconnects a client proxy's machine from the network, or reconnects it. */
-    void away(int proxy, boolean on) {
-        away.set(proxy, on);
+    void disconnect(int proxy, boolean on) {
+        disconnect.set(proxy, on);
     }
 
-    void cut(int zone, boolean on) {
+    void partition(int zone, boolean on) {
         partitionedZones[zone] += on ? 1 : -1;
     }
 
-    void cut(Host host, boolean on) {
+    void partition(Host host, boolean on) {
         if (on) {
             partitionedHosts.add(host);
         } else {
--- a/src/main/java/mulleinfront/emulator/Peer.java
+++ b/src/main/java/mulleinfront/emulator/Peer.java
@@ -69,12 +69,12 @@
     }
 
     /** Pauses the process, as SIGSTOP does. */
-    void stop() {
+    void pause() {
         paused = true;
     }
 
     /** Resumes the process, as SIGCONT does. Waiting datagrams are read first, as an event loop does. */
-    void go() {
+    void resume() {
         paused = false;
         while (alive && !paused && !socketBuffer.isEmpty()) {
             BufferedDatagram datagram = socketBuffer.poll();
--- a/src/main/java/mulleinfront/emulator/PeerFaults.java
+++ b/src/main/java/mulleinfront/emulator/PeerFaults.java
@@ -6,7 +6,7 @@
 /** Injects faults into the network between client proxies, on virtual time or on sockets. */
 public interface PeerFaults {
     /** Ends a fault. */
-    interface End {
+    interface ActiveFault {
         void end();
     }
 
@@ -21,7 +21,7 @@
      * @param corruptedShare fraction whose bytes are changed or that is truncated
      * @param extraDelayUs additional delay, microseconds
      */
-    End beginFault(
+    ActiveFault beginFault(
             BitSet from,
             BitSet to,
             double lossShare,
@@ -30,20 +30,26 @@
             double corruptedShare,
             Range extraDelayUs);
 
-    /** Records passing datagrams for a time, and then repeats recorded ones at a rate for {@code durationUs} microseconds. */
-    void repeat(long recordUs, double perSecond, long durationUs);
+    /**
+     * Records passing datagrams for a time, and then repeats recorded ones at a rate for {@code durationUs}
+     * microseconds.
+     */
+    void repeatDatagrams(long recordUs, double perSecond, long durationUs);
 
     /** Sends datagrams from unknown senders, {@code perSecond} to all members together. */
-    void strangers(double perSecond, long durationUs);
+    void sendFromUnknownSenders(double perSecond, long durationUs);
 
     /** The wall clock of a member's machine jumps; the member's next process starts with the new time. */
-    void clockJumps(int number, long ms);
+    void shiftClock(int number, long ms);
 
-    /** Blocks all datagrams from {@code senders} to {@code receivers}, and unless {@code oneWay} also the other direction. */
-    default End partition(BitSet senders, BitSet receivers, boolean oneWay) {
+    /**
+     * Blocks all datagrams from {@code senders} to {@code receivers}, and unless {@code oneWay} also the other
+     * direction.
+     */
+    default ActiveFault partition(BitSet senders, BitSet receivers, boolean oneWay) {
         Range none = Range.of(0);
-        End forward = beginFault(senders, receivers, 1, 0, 0, 0, none);
-        End backward = oneWay ? () -> {} : beginFault(receivers, senders, 1, 0, 0, 0, none);
+        ActiveFault forward = beginFault(senders, receivers, 1, 0, 0, 0, none);
+        ActiveFault backward = oneWay ? () -> {} : beginFault(receivers, senders, 1, 0, 0, 0, none);
         return () -> {
             forward.end();
             backward.end();
--- a/src/main/java/mulleinfront/emulator/PeerNetwork.java
+++ b/src/main/java/mulleinfront/emulator/PeerNetwork.java
@@ -23,7 +23,7 @@
     private final Receiver[] receivers;
     private final DatagramFaults faults;
 
-    PeerNetwork(EventQueue queue, Chance chance, int peers, Delay delay) {
+    PeerNetwork(EventQueue queue, RandomStream chance, int peers, Delay delay) {
         this.queue = queue;
         this.delay = delay;
         this.receivers = new Receiver[peers];
@@ -43,7 +43,7 @@
     /** Sends a datagram from an address; active faults apply to it. */
     void send(int from, int to, byte[] bytes, int length) {
         for (DatagramFaults.Copy copy : faults.deliver(from, to, bytes, length)) {
-            deliver(from, to, copy.bytes(), copy.lateUs());
+            deliver(from, to, copy.bytes(), copy.extraDelayUs());
         }
     }
 
--- a/src/main/java/mulleinfront/emulator/ToldDeadlines.java
+++ b/src/main/java/mulleinfront/emulator/PropagationDeadlines.java
@@ -17,7 +17,7 @@
  * watch that became unresponsive counts as lost from that time.
  * </ul>
  */
-final class ToldDeadlines {
+final class PropagationDeadlines {
     /** Latest propagation deadline after discovery had a change and was reachable, whatever calls failed. */
     static final long REACHABLE_US = 6_000_000;
     /** Propagation deadline after discovery ended a watch in order, like a poll whose wait is over. */
@@ -51,7 +51,7 @@
         private long connectedSince;
     }
 
-    ToldDeadlines(long askWithinUs) {
+    PropagationDeadlines(long askWithinUs) {
         this.askWithinUs = askWithinUs;
     }
 
--- a/src/main/java/mulleinfront/emulator/Proxy.java
+++ b/src/main/java/mulleinfront/emulator/Proxy.java
@@ -27,7 +27,7 @@
     private final int number;
     private final int zone;
     private final Core.BalancerFactory factory;
-    private final Chance chance;
+    private final RandomStream chance;
     private ProxyProcess process;
 
     Proxy(World world, int number, int zone, Core.BalancerFactory factory) {
@@ -48,7 +48,7 @@
         return process != null && process.core.hasReadyEndpoints();
     }
 
-    int held() {
+    int openRequests() {
         return process == null ? 0 : process.core.openRequests();
     }
 
@@ -57,19 +57,19 @@
     }
 
     /** Starts a process, which accepts requests at once. */
-    void start(Registry.News known) {
+    void start(Registry.ListUpdate known) {
         if (process == null) {
             starts++;
             readyAt = world.queue.now();
             if (starts > 1) {
-                world.tally.proxyRestarted(readyAt);
+                world.statistics.proxyRestarted(readyAt);
             }
-            world.audit.proxyStarted(number, world.queue.now());
+            world.auditor.proxyStarted(number, world.queue.now());
             process = new ProxyProcess();
             process.begin(known);
             if (world.fleet != null) {
                 world.fleet.start(number);
-                world.fleet.member(number).listen(process);
+                world.fleet.member(number).addListener(process);
                 process.updateLiveInstances();
             }
         }
@@ -84,7 +84,7 @@
         if (process != null) {
             ProxyProcess killed = process;
             process = null;
-            world.audit.proxyKilled(number);
+            world.auditor.proxyKilled(number);
             killed.terminate();
             scheduleRestart(awayUs);
         }
@@ -94,7 +94,7 @@
         if (world.fleet != null) {
             world.fleet.kill(number);
         }
-        world.queue.after(world.scenario.proxies().startUs() + awayUs, () -> start(world.known()));
+        world.queue.after(world.scenario.proxies().startUs() + awayUs, () -> start(world.initialList()));
     }
 
     /** SIGSTOP: no input is read and no timer fires until the process resumes. */
@@ -105,30 +105,30 @@
         }
         ProxyProcess stopped = process;
         stopped.paused = true;
-        world.audit.stands(number, true, world.queue.now());
+        world.auditor.proxyPaused(number, true, world.queue.now());
         if (world.fleet != null) {
-            world.fleet.stop(number);
+            world.fleet.pause(number);
         }
         world.queue.after(us, () -> {
             if (process == stopped) {
                 stopped.resume();
                 if (world.fleet != null) {
-                    world.fleet.go(number);
+                    world.fleet.resume(number);
                 }
             }
-            world.audit.stands(number, false, world.queue.now());
+            world.auditor.proxyPaused(number, false, world.queue.now());
         });
     }
 
     /** SIGTERM: the process accepts late requests for a short time, finishes its open requests and ends. */
     @Override
-    void end() {
+    void terminate() {
         if (process == null || process.ending) {
             return;
         }
         ProxyProcess ending = process;
         if (ending.paused) {
-            ending.deferred.add(this::end);
+            ending.deferred.add(this::terminate);
             return;
         }
         ending.ending = true;
@@ -141,7 +141,7 @@
         });
         world.queue.after(world.scenario.proxies().killAfterUs(), () -> {
             if (process == ending) {
-                world.audit.proxyEnded(number, world.queue.now());
+                world.auditor.proxyEnded(number, world.queue.now());
                 kill(0);
             }
         });
@@ -150,7 +150,7 @@
     /** Discovery has no address in the simulation, so a move only makes the proxy open a new watch. */
     @Override
     void reload() {
-        if (process != null && !process.ending && world.scenario.discovery().asked()) {
+        if (process != null && !process.ending && world.scenario.discovery().polled()) {
             ProxyProcess reloading = process;
             reloading.runOrDefer(reloading.discovery::discoveryMoved);
         }
@@ -161,12 +161,12 @@
      * the process dies.
      */
     @Override
-    void take(Clients.Try clientTry) {
+    void accept(Clients.Try clientTry) {
         process.accept(clientTry);
     }
 
     @Override
-    void gone(Clients.Try clientTry) {
+    void clientDisconnected(Clients.Try clientTry) {
         if (process != null && process.isOpen(clientTry)) {
             process.clientDisconnected(clientTry);
         }
@@ -181,7 +181,7 @@
                 world.settings.forInstance(number, world.settings.instances()),
                 this,
                 world.wiring.wire(wire, this),
-                world.audit::unexpectedException);
+                world.auditor::unexpectedException);
         private final Map<Clients.Try, Core.RequestHandle<Call, Answer>> open = new LinkedHashMap<>();
         /** Tries that wait for CPU time before they reach the core. */
         private final Set<Clients.Try> waitingForCpu = new LinkedHashSet<>();
@@ -203,12 +203,12 @@
             return core.maxIdleConnections();
         }
 
-        void begin(Registry.News known) {
+        void begin(Registry.ListUpdate known) {
             discovery.connect(core, wire);
-            core.begin(factory, chance.nextLong());
-            core.observe((now, why) -> world.requestUnserved(number, now, why));
+            core.createBalancer(factory, chance.nextLong());
+            core.setObserver((now, why) -> world.requestUnserved(number, now, why));
             discovery.applyUpdate(known, Source.CACHED);
-            if (!world.scenario.discovery().asked()) {
+            if (!world.scenario.discovery().polled()) {
                 discovery.watch(Wire.CALL_TIMEOUT_US);
             }
             core.processQueue();
@@ -277,10 +277,11 @@
         }
 
         private void accepted(Clients.Try clientTry, long now) {
-            world.audit.taken(number, clientTry.call.id(), clientTry.call.classIndex(), now, clientTry.deadlineAt);
-            world.account.taken(clientTry.call.id());
+            world.auditor.requestAccepted(
+                    number, clientTry.call.id(), clientTry.call.classIndex(), now, clientTry.deadlineAt);
+            world.lossAttribution.tryAccepted(clientTry.call.id());
             if (clientTry.call.hop() != null) {
-                clientTry.call.hop().taken(now());
+                clientTry.call.hop().accepted(now());
             }
             waitingForCpu.add(clientTry);
             runOnCpu(cpu.halfUs(requests++), () -> {
@@ -302,7 +303,7 @@
 
         private void passToCore(Clients.Try clientTry, long now) {
             core.accept(
-                    world.wiring.caller(
+                    world.wiring.responseHandler(
                             new ResponseHandler<Call, Answer>() {
                                 @Override
                                 public void opened(Core.RequestHandle<Call, Answer> exchange) {
@@ -315,26 +316,27 @@
                                     responding.add(clientTry);
                                     runOnCpu(cpu.halfUs(requests), () -> {
                                         if (responding.remove(clientTry)) {
-                                            world.audit.served(number, clientTry.call.id(), answer.requestId(), now());
+                                            world.auditor.served(
+                                                    number, clientTry.call.id(), answer.requestId(), now());
                                             if (clientTry.call.hop() != null) {
                                                 clientTry.call.hop().answered(now());
                                             }
-                                            finish(clientTry, Clients.How.SERVED, 0);
+                                            finish(clientTry, Clients.TryResult.SERVED, 0);
                                         }
                                     });
                                 }
 
                                 @Override
                                 public void refused(long retryAfterUs) {
-                                    world.audit.refused(number, clientTry.call.id(), now());
-                                    world.account.refused(clientTry.call.id());
-                                    finish(clientTry, Clients.How.REFUSED, retryAfterUs);
+                                    world.auditor.refused(number, clientTry.call.id(), now());
+                                    world.lossAttribution.tryRefused(clientTry.call.id());
+                                    finish(clientTry, Clients.TryResult.REFUSED, retryAfterUs);
                                 }
 
                                 @Override
                                 public void failed(boolean timeUp) {
-                                    world.audit.failed(number, clientTry.call.id(), now());
-                                    finish(clientTry, Clients.How.FAILED, 0);
+                                    world.auditor.failed(number, clientTry.call.id(), now());
+                                    finish(clientTry, Clients.TryResult.FAILED, 0);
                                 }
                             },
                             this),
@@ -344,14 +346,14 @@
                     Math.max(1, (clientTry.deadlineAt - clientTry.sentAt) / 1000),
                     now,
                     0,
-                    clientTry.ask.tenant,
+                    clientTry.request.tenant,
                     false,
                     clientTry.call);
         }
 
-        private void finish(Clients.Try clientTry, Clients.How result, long retryAfterUs) {
+        private void finish(Clients.Try clientTry, Clients.TryResult result, long retryAfterUs) {
             open.remove(clientTry);
-            world.clients.answered(clientTry, result, retryAfterUs);
+            world.clients.deliverResult(clientTry, result, retryAfterUs);
             endIfDone();
         }
 
@@ -364,7 +366,7 @@
                 deferred.add(() -> clientDisconnected(clientTry));
                 return;
             }
-            world.audit.left(number, clientTry.call.id(), now());
+            world.auditor.clientDisconnected(number, clientTry.call.id(), now());
             Core.RequestHandle<Call, Answer> exchange = open.remove(clientTry);
             if (exchange != null) {
                 core.abandoned(exchange);
@@ -383,7 +385,7 @@
                     && responding.isEmpty()
                     && process == this) {
                 process = null;
-                world.audit.proxyEnded(number, now());
+                world.auditor.proxyEnded(number, now());
                 terminate();
                 scheduleRestart(0);
             }
@@ -400,7 +402,7 @@
             open.clear();
             waitingForCpu.clear();
             responding.clear();
-            unanswered.forEach(clientTry -> world.clients.answered(clientTry, Clients.How.BROKEN, 0));
+            unanswered.forEach(clientTry -> world.clients.deliverResult(clientTry, Clients.TryResult.BROKEN, 0));
         }
     }
 }
--- a/src/main/java/mulleinfront/emulator/Chance.java
+++ b/src/main/java/mulleinfront/emulator/RandomStream.java
@@ -7,20 +7,20 @@
  * that an additional fault or a missing server does not shift the draws of other concerns. Logarithms are those of
  * {@link StrictMath}, which give the same bits on every machine.
  */
-public final class Chance {
+public final class RandomStream {
     private final SplittableRandom random;
 
-    private Chance(long seed) {
+    private RandomStream(long seed) {
         this.random = new SplittableRandom(seed);
     }
 
     /** The stream of a name under a seed. */
-    public static Chance of(long seed, String name) {
+    public static RandomStream of(long seed, String name) {
         long hash = 0xcbf29ce484222325L ^ seed * 0x9e3779b97f4a7c15L;
         for (int i = 0; i < name.length(); i++) {
             hash = (hash ^ name.charAt(i)) * 0x100000001b3L;
         }
-        return new Chance(mix(hash));
+        return new RandomStream(mix(hash));
     }
 
     private static long mix(long z) {
@@ -34,7 +34,7 @@
     }
 
     /** A uniform value in [0, 1). */
-    public double unit() {
+    public double uniform() {
         return random.nextDouble();
     }
 
@@ -43,11 +43,11 @@
     }
 
     /** A uniform value in [0, bound). */
-    public int below(int bound) {
+    public int uniformBelow(int bound) {
         return random.nextInt(bound);
     }
 
-    public double between(double low, double high) {
+    public double uniformBetween(double low, double high) {
         return low + (high - low) * random.nextDouble();
     }
 
@@ -71,7 +71,7 @@
      *
      * @param summed cumulative weights; the last is their sum
      */
-    public int place(double[] summed) {
+    public int weightedIndex(double[] summed) {
         double at = random.nextDouble() * summed[summed.length - 1];
         int low = 0;
         int high = summed.length - 1;
@@ -86,8 +86,8 @@
         return low;
     }
 
-    /** Cumulative weights for {@link #place}. */
-    public static double[] sum(double[] weights) {
+    /** Cumulative weights for {@link #weightedIndex}. */
+    public static double[] cumulative(double[] weights) {
         double[] summed = weights.clone();
         for (int i = 1; i < summed.length; i++) {
             summed[i] += summed[i - 1];
@@ -96,7 +96,7 @@
     }
 
     /** Weights of the ranks 1 to n by Zipf's law: rank k has 1 / k^exponent. */
-    public static double[] zipf(int ranks, double exponent) {
+    public static double[] zipfWeights(int ranks, double exponent) {
         double[] weights = new double[ranks];
         for (int rank = 0; rank < ranks; rank++) {
             weights[rank] = StrictMath.pow(rank + 1, -exponent);
--- a/src/main/java/mulleinfront/emulator/Registry.java
+++ b/src/main/java/mulleinfront/emulator/Registry.java
@@ -23,30 +23,30 @@
     record Entry(Endpoint endpoint, int address) {}
 
     /** A list update: the full list or a delta. */
-    record News(long version, boolean full, List<Entry> entries) {}
+    record ListUpdate(long version, boolean full, List<Entry> entries) {}
 
     /** Interval of heartbeats on a watch. */
     static final long HEARTBEAT_US = 2_000_000;
 
     private final World world;
     private final Scenario.Discovery spec;
-    private final Chance chance;
+    private final RandomStream chance;
     /** All changes in order; an entry's index is its version minus one. */
     private final List<Entry> changes = new ArrayList<>();
 
     private final List<Long> changeTimes = new ArrayList<>();
     private final Map<String, Entry> listed = new LinkedHashMap<>();
     /** The full list, cached after the first request following a change, since thousands of watches may need it. */
-    private News fullList;
+    private ListUpdate fullList;
 
     private final Set<Watcher> watches = new LinkedHashSet<>();
     private boolean sendScheduled;
     private long busyUntil;
-    private double crowd;
+    private double otherCallsPerS;
     private boolean down;
-    private boolean silent;
+    private boolean unresponsive;
     /** Client proxies that are individually partitioned from discovery. */
-    private final Set<Integer> cut = new HashSet<>();
+    private final Set<Integer> partition = new HashSet<>();
     /**
      * Remaining faults by client proxy: calls to refuse, lists to truncate, and watches to end instead of sending an
      * update.
@@ -59,28 +59,29 @@
     private final Map<Integer, Integer> remainingPauses = new HashMap<>();
 
     private Range pauseRange = Range.of(0);
-    private Range late = Range.of(0);
-    private int shuffle;
+    private Range delayUpdates = Range.of(0);
+    private int shuffleLists;
     private final List<Runnable> shuffledDeliveries = new ArrayList<>();
     long calls;
     long failedCalls;
 
-    Registry(World world, Chance chance) {
+    Registry(World world, RandomStream chance) {
         this.world = world;
         this.spec = world.scenario.discovery();
         this.chance = chance;
     }
 
     /** Reports a change of a server's state; discovery notices it after a drawn delay. */
-    void happened(Host host, Availability availability, boolean silently) {
+    void serverChanged(Host host, Availability availability, boolean silently) {
         Entry entry = new Entry(host.listed(availability), host.address);
-        Range notice =
-                silently ? spec.silentNotice() : availability == Availability.READY ? spec.period() : spec.notice();
-        world.queue.after((long) notice.draw(chance::between), () -> know(entry));
+        Range notice = silently
+                ? spec.silentNoticeDelay()
+                : availability == Availability.READY ? spec.updateDelay() : spec.noticeDelay();
+        world.queue.after((long) notice.draw(chance::uniformBetween), () -> recordChange(entry));
     }
 
     /** Records a change at once, as for the state at the start of the run. */
-    void know(Entry entry) {
+    void recordChange(Entry entry) {
         // A change of an earlier incarnation of the server is ignored.
         Entry current = listed.get(entry.endpoint().id());
         if (current != null
@@ -95,14 +96,14 @@
         } else {
             listed.put(entry.endpoint().id(), entry);
         }
-        world.audit.listedByDiscovery(entry.endpoint(), world.queue.now());
+        world.auditor.listedByDiscovery(entry.endpoint(), world.queue.now());
         scheduleSend();
     }
 
     private void scheduleSend() {
         if (!sendScheduled && !watches.isEmpty()) {
             sendScheduled = true;
-            world.queue.after((long) spec.period().draw(chance::between), () -> {
+            world.queue.after((long) spec.updateDelay().draw(chance::uniformBetween), () -> {
                 sendScheduled = false;
                 for (Watcher watcher : List.copyOf(watches)) {
                     sendUpdate(watcher);
@@ -116,15 +117,15 @@
     }
 
     /** The current full list. */
-    News fullList() {
+    ListUpdate fullList() {
         if (fullList == null) {
-            fullList = new News(version(), true, List.copyOf(listed.values()));
+            fullList = new ListUpdate(version(), true, List.copyOf(listed.values()));
         }
         return fullList;
     }
 
     /** The full list as it was at an instant. */
-    News listAt(long instant) {
+    ListUpdate listAt(long instant) {
         Map<String, Entry> listedThen = new LinkedHashMap<>();
         long version = 0;
         for (int i = 0; i < changes.size() && changeTimes.get(i) <= instant; i++) {
@@ -136,13 +137,17 @@
                 listedThen.put(entry.endpoint().id(), entry);
             }
         }
-        return new News(version, true, List.copyOf(listedThen.values()));
+        return new ListUpdate(version, true, List.copyOf(listedThen.values()));
     }
 
     /** Sends a watch the changes after the version it has. */
     private void sendUpdate(Watcher watcher) {
-        long from = watcher.toldTo;
-        if (down || silent || cut.contains(watcher.proxy()) || watcher.pausing || from >= version() && from >= 0) {
+        long from = watcher.sentVersion;
+        if (down
+                || unresponsive
+                || partition.contains(watcher.proxy())
+                || watcher.pausing
+                || from >= version() && from >= 0) {
             return;
         }
         if (consume(remainingEndings, watcher.proxy())) {
@@ -150,26 +155,27 @@
             world.queue.after(world.network.delay(watcher.zone(), 0), watcher::fail);
             return;
         }
-        News news = from < 0 || version() - from > 2L * listed.size() + 16
+        ListUpdate news = from < 0 || version() - from > 2L * listed.size() + 16
                 ? fullList()
-                : new News(version(), false, List.copyOf(changes.subList((int) from, changes.size())));
-        watcher.toldTo = version();
+                : new ListUpdate(version(), false, List.copyOf(changes.subList((int) from, changes.size())));
+        watcher.sentVersion = version();
         if (consume(remainingTruncations, watcher.proxy())) {
             watches.remove(watcher);
-            world.queue.after(delayTo(watcher), () -> watcher.cutShort(news));
+            world.queue.after(delayTo(watcher), () -> watcher.receiveTruncated(news));
             return;
         }
         if (consume(remainingPauses, watcher.proxy())) {
             long beginsIn = delayTo(watcher);
             watcher.pausing = true;
-            world.queue.after(beginsIn, () -> watcher.begins(news));
-            world.queue.after(beginsIn + (long) pauseRange.draw(chance::between), () -> resumeList(watcher, news));
+            world.queue.after(beginsIn, () -> watcher.receiveFirstHalf(news));
+            world.queue.after(
+                    beginsIn + (long) pauseRange.draw(chance::uniformBetween), () -> resumeList(watcher, news));
             return;
         }
-        Runnable delivery = () -> watcher.hear(news);
-        if (shuffle > 0) {
+        Runnable delivery = () -> watcher.receive(news);
+        if (shuffleLists > 0) {
             shuffledDeliveries.add(delivery);
-            if (shuffledDeliveries.size() >= shuffle) {
+            if (shuffledDeliveries.size() >= shuffleLists) {
                 deliverShuffled();
             }
         } else {
@@ -178,41 +184,41 @@
     }
 
     /** Sends the rest of a list that had stopped halfway, and then later changes. */
-    private void resumeList(Watcher watcher, News news) {
+    private void resumeList(Watcher watcher, ListUpdate news) {
         watcher.pausing = false;
-        if (!watcher.over()) {
-            watcher.hear(news);
+        if (!watcher.ended()) {
+            watcher.receive(news);
             sendUpdate(watcher);
         }
     }
 
     private long delayTo(Watcher watcher) {
-        return world.network.delay(watcher.zone(), 0) + (long) late.draw(chance::between);
+        return world.network.delay(watcher.zone(), 0) + (long) delayUpdates.draw(chance::uniformBetween);
     }
 
     private void deliverShuffled() {
         for (int i = shuffledDeliveries.size() - 1; i > 0; i--) {
-            Collections.swap(shuffledDeliveries, i, chance.below(i + 1));
+            Collections.swap(shuffledDeliveries, i, chance.uniformBelow(i + 1));
         }
         shuffledDeliveries.forEach(Runnable::run);
         shuffledDeliveries.clear();
     }
 
     /** Adds load from other callers, in calls per second; queued callers do not give up. */
-    void crowd(double perSecond) {
-        boolean begins = crowd == 0 && perSecond > 0;
-        crowd = perSecond;
+    void otherCallsPerS(double perSecond) {
+        boolean begins = otherCallsPerS == 0 && perSecond > 0;
+        otherCallsPerS = perSecond;
         if (begins) {
             scheduleOtherCall();
         }
     }
 
     private void scheduleOtherCall() {
-        if (crowd > 0) {
+        if (otherCallsPerS > 0) {
             if (busyUntil - world.queue.now() <= spec.timeoutUs()) {
                 busyUntil = Math.max(busyUntil, world.queue.now()) + spec.callUs();
             }
-            world.queue.after((long) chance.exponential(1e6 / crowd), this::scheduleOtherCall);
+            world.queue.after((long) chance.exponential(1e6 / otherCallsPerS), this::scheduleOtherCall);
         }
     }
 
@@ -227,11 +233,11 @@
             world.queue.after(world.network.delay(watcher.zone(), 0), watcher::fail);
             return;
         }
-        if (silent || cut.contains(watcher.proxy())) {
+        if (unresponsive || partition.contains(watcher.proxy())) {
             failedCalls++;
             return;
         }
-        long cost = spec.asked() ? spec.callUs() : 0;
+        long cost = spec.polled() ? spec.callUs() : 0;
         busyUntil = Math.max(busyUntil, now);
         if (busyUntil - now > spec.timeoutUs()) {
             failedCalls++;
@@ -248,12 +254,12 @@
         world.queue.after(busyUntil - now + delayTo(watcher), () -> {
             if (down) {
                 watcher.fail();
-            } else if (!silent && !watcher.over() && !cut.contains(watcher.proxy())) {
+            } else if (!unresponsive && !watcher.ended() && !partition.contains(watcher.proxy())) {
                 watches.add(watcher);
                 watcher.begin();
-                if (watcher.toldTo >= version()) {
+                if (watcher.sentVersion >= version()) {
                     // Nothing changed since the caller's version, so the response is an empty delta.
-                    watcher.hear(new News(version(), false, List.of()));
+                    watcher.receive(new ListUpdate(version(), false, List.of()));
                 } else {
                     sendUpdate(watcher);
                 }
@@ -261,7 +267,7 @@
         });
     }
 
-    void leave(Watcher watcher) {
+    void closeWatch(Watcher watcher) {
         watches.remove(watcher);
     }
 
@@ -286,7 +292,7 @@
     }
 
     /** Truncates the next {@code each} lists to each client proxy and ends the watch with them. */
-    void cutLists(int each) {
+    void truncateLists(int each) {
         setForAll(remainingTruncations, each);
     }
 
@@ -297,21 +303,21 @@
     }
 
     /** Ends each client proxy's watch instead of sending an update, for its next {@code each} updates. */
-    void endInsteadOfTelling(int each) {
+    void endInsteadOfUpdating(int each) {
         setForAll(remainingEndings, each);
     }
 
     /** Sets whether discovery is down: watches end and calls fail. */
     void down(boolean isDown) {
         down = isDown;
-        world.audit.deadlines().discoveryReachable(!down && !silent, world.queue.now());
+        world.auditor.deadlines().discoveryReachable(!down && !unresponsive, world.queue.now());
         if (isDown) {
-            watchesEnd();
+            resetWatches();
         }
     }
 
     /** Resets all open watches; new calls are answered as before. */
-    void watchesEnd() {
+    void resetWatches() {
         for (Watcher watcher : List.copyOf(watches)) {
             watcher.reset = true;
             world.queue.after(world.network.delay(watcher.zone(), 0), watcher::fail);
@@ -320,8 +326,8 @@
     }
 
     /** Stops sending on all open watches without closing them; new calls are answered as before. */
-    void watchesFallSilent() {
-        List.copyOf(watches).forEach(watcher -> silent(watcher, true));
+    void stallWatches() {
+        List.copyOf(watches).forEach(watcher -> unresponsive(watcher, true));
         watches.clear();
     }
 
@@ -329,42 +335,42 @@
      * Sets whether discovery is unresponsive: watches stay open without data or heartbeats, and calls get no
      * response.
      */
-    void silent(boolean on) {
-        silent = on;
-        world.audit.deadlines().discoveryReachable(!down && !silent, world.queue.now());
-        List.copyOf(watches).forEach(watcher -> silent(watcher, on));
+    void unresponsive(boolean on) {
+        unresponsive = on;
+        world.auditor.deadlines().discoveryReachable(!down && !unresponsive, world.queue.now());
+        List.copyOf(watches).forEach(watcher -> unresponsive(watcher, on));
     }
 
-    private void silent(Watcher watcher, boolean on) {
+    private void unresponsive(Watcher watcher, boolean on) {
         if (on) {
-            world.audit.deadlines().watchUnresponsive(watcher.proxy(), world.queue.now());
-            watcher.silence((long) (HEARTBEAT_US * chance.unit()));
+            world.auditor.deadlines().watchUnresponsive(watcher.proxy(), world.queue.now());
+            watcher.stopReceiving((long) (HEARTBEAT_US * chance.uniform()));
         } else {
-            world.audit.watching(watcher.proxy());
+            world.auditor.watching(watcher.proxy());
             watcher.begin();
             sendUpdate(watcher);
         }
     }
 
     /** Partitions one client proxy from discovery: its watch gets no data and its calls get no response. */
-    void cut(int proxy, boolean on) {
-        if (on ? cut.add(proxy) : cut.remove(proxy)) {
-            world.audit.deadlines().proxyConnected(proxy, !on, world.queue.now());
+    void partition(int proxy, boolean on) {
+        if (on ? partition.add(proxy) : partition.remove(proxy)) {
+            world.auditor.deadlines().proxyConnected(proxy, !on, world.queue.now());
             watches.stream()
                     .filter(watcher -> watcher.proxy() == proxy)
                     .toList()
-                    .forEach(watcher -> silent(watcher, on));
+                    .forEach(watcher -> unresponsive(watcher, on));
         }
     }
 
     /** Delays list updates by an additional drawn time. */
-    void late(Range by) {
-        late = by;
+    void delayUpdates(Range by) {
+        delayUpdates = by;
     }
 
     /** Delivers list updates in random order, in batches of this size; 0 ends the fault. */
-    void shuffle(int lists) {
-        shuffle = lists;
+    void shuffleLists(int lists) {
+        shuffleLists = lists;
         if (lists == 0) {
             deliverShuffled();
         }
--- a/src/main/java/mulleinfront/emulator/ReportWriter.java
+++ b/src/main/java/mulleinfront/emulator/ReportWriter.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import mulleinfront.UnservedReason;
-import mulleinfront.emulator.ServiceReport.Part;
+import mulleinfront.emulator.ServiceReport.GroupStatistics;
 
 /** Writes a simulation's result as text, and as JSON with the same numbers. */
 public final class ReportWriter {
@@ -27,8 +27,8 @@
                 result.seed(),
                 result.scenario().lengthUs() / 1e6,
                 result.scenario().proxies().count(),
-                result.scenario().fleet(),
-                report.asks());
+                result.scenario().serverCount(),
+                report.requests());
         line(out, "");
         line(
                 out,
@@ -44,7 +44,7 @@
         if (!report.faults().isEmpty()) {
             line(out, "");
             line(out, "what happened");
-            for (ServiceReport.Happened h : report.faults()) {
+            for (ServiceReport.FaultRecord h : report.faults()) {
                 line(
                         out,
                         "  %8.3f s  %s%s",
@@ -62,7 +62,7 @@
         for (ServiceReport.Window window : report.windows()) {
             line(out, "%8.0f s %8d %8.3f", window.atUs() / 1e6, window.asked(), window.share());
         }
-        for (ServiceReport.Starts starts : report.starts()) {
+        for (ServiceReport.RestartStatistics starts : report.restarts()) {
             line(
                     out,
                     "%-14s %8d asked, service %.3f, %.3f of tries refused",
@@ -94,21 +94,21 @@
                 "conns",
                 "notes");
         for (ServiceReport.Server server : report.servers()) {
-            ServerModel.Figures figures = server.figures();
+            ServerModel.Statistics figures = server.figures();
             line(
                     out,
                     "%-18s %5d %8d %8d %6d %7d %7d %6d %8.1f %8.1f %6d  %s",
                     server.name(),
-                    server.lives(),
+                    server.processes(),
                     figures.offered,
                     figures.served,
                     figures.errors,
-                    figures.turnedAway + figures.expired,
+                    figures.rejected + figures.expired,
                     figures.cancelled,
-                    figures.mostHeld,
+                    figures.maxInFlight,
                     figures.begun == 0 ? 0 : figures.waitSumUs / figures.begun / 1e3,
                     figures.busyCoreUs / 1e6,
-                    figures.mostConnections,
+                    figures.maxConnections,
                     notes(figures));
         }
         line(out, "");
@@ -141,7 +141,7 @@
                 .forEach(e -> line(
                         out,
                         "%-44s %8d %8.2f%%",
-                        e.getKey().words(),
+                        e.getKey().description(),
                         e.getValue().requests(),
                         100 * e.getValue().worth() / asked));
     }
@@ -149,20 +149,20 @@
     /** Writes the reasons that client proxies reported for requests they gave up. */
     private static void unserved(StringBuilder out, ServiceReport report) {
         if (Arrays.stream(UnservedReason.Cause.values())
-                .allMatch(c -> report.unserved().of(c) == 0)) {
+                .allMatch(c -> report.unserved().count(c) == 0)) {
             return;
         }
         line(out, "");
         line(out, "%-30s %9s %9s  %s", "given up by client proxies", "requests", "young", "by window");
         for (UnservedReason.Cause c : UnservedReason.Cause.values()) {
-            if (report.unserved().of(c) > 0) {
+            if (report.unserved().count(c) > 0) {
                 line(
                         out,
                         "%-30s %9d %9d  %s",
                         c.description(),
-                        report.unserved().of(c),
+                        report.unserved().count(c),
                         report.unserved().recentlyStarted(c),
-                        report.unservedIn().stream().map(w -> "" + w.of(c)).collect(Collectors.joining(" ")));
+                        report.unservedIn().stream().map(w -> "" + w.count(c)).collect(Collectors.joining(" ")));
             }
         }
     }
@@ -172,13 +172,13 @@
      */
     public static String losses(LossReport losses, LossReport.Part part) {
         StringBuilder out = new StringBuilder();
-        line(out, "%-20s %10s  %s", "lost by " + part.word(), "worth", "causes");
+        line(out, "%-20s %10s  %s", "lost by " + part.outputName(), "worth", "causes");
         losses.parts().get(part).forEach((name, causes) -> {
             StringBuilder all = new StringBuilder();
             causes.entrySet().stream()
                     .sorted((a, b) -> Double.compare(b.getValue(), a.getValue()))
                     .forEach(c -> all.append(all.length() == 0 ? "" : ", ")
-                            .append(c.getKey().word())
+                            .append(c.getKey().outputName())
                             .append(String.format(Locale.ROOT, " %.1f", c.getValue())));
             line(
                     out,
@@ -190,13 +190,13 @@
         return out.toString();
     }
 
-    private static String notes(ServerModel.Figures figures) {
+    private static String notes(ServerModel.Statistics figures) {
         StringBuilder notes = new StringBuilder();
-        if (figures.fell) {
+        if (figures.crashed) {
             notes.append("fell over; ");
         }
-        if (figures.lingeredUs > 0) {
-            notes.append(String.format(Locale.ROOT, "slow for %.1f s after load; ", figures.lingeredUs / 1e6));
+        if (figures.slowedDownUs > 0) {
+            notes.append(String.format(Locale.ROOT, "slow for %.1f s after load; ", figures.slowedDownUs / 1e6));
         }
         if (figures.pausedUs > 0) {
             notes.append(String.format(Locale.ROOT, "paused %.1f s; ", figures.pausedUs / 1e6));
@@ -210,10 +210,10 @@
         return notes.length() == 0 ? "" : notes.substring(0, notes.length() - 2);
     }
 
-    private static void table(StringBuilder out, String title, Iterable<Part> parts) {
+    private static void table(StringBuilder out, String title, Iterable<GroupStatistics> parts) {
         line(out, "");
         line(out, "%-26s %8s %8s %8s %8s %9s %9s", title, "asked", "in time", "served", "service", "p50 ms", "p99 ms");
-        for (Part part : parts) {
+        for (GroupStatistics part : parts) {
             line(
                     out,
                     "%-26s %8d %8d %8d %8.3f %9.1f %9.1f",
@@ -262,7 +262,7 @@
             out.writeNumberField("worst_class", report.worstClass());
             out.writeNumberField("worst_tenant", report.worstTenant());
             out.writeNumberField("goodput", result.goodput());
-            out.writeNumberField("requests", report.asks());
+            out.writeNumberField("requests", report.requests());
             out.writeObjectFieldStart("prices");
             for (Map.Entry<String, Double> e : report.prices().entrySet()) {
                 out.writeNumberField(e.getKey(), e.getValue());
@@ -283,7 +283,7 @@
             counts(out, "attempts", report.outcomes());
             out.writeObjectFieldStart("given_up");
             for (UnservedReason.Cause c : UnservedReason.Cause.values()) {
-                out.writeNumberField(c.outputName(), report.unserved().of(c));
+                out.writeNumberField(c.outputName(), report.unserved().count(c));
             }
             out.writeEndObject();
             counts(out, "counts", report.counts());
@@ -293,7 +293,7 @@
             }
             out.writeEndArray();
             out.writeArrayFieldStart("faults");
-            for (ServiceReport.Happened h : report.faults()) {
+            for (ServiceReport.FaultRecord h : report.faults()) {
                 out.writeStartObject();
                 out.writeNumberField("at_us", h.atUs());
                 out.writeNumberField("for_us", h.forUs());
@@ -305,7 +305,7 @@
             out.writeArrayFieldStart("breaches");
             for (Auditor.Breach b : result.breaches()) {
                 out.writeStartObject();
-                out.writeStringField("rule", b.rule().words());
+                out.writeStringField("rule", b.rule().description());
                 out.writeNumberField("at_us", b.atUs());
                 out.writeNumberField("proxy", b.proxy());
                 out.writeStringField("request", b.request());
@@ -317,9 +317,9 @@
         }
     }
 
-    private static void parts(JsonGenerator out, String name, Iterable<Part> parts) throws IOException {
+    private static void parts(JsonGenerator out, String name, Iterable<GroupStatistics> parts) throws IOException {
         out.writeArrayFieldStart(name);
-        for (Part part : parts) {
+        for (GroupStatistics part : parts) {
             out.writeStartObject();
             out.writeStringField("name", part.name());
             out.writeNumberField("asked", part.asked());
@@ -342,14 +342,14 @@
     }
 
     private static void server(JsonGenerator out, ServiceReport.Server server) throws IOException {
-        ServerModel.Figures figures = server.figures();
+        ServerModel.Statistics figures = server.figures();
         out.writeStartObject();
         out.writeStringField("name", server.name());
-        out.writeNumberField("lives", server.lives());
+        out.writeNumberField("lives", server.processes());
         out.writeNumberField("offered", figures.offered);
         out.writeNumberField("served", figures.served);
         out.writeNumberField("errors", figures.errors);
-        out.writeNumberField("turned_away", figures.turnedAway);
+        out.writeNumberField("turned_away", figures.rejected);
         out.writeNumberField("expired", figures.expired);
         out.writeNumberField("cancelled", figures.cancelled);
         out.writeNumberField("repeats_dropped", figures.repeatsDropped);
@@ -357,11 +357,11 @@
         out.writeNumberField("probes", figures.probes);
         out.writeNumberField("handshakes", figures.handshakes);
         out.writeNumberField("connections_refused", figures.connectionsRefused);
-        out.writeNumberField("most_connections", figures.mostConnections);
-        out.writeNumberField("most_held", figures.mostHeld);
+        out.writeNumberField("most_connections", figures.maxConnections);
+        out.writeNumberField("most_held", figures.maxInFlight);
         out.writeNumberField("paused_us", figures.pausedUs);
-        out.writeNumberField("lingered_us", figures.lingeredUs);
-        out.writeBooleanField("fell", figures.fell);
+        out.writeNumberField("lingered_us", figures.slowedDownUs);
+        out.writeBooleanField("fell", figures.crashed);
         out.writeNumberField("work_done", figures.workDone);
         out.writeNumberField("work_wasted", figures.workWasted);
         out.writeNumberField("mean_wait_us", figures.begun == 0 ? 0 : figures.waitSumUs / figures.begun);
--- a/src/main/java/mulleinfront/emulator/Scenario.java
+++ b/src/main/java/mulleinfront/emulator/Scenario.java
@@ -64,19 +64,19 @@
     public record Network(Range same, Range cross, Range client, double jitter) {}
 
     /**
-     * @param asked whether proxies call discovery for lists; otherwise an agent pushes them
-     * @param notice delay until discovery learns of a change to a server
-     * @param silentNotice delay until discovery learns of a server that vanished without notice
-     * @param period delay until a change is sent to the open watches
+     * @param polled whether proxies call discovery for lists; otherwise an agent pushes them
+     * @param noticeDelay delay until discovery learns of a change to a server
+     * @param silentNoticeDelay delay until discovery learns of a server that vanished without notice
+     * @param updateDelay delay until a change is sent to the open watches
      * @param callUs time that discovery takes for one call; it processes calls one after another
      * @param timeoutUs time after which a call without a response has failed
      * @param alsoListed additional servers that full lists name, all of them draining; on real sockets only
      */
     public record Discovery(
-            boolean asked,
-            Range notice,
-            Range silentNotice,
-            Range period,
+            boolean polled,
+            Range noticeDelay,
+            Range silentNoticeDelay,
+            Range updateDelay,
             long callUs,
             long timeoutUs,
             int alsoListed) {}
@@ -94,7 +94,7 @@
      * @param startWithinUs all proxies start within this time
      * @param known how current the initial list is
      * @param knownAgeUs age of a stale initial list
-     * @param ghosts unreachable servers that a stale list still names
+     * @param unreachableListed unreachable servers that a stale list still names
      * @param startUs time from the start of a process until it accepts requests
      * @param lateCallsUs how long a proxy goes on accepting requests after the shutdown signal
      * @param killAfterUs time from the shutdown signal until the process is killed
@@ -107,7 +107,7 @@
             long startWithinUs,
             InitialList known,
             long knownAgeUs,
-            int ghosts,
+            int unreachableListed,
             long startUs,
             long lateCallsUs,
             long killAfterUs,
@@ -135,14 +135,20 @@
      * @param retries most further tries of a request
      * @param backoff delay before a further try
      * @param doubling whether the delay doubles with each try
-     * @param honour share of clients that wait at least as long as {@code Retry-After} says
-     * @param patience fraction of the class's deadline after which the client gives a try up
-     * @param leave share of tries whose client disconnects before its answer
+     * @param retryAfterShare share of clients that wait at least as long as {@code Retry-After} says
+     * @param timeoutFraction fraction of the class's deadline after which the client gives a try up
+     * @param disconnectShare share of tries whose client disconnects before its answer
      */
-    public record Clients(int retries, Range backoff, boolean doubling, double honour, Range patience, double leave) {}
+    public record Clients(
+            int retries,
+            Range backoff,
+            boolean doubling,
+            double retryAfterShare,
+            Range timeoutFraction,
+            double disconnectShare) {}
 
     /** How the request rate changes over time. */
-    public enum Shape {
+    public enum LoadShape {
         STEADY,
         BURSTY,
         RAMP
@@ -158,7 +164,13 @@
      * @param zipf Zipf exponent of the keys' popularity
      */
     public record Load(
-            double perSecond, Shape shape, double endPerSecond, double swing, long burstUs, int keys, double zipf) {}
+            double perSecond,
+            LoadShape shape,
+            double endPerSecond,
+            double swing,
+            long burstUs,
+            int keys,
+            double zipf) {}
 
     /** How service times vary. */
     public enum WorkDistribution {
@@ -168,7 +180,7 @@
     }
 
     /**
-     * A group of identical servers; the other parameters are those of {@link ServerModel.ProcessSettings}.
+     * A group of identical servers; the other parameters are those of {@link ServerModel.Spec}.
      *
      * @param count number of servers; numbered within the group and assigned to the zones in turn
      * @param cell servers per cell (deduplication group); cells are numbered across all groups
@@ -182,7 +194,7 @@
             int cores,
             Range speed,
             int slots,
-            int room,
+            int queueCapacity,
             int connections,
             Range handshakeWork,
             long idleCloseUs,
@@ -196,10 +208,10 @@
             double coldWork,
             long pauseEveryUs,
             Range pause,
-            double crowdAt,
-            double crowdLoss,
-            ServerModel.Linger linger,
-            ServerModel.Stops stops,
+            double overloadAt,
+            double overloadLoss,
+            ServerModel.MetastableSlowdown linger,
+            ServerModel.CancelPolicy stops,
             boolean dropsExpired,
             long keyMemoryUs,
             double keySaving,
@@ -214,7 +226,7 @@
                     cores,
                     speed,
                     slots,
-                    room,
+                    queueCapacity,
                     connections,
                     handshakeWork,
                     idleCloseUs,
@@ -228,8 +240,8 @@
                     coldWork,
                     pauseEveryUs,
                     pause,
-                    crowdAt,
-                    crowdLoss,
+                    overloadAt,
+                    overloadLoss,
                     linger,
                     stops,
                     dropsExpired,
@@ -242,7 +254,7 @@
     /** A request class as the balancer knows it, with its share of the requests and the work that one takes. */
     public record ClassSpec(Balancer.RequestClass type, double share, double workUs, WorkDistribution dist, double cv) {
         /** Draws the work of one request in microseconds. */
-        double drawUs(Chance chance) {
+        double drawUs(RandomStream chance) {
             return switch (dist) {
                 case FIXED -> workUs;
                 case EXPONENTIAL -> chance.exponential(workUs);
@@ -308,10 +320,10 @@
      *
      * @param periodUs each member pings one other member per period
      * @param goneUs time after which a member that was not seen expires
-     * @param plain whether the failure detector runs without suspicion and without local health
+     * @param withoutSuspicion whether the failure detector runs without suspicion and without local health
      * @param loss fraction of all datagrams that is lost, during the whole run
      */
-    public record Peers(long periodUs, long goneUs, boolean plain, double loss) {}
+    public record Peers(long periodUs, long goneUs, boolean withoutSuspicion, double loss) {}
 
     /** Type of a fault. */
     public enum Kind {
@@ -427,7 +439,7 @@
                 overShareWorth,
                 proxies.count(),
                 service.probe() / Math.max(1e-9, worth),
-                discovery.asked(),
+                discovery.polled(),
                 false,
                 new Balancer.Limits(
                         limits.attempts(),
@@ -439,7 +451,7 @@
     }
 
     /** Whether a refusal of this class is harmless after an attempt that may have run. */
-    public static boolean refusable(Balancer.RequestClass type) {
+    public static boolean refusalHarmless(Balancer.RequestClass type) {
         return type.effect() == Effect.RETRYABLE || type.effect() == Effect.DEDUP && type.scope() == DedupScope.ALL;
     }
 
@@ -456,7 +468,7 @@
                 proxies.startWithinUs(),
                 proxies.known(),
                 proxies.knownAgeUs(),
-                proxies.ghosts(),
+                proxies.unreachableListed(),
                 proxies.startUs(),
                 proxies.lateCallsUs(),
                 proxies.killAfterUs(),
@@ -533,7 +545,7 @@
     }
 
     /** Number of servers in all groups. */
-    public int fleet() {
+    public int serverCount() {
         return servers.stream().mapToInt(Servers::count).sum();
     }
 
--- a/src/main/java/mulleinfront/emulator/ScenarioReader.java
+++ b/src/main/java/mulleinfront/emulator/ScenarioReader.java
@@ -20,12 +20,12 @@
 import mulleinfront.emulator.Scenario.InitialList;
 import mulleinfront.emulator.Scenario.Limits;
 import mulleinfront.emulator.Scenario.Load;
+import mulleinfront.emulator.Scenario.LoadShape;
 import mulleinfront.emulator.Scenario.Network;
 import mulleinfront.emulator.Scenario.Proxies;
 import mulleinfront.emulator.Scenario.Rules;
 import mulleinfront.emulator.Scenario.Servers;
 import mulleinfront.emulator.Scenario.Service;
-import mulleinfront.emulator.Scenario.Shape;
 import mulleinfront.emulator.Scenario.Tenant;
 import mulleinfront.emulator.Scenario.WorkDistribution;
 import mulleinfront.settings.BadFileException;
@@ -103,14 +103,14 @@
     /** Reads a scenario from its text; {@code file} is its name in messages. */
     static Scenario read(String file, String text, BaseScenarios worlds) throws BadFileException {
         Section own = Section.root(file, text, null);
-        String world = own.table("scenario").text("world", "");
+        String world = own.table("scenario").string("world", "");
         if (world.isEmpty()) {
             return read(file, own);
         }
         String[] found = worlds.find(world);
         Section base = Section.root(found[0], found[1], null);
         if (base.table("scenario").statesOwn("world")) {
-            throw own.table("scenario").wrong("world", found[0] + " stands on another world itself");
+            throw own.table("scenario").error("world", found[0] + " stands on another world itself");
         }
         return read(file, Section.root(file, text, base));
     }
@@ -118,25 +118,25 @@
     /** Reads a scenario from a root section; other tables of the root may have been read before. */
     static Scenario read(String file, Section root) throws BadFileException {
         Section head = root.table("scenario");
-        head.text("world", "");
+        head.string("world", "");
         if (!head.statesOwn("title")) {
-            throw head.wrong("missing title");
+            throw head.error("missing title");
         }
-        String title = head.text("title", null);
+        String title = head.string("title", null);
         long length = positiveTime(head, "length", null);
         long settle = head.time("settle", 8_000_000L);
-        head.done();
+        head.rejectUnknownKeys();
         Section network = root.table("network");
-        List<String> zones = network.texts("zones");
+        List<String> zones = network.strings("zones");
         if (zones.isEmpty() || new HashSet<>(zones).size() < zones.size()) {
-            throw network.wrong("zones must name one zone or more, each once");
+            throw network.error("zones must name one zone or more, each once");
         }
         Network delays = new Network(
-                network.times("same", new Range(85, 320)),
-                network.times("cross", new Range(1_400, 2_600)),
-                network.times("client", new Range(20, 90)),
+                network.timeRange("same", new Range(85, 320)),
+                network.timeRange("cross", new Range(1_400, 2_600)),
+                network.timeRange("client", new Range(20, 90)),
                 network.share("jitter", 0.2, 10));
-        network.done();
+        network.rejectUnknownKeys();
         List<Servers> servers = servers(root);
         List<ClassSpec> classes = classes(root);
         List<Tenant> tenants = tenants(root);
@@ -168,7 +168,7 @@
                 peers(root),
                 List.of());
         List<Scenario.Fault> faults = new FaultReader(world).read(root.ownTables("fault"));
-        root.done();
+        root.rejectUnknownKeys();
         return world.withFaults(faults);
     }
 
@@ -180,21 +180,21 @@
     private static long positiveTime(Section section, String key, Long defaultUs) throws BadFileException {
         long time = section.time(key, defaultUs);
         if (time <= 0) {
-            throw section.wrong(key, "must be more than zero");
+            throw section.error(key, "must be more than zero");
         }
         return time;
     }
 
     private static Discovery discovery(Section section) throws BadFileException {
         Discovery discovery = new Discovery(
-                section.word("mode", Mode.ASK, Mode.class) == Mode.ASK,
-                section.times("notice", new Range(640_000, 4_200_000)),
-                section.times("silent-notice", new Range(6_200_000, 12_000_000)),
-                section.times("period", new Range(160_000, 720_000)),
+                section.enumValue("mode", Mode.ASK, Mode.class) == Mode.ASK,
+                section.timeRange("notice", new Range(640_000, 4_200_000)),
+                section.timeRange("silent-notice", new Range(6_200_000, 12_000_000)),
+                section.timeRange("period", new Range(160_000, 720_000)),
                 section.time("call", 4_000L),
                 positiveTime(section, "timeout", 3_000_000L),
                 section.count("also-listed", 0, 0));
-        section.done();
+        section.rejectUnknownKeys();
         return discovery;
     }
 
@@ -203,7 +203,7 @@
                 section.count("count", 5, 1),
                 section.number("spread", 0.8, 0),
                 section.time("start-within", 1_000_000L),
-                section.word("known", InitialList.CURRENT, InitialList.class),
+                section.enumValue("known", InitialList.CURRENT, InitialList.class),
                 section.time("known-age", 30_000_000L),
                 section.count("ghosts", 0, 0),
                 section.time("start", 2_000_000L),
@@ -216,12 +216,12 @@
                         section.time("warm-request", 0L),
                         section.count("warm-after", 200, 1)));
         if (proxies.cpu().core() == 0 && proxies.cpu().coldUs() + proxies.cpu().warmUs() > 0) {
-            throw section.wrong("core", "requests that take CPU need a share of a core: core = 0.5");
+            throw section.error("core", "requests that take CPU need a share of a core: core = 0.5");
         }
-        if (proxies.ghosts() > 0 && proxies.known() != InitialList.STALE) {
-            throw section.wrong("ghosts", "only a stale list names servers that are gone: known = \"stale\"");
+        if (proxies.unreachableListed() > 0 && proxies.known() != InitialList.STALE) {
+            throw section.error("ghosts", "only a stale list names servers that are gone: known = \"stale\"");
         }
-        section.done();
+        section.rejectUnknownKeys();
         return proxies;
     }
 
@@ -233,24 +233,24 @@
         Scenario.Peers peers = new Scenario.Peers(
                 positiveTime(section, "period", 1_000_000L),
                 positiveTime(section, "gone-after", 600_000_000L),
-                section.word("detector", Detector.FULL, Detector.class) == Detector.PLAIN,
+                section.enumValue("detector", Detector.FULL, Detector.class) == Detector.PLAIN,
                 section.share("loss", 0.0, 1));
-        section.done();
+        section.rejectUnknownKeys();
         return peers;
     }
 
     private static Clients clients(Section section) throws BadFileException {
         Clients clients = new Clients(
                 section.count("retries", 1, 0),
-                section.times("backoff", new Range(25_000, 200_000)),
-                section.flag("doubling", true),
+                section.timeRange("backoff", new Range(25_000, 200_000)),
+                section.bool("doubling", true),
                 section.share("honour", 0.9, 1),
-                section.shares("patience", new Range(0.7, 1), 1),
+                section.shareRange("patience", new Range(0.7, 1), 1),
                 section.share("leave", 0.0, 1));
-        if (clients.patience().low() <= 0) {
-            throw section.wrong("patience", "must be more than zero");
+        if (clients.timeoutFraction().low() <= 0) {
+            throw section.error("patience", "must be more than zero");
         }
-        section.done();
+        section.rejectUnknownKeys();
         return clients;
     }
 
@@ -258,18 +258,18 @@
         double full = Scenario.fullRate(servers, classes);
         boolean byShare = section.statesOwn("of-capacity") || !section.statesOwn("rate") && section.has("of-capacity");
         if (byShare && section.statesOwn("rate")) {
-            throw section.wrong("rate", "of-capacity says the rate already: give only one of the two");
+            throw section.error("rate", "of-capacity says the rate already: give only one of the two");
         }
         section.markRead(byShare ? "rate" : "of-capacity");
         double rate = byShare ? full * section.share("of-capacity", null, 100) : section.rate("rate", null);
-        Shape shape = section.word("shape", Shape.STEADY, Shape.class);
-        double end = shape != Shape.RAMP && !section.statesOwn("end-rate") && !section.statesOwn("end-of-capacity")
+        LoadShape shape = section.enumValue("shape", LoadShape.STEADY, LoadShape.class);
+        double end = shape != LoadShape.RAMP && !section.statesOwn("end-rate") && !section.statesOwn("end-of-capacity")
                 ? rate
                 : section.has("end-of-capacity")
                         ? full * section.share("end-of-capacity", null, 100)
                         : section.rate("end-rate", rate);
-        if (shape != Shape.RAMP && end != rate) {
-            throw section.wrong(
+        if (shape != LoadShape.RAMP && end != rate) {
+            throw section.error(
                     section.has("end-rate") ? "end-rate" : "end-of-capacity", "only a ramp has an end rate");
         }
         Load load = new Load(
@@ -280,7 +280,7 @@
                 positiveTime(section, "burst", 3_000_000L),
                 section.count("keys", 1_200, 0),
                 section.number("zipf", 1.0, 0));
-        section.done();
+        section.rejectUnknownKeys();
         return load;
     }
 
@@ -290,25 +290,25 @@
         for (Section section : root.tables("servers")) {
             String name = uniqueName(section, names, "group");
             int cores = section.count("cores", null, 1);
-            Range coldFrom = section.shares("cold-from", Range.of(1), 1);
-            boolean byWork = section.word("warm-by", WarmBy.TIME, WarmBy.class) == WarmBy.WORK;
-            Range coldFor = section.times("cold-for", Range.of(0));
+            Range coldFrom = section.shareRange("cold-from", Range.of(1), 1);
+            boolean byWork = section.enumValue("warm-by", WarmBy.TIME, WarmBy.class) == WarmBy.WORK;
+            Range coldFor = section.timeRange("cold-for", Range.of(0));
             if (coldFrom.low() <= 0) {
-                throw section.wrong("cold-from", "must be more than zero");
+                throw section.error("cold-from", "must be more than zero");
             }
             if (byWork != section.has("warm-work")) {
-                throw section.wrong(byWork ? "warm-by" : "warm-work", "warm-by = \"work\" and warm-work go together");
+                throw section.error(byWork ? "warm-by" : "warm-work", "warm-by = \"work\" and warm-work go together");
             }
-            ServerModel.Linger linger = !section.has("linger-at")
+            ServerModel.MetastableSlowdown linger = !section.has("linger-at")
                     ? null
-                    : new ServerModel.Linger(
+                    : new ServerModel.MetastableSlowdown(
                             section.number("linger-at", null, 0), positiveTime(section, "linger-after", 2_000_000L),
                             section.number("linger-slower", 2.5, 1), section.share("linger-below", 0.33, 1),
                             positiveTime(section, "linger-rest", 3_500_000L),
                                     positiveTime(section, "linger-most", 25_000_000L));
-            Range speed = section.numbers("speed", Range.of(1), 0);
+            Range speed = section.numberRange("speed", Range.of(1), 0);
             if (speed.low() <= 0) {
-                throw section.wrong("speed", "must be more than zero");
+                throw section.error("speed", "must be more than zero");
             }
             all.add(new Servers(
                     name,
@@ -320,30 +320,30 @@
                     cores * section.count("slots-per-core", 1, 1),
                     cores * section.count("queue-per-core", 20, 0),
                     cores * section.count("connections-per-core", 200, 1),
-                    section.times("handshake-work", Range.of(0)),
+                    section.timeRange("handshake-work", Range.of(0)),
                     section.time("idle-close", 5_000_000L),
                     section.share("errors", 0.0, 1),
-                    section.times("report-every", Range.of(800_000)),
+                    section.timeRange("report-every", Range.of(800_000)),
                     section.time("probe-work", 60L),
                     cores * section.count("probes-per-core", 6, 0),
-                    section.flag("deep-probes", false),
+                    section.bool("deep-probes", false),
                     coldFrom,
                     coldFor,
                     byWork ? section.time("warm-work", null) : 0,
                     section.time("pause-every", 0L),
-                    section.times("pause-for", Range.of(0)),
+                    section.timeRange("pause-for", Range.of(0)),
                     section.number("crowd-at", 0.0, 0),
                     section.share("crowd-loss", 0.0, 0.95),
                     linger,
-                    section.word("stops", ServerModel.Stops.ALL, ServerModel.Stops.class),
-                    section.flag("drops-expired", true),
+                    section.enumValue("stops", ServerModel.CancelPolicy.ALL, ServerModel.CancelPolicy.class),
+                    section.bool("drops-expired", true),
                     section.time("key-memory", 0L),
                     section.share("key-saving", 0.0, 1),
                     cores * section.count("keys-per-core", 27, 1)));
-            section.done();
+            section.rejectUnknownKeys();
         }
         if (all.isEmpty()) {
-            throw root.wrong("servers", "there is no [[servers]]: a world needs one server or more");
+            throw root.error("servers", "there is no [[servers]]: a world needs one server or more");
         }
         return all;
     }
@@ -354,20 +354,20 @@
         double sum = 0;
         for (Section section : root.tables("class")) {
             String name = uniqueName(section, names, "class");
-            Effects effect = section.word("effect", null, Effects.class);
+            Effects effect = section.enumValue("effect", null, Effects.class);
             boolean keyed = effect == Effects.KEYED;
             if (!keyed && (section.has("group") || section.has("window"))) {
-                throw section.wrong(section.has("group") ? "group" : "window", "only a keyed class has one");
+                throw section.error(section.has("group") ? "group" : "window", "only a keyed class has one");
             }
             DedupScope scope = !keyed
                     ? null
-                    : DedupScope.valueOf(
-                            section.word("group", Groups.ZONE, Groups.class).name());
+                    : DedupScope.valueOf(section.enumValue("group", Groups.ZONE, Groups.class)
+                            .name());
             long window = keyed ? section.time("window", null) : 0;
             long targetLatency = positiveTime(section, "aim", null);
             long deadline = positiveTime(section, "deadline", null);
             if (targetLatency > deadline) {
-                throw section.wrong("aim", "the range is turned round: the aim is later than the deadline");
+                throw section.error("aim", "the range is turned round: the aim is later than the deadline");
             }
             double share = section.share("share", null, 1);
             sum += share;
@@ -389,12 +389,12 @@
                             deadline),
                     share,
                     positiveTime(section, "work", null),
-                    section.word("dist", WorkDistribution.LOGNORMAL, WorkDistribution.class),
+                    section.enumValue("dist", WorkDistribution.LOGNORMAL, WorkDistribution.class),
                     section.number("cv", 0.45, 0)));
-            section.done();
+            section.rejectUnknownKeys();
         }
         if (!sumToOne(sum)) {
-            throw root.wrong("class", "the shares of all [[class]] make " + percent(sum) + ", not 100%");
+            throw root.error("class", "the shares of all [[class]] make " + percent(sum) + ", not 100%");
         }
         return all;
     }
@@ -408,19 +408,19 @@
             Tenant tenant = new Tenant(name, section.share("share", null, 1), section.number("usage", 1.0, 0));
             sum += tenant.share();
             all.add(tenant);
-            section.done();
+            section.rejectUnknownKeys();
         }
         if (!all.isEmpty() && !sumToOne(sum)) {
-            throw root.wrong("tenant", "the shares of all [[tenant]] make " + percent(sum) + ", not 100%");
+            throw root.error("tenant", "the shares of all [[tenant]] make " + percent(sum) + ", not 100%");
         }
         return all;
     }
 
     /** Reads the name of a table and checks that no other table of its kind has it. */
     private static String uniqueName(Section section, Set<String> names, String kind) throws BadFileException {
-        String name = section.text("name", null);
+        String name = section.string("name", null);
         if (!names.add(name)) {
-            throw section.wrong("name", "there is another " + kind + " called " + name);
+            throw section.error("name", "there is another " + kind + " called " + name);
         }
         return name;
     }
@@ -439,13 +439,13 @@
     private static Limits limits(Section section) throws BadFileException {
         Limits limits = new Limits(
                 section.count("attempts", 4, 1),
-                section.flag("cancel", true),
-                section.flag("probes", true),
+                section.bool("cancel", true),
+                section.bool("probes", true),
                 section.time("retry-after", 2_000_000L),
                 positiveTime(section, "dial-timeout", 250_000L),
                 positiveTime(section, "idle-close", 5_000_000L),
                 section.share("reports", 0.35, 1));
-        section.done();
+        section.rejectUnknownKeys();
         return limits;
     }
 
@@ -459,9 +459,9 @@
                 section.time("cold-warm", 24_000_000L),
                 positiveTime(section, "ask-within", 10_000_000L));
         if (rules.coldFrom() <= 0) {
-            throw section.wrong("cold-from", "must be more than zero");
+            throw section.error("cold-from", "must be more than zero");
         }
-        section.done();
+        section.rejectUnknownKeys();
         return rules;
     }
 
@@ -480,9 +480,9 @@
                 section.share("tenants-of-capacity", 0.85, 100));
         double sum = service.whole() + service.window() + service.worstClass() + service.worstTenant();
         if (!sumToOne(sum)) {
-            throw section.wrong("the weights make " + percent(sum) + ", not 100%");
+            throw section.error("the weights make " + percent(sum) + ", not 100%");
         }
-        section.done();
+        section.rejectUnknownKeys();
         return service;
     }
 }
--- a/src/main/java/mulleinfront/emulator/Script.java
+++ b/src/main/java/mulleinfront/emulator/Script.java
@@ -14,7 +14,7 @@
  */
 final class Script {
     private final World world;
-    private final Chance chance;
+    private final RandomStream chance;
     private int successorCount;
 
     Script(World world) {
@@ -29,64 +29,86 @@
     }
 
     private void begin(Fault fault) {
-        world.tally.happened(fault, world.queue.now());
+        world.statistics.faultApplied(fault, world.queue.now());
         switch (fault.kind()) {
-            case SLOW -> forEachProcess(fault, host -> host.life.slow(fault.factor()), host -> host.life.slow(1));
-            case HANG -> forEachProcess(fault, host -> host.life.hang(true), host -> host.life.hang(false));
-            case ERRORS -> forEachProcess(fault, host -> host.life.errors(fault.share()), host -> host.life.errors(0));
-            case PAUSE -> targetHosts(fault).forEach(host -> host.life.pause(fault.forUs()));
-            case NEIGHBOUR -> targetHosts(fault).forEach(host -> neighbour(fault, host, host.life, true));
-            case DRAIN -> targetHosts(fault).forEach(world::drain);
+            case SLOW ->
+                forEachProcess(fault, host -> host.process.slowDown(fault.factor()), host -> host.process.slowDown(1));
+            case HANG -> forEachProcess(fault, host -> host.process.hang(true), host -> host.process.hang(false));
+            case ERRORS ->
+                forEachProcess(fault, host -> host.process.errors(fault.share()), host -> host.process.errors(0));
+            case PAUSE -> targetHosts(fault).forEach(host -> host.process.pause(fault.forUs()));
+            case NEIGHBOUR -> targetHosts(fault).forEach(host -> neighbour(fault, host, host.process, true));
+            case DRAIN -> targetHosts(fault).forEach(world::drainServer);
             case RESTART -> targetHosts(fault).forEach(host -> restart(fault, host));
             case DEPLOY -> deploy(fault);
             case VANISH -> targetHosts(fault).forEach(host -> vanish(fault, host));
             case CUT -> partitionServers(fault);
             case RESET_BEFORE ->
-                forEachHost(fault, host -> host.resetBefore = fault.share(), host -> host.resetBefore = 0);
+                forEachHost(
+                        fault,
+                        host -> host.resetBeforeProbability = fault.share(),
+                        host -> host.resetBeforeProbability = 0);
             case RESET_AFTER ->
-                forEachHost(fault, host -> host.resetAfter = fault.share(), host -> host.resetAfter = 0);
+                forEachHost(
+                        fault,
+                        host -> host.resetAfterProbability = fault.share(),
+                        host -> host.resetAfterProbability = 0);
             case DISCOVERY_DOWN -> applyFor(fault, () -> world.registry.down(true), () -> world.registry.down(false));
             case DISCOVERY_SILENT ->
-                applyFor(fault, () -> world.registry.silent(true), () -> world.registry.silent(false));
+                applyFor(fault, () -> world.registry.unresponsive(true), () -> world.registry.unresponsive(false));
             case DISCOVERY_LATE ->
-                applyFor(fault, () -> world.registry.late(fault.on()), () -> world.registry.late(Range.of(0)));
+                applyFor(
+                        fault,
+                        () -> world.registry.delayUpdates(fault.on()),
+                        () -> world.registry.delayUpdates(Range.of(0)));
             case DISCOVERY_SHUFFLE ->
-                applyFor(fault, () -> world.registry.shuffle((int) fault.factor()), () -> world.registry.shuffle(0));
+                applyFor(
+                        fault,
+                        () -> world.registry.shuffleLists((int) fault.factor()),
+                        () -> world.registry.shuffleLists(0));
             case DISCOVERY_CROWD ->
-                applyFor(fault, () -> world.registry.crowd(fault.factor()), () -> world.registry.crowd(0));
+                applyFor(
+                        fault,
+                        () -> world.registry.otherCallsPerS(fault.factor()),
+                        () -> world.registry.otherCallsPerS(0));
             case DISCOVERY_REFUSES ->
                 applyFor(
                         fault,
                         () -> world.registry.refuseCalls((int) fault.factor()),
                         () -> world.registry.refuseCalls(0));
             case DISCOVERY_CUTS ->
-                applyFor(fault, () -> world.registry.cutLists((int) fault.factor()), () -> world.registry.cutLists(0));
+                applyFor(
+                        fault,
+                        () -> world.registry.truncateLists((int) fault.factor()),
+                        () -> world.registry.truncateLists(0));
             case DISCOVERY_PAUSES ->
                 applyFor(
                         fault,
                         () -> world.registry.pauseLists((int) fault.factor(), fault.on()),
                         () -> world.registry.pauseLists(0, Range.of(0)));
-            case CROWD_PROXY -> targetProxies(fault).forEach(p -> p.crowd((int) fault.factor(), durationUs(fault)));
+            case CROWD_PROXY ->
+                targetProxies(fault).forEach(p -> p.floodConnections((int) fault.factor(), durationUs(fault)));
             case DISCOVERY_ENDS ->
                 applyFor(
                         fault,
-                        () -> world.registry.endInsteadOfTelling((int) fault.factor()),
-                        () -> world.registry.endInsteadOfTelling(0));
-            case WATCHES_SILENT -> world.registry.watchesFallSilent();
-            case WATCHES_RESET -> world.registry.watchesEnd();
+                        () -> world.registry.endInsteadOfUpdating((int) fault.factor()),
+                        () -> world.registry.endInsteadOfUpdating(0));
+            case WATCHES_SILENT -> world.registry.stallWatches();
+            case WATCHES_RESET -> world.registry.resetWatches();
             case KILL_PROXY ->
                 targetProxies(fault).forEach(p -> afterRandomDelay(fault, () -> p.kill(fault.drainUs())));
-            case END_PROXY -> targetProxies(fault).forEach(p -> afterRandomDelay(fault, p::end));
+            case END_PROXY -> targetProxies(fault).forEach(p -> afterRandomDelay(fault, p::terminate));
             case RELOAD_PROXY -> targetProxies(fault).forEach(p -> afterRandomDelay(fault, p::reload));
             case ROLL_PROXIES -> roll(fault);
             case PAUSE_PROXY -> targetProxies(fault).forEach(p -> p.pause(fault.forUs()));
             case CUT_PROXY -> partitionProxies(fault);
             case CUT_PEERS, DATAGRAMS -> beginDatagramFault(fault);
-            case REPEAT_DATAGRAMS -> world.peerFaults().repeat(fault.drainUs(), fault.factor(), durationUs(fault));
-            case STRANGERS -> world.peerFaults().strangers(fault.factor(), durationUs(fault));
+            case REPEAT_DATAGRAMS ->
+                world.peerFaults().repeatDatagrams(fault.drainUs(), fault.factor(), durationUs(fault));
+            case STRANGERS -> world.peerFaults().sendFromUnknownSenders(fault.factor(), durationUs(fault));
             case CLOCK ->
                 targetProxies(fault)
-                        .forEach(p -> world.peerFaults().clockJumps(world.proxies.indexOf(p), (long) fault.factor()));
+                        .forEach(p -> world.peerFaults().shiftClock(world.proxies.indexOf(p), (long) fault.factor()));
             case SURGE ->
                 applyFor(
                         fault,
@@ -94,7 +116,7 @@
                         () -> world.clients.surge(fault.tenant(), 1));
             case BURST -> {
                 for (int i = 0; i < fault.count(); i++) {
-                    world.clients.ask();
+                    world.clients.sendRequest();
                 }
             }
         }
@@ -104,7 +126,7 @@
         if (fault.on().high() == 0) {
             action.run();
         } else {
-            world.queue.after((long) fault.on().draw(chance::between), action);
+            world.queue.after((long) fault.on().draw(chance::uniformBetween), action);
         }
     }
 
@@ -129,9 +151,9 @@
     /** Applies a fault to server processes; a process that replaces one of them is not affected. */
     private void forEachProcess(Fault fault, HostAction on, HostAction off) {
         for (Host host : targetHosts(fault)) {
-            ServerModel process = host.life;
+            ServerModel process = host.process;
             applyFor(fault, () -> on.apply(host), () -> {
-                if (host.life == process) {
+                if (host.process == process) {
                     off.apply(host);
                 }
             });
@@ -144,12 +166,12 @@
             boolean selected = fault.servers().isEmpty()
                     ? fault.zone() < 0 || host.zone == fault.zone()
                     : fault.servers().contains(host.id);
-            if (selected && host.alive() && !host.life.draining()) {
+            if (selected && host.alive() && !host.process.draining()) {
                 candidates.add(host);
             }
         }
         while (fault.count() >= 0 && candidates.size() > fault.count()) {
-            candidates.remove(chance.below(candidates.size()));
+            candidates.remove(chance.uniformBelow(candidates.size()));
         }
         return candidates;
     }
@@ -160,7 +182,7 @@
         }
         List<Instance> candidates = new ArrayList<>(world.proxies);
         while (candidates.size() > fault.count()) {
-            candidates.remove(chance.below(candidates.size()));
+            candidates.remove(chance.uniformBelow(candidates.size()));
         }
         return candidates;
     }
@@ -168,22 +190,22 @@
     private void neighbour(Fault fault, Host host, ServerModel process, boolean on) {
         boolean over = fault.forUs() > 0 && world.queue.now() >= fault.at() + fault.forUs();
         if (process.stopped() || over) {
-            process.neighbour(0);
+            process.noisyNeighbour(0);
             return;
         }
-        process.neighbour(on ? fault.share() : 0);
-        long lasts = (long) (on ? fault.on() : fault.off()).draw(host.chance::between);
+        process.noisyNeighbour(on ? fault.share() : 0);
+        long lasts = (long) (on ? fault.on() : fault.off()).draw(host.chance::uniformBetween);
         long left = fault.forUs() > 0 ? fault.at() + fault.forUs() - world.queue.now() : Long.MAX_VALUE;
         world.queue.after(Math.min(left, Math.max(1_000, lasts)), () -> neighbour(fault, host, process, !on));
     }
 
     private void restart(Fault fault, Host host) {
         if (fault.drainUs() > 0) {
-            world.drain(host);
+            world.drainServer(host);
         }
         world.queue.after(fault.drainUs(), () -> {
-            world.stop(host);
-            world.start(host, fault.moved());
+            world.stopServer(host);
+            world.startServer(host, fault.moved());
         });
     }
 
@@ -199,26 +221,26 @@
     }
 
     private void replace(Fault fault, Host host) {
-        world.drain(host);
+        world.drainServer(host);
         world.queue.after(fault.drainUs(), () -> {
-            world.stop(host);
-            world.registry.happened(host, Availability.GONE, false);
+            world.stopServer(host);
+            world.registry.serverChanged(host, Availability.GONE, false);
             Scenario.Servers group = world.scenario.servers().get(host.kind);
-            Host successor = world.add(host.id + "." + ++successorCount, host.zone, host.kind, host.cell, group);
-            world.start(successor, false);
+            Host successor = world.addHost(host.id + "." + ++successorCount, host.zone, host.kind, host.cell, group);
+            world.startServer(successor, false);
         });
     }
 
     /** Disconnects a server from the network without notice; discovery learns of it late. */
     private void vanish(Fault fault, Host host) {
-        host.vanished = true;
-        world.changed(host);
+        host.disconnected = true;
+        world.reachabilityChanged(host);
         if (fault.forUs() == 0) {
-            world.registry.happened(host, Availability.GONE, true);
+            world.registry.serverChanged(host, Availability.GONE, true);
         } else {
             world.queue.after(fault.forUs(), () -> {
-                host.vanished = false;
-                world.changed(host);
+                host.disconnected = false;
+                world.reachabilityChanged(host);
                 world.resetAll(host);
             });
         }
@@ -234,7 +256,7 @@
         int batch = Math.max(1, (int) Math.round(fault.share() * count));
         int batches = (count + batch - 1) / batch;
         for (int i = 0; i < count; i++) {
-            world.queue.after(fault.forUs() * (i / batch) / batches, world.proxies.get(i)::end);
+            world.queue.after(fault.forUs() * (i / batch) / batches, world.proxies.get(i)::terminate);
         }
     }
 
@@ -249,11 +271,11 @@
 
     private void setPartition(Fault fault, int proxy, boolean on) {
         if (fault.moved()) {
-            world.registry.cut(proxy, on);
+            world.registry.partition(proxy, on);
         }
         if (fault.zone() >= 0) {
-            world.network.cut(proxy, fault.zone(), on);
-            world.hosts.forEach(world::changed);
+            world.network.partition(proxy, fault.zone(), on);
+            world.hosts.forEach(world::reachabilityChanged);
             if (!on) {
                 resetCrossedConnections(link -> link.owner.proxy() == proxy);
             }
@@ -269,11 +291,11 @@
                 to = (BitSet) from.clone();
                 to.flip(0, world.proxies.size());
             }
-            PeerFaults.End end = world.peerFaults().partition(from, to, effects.oneWay());
+            PeerFaults.ActiveFault end = world.peerFaults().partition(from, to, effects.oneWay());
             applyFor(fault, () -> {}, end::end);
             return;
         }
-        PeerFaults.End end = world.peerFaults()
+        PeerFaults.ActiveFault end = world.peerFaults()
                 .beginFault(
                         from,
                         to,
@@ -296,24 +318,24 @@
             applyFor(
                     fault,
                     () -> {
-                        world.network.cut(fault.zone(), true);
-                        world.hosts.forEach(world::changed);
+                        world.network.partition(fault.zone(), true);
+                        world.hosts.forEach(world::reachabilityChanged);
                     },
                     () -> {
-                        world.network.cut(fault.zone(), false);
-                        world.hosts.forEach(world::changed);
+                        world.network.partition(fault.zone(), false);
+                        world.hosts.forEach(world::reachabilityChanged);
                         resetCrossedConnections(link -> link.owner.zone() != link.host.zone);
                     });
         } else {
             forEachHost(
                     fault,
                     host -> {
-                        world.network.cut(host, true);
-                        world.changed(host);
+                        world.network.partition(host, true);
+                        world.reachabilityChanged(host);
                     },
                     host -> {
-                        world.network.cut(host, false);
-                        world.changed(host);
+                        world.network.partition(host, false);
+                        world.reachabilityChanged(host);
                         world.resetAll(host);
                     });
         }
--- a/src/main/java/mulleinfront/emulator/ServerModel.java
+++ b/src/main/java/mulleinfront/emulator/ServerModel.java
@@ -36,7 +36,7 @@
     }
 
     /** Which cancelled requests the server stops working on. */
-    public enum Stops {
+    public enum CancelPolicy {
         NONE,
         QUEUED,
         ALL
@@ -49,7 +49,7 @@
      * @param speed work that a core does per microsecond
      * @param slots maximum number of requests that run at once
      * @param queueCapacity maximum number of queued requests; requests beyond it are rejected
-     * @param mostConnections maximum number of open connections
+     * @param maxConnections maximum number of open connections
      * @param handshakeWork work that a new connection adds to its first request
      * @param idleCloseUs idle time after which the server closes a connection
      * @param errorProbability probability that a response is an error
@@ -71,12 +71,12 @@
      * @param keySaving fraction of the work that a cached key saves
      * @param maxCachedKeys maximum number of cached keys
      */
-    public record Machine(
+    public record Spec(
             int cores,
             double speed,
             int slots,
             int queueCapacity,
-            int mostConnections,
+            int maxConnections,
             double handshakeWork,
             long idleCloseUs,
             double errorProbability,
@@ -91,8 +91,8 @@
             Range pauseUs,
             double overloadAt,
             double overloadLoss,
-            Linger slowdown,
-            Stops cancelPolicy,
+            MetastableSlowdown slowdown,
+            CancelPolicy cancelPolicy,
             boolean dropsExpired,
             long keyCacheUs,
             double keySaving,
@@ -114,7 +114,7 @@
      * @param utilisationMeanUs time constant of the mean utilisation
      * @param maxUs longest duration of the slowdown
      */
-    public record Linger(
+    public record MetastableSlowdown(
             double beginsAt,
             long loadMeanUs,
             double factor,
@@ -184,7 +184,7 @@
     }
 
     /** Expiry times of the effects known to a deduplication group. */
-    public static final class Group {
+    public static final class DedupGroup {
         private final Map<String, Long> expiryByEffect = new LinkedHashMap<>();
 
         private boolean checkRepeat(Job job, long now) {
@@ -209,12 +209,12 @@
     }
 
     /** Counters of one or more processes of a server; times in microseconds. */
-    public static final class Figures {
+    public static final class Statistics {
         public long offered;
         public long begun;
         public long served;
         public long errors;
-        public long turnedAway;
+        public long rejected;
         public long expired;
         public long cancelled;
         public long repeatsDropped;
@@ -222,24 +222,24 @@
         public long probes;
         public long handshakes;
         public long connectionsRefused;
-        public int mostConnections;
-        public int mostHeld;
+        public int maxConnections;
+        public int maxInFlight;
         public long pausedUs;
-        public long lingeredUs;
-        public boolean fell;
+        public long slowedDownUs;
+        public boolean crashed;
         public double workDone;
         public double workWasted;
         public double waitSumUs;
         public double busyCoreUs;
-        public double heldSumUs;
+        public double inFlightSumUs;
 
         /** Adds the counters of another process of the same server. */
-        public void add(Figures other) {
+        public void add(Statistics other) {
             offered += other.offered;
             begun += other.begun;
             served += other.served;
             errors += other.errors;
-            turnedAway += other.turnedAway;
+            rejected += other.rejected;
             expired += other.expired;
             cancelled += other.cancelled;
             repeatsDropped += other.repeatsDropped;
@@ -247,31 +247,31 @@
             probes += other.probes;
             handshakes += other.handshakes;
             connectionsRefused += other.connectionsRefused;
-            mostConnections = Math.max(mostConnections, other.mostConnections);
-            mostHeld = Math.max(mostHeld, other.mostHeld);
+            maxConnections = Math.max(maxConnections, other.maxConnections);
+            maxInFlight = Math.max(maxInFlight, other.maxInFlight);
             pausedUs += other.pausedUs;
-            lingeredUs += other.lingeredUs;
-            fell |= other.fell;
+            slowedDownUs += other.slowedDownUs;
+            crashed |= other.crashed;
             workDone += other.workDone;
             workWasted += other.workWasted;
             waitSumUs += other.waitSumUs;
             busyCoreUs += other.busyCoreUs;
-            heldSumUs += other.heldSumUs;
+            inFlightSumUs += other.inFlightSumUs;
         }
     }
 
-    private final Machine machine;
+    private final Spec spec;
     private final Time time;
-    private final Chance chance;
-    private final Group group;
+    private final RandomStream chance;
+    private final DedupGroup group;
     private final EffectListener effects;
-    private final Figures figures = new Figures();
+    private final Statistics statistics = new Statistics();
     private final long startedAt;
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final PriorityQueue<Job> running =
             new PriorityQueue<>(Comparator.comparingDouble((Job j) -> j.endMark).thenComparing(j -> j.requestId));
     private final LinkedHashMap<String, Long> keyLastUsed = new LinkedHashMap<>();
-    private int held;
+    private int inFlight;
     private int connections;
     private int probes;
     private double attained;
@@ -285,12 +285,12 @@
     private boolean hung;
     private boolean cold;
     private int pauses;
-    private double slow = 1;
+    private double slowDown = 1;
     private double neighbourShare;
     private double errors;
     private double pendingProbeWork;
     private double workSinceStart;
-    private boolean lingering;
+    private boolean inSlowdown;
     private long slowdownSince;
     private double inFlightMean;
     private double utilisationMean = 1;
@@ -303,8 +303,8 @@
      * @param startsCold whether the process has just been started; otherwise it counts as long running
      */
     public ServerModel(
-            Machine spec, Time time, Chance chance, Group group, EffectListener effects, boolean startsCold) {
-        this.machine = spec;
+            Spec spec, Time time, RandomStream chance, DedupGroup group, EffectListener effects, boolean startsCold) {
+        this.spec = spec;
         this.time = time;
         this.chance = chance;
         this.group = group;
@@ -319,18 +319,18 @@
         scheduleRecheck();
     }
 
-    public Machine machine() {
-        return machine;
+    public Spec spec() {
+        return spec;
     }
 
-    public Figures figures() {
+    public Statistics statistics() {
         advance();
-        return figures;
+        return statistics;
     }
 
     /** Number of requests running and queued. */
-    public int held() {
-        return held;
+    public int inFlight() {
+        return inFlight;
     }
 
     public boolean stopped() {
@@ -346,10 +346,10 @@
         if (!cold) {
             return 1;
         }
-        double part = machine.warmUpWork() > 0
-                ? workSinceStart / machine.warmUpWork()
-                : (double) (time.now() - startedAt) / machine.warmUpUs();
-        return Math.min(1, machine.coldFraction() + (1 - machine.coldFraction()) * part);
+        double part = spec.warmUpWork() > 0
+                ? workSinceStart / spec.warmUpWork()
+                : (double) (time.now() - startedAt) / spec.warmUpUs();
+        return Math.min(1, spec.coldFraction() + (1 - spec.coldFraction()) * part);
     }
 
     /** Remaining work of the requests in flight, without the savings of the key cache. */
@@ -369,18 +369,18 @@
     double coreSpeed() {
         return hung || pauses > 0 || stopped
                 ? 0
-                : machine.speed()
+                : spec.speed()
                         * warmth()
                         * efficiency()
                         * (1 - neighbourShare)
-                        / slow
-                        / (lingering ? machine.slowdown().factor() : 1);
+                        / slowDown
+                        / (inSlowdown ? spec.slowdown().factor() : 1);
     }
 
     /** Fraction of a request's work that remains if its key is cached; 1 if it is not cached. */
     double workLeftOf(String key) {
-        Long last = key == null || machine.keyCacheUs() == 0 ? null : keyLastUsed.get(key);
-        return last != null && time.now() - last <= machine.keyCacheUs() ? 1 - machine.keySaving() : 1;
+        Long last = key == null || spec.keyCacheUs() == 0 ? null : keyLastUsed.get(key);
+        return last != null && time.now() - last <= spec.keyCacheUs() ? 1 - spec.keySaving() : 1;
     }
 
     /**
@@ -388,7 +388,7 @@
      * or returns additional errors.
      */
     boolean faulty() {
-        return hung || slow > 1 || neighbourShare > 0 || lingering || errors > machine.errorProbability();
+        return hung || slowDown > 1 || neighbourShare > 0 || inSlowdown || errors > spec.errorProbability();
     }
 
     boolean hung() {
@@ -399,13 +399,13 @@
 
     /** Accepts a connection; false if the server has its maximum number of connections. */
     public boolean connect() {
-        if (connections >= machine.mostConnections()) {
-            figures.connectionsRefused++;
+        if (connections >= spec.maxConnections()) {
+            statistics.connectionsRefused++;
             return false;
         }
         connections++;
-        figures.handshakes++;
-        figures.mostConnections = Math.max(figures.mostConnections, connections);
+        statistics.handshakes++;
+        statistics.maxConnections = Math.max(statistics.maxConnections, connections);
         return true;
     }
 
@@ -415,25 +415,25 @@
 
     /** Work that a new connection adds to its first request. */
     public double handshakeWork() {
-        return machine.handshakeWork();
+        return spec.handshakeWork();
     }
 
     /** Runs a probe. A shallow probe bypasses the queue and shows little more than that the process runs. */
     public void probe(EndListener done) {
-        figures.probes++;
-        if (probes >= machine.maxProbes() || draining) {
-            done.done(End.NOT_RUN, held);
+        statistics.probes++;
+        if (probes >= spec.maxProbes() || draining) {
+            done.done(End.NOT_RUN, inFlight);
             return;
         }
-        if (machine.deepProbes()) {
+        if (spec.deepProbes()) {
             probes++;
-            offer(new Job("probe", machine.probeWork(), null, null, 0, Long.MAX_VALUE, (end, inflight) -> {
+            offer(new Job("probe", spec.probeWork(), null, null, 0, Long.MAX_VALUE, (end, inflight) -> {
                 probes--;
                 done.done(end, inflight);
             }));
         } else if (!hung) {
-            pendingProbeWork += running.isEmpty() ? 0 : machine.probeWork();
-            done.done(End.SERVED, held);
+            pendingProbeWork += running.isEmpty() ? 0 : spec.probeWork();
+            done.done(End.SERVED, inFlight);
         }
     }
 
@@ -444,18 +444,18 @@
         if (stopped) {
             return;
         }
-        figures.offered++;
+        statistics.offered++;
         job.offeredAt = time.now();
-        boolean full = running.size() >= machine.slots() && waiting.size() >= machine.queueCapacity();
+        boolean full = running.size() >= spec.slots() && waiting.size() >= spec.queueCapacity();
         if (draining || full && !hung) {
-            figures.turnedAway++;
+            statistics.rejected++;
             job.state = OVER;
             job.done.done(End.NOT_RUN, loadReport());
             return;
         }
         advance();
-        held++;
-        figures.mostHeld = Math.max(figures.mostHeld, held);
+        inFlight++;
+        statistics.maxInFlight = Math.max(statistics.maxInFlight, inFlight);
         job.state = WAITING;
         waiting.add(job);
         startQueued();
@@ -467,8 +467,8 @@
         if (stopped
                 || job.state == NEW
                 || job.state == OVER
-                || machine.cancelPolicy() == Stops.NONE
-                || job.state == RUNNING && machine.cancelPolicy() == Stops.QUEUED) {
+                || spec.cancelPolicy() == CancelPolicy.NONE
+                || job.state == RUNNING && spec.cancelPolicy() == CancelPolicy.QUEUED) {
             return;
         }
         advance();
@@ -476,22 +476,22 @@
             waiting.remove(job);
         } else {
             running.remove(job);
-            figures.workWasted += job.chargedWork - (job.endMark - attained);
+            statistics.workWasted += job.chargedWork - (job.endMark - attained);
         }
         job.state = OVER;
-        held--;
-        figures.cancelled++;
+        inFlight--;
+        statistics.cancelled++;
         startQueued();
         reschedule();
     }
 
     private void startQueued() {
-        while (running.size() < machine.slots() && !waiting.isEmpty() && !hung) {
+        while (running.size() < spec.slots() && !waiting.isEmpty() && !hung) {
             Job job = waiting.poll();
-            if (machine.dropsExpired() && time.now() >= job.expiresAt) {
+            if (spec.dropsExpired() && time.now() >= job.expiresAt) {
                 job.state = OVER;
-                held--;
-                figures.expired++;
+                inFlight--;
+                statistics.expired++;
                 job.done.done(End.NOT_RUN, loadReport());
                 continue;
             }
@@ -501,36 +501,36 @@
 
     private void begin(Job job) {
         boolean repeat = group != null && group.checkRepeat(job, time.now());
-        job.chargedWork = (repeat ? REPEAT_WORK_FRACTION : useKey(job.key) ? 1 - machine.keySaving() : 1) * job.work
+        job.chargedWork = (repeat ? REPEAT_WORK_FRACTION : useKey(job.key) ? 1 - spec.keySaving() : 1) * job.work
                 + pendingProbeWork;
         pendingProbeWork = 0;
         job.endMark = attained + job.chargedWork;
         job.state = RUNNING;
         running.add(job);
-        figures.begun++;
-        figures.waitSumUs += time.now() - job.offeredAt;
-        figures.repeatsDropped += repeat ? 1 : 0;
+        statistics.begun++;
+        statistics.waitSumUs += time.now() - job.offeredAt;
+        statistics.repeatsDropped += repeat ? 1 : 0;
         effects.ran(job, repeat);
     }
 
     private boolean useKey(String key) {
-        if (key == null || machine.keyCacheUs() == 0) {
+        if (key == null || spec.keyCacheUs() == 0) {
             return false;
         }
         Long last = keyLastUsed.remove(key);
         keyLastUsed.put(key, time.now());
-        if (keyLastUsed.size() > machine.maxCachedKeys()) {
+        if (keyLastUsed.size() > spec.maxCachedKeys()) {
             keyLastUsed.remove(keyLastUsed.keySet().iterator().next());
         }
-        boolean known = last != null && time.now() - last <= machine.keyCacheUs();
-        figures.keyHits += known ? 1 : 0;
+        boolean known = last != null && time.now() - last <= spec.keyCacheUs();
+        statistics.keyHits += known ? 1 : 0;
         return known;
     }
 
     private int loadReport() {
-        if (time.now() - reportedAt >= machine.reportEveryUs()) {
+        if (time.now() - reportedAt >= spec.reportEveryUs()) {
             reportedAt = time.now();
-            reportedInFlight = held;
+            reportedInFlight = inFlight;
         }
         return reportedInFlight;
     }
@@ -538,12 +538,12 @@
     // ---- faults ----------------------------------------------------------------------------------------
 
     /** Slows the server down by this factor; 1 ends the fault. */
-    public void slow(double factor) {
-        applyChange(() -> slow = factor);
+    public void slowDown(double factor) {
+        applyChange(() -> slowDown = factor);
     }
 
     /** A noisy neighbour takes this fraction of the machine; 0 ends the fault. */
-    public void neighbour(double part) {
+    public void noisyNeighbour(double part) {
         applyChange(() -> neighbourShare = part);
     }
 
@@ -557,7 +557,7 @@
 
     /** Sets the probability of an error response; the failed requests have run. */
     public void errors(double probability) {
-        errors = Math.max(machine.errorProbability(), probability);
+        errors = Math.max(spec.errorProbability(), probability);
     }
 
     /** Starts a drain: the server finishes the accepted requests and rejects new ones. */
@@ -568,13 +568,13 @@
     /** Pauses the process. */
     public void pause(long durationUs) {
         applyChange(() -> pauses++);
-        figures.pausedUs += durationUs;
+        statistics.pausedUs += durationUs;
         time.after(durationUs, () -> applyChange(() -> pauses--));
     }
 
     /** Crashes the process from overload while cold. */
-    public void fall() {
-        figures.fell = true;
+    public void crash() {
+        statistics.crashed = true;
         stop();
     }
 
@@ -587,7 +587,7 @@
         cancel(recheck);
         waiting.clear();
         running.clear();
-        held = 0;
+        inFlight = 0;
     }
 
     private static void cancel(Time.Timer timer) {
@@ -605,9 +605,9 @@
     }
 
     private void schedulePause() {
-        time.after((long) chance.exponential(machine.pauseEveryUs()), () -> {
+        time.after((long) chance.exponential(spec.pauseEveryUs()), () -> {
             if (!stopped) {
-                pause((long) machine.pauseUs().draw(chance::between));
+                pause((long) spec.pauseUs().draw(chance::uniformBetween));
                 schedulePause();
             }
         });
@@ -623,17 +623,17 @@
             double done = rate * elapsed;
             attained += done;
             double doneByAll = done * running.size();
-            figures.workDone += doneByAll;
+            statistics.workDone += doneByAll;
             workSinceStart += doneByAll;
-            figures.busyCoreUs += elapsed * Math.min(running.size(), machine.cores());
-            figures.heldSumUs += elapsed * held;
-            figures.lingeredUs += lingering ? elapsed : 0;
-            if (machine.slowdown() != null) {
+            statistics.busyCoreUs += elapsed * Math.min(running.size(), spec.cores());
+            statistics.inFlightSumUs += elapsed * inFlight;
+            statistics.slowedDownUs += inSlowdown ? elapsed : 0;
+            if (spec.slowdown() != null) {
                 inFlightMean = exponentialMean(
-                        inFlightMean, held, elapsed, machine.slowdown().loadMeanUs());
-                double busy = Math.min(1.0, (double) running.size() / machine.cores());
+                        inFlightMean, inFlight, elapsed, spec.slowdown().loadMeanUs());
+                double busy = Math.min(1.0, (double) running.size() / spec.cores());
                 utilisationMean = exponentialMean(
-                        utilisationMean, busy, elapsed, machine.slowdown().utilisationMeanUs());
+                        utilisationMean, busy, elapsed, spec.slowdown().utilisationMeanUs());
             }
         }
         advancedAt = now;
@@ -646,7 +646,7 @@
     /** Sets the current rate and schedules the end of the next request by it. */
     private void reschedule() {
         double speed = coreSpeed();
-        rate = running.isEmpty() ? 0 : speed * Math.min(1.0, (double) machine.cores() / running.size());
+        rate = running.isEmpty() ? 0 : speed * Math.min(1.0, (double) spec.cores() / running.size());
         if (rate > 0) {
             double remainingUs = Math.max(0, running.peek().endMark - attained) / rate;
             long endsAt = advancedAt + (long) Math.ceil(Math.min(remainingUs, 1e15));
@@ -665,11 +665,11 @@
     }
 
     private double efficiency() {
-        double threshold = machine.overloadAt() * machine.cores();
-        if (threshold == 0 || held <= threshold) {
+        double threshold = spec.overloadAt() * spec.cores();
+        if (threshold == 0 || inFlight <= threshold) {
             return 1;
         }
-        return 1 - machine.overloadLoss() * Math.min(1, (held - threshold) / threshold);
+        return 1 - spec.overloadLoss() * Math.min(1, (inFlight - threshold) / threshold);
     }
 
     private void endDue() {
@@ -680,11 +680,11 @@
         while (!running.isEmpty() && running.peek().endMark <= reached) {
             Job job = running.poll();
             job.state = OVER;
-            held--;
+            inFlight--;
             boolean error = chance.happens(errors);
-            figures.served += error ? 0 : 1;
-            figures.errors += error ? 1 : 0;
-            figures.workWasted += error ? job.chargedWork : 0;
+            statistics.served += error ? 0 : 1;
+            statistics.errors += error ? 1 : 0;
+            statistics.workWasted += error ? job.chargedWork : 0;
             job.done.done(error ? End.ERROR : End.SERVED, loadReport());
             if (stopped) {
                 return;
@@ -696,7 +696,7 @@
 
     /** Schedules the next re-evaluation while any state changes with time. */
     private void scheduleRecheck() {
-        boolean recentlyLoaded = machine.slowdown() != null && (lingering || held > 0 || inFlightMean > 0.5);
+        boolean recentlyLoaded = spec.slowdown() != null && (inSlowdown || inFlight > 0 || inFlightMean > 0.5);
         if (recheck == null && !stopped && (cold || recentlyLoaded)) {
             recheck = time.after(RECHECK_US, () -> {
                 recheck = null;
@@ -709,22 +709,22 @@
     }
 
     private void updateSlowdown() {
-        Linger slowdown = machine.slowdown();
+        MetastableSlowdown slowdown = spec.slowdown();
         if (slowdown == null) {
             return;
         }
         long now = time.now();
-        if (lingering) {
-            lingering = now - slowdownSince < slowdown.maxUs() && utilisationMean >= slowdown.endUtilisation();
-        } else if (inFlightMean > machine.cores() + slowdown.beginsAt() * Math.sqrt(machine.cores())) {
-            lingering = true;
+        if (inSlowdown) {
+            inSlowdown = now - slowdownSince < slowdown.maxUs() && utilisationMean >= slowdown.endUtilisation();
+        } else if (inFlightMean > spec.cores() + slowdown.beginsAt() * Math.sqrt(spec.cores())) {
+            inSlowdown = true;
             slowdownSince = now;
             utilisationMean = 1;
         }
     }
 
     /** Whether the server is slow from an overload that may have passed. */
-    public boolean lingering() {
-        return lingering;
+    public boolean inSlowdown() {
+        return inSlowdown;
     }
 }
--- a/src/main/java/mulleinfront/emulator/ServiceReport.java
+++ b/src/main/java/mulleinfront/emulator/ServiceReport.java
@@ -14,7 +14,7 @@
  * @param worstClass the same of the worst-served class
  * @param worstTenant the same of the worst-served tenant, within its share
  * @param prices deductions from the score, by name
- * @param asks number of first tries
+ * @param requests number of first tries
  * @param classes by class
  * @param tenants by tenant
  * @param windows by window of 5 s
@@ -26,7 +26,7 @@
  * @param losses value that was not earned, by cause
  * @param unserved reasons for which client proxies gave requests up; empty if the proxies are processes
  * @param unservedIn {@code unserved} by window
- * @param starts requests to restarted client proxies in the first 10 s in which they accept requests, and requests to
+ * @param restarts requests to restarted client proxies in the first 10 s in which they accept requests, and requests to
  *        the other client proxies from the first of these restarts to 10 s after the last
  */
 public record ServiceReport(
@@ -36,19 +36,19 @@
         double worstClass,
         double worstTenant,
         Map<String, Double> prices,
-        long asks,
-        List<Part> classes,
-        List<Part> tenants,
+        long requests,
+        List<GroupStatistics> classes,
+        List<GroupStatistics> tenants,
         List<Window> windows,
         Map<String, Long> tries,
         Map<String, Long> outcomes,
         Map<String, Long> counts,
         List<Server> servers,
-        List<Happened> faults,
+        List<FaultRecord> faults,
         LossReport losses,
         UnservedCounts unserved,
         List<UnservedCounts> unservedIn,
-        List<Starts> starts) {
+        List<RestartStatistics> restarts) {
 
     /**
      * Statistics of a class or tenant.
@@ -60,17 +60,18 @@
      * @param p50Us median time to the answer of answered requests; -1 if there is none
      * @param p99Us 99th percentile of that time
      */
-    public record Part(String name, long asked, long onTime, long served, double share, long p50Us, long p99Us) {}
+    public record GroupStatistics(
+            String name, long asked, long onTime, long served, double share, long p50Us, long p99Us) {}
 
     /** Requests, requests served in time, value earned over value asked for, tries and refused tries. */
-    public record Starts(String name, long asked, long onTime, double share, long tries, long refused) {}
+    public record RestartStatistics(String name, long asked, long onTime, double share, long tries, long refused) {}
 
     /** A time window: its start, the first tries in it, and value earned over value asked for. */
     public record Window(long atUs, long asked, double share) {}
 
     /** A server's statistics over all its processes. */
-    public record Server(String name, int lives, ServerModel.Figures figures) {}
+    public record Server(String name, int processes, ServerModel.Statistics figures) {}
 
     /** A fault: when it began, its duration, and its description. */
-    public record Happened(long atUs, long forUs, String what) {}
+    public record FaultRecord(long atUs, long forUs, String what) {}
 }
--- a/src/main/java/mulleinfront/emulator/ServiceStatistics.java
+++ b/src/main/java/mulleinfront/emulator/ServiceStatistics.java
@@ -21,10 +21,10 @@
     private final Sum[] classes;
     private final Sum[] tenants;
     private final List<Sum> windows = new ArrayList<>();
-    private final long[] triesByResult = new long[Clients.How.values().length];
+    private final long[] triesByResult = new long[Clients.TryResult.values().length];
     private final long[] outcomes = new long[Outcome.values().length];
     private final Map<String, List<ServerModel>> processesByHost = new LinkedHashMap<>();
-    private final List<ServiceReport.Happened> happened = new ArrayList<>();
+    private final List<ServiceReport.FaultRecord> faultApplied = new ArrayList<>();
     private double lateWorth;
     private double workOffered;
     private long attempts;
@@ -83,10 +83,10 @@
             return askedWithin == 0 ? 1 : earnedWithin / askedWithin;
         }
 
-        private ServiceReport.Part part(String name, double share) {
+        private ServiceReport.GroupStatistics part(String name, double share) {
             long[] sorted = Arrays.copyOf(latenciesUs, (int) served);
             Arrays.sort(sorted);
-            return new ServiceReport.Part(
+            return new ServiceReport.GroupStatistics(
                     name, count, onTime, served, share, quantile(sorted, 0.5), quantile(sorted, 0.99));
         }
 
@@ -106,11 +106,11 @@
 
     // ---- what happens --------------------------------------------------------------------------------
 
-    void happened(Scenario.Fault fault, long now) {
+    void faultApplied(Scenario.Fault fault, long now) {
         String target = !fault.servers().isEmpty()
                 ? " " + String.join(", ", fault.servers())
                 : fault.proxy() >= 0 ? " " + fault.proxy() : fault.count() >= 0 ? " x" + fault.count() : "";
-        happened.add(new ServiceReport.Happened(now, fault.forUs(), Section.form(fault.kind()) + target));
+        faultApplied.add(new ServiceReport.FaultRecord(now, fault.forUs(), Section.outputName(fault.kind()) + target));
     }
 
     /** Records the restart of a client proxy. */
@@ -157,11 +157,11 @@
         tryCount++;
     }
 
-    void tryEnded(Clients.ClientRequest request, Clients.How result) {
+    void tryEnded(Clients.ClientRequest request, Clients.TryResult result) {
         triesByResult[result.ordinal()]++;
         if (request.restartStatistics != null) {
             request.restartStatistics.tries++;
-            request.restartStatistics.refused += result == Clients.How.REFUSED ? 1 : 0;
+            request.restartStatistics.refused += result == Clients.TryResult.REFUSED ? 1 : 0;
         }
     }
 
@@ -191,12 +191,12 @@
         return inTime ? 0 : worth(request) - worth;
     }
 
-    void sent(boolean withinZone) {
+    void attemptSent(boolean withinZone) {
         attempts++;
         crossZoneAttempts += withinZone ? 0 : 1;
     }
 
-    void outcome(Outcome outcome) {
+    void attemptEnded(Outcome outcome) {
         outcomes[outcome.ordinal()]++;
     }
 
@@ -204,7 +204,7 @@
         mostConnections = Math.max(mostConnections, connections);
     }
 
-    void arrived(double work) {
+    void workArrived(double work) {
         workOffered += work;
     }
 
@@ -234,10 +234,10 @@
         double wasted = 0;
         int lingered = 0;
         for (Map.Entry<String, List<ServerModel>> e : processesByHost.entrySet()) {
-            ServerModel.Figures statistics = sum(e.getValue());
+            ServerModel.Statistics statistics = sum(e.getValue());
             servers.add(new ServiceReport.Server(e.getKey(), e.getValue().size(), statistics));
             wasted += statistics.workWasted;
-            lingered += statistics.lingeredUs > 0 ? 1 : 0;
+            lingered += statistics.slowedDownUs > 0 ? 1 : 0;
         }
         long requestCount = Math.max(1, whole.count);
         Map<String, Double> prices = new LinkedHashMap<>();
@@ -273,12 +273,12 @@
                 parts(classes, i -> scenario.classes().get(i).type().name(), false),
                 parts(tenants, i -> scenario.tenants().get(i).name(), true),
                 windowParts(),
-                nonZeroByName(triesByResult, i -> Section.form(Clients.How.values()[i])),
-                nonZeroByName(outcomes, i -> Section.form(Outcome.values()[i])),
+                nonZeroByName(triesByResult, i -> Section.outputName(Clients.TryResult.values()[i])),
+                nonZeroByName(outcomes, i -> Section.outputName(Outcome.values()[i])),
                 counts(world),
                 servers,
-                List.copyOf(happened),
-                world.account.report(),
+                List.copyOf(faultApplied),
+                world.lossAttribution.report(),
                 requestUnserved,
                 List.copyOf(unservedByWindow),
                 restarted.count == 0
@@ -286,8 +286,8 @@
                         : List.of(starts("started again", restarted), starts("never killed", stayed)));
     }
 
-    private static ServiceReport.Starts starts(String name, Sum s) {
-        return new ServiceReport.Starts(name, s.count, s.onTime, s.share(), s.tries, s.refused);
+    private static ServiceReport.RestartStatistics starts(String name, Sum s) {
+        return new ServiceReport.RestartStatistics(name, s.count, s.onTime, s.share(), s.tries, s.refused);
     }
 
     /**
@@ -315,8 +315,8 @@
         String name(int place);
     }
 
-    private static List<ServiceReport.Part> parts(Sum[] sums, Namer namer, boolean withinShare) {
-        List<ServiceReport.Part> parts = new ArrayList<>();
+    private static List<ServiceReport.GroupStatistics> parts(Sum[] sums, Namer namer, boolean withinShare) {
+        List<ServiceReport.GroupStatistics> parts = new ArrayList<>();
         for (int i = 0; i < sums.length; i++) {
             parts.add(sums[i].part(namer.name(i), withinShare ? sums[i].shareWithin() : sums[i].share()));
         }
@@ -357,9 +357,9 @@
         return counts;
     }
 
-    private static ServerModel.Figures sum(List<ServerModel> lives) {
-        ServerModel.Figures all = new ServerModel.Figures();
-        lives.forEach(l -> all.add(l.figures()));
+    private static ServerModel.Statistics sum(List<ServerModel> lives) {
+        ServerModel.Statistics all = new ServerModel.Statistics();
+        lives.forEach(l -> all.add(l.statistics()));
         return all;
     }
 }
--- a/src/main/java/mulleinfront/emulator/Sweep.java
+++ b/src/main/java/mulleinfront/emulator/Sweep.java
@@ -23,31 +23,32 @@
      * The result of one simulation.
      *
      * @param goodput see {@link World.Result#goodput}
-     * @param fell number of servers that crashed from overload
+     * @param crashedServers number of servers that crashed from overload
      * @param breach description of the first violation, or null
-     * @param starts see {@link ServiceReport#starts}
+     * @param starts see {@link ServiceReport#restarts}
      */
     public record SeedResult(
             long seed,
             double service,
             double goodput,
-            int fell,
+            int crashedServers,
             int breaches,
             String breach,
             String sha256,
-            List<ServiceReport.Starts> starts) {}
+            List<ServiceReport.RestartStatistics> starts) {}
 
     /** The scenario of a seed: a fixed one, or one generated from the seed. */
-    public interface Source {
+    public interface ScenarioSource {
         Scenario of(long seed);
 
         /** Generated scenarios of one family. */
-        static Source drawn(GeneratedScenario.Family family, int instances, long startUs) {
+        static ScenarioSource generated(GeneratedScenario.Family family, int instances, long startUs) {
             return seed -> {
                 try {
                     return ScenarioReader.read(
-                            family.word() + "-" + seed, GeneratedScenario.of(family, seed, instances, startUs), world ->
-                                    new String[] {world, ""});
+                            family.outputName() + "-" + seed,
+                            GeneratedScenario.generate(family, seed, instances, startUs),
+                            world -> new String[] {world, ""});
                 } catch (BadFileException e) {
                     throw new IllegalStateException(e);
                 }
@@ -62,15 +63,15 @@
      * @param jobs number of concurrent simulations, at least 1
      * @param progress called with each result, in the order of the seeds
      */
-    public static List<SeedResult> play(
+    public static List<SeedResult> run(
             Scenario scenario, long from, long to, int jobs, Reference balancer, Consumer<SeedResult> progress)
             throws InterruptedException {
-        return play(seed -> scenario, from, to, jobs, balancer, progress);
+        return run(seed -> scenario, from, to, jobs, balancer, progress);
     }
 
     /** Runs the seeds {@code from} to {@code to} of scenarios that may differ by seed. */
-    public static List<SeedResult> play(
-            Source source, long from, long to, int jobs, Reference balancer, Consumer<SeedResult> progress)
+    public static List<SeedResult> run(
+            ScenarioSource source, long from, long to, int jobs, Reference balancer, Consumer<SeedResult> progress)
             throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(jobs, task -> {
             Thread thread = new Thread(task, "world");
@@ -81,7 +82,7 @@
             List<Future<SeedResult>> runs = new ArrayList<>();
             for (long seed = from; seed <= to; seed++) {
                 long runSeed = seed;
-                runs.add(pool.submit(() -> play(source.of(runSeed), runSeed, balancer)));
+                runs.add(pool.submit(() -> run(source.of(runSeed), runSeed, balancer)));
             }
             List<SeedResult> all = new ArrayList<>();
             for (Future<SeedResult> world : runs) {
@@ -97,18 +98,19 @@
         }
     }
 
-    private static SeedResult play(Scenario scenario, long seed, Reference balancer) {
-        World world = balancer == null ? World.of(scenario, seed, null) : World.under(balancer, scenario, seed);
-        World.Result result = world.play();
+    private static SeedResult run(Scenario scenario, long seed, Reference balancer) {
+        World world =
+                balancer == null ? World.create(scenario, seed, null) : World.withReference(balancer, scenario, seed);
+        World.Result result = world.run();
         return new SeedResult(
                 seed,
                 result.service().service(),
                 result.goodput(),
                 result.crashedServers(),
-                result.broken(),
+                result.totalBreachCount(),
                 result.firstBreach(),
                 result.sha256(),
-                result.service().starts());
+                result.service().restarts());
     }
 
     /** The seeds with the lowest service scores, the worst first. */
@@ -127,7 +129,7 @@
         List<String> lines = new ArrayList<>();
         for (int i = 0; !all.isEmpty() && i < all.get(0).starts().size(); i++) {
             int index = i;
-            List<ServiceReport.Starts> each = all.stream()
+            List<ServiceReport.RestartStatistics> each = all.stream()
                     .filter(p -> p.starts().size() > index)
                     .map(p -> p.starts().get(index))
                     .toList();
@@ -136,14 +138,16 @@
                     "%s: service %.4f, refused %.4f of tries",
                     each.get(0).name(),
                     each.stream()
-                            .mapToDouble(ServiceReport.Starts::share)
+                            .mapToDouble(ServiceReport.RestartStatistics::share)
                             .average()
                             .orElse(0),
-                    each.stream().mapToLong(ServiceReport.Starts::refused).sum()
+                    each.stream()
+                                    .mapToLong(ServiceReport.RestartStatistics::refused)
+                                    .sum()
                             / Math.max(
                                     1.0,
                                     each.stream()
-                                            .mapToLong(ServiceReport.Starts::tries)
+                                            .mapToLong(ServiceReport.RestartStatistics::tries)
                                             .sum())));
         }
         return lines;
--- a/src/main/java/mulleinfront/emulator/Trace.java
+++ b/src/main/java/mulleinfront/emulator/Trace.java
@@ -93,11 +93,11 @@
         begin(change.atUs(), proxy, "fleet")
                 .word(change.number())
                 .word(change.member())
-                .word(change.from().word())
-                .word(change.to().word())
+                .word(change.from().outputName())
+                .word(change.to().outputName())
                 .word(change.incarnation())
                 .word(change.sourceMember())
-                .word(change.cause().word())
+                .word(change.cause().outputName())
                 .word(change.digest())
                 .end();
     }
@@ -384,8 +384,8 @@
         }
 
         @Override
-        public void listValidUntil(long atUs) {
-            actions.listValidUntil(atUs);
+        public void onListExpiryChanged(long atUs) {
+            actions.onListExpiryChanged(atUs);
         }
 
         @Override
--- a/src/main/java/mulleinfront/emulator/TrueState.java
+++ b/src/main/java/mulleinfront/emulator/TrueState.java
@@ -57,16 +57,16 @@
     }
 
     private static ServerState stateOf(Host host) {
-        if (!host.alive() || host.life.draining() || host.vanished) {
+        if (!host.alive() || host.process.draining() || host.disconnected) {
             return ServerState.AWAY;
         }
-        ServerModel process = host.life;
+        ServerModel process = host.process;
         return new ServerState(
                 !process.hung(),
                 process.workAhead(),
                 process.coreSpeed(),
-                process.machine().cores(),
-                process.held());
+                process.spec().cores(),
+                process.inFlight());
     }
 
     private Host host(String id) {
@@ -80,12 +80,12 @@
     ServerKnowledge forZone(int zone) {
         return (server, key, classIndex) -> {
             Host host = host(server);
-            if (host == null || !host.alive() || !world.network.passes(zone, host)) {
+            if (host == null || !host.alive() || !world.network.delivers(zone, host)) {
                 return ServerKnowledge.NEVER;
             }
             ServerState state =
                     lateUs == 0 ? stateOf(host) : records.peek().servers.getOrDefault(host, ServerState.AWAY);
-            return state.answerUs(world.scenario.classes().get(classIndex).workUs() * host.life.workLeftOf(key));
+            return state.answerUs(world.scenario.classes().get(classIndex).workUs() * host.process.workLeftOf(key));
         };
     }
 }
--- a/src/main/java/mulleinfront/emulator/Watcher.java
+++ b/src/main/java/mulleinfront/emulator/Watcher.java
@@ -3,7 +3,7 @@
 /** A discovery call and the watch that it becomes. It fails exactly once, however it ends. */
 abstract class Watcher {
     /** List version that the watch was last sent. */
-    long toldTo;
+    long sentVersion;
 
     /** The zone of the caller. */
     abstract int zone();
@@ -11,23 +11,23 @@
     /** The number of the calling client proxy. */
     abstract int proxy();
 
-    abstract boolean over();
+    abstract boolean ended();
 
     /** The response begins, or data and heartbeats resume. */
     abstract void begin();
 
     /** No data or heartbeat follows; the last heartbeat was {@code agoUs} ago. */
-    abstract void silence(long agoUs);
+    abstract void stopReceiving(long agoUs);
 
-    abstract void hear(Registry.News news);
+    abstract void receive(Registry.ListUpdate news);
 
-    /** The first half of a list arrives; {@link #hear} follows with all of it. */
-    void begins(Registry.News news) {}
+    /** The first half of a list arrives; {@link #receive} follows with all of it. */
+    void receiveFirstHalf(Registry.ListUpdate news) {}
 
     abstract void fail();
 
     /** A list is truncated and its watch ends with it. */
-    abstract void cutShort(Registry.News news);
+    abstract void receiveTruncated(Registry.ListUpdate news);
 
     /** Whether a list on the watch has stopped halfway. */
     boolean pausing;
