--- a/src/test/java/mulleinfront/LayersTest.java
+++ b/src/test/java/mulleinfront/LayersTest.java
@@ -285,7 +285,7 @@
         // The state machine has no I/O: its state is written and read by the codec alone.
         noClasses()
                 .that()
-                .haveSimpleName("Register")
+                .haveSimpleName("ConfigStateMachine")
                 .should()
                 .dependOnClassesThat(JavaClass.Predicates.resideInAnyPackage(
                         "java.io..",
--- a/src/test/java/mulleinfront/bench/CapacityPageTest.java
+++ b/src/test/java/mulleinfront/bench/CapacityPageTest.java
@@ -62,7 +62,8 @@
             List<Fit.Point> other = points.stream()
                     .map(p -> new Fit.Point(p.x(), 1 + 1.5 * p.y()))
                     .toList();
-            Capacity changed = held.with(List.of(new Slope(s.id(), s.what(), s.unit(), s.per(), other, s.command())));
+            Capacity changed =
+                    held.withSlopes(List.of(new Slope(s.id(), s.what(), s.unit(), s.per(), other, s.command())));
             assertNotEquals(page, new Page(changed).fill(page), s.id());
         }
     }
@@ -78,7 +79,7 @@
             assertTrue(
                     s.points().isEmpty()
                             ? Files.readString(PAGE).contains("| not measured | - | - |")
-                            : s.points().size() >= Fit.LEAST_POINTS,
+                            : s.points().size() >= Fit.MIN_SIZES,
                     s.id());
         }
     }
@@ -98,7 +99,7 @@
         Path copy = folder.resolve("copy.json");
         Capacity held = CapacityFile.read(FILE);
         CapacityFile.write(copy, held);
-        assertEquals(held.figures(), CapacityFile.read(copy).figures());
+        assertEquals(held.estimates(), CapacityFile.read(copy).estimates());
         assertEquals(held.slopes(), CapacityFile.read(copy).slopes());
     }
 
--- a/src/test/java/mulleinfront/capacity/CapacityTest.java
+++ b/src/test/java/mulleinfront/capacity/CapacityTest.java
@@ -67,19 +67,19 @@
                                         new Term("b", "zone-hosts", List.of("/10")))),
                         row("x", "counted", "m", bytes(null, new Term(Term.COUNT, "calls-per-proxy-deep", List.of())))),
                 List.of());
-        Figure first = capacity.figures().get(0);
+        Estimate first = capacity.estimates().get(0);
         assertEquals((10 + 2 * 670) * 2 * 3 + 134 / 10.0, first.value(), 1e-6);
         assertEquals(1 - first.value() / 12_000, first.margin(), 1e-9);
-        assertFalse(first.over());
-        assertEquals(40_000 / 670.0 * 10, capacity.figures().get(1).value(), 1e-9);
+        assertFalse(first.isOverBudget());
+        assertEquals(40_000 / 670.0 * 10, capacity.estimates().get(1).value(), 1e-9);
         assertEquals(
                 10 + 2 * 1340,
                 capacity.withSize(capacity.size().withHosts(1340)).fit("a").at(1340),
                 1e-6);
         assertTrue(capacity.withSize(capacity.size().withHosts(1340))
-                .figures()
+                .estimates()
                 .get(0)
-                .over());
+                .isOverBudget());
     }
 
     @Test
@@ -87,7 +87,7 @@
         Slope later = new Slope("later", "something", "bytes/s", "client proxies", List.of(), "a command");
         Row row = row("x", "at rest", "m", bytes("bytes-budget", new Term("later", "hosts", List.of())));
         Capacity capacity = new Capacity(new Size(GIVEN), List.of(later), List.of(row), List.of());
-        assertTrue(Double.isNaN(capacity.figures().get(0).value()));
+        assertTrue(Double.isNaN(capacity.estimates().get(0).value()));
         assertEquals(List.of(), capacity.byBudgetShare());
         assertTrue(new Page(capacity).rows("client proxy", "x").contains("not measured"));
     }
@@ -112,10 +112,11 @@
     @Test
     void missingMechanismsAreOrderedByFaultTypes() {
         Map<String, Double> days = new HashMap<>(GIVEN);
-        Need rare = new Need("rare", "r", List.of("failures-per-day"), "");
-        Need many = new Need("many", "m", List.of("failures-per-day", "changes-per-day"), "");
-        Need kinds = new Need("kinds", "k", List.of("failures-per-day", "restarts-per-day"), "");
-        Need over = new Need("over", "o", List.of("failures-per-day", "restarts-per-day", "changes-per-day"), "");
+        Requirement rare = new Requirement("rare", "r", List.of("failures-per-day"), "");
+        Requirement many = new Requirement("many", "m", List.of("failures-per-day", "changes-per-day"), "");
+        Requirement kinds = new Requirement("kinds", "k", List.of("failures-per-day", "restarts-per-day"), "");
+        Requirement over =
+                new Requirement("over", "o", List.of("failures-per-day", "restarts-per-day", "changes-per-day"), "");
         List<Row> rows = List.of(
                 row("r", "a", Row.NONE, given(1)),
                 row("m", "a", Row.NONE, given(1)),
@@ -124,7 +125,7 @@
         Capacity capacity = new Capacity(new Size(days), List.of(), rows, List.of(rare, over, kinds, many));
         assertEquals(
                 List.of("many", "kinds", "rare", "over"),
-                capacity.requirementsByUrgency().stream().map(Need::name).toList());
+                capacity.requirementsByUrgency().stream().map(Requirement::name).toList());
         assertEquals(443, capacity.occurrencesPerDay(many));
     }
 
--- a/src/test/java/mulleinfront/config/ConfigDistributionTest.java
+++ b/src/test/java/mulleinfront/config/ConfigDistributionTest.java
@@ -323,17 +323,18 @@
         }
 
         @Override
-        public Version at(long number) {
+        public Version find(long number) {
             return number < versions.size() ? versions.get((int) number) : null;
         }
 
         @Override
         public void propose(Proposal proposal, Consumer<ProposalResult> onResult) {
-            versions.add(new Version(versions.size(), proposal.entries(), proposal.why(), proposal.atMillis()));
+            versions.add(
+                    new Version(versions.size(), proposal.entries(), proposal.description(), proposal.proposedAtMs()));
         }
 
         @Override
-        public void listen(Consumer<Version> onCommitted) {}
+        public void addListener(Consumer<Version> onCommitted) {}
     }
 
     /** Records the bytes sent to each watch, the closed watches and the number of encoded deltas. */
--- a/src/test/java/mulleinfront/config/ConfigSubscriberTest.java
+++ b/src/test/java/mulleinfront/config/ConfigSubscriberTest.java
@@ -87,9 +87,9 @@
 
     @Test
     void olderVersionIsIgnored() {
-        subscriber.onDelta(nowUs, Difference.whole(version(3)));
+        subscriber.onDelta(nowUs, Difference.full(version(3)));
         subscriber.onDelta(nowUs, Difference.between(version(2), version(4)));
-        subscriber.onDelta(nowUs, Difference.whole(version(5)));
+        subscriber.onDelta(nowUs, Difference.full(version(5)));
         assertEquals(List.of(), actions);
         assertEquals(version(5), subscriber.activeVersion());
         subscriber.onDelta(nowUs, Difference.between(version(5), version(6)));
@@ -106,7 +106,7 @@
         assertNotEquals(firstNode, subscriber.machine());
         assertEquals("ask " + subscriber.machine() + " after 0", actions.get(1));
         subscriber.onData(nowUs);
-        subscriber.onDelta(nowUs, Difference.whole(version(7)));
+        subscriber.onDelta(nowUs, Difference.full(version(7)));
         assertEquals(version(7), subscriber.activeVersion());
     }
 
@@ -164,7 +164,7 @@
     void stoppedSubscriberDoesNothing() {
         subscriber.stop();
         assertEquals(List.of("hang up"), actions);
-        subscriber.onDelta(nowUs, Difference.whole(version(9)));
+        subscriber.onDelta(nowUs, Difference.full(version(9)));
         subscriber.onWatchLost(nowUs);
         subscriber.onTimer(nowUs + 10 * SECOND_US);
         assertEquals(List.of("hang up"), actions);
--- a/src/test/java/mulleinfront/config/DifferenceTest.java
+++ b/src/test/java/mulleinfront/config/DifferenceTest.java
@@ -29,25 +29,26 @@
         Difference delta = Difference.between(VERSION_3, VERSION_9);
         assertEquals(Map.of("b", "3", "new", ""), delta.changed());
         assertEquals(new TreeSet<>(java.util.Set.of("gone")), delta.removed());
-        assertEquals(VERSION_9, delta.on(VERSION_3));
-        assertEquals(VERSION_9, Difference.whole(VERSION_9).on(VERSION_3), "a full delta applies to any version");
+        assertEquals(VERSION_9, delta.applyTo(VERSION_3));
+        assertEquals(VERSION_9, Difference.full(VERSION_9).applyTo(VERSION_3), "a full delta applies to any version");
     }
 
     @Test
     void deltaIsRejectedForOtherBaseVersionOrHistory() {
         Difference delta = Difference.between(VERSION_3, VERSION_9);
-        assertThrows(VersionMismatchException.class, () -> delta.on(version(4, VERSION_3.entries())));
+        assertThrows(VersionMismatchException.class, () -> delta.applyTo(version(4, VERSION_3.entries())));
         assertThrows(
-                VersionMismatchException.class, () -> delta.on(version(3, Map.of("a", "2", "b", "2", "gone", "x"))));
+                VersionMismatchException.class,
+                () -> delta.applyTo(version(3, Map.of("a", "2", "b", "2", "gone", "x"))));
         Difference incomplete = new Difference(
                 3,
                 9,
                 new TreeMap<>(Map.of("b", "3")),
                 delta.removed(),
-                delta.why(),
-                delta.decidedAtMillis(),
+                delta.description(),
+                delta.proposedAtMs(),
                 delta.checksum());
-        assertThrows(VersionMismatchException.class, () -> incomplete.on(VERSION_3));
+        assertThrows(VersionMismatchException.class, () -> incomplete.applyTo(VERSION_3));
     }
 
     @Test
@@ -67,7 +68,7 @@
             Version to = version(2 + i + random.nextInt(9), randomEntries(random));
             byte[] line = DifferenceLine.write(Difference.between(from, to));
             assertEquals('\n', line[line.length - 1]);
-            assertEquals(to, DifferenceLine.read(line).on(from));
+            assertEquals(to, DifferenceLine.read(line).applyTo(from));
         }
     }
 
@@ -82,24 +83,24 @@
 
     @Test
     void truncatedCachedCopyIsRejected() throws Exception {
-        byte[] file = DifferenceLine.write(Difference.whole(VERSION_9));
-        assertEquals(VERSION_9, DifferenceLine.kept(file));
+        byte[] file = DifferenceLine.write(Difference.full(VERSION_9));
+        assertEquals(VERSION_9, DifferenceLine.readCached(file));
         for (int length = 0; length < file.length; length++) {
             byte[] truncated = Arrays.copyOf(file, length);
-            assertThrows(IOException.class, () -> DifferenceLine.kept(truncated), "cut at " + length);
+            assertThrows(IOException.class, () -> DifferenceLine.readCached(truncated), "cut at " + length);
         }
     }
 
     @Test
     void cachedCopyWithFlippedBitIsNeverReadAsAnotherVersion() throws Exception {
-        byte[] file = DifferenceLine.write(Difference.whole(VERSION_9));
+        byte[] file = DifferenceLine.write(Difference.full(VERSION_9));
         int refused = 0;
         for (int bit = 0; bit < 8 * file.length; bit++) {
             byte[] damaged = file.clone();
             damaged[bit / 8] ^= (byte) (1 << bit % 8);
             try {
                 // A flipped bit may have no effect, for example in a field name that the reader skips.
-                assertEquals(VERSION_9, DifferenceLine.kept(damaged), "bit " + bit);
+                assertEquals(VERSION_9, DifferenceLine.readCached(damaged), "bit " + bit);
             } catch (IOException e) {
                 refused++;
             }
@@ -110,7 +111,7 @@
     @Test
     void deltaIsRejectedAsCachedCopy() {
         byte[] line = DifferenceLine.write(Difference.between(VERSION_3, VERSION_9));
-        assertThrows(IOException.class, () -> DifferenceLine.kept(line));
+        assertThrows(IOException.class, () -> DifferenceLine.readCached(line));
         assertArrayEquals(
                 line, DifferenceLine.write(Difference.between(VERSION_3, VERSION_9)), "the encoding is deterministic");
     }
--- a/src/test/java/mulleinfront/config/DistributionSimulation.java
+++ b/src/test/java/mulleinfront/config/DistributionSimulation.java
@@ -246,7 +246,7 @@
         }
 
         @Override
-        public Version at(long number) {
+        public Version find(long number) {
             return number > newest || number <= newest - RETAINED_VERSIONS || number < 1
                     ? null
                     : committed.get((int) number);
@@ -268,14 +268,14 @@
         }
 
         @Override
-        public void listen(Consumer<Version> onCommitted) {
+        public void addListener(Consumer<Version> onCommitted) {
             throw new UnsupportedOperationException();
         }
 
         @Override
         public byte[] encodeDelta(Difference delta) {
             encodedDeltas++;
-            encodedFullVersions += delta.isWhole() ? 1 : 0;
+            encodedFullVersions += delta.isFull() ? 1 : 0;
             return DifferenceLine.write(delta);
         }
 
@@ -569,9 +569,9 @@
                 half.pollLastEntry();
             }
             Difference part = new Difference(
-                    delta.from(), delta.to(), half, delta.removed(), delta.why(), delta.decidedAtMillis(), 0);
+                    delta.from(), delta.to(), half, delta.removed(), delta.description(), delta.proposedAtMs(), 0);
             TreeMap<String, String> entries = new TreeMap<>(
-                    delta.isWhole() ? Map.of() : subscriber.activeVersion().entries());
+                    delta.isFull() ? Map.of() : subscriber.activeVersion().entries());
             entries.keySet().removeAll(part.removed());
             entries.putAll(half);
             return new Difference(
@@ -579,9 +579,9 @@
                     delta.to(),
                     half,
                     delta.removed(),
-                    delta.why(),
-                    delta.decidedAtMillis(),
-                    Checksum.of(new Version(delta.to(), entries, delta.why(), delta.decidedAtMillis())));
+                    delta.description(),
+                    delta.proposedAtMs(),
+                    Checksum.of(new Version(delta.to(), entries, delta.description(), delta.proposedAtMs())));
         }
 
         @Override
--- a/src/test/java/mulleinfront/core/CoreTest.java
+++ b/src/test/java/mulleinfront/core/CoreTest.java
@@ -47,7 +47,7 @@
             new Core<>(settings(), time, new ScriptedWire(), exceptions::add, metrics);
 
     CoreTest() {
-        core.begin(
+        core.createBalancer(
                 (settings, seed, now, actions) -> {
                     balancerActions = actions;
                     return new ScriptedBalancer();
@@ -84,7 +84,7 @@
     /** A wire whose attempts do nothing by themselves. */
     private final class ScriptedWire implements Wire<String, String> {
         @Override
-        public Attempt attempt(
+        public Attempt prepareAttempt(
                 String requestId,
                 int number,
                 String hostId,
@@ -131,7 +131,7 @@
         }
 
         @Override
-        public void endWithin(long timeoutUs) {
+        public void setTimeout(long timeoutUs) {
             log.add("within " + timeoutUs / US_PER_MS);
         }
 
@@ -279,8 +279,8 @@
         failFirstAttemptAndRetry(FRAGILE, "i");
         attempts.get(1).write();
         assertLog("ended 0 FAILED", "start r/1@i", "ended 1 IGNORED");
-        assertEquals(1, metrics.guard.prevented(RuleGuard.Check.REPEAT_UNSAFE));
-        assertEquals(0, metrics.guard.violations());
+        assertEquals(1, metrics.ruleGuard.prevented(RuleGuard.Check.REPEAT_UNSAFE));
+        assertEquals(0, metrics.ruleGuard.violations());
     }
 
     @Test
@@ -294,7 +294,7 @@
         failFirstAttemptAndRetry(DEDUP, "i");
         attempts.get(1).write();
         assertLog("ended 0 FAILED", "start r/1@i", "ended 1 IGNORED");
-        assertEquals(1, metrics.guard.prevented(RuleGuard.Check.REPEAT_OUTSIDE_GROUP));
+        assertEquals(1, metrics.ruleGuard.prevented(RuleGuard.Check.REPEAT_OUTSIDE_GROUP));
     }
 
     @Test
@@ -303,7 +303,7 @@
         acceptAndSend(FRAGILE);
         attempts.get(0).finish(Outcome.RESET);
         assertLog("ended 0 RESET", "FAILED");
-        assertEquals(1, metrics.guard.prevented(RuleGuard.Check.REFUSE_AFTER_EFFECT));
+        assertEquals(1, metrics.ruleGuard.prevented(RuleGuard.Check.REFUSE_AFTER_EFFECT));
         assertNothingFollows();
     }
 
@@ -313,7 +313,7 @@
         acceptAndSend(FRAGILE);
         attempts.get(0).finish(Outcome.QUEUE_FULL);
         assertLog("ended 0 QUEUE_FULL", "REFUSED 0");
-        assertEquals(0, metrics.guard.prevented(RuleGuard.Check.REFUSE_AFTER_EFFECT));
+        assertEquals(0, metrics.ruleGuard.prevented(RuleGuard.Check.REFUSE_AFTER_EFFECT));
         assertNothingFollows();
     }
 
--- a/src/test/java/mulleinfront/core/RuleGuardTest.java
+++ b/src/test/java/mulleinfront/core/RuleGuardTest.java
@@ -26,7 +26,7 @@
     @Test
     void violationIsCountedAndReported() {
         List<String> reported = new ArrayList<>();
-        guard.listen((check, requestId) -> reported.add(check + " " + requestId));
+        guard.setListener((check, requestId) -> reported.add(check + " " + requestId));
         guard.verify(Check.ANSWER_OVERDUE, true, "a");
         guard.verify(Check.ANSWER_OVERDUE, false, "b");
         guard.verify(Check.CLOSE_UNANSWERED, false, null);
--- a/src/test/java/mulleinfront/emulator/AuditorTest.java
+++ b/src/test/java/mulleinfront/emulator/AuditorTest.java
@@ -48,8 +48,8 @@
             """;
 
     /** Runs the {@link #FAULTS_UNDER_LOAD} scenario with the given balancer and wrappers. */
-    private static World.Result play(Core.BalancerFactory factory, Fitting fitting) throws Exception {
-        return Worlds.world(Worlds.of(FAULTS_UNDER_LOAD), 1, factory, fitting).play();
+    private static World.Result play(Core.BalancerFactory factory, CoreWiring fitting) throws Exception {
+        return Worlds.world(Worlds.of(FAULTS_UNDER_LOAD), 1, factory, fitting).run();
     }
 
     static Stream<Arguments> broken() {
@@ -100,18 +100,18 @@
                         Rule.COLD,
                         "times what it can do while cold",
                         (Core.BalancerFactory) FaultyComponents::floodsNewestServer,
-                        Fitting.PLAIN),
+                        CoreWiring.UNCHANGED),
                 Arguments.of(
                         "favours the newest server",
                         Rule.COLD,
                         "times what it can do while cold",
                         (Core.BalancerFactory) FaultyComponents::favoursNewestServer,
-                        Fitting.PLAIN));
+                        CoreWiring.UNCHANGED));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("broken")
-    void detectsViolation(String name, Rule rule, String expectedText, Core.BalancerFactory factory, Fitting fitting)
+    void detectsViolation(String name, Rule rule, String expectedText, Core.BalancerFactory factory, CoreWiring fitting)
             throws Exception {
         World.Result result = play(factory, fitting);
         List<Breach> breaches =
@@ -125,13 +125,13 @@
                 first.atUs() > 0
                         && first.proxy() >= 0
                         && first.request() != null
-                        && first.toString().contains("rule broken: " + rule.words()),
+                        && first.toString().contains("rule broken: " + rule.description()),
                 first.toString());
     }
 
     @Test
     void realComponentsSatisfyAllInvariants() throws Exception {
-        World.Result result = play(Balancer::create, Fitting.PLAIN);
+        World.Result result = play(Balancer::create, CoreWiring.UNCHANGED);
         assertEquals(List.of(), result.breaches());
         assertTrue(
                 result.service().outcomes().getOrDefault("reset", 0L) > 20,
@@ -144,14 +144,14 @@
                 FaultyComponents::resendsUnsafeRequests,
                 FaultyComponents::ignoresDedupGroup,
                 FaultyComponents::ignoresDrains)) {
-            assertEquals(List.of(), play(factory, Fitting.PLAIN).breaches());
+            assertEquals(List.of(), play(factory, CoreWiring.UNCHANGED).breaches());
         }
     }
 
     @Test
     void overloadedServerCrashesAndStaysDown() throws Exception {
-        World.Result result = play(FaultyComponents::floodsNewestServer, Fitting.PLAIN);
-        assertTrue(result.service().servers().stream().anyMatch(s -> s.figures().fell));
+        World.Result result = play(FaultyComponents::floodsNewestServer, CoreWiring.UNCHANGED);
+        assertTrue(result.service().servers().stream().anyMatch(s -> s.figures().crashed));
     }
 
     @Test
@@ -186,7 +186,7 @@
                         (settings, seed, now, actions) ->
                                 FaultyComponents.neverCallsDiscovery(settings, seed, now, actions),
                         FaultyComponents.skipsWantedCheck())
-                .play();
+                .run();
         List<String> drainBreaches = new ArrayList<>();
         result.breaches().stream().filter(b -> b.rule() == Rule.DRAINS).forEach(b -> drainBreaches.add(b.what()));
         assertTrue(drainBreaches.stream().anyMatch(w -> w.contains("counts as told")), "" + result.breaches());
@@ -201,8 +201,8 @@
                             Balancer real = Balancer.create(settings, seed, now, actions);
                             return FaultyComponents.throwsOnce(real);
                         },
-                        Fitting.PLAIN)
-                .play();
+                        CoreWiring.UNCHANGED)
+                .run();
         assertTrue(result.breaches().stream().anyMatch(b -> b.what().contains("a defect")), "" + result.breaches());
     }
 }
--- a/src/test/java/mulleinfront/emulator/ColdHostsTest.java
+++ b/src/test/java/mulleinfront/emulator/ColdHostsTest.java
@@ -74,7 +74,7 @@
             double informedRequests =
                     window.stream().mapToDouble(s -> s[1] * s[2]).sum();
             double warmth = contract.coldFrom() + (1 - contract.coldFrom()) * ageShare;
-            double allowedRequests = contract.overload() * warmth * host.machine.capacity() * windowUs / meanWorkUs;
+            double allowedRequests = contract.overloadFactor() * warmth * host.spec.capacity() * windowUs / meanWorkUs;
             double bound = allowedRequests + 2 * Math.sqrt(allowedRequests) + 2;
             if (informedRequests * 3 > totalRequests * 2 && totalRequests / bound > maxBoundRatio) {
                 maxBoundRatio = totalRequests / bound;
@@ -235,8 +235,8 @@
                 .mapToDouble(c -> c.share() * c.workUs())
                 .sum();
         long seed = 11 + proxies + (small ? 1 : 0);
-        meter.world = Worlds.world(scenario, seed, meter.factory(instanceFactor), Fitting.PLAIN);
-        meter.world.play();
+        meter.world = Worlds.world(scenario, seed, meter.factory(instanceFactor), CoreWiring.UNCHANGED);
+        meter.world.run();
         assertTrue(meter.countedSends > 100, "hosts were cold and served: " + meter.countedSends);
         assertTrue(meter.maxBoundRatio < 1, "seed " + seed + ": " + meter.maxDescription);
     }
--- a/src/test/java/mulleinfront/emulator/DigestTest.java
+++ b/src/test/java/mulleinfront/emulator/DigestTest.java
@@ -109,7 +109,7 @@
         Files.writeString(folder.resolve("short.toml"), SCENARIO);
         Files.copy(Worlds.SHIPPED.resolve("calm.toml"), folder.resolve("calm.toml"));
         String expectedDigest = Worlds.world(ScenarioReader.read(folder.resolve("short.toml")), 7)
-                .play()
+                .run()
                 .sha256();
         Set<String> digestLines = new HashSet<>();
         Set<String> reports = new HashSet<>();
--- a/src/test/java/mulleinfront/emulator/DiscoveryBoundTest.java
+++ b/src/test/java/mulleinfront/emulator/DiscoveryBoundTest.java
@@ -66,7 +66,9 @@
                 + (durationS > 0 ? String.format(Locale.ROOT, "for = \"%dms\"\n", (long) (durationS * 1000)) : "");
     }
 
-    /** Result of a run: the longest time in seconds until an instance had the list, and the count of discovery calls. */
+    /**
+     * Result of a run: the longest time in seconds until an instance had the list, and the count of discovery calls.
+     */
     record RunResult(double longestS, long calls, long failed) {}
 
     static RunResult play(int instances, double allCallS, DiscoveryFault fault, long seed) throws Exception {
@@ -90,9 +92,9 @@
         };
         Map<Core<Call, Answer>, Long> listedAtUs = new ConcurrentHashMap<>();
         World world = Worlds.world(
-                Worlds.of(scenarioLines(instances, allCallS) + faults), seed, Balancer::create, new Fitting() {
+                Worlds.of(scenarioLines(instances, allCallS) + faults), seed, Balancer::create, new CoreWiring() {
                     @Override
-                    public void listed(Core<Call, Answer> core, Source source, List<Endpoint> entries, Time time) {
+                    public void deliverList(Core<Call, Answer> core, Source source, List<Endpoint> entries, Time time) {
                         if (entries.stream()
                                 .anyMatch(e -> e.id().equals("new-0") && e.availability() == Availability.DRAINING)) {
                             listedAtUs.putIfAbsent(core, time.now());
@@ -103,10 +105,11 @@
         Host drainingHost = world.hosts.get(0);
         assertEquals("new-0", drainingHost.id);
         world.queue.after((long) ((faultAtS + 0.001) * US_PER_S), () -> {
-            drainingHost.life.drain();
-            world.registry.know(new Registry.Entry(drainingHost.listed(Availability.DRAINING), drainingHost.address));
+            drainingHost.process.drain();
+            world.registry.recordChange(
+                    new Registry.Entry(drainingHost.listed(Availability.DRAINING), drainingHost.address));
         });
-        World.Result result = world.play();
+        World.Result result = world.run();
         assertEquals(List.of(), result.breaches());
         assertEquals(instances, listedAtUs.size(), "all were told");
         long lastListedAtUs =
--- a/src/test/java/mulleinfront/emulator/EventQueueTest.java
+++ b/src/test/java/mulleinfront/emulator/EventQueueTest.java
@@ -51,10 +51,10 @@
     void cancelledEventsDoNotRun() {
         List<Time.Timer> timers = new ArrayList<>();
         List<Integer> expected = new ArrayList<>();
-        Chance chance = Chance.of(1, "test");
+        RandomStream chance = RandomStream.of(1, "test");
         for (int i = 0; i < 50_000; i++) {
             int n = i;
-            timers.add(queue.after(1 + chance.below(1_000), () -> executed.add(n)));
+            timers.add(queue.after(1 + chance.uniformBelow(1_000), () -> executed.add(n)));
         }
         for (int i = 0; i < 50_000; i++) {
             if (i % 10 == 0) {
--- a/src/test/java/mulleinfront/emulator/FaultyComponents.java
+++ b/src/test/java/mulleinfront/emulator/FaultyComponents.java
@@ -334,18 +334,18 @@
         }
     }
 
-    private static Fitting wrapHandler(
+    private static CoreWiring wrapHandler(
             java.util.function.BiFunction<ResponseHandler<Call, Answer>, Time, ResponseHandler<Call, Answer>> wrapper) {
-        return new Fitting() {
+        return new CoreWiring() {
             @Override
-            public ResponseHandler<Call, Answer> caller(ResponseHandler<Call, Answer> caller, Time time) {
+            public ResponseHandler<Call, Answer> responseHandler(ResponseHandler<Call, Answer> caller, Time time) {
                 return wrapper.apply(caller, time);
             }
         };
     }
 
     /** Drops one response in a hundred. */
-    static Fitting dropsResponses() {
+    static CoreWiring dropsResponses() {
         int[] count = {0};
         return wrapHandler((c, time) -> new DelegatingResponseHandler(c) {
             @Override
@@ -358,7 +358,7 @@
     }
 
     /** Answers one request in a hundred twice. */
-    static Fitting answersTwice() {
+    static CoreWiring answersTwice() {
         int[] count = {0};
         return wrapHandler((c, time) -> new DelegatingResponseHandler(c) {
             @Override
@@ -372,7 +372,7 @@
     }
 
     /** Gives one client in a hundred the preceding response in place of its own. */
-    static Fitting swapsResponses() {
+    static CoreWiring swapsResponses() {
         List<Answer> responses = new ArrayList<>();
         return wrapHandler((c, time) -> new DelegatingResponseHandler(c) {
             @Override
@@ -384,7 +384,7 @@
     }
 
     /** Reports failures as refusals. */
-    static Fitting reportsFailuresAsRefusals() {
+    static CoreWiring reportsFailuresAsRefusals() {
         return wrapHandler((c, time) -> new DelegatingResponseHandler(c) {
             @Override
             public void failed(boolean timeUp) {
@@ -407,13 +407,13 @@
                 Wire.AttemptListener<Answer> end);
     }
 
-    private static Fitting wrapWire(AttemptFactory factory) {
-        return new Fitting() {
+    private static CoreWiring wrapWire(AttemptFactory factory) {
+        return new CoreWiring() {
             @Override
             public Wire<Call, Answer> wire(Wire<Call, Answer> wire, Time time) {
                 return new Wire<>() {
                     @Override
-                    public Attempt attempt(
+                    public Attempt prepareAttempt(
                             String requestId,
                             int number,
                             String hostId,
@@ -442,19 +442,19 @@
      * Skips the check before the first byte whether the attempt is still wanted, so that requests are sent to draining
      * endpoints or for disconnected clients.
      */
-    static Fitting skipsWantedCheck() {
+    static CoreWiring skipsWantedCheck() {
         return wrapWire((wire, time, requestId, number, hostId, call, timeoutUs, wanted, end) ->
-                wire.attempt(requestId, number, hostId, call, timeoutUs, () -> true, end));
+                wire.prepareAttempt(requestId, number, hostId, call, timeoutUs, () -> true, end));
     }
 
     /** Starts a further attempt for one in fifty, 3 s later, when the core may have ended the request. */
-    static Fitting sendsAfterEnd() {
+    static CoreWiring sendsAfterEnd() {
         int[] count = {0};
         return wrapWire((wire, time, requestId, number, hostId, call, timeoutUs, wanted, end) -> {
-            Wire.Attempt attempt = wire.attempt(requestId, number, hostId, call, timeoutUs, wanted, end);
+            Wire.Attempt attempt = wire.prepareAttempt(requestId, number, hostId, call, timeoutUs, wanted, end);
             if (attempt != null && ++count[0] % 50 == 0) {
                 time.after(3_000_000, () -> {
-                    Wire.Attempt lateAttempt = wire.attempt(
+                    Wire.Attempt lateAttempt = wire.prepareAttempt(
                             requestId, number, hostId, call, 1_000_000, () -> true, (outcome, answer) -> {});
                     if (lateAttempt != null) {
                         lateAttempt.start();
@@ -466,20 +466,20 @@
     }
 
     /** Sends a copy of one attempt in fifty to a second server. */
-    static Fitting sendsDuplicates() {
+    static CoreWiring sendsDuplicates() {
         int[] count = {0};
         Set<String> hostIds = new HashSet<>();
         return wrapWire((wire, time, requestId, number, hostId, call, timeoutUs, wanted, end) -> {
             hostIds.add(hostId);
-            Wire.Attempt attempt = wire.attempt(requestId, number, hostId, call, timeoutUs, wanted, end);
+            Wire.Attempt attempt = wire.prepareAttempt(requestId, number, hostId, call, timeoutUs, wanted, end);
             String other = hostIds.stream()
                     .filter(h -> !h.equals(hostId))
                     .sorted()
                     .findFirst()
                     .orElse(hostId);
             if (attempt != null && ++count[0] % 50 == 0) {
-                Wire.Attempt copy =
-                        wire.attempt(requestId, number + 100, other, call, timeoutUs, wanted, (outcome, answer) -> {});
+                Wire.Attempt copy = wire.prepareAttempt(
+                        requestId, number + 100, other, call, timeoutUs, wanted, (outcome, answer) -> {});
                 if (copy != null) {
                     time.after(10_000, copy::start);
                 }
@@ -489,10 +489,10 @@
     }
 
     /** Delays list updates to the core by 2 s; cached lists are not delayed. */
-    static Fitting delaysLists() {
-        return new Fitting() {
+    static CoreWiring delaysLists() {
+        return new CoreWiring() {
             @Override
-            public void listed(Core<Call, Answer> core, Source source, List<Endpoint> endpoints, Time time) {
+            public void deliverList(Core<Call, Answer> core, Source source, List<Endpoint> endpoints, Time time) {
                 time.after(source == Source.CACHED ? 0 : 2_000_000, () -> core.onEndpointList(source, endpoints));
             }
         };
--- a/src/test/java/mulleinfront/emulator/GraphWorldTest.java
+++ b/src/test/java/mulleinfront/emulator/GraphWorldTest.java
@@ -44,12 +44,12 @@
     }
 
     private static GraphWorld world(
-            GraphSpec spec, long seed, Core.BalancerFactory factory, Fitting fitting, GraphApplication application) {
+            GraphSpec spec, long seed, Core.BalancerFactory factory, CoreWiring fitting, GraphApplication application) {
         return new GraphWorld(spec, seed, new Trace(null), factory, fitting, application);
     }
 
     private static GraphWorld world(GraphSpec spec, long seed) {
-        return world(spec, seed, Balancer::create, Fitting.PLAIN, GraphApplication.PLAIN);
+        return world(spec, seed, Balancer::create, CoreWiring.UNCHANGED, GraphApplication.DEFAULT);
     }
 
     // ---- call graph generation -----------------------------------------------------------------------
@@ -71,7 +71,7 @@
     void callsGoDownwardAndEveryPathPassesTheHub() throws Exception {
         GraphSpec spec = GraphReader.read(SIZE.resolve("world.toml"));
         for (long seed = 1; seed <= 50; seed++) {
-            List<CallGraph.Node> nodes = CallGraph.draw(spec, seed).nodes();
+            List<CallGraph.Node> nodes = CallGraph.generate(spec, seed).nodes();
             assertEquals(77, nodes.size());
             assertEquals(670, nodes.stream().mapToInt(CallGraph.Node::hosts).sum());
             Set<Integer> called = new HashSet<>();
@@ -94,8 +94,10 @@
                             .sum(),
                     1e-6);
         }
-        assertEquals(CallGraph.draw(spec, 3).nodes(), CallGraph.draw(spec, 3).nodes());
-        assertNotEquals(CallGraph.draw(spec, 3).nodes(), CallGraph.draw(spec, 4).nodes());
+        assertEquals(
+                CallGraph.generate(spec, 3).nodes(), CallGraph.generate(spec, 3).nodes());
+        assertNotEquals(
+                CallGraph.generate(spec, 3).nodes(), CallGraph.generate(spec, 4).nodes());
     }
 
     @Test
@@ -129,7 +131,7 @@
                 distinctCalls.add(calls);
             }
             for (int e = 0; e < callCounts.length; e++) {
-                assertEquals(node.calls().get(e).chance(), callCounts[e] / 2_000.0, 0.05);
+                assertEquals(node.calls().get(e).probability(), callCounts[e] / 2_000.0, 0.05);
             }
             assertTrue(node.level() == 0 || callCounts.length == 0 || distinctCalls.size() > 1, node.name());
         }
@@ -156,15 +158,15 @@
     @Test
     void seventySevenServicesSatisfyInvariantsDeterministically() throws Exception {
         GraphSpec spec = small("world", 1_000, 2_500_000);
-        GraphReport first = world(spec, 1).play();
-        assertEquals(List.of(), first.broken());
-        assertEquals(0, first.brokenCount());
+        GraphReport first = world(spec, 1).run();
+        assertEquals(List.of(), first.violations());
+        assertEquals(0, first.violationCount());
         assertTrue(first.calls(8) > 0, "nobody came eight calls deep");
         assertTrue(first.service() > 0.5, "service " + first.service());
-        GraphReport again = world(spec, 1).play();
+        GraphReport again = world(spec, 1).run();
         assertEquals(first.sha256(), again.sha256());
         assertEquals(first.text(), again.text());
-        assertNotEquals(first.sha256(), world(spec, 2).play().sha256());
+        assertNotEquals(first.sha256(), world(spec, 2).run().sha256());
     }
 
     static List<String> files() throws Exception {
@@ -188,9 +190,9 @@
     void eachScenarioSatisfiesTheInvariants(String name) throws Exception {
         GraphSpec spec = few(name, name.equals("edge") ? 60 : 400, 5_000_000);
         GraphWorld world = world(spec, 5);
-        GraphReport report = world.play();
-        assertEquals(List.of(), report.broken());
-        assertEquals(0, report.fell());
+        GraphReport report = world.run();
+        assertEquals(List.of(), report.violations());
+        assertEquals(0, report.crashedServers());
         long starts = world.machines.stream()
                 .filter(m -> m.host != null && m.host.startedAt > 0)
                 .count();
@@ -203,31 +205,33 @@
     @Test
     void callLatencyIsTheSumOfItsSpans() throws Exception {
         GraphWorld world = world(few("world", 800, 2_000_000), 1);
-        world.play();
-        GraphTally.Group all = world.tally.all;
+        world.run();
+        GraphTally.CallStatistics all = world.tally.all;
         double parts = 0;
         double added = 0;
         for (Span span : List.of(Span.LOCAL, Span.ADMISSION, Span.RETRIES, Span.CONNECTION)) {
-            added += all.of(span).mean();
+            added += all.histogram(span).mean();
         }
-        parts = added + all.of(Span.NETWORK).mean() + all.of(Span.SERVER).mean();
-        assertEquals(all.of(Span.ALL).mean(), parts, 1e-6);
-        assertEquals(all.of(Span.ADDED).mean(), added, 1e-6);
-        assertTrue(all.of(Span.ALL).count() > 300);
+        parts = added
+                + all.histogram(Span.NETWORK).mean()
+                + all.histogram(Span.SERVER).mean();
+        assertEquals(all.histogram(Span.ALL).mean(), parts, 1e-6);
+        assertEquals(all.histogram(Span.ADDED).mean(), added, 1e-6);
+        assertTrue(all.histogram(Span.ALL).count() > 300);
     }
 
     @Test
     void partitionedRegionsAreUnreachableUntilThePartitionEnds() throws Exception {
         GraphSpec spec = few("world", 500, 6_000_000)
-                .failing(List.of(new GraphSpec.Failure(
+                .withFailures(List.of(new GraphSpec.Failure(
                         GraphSpec.Kind.CUT, 2_000_000, 2_000_000, 0, -1, -1, false, 0, 0, false)));
         GraphWorld world = world(spec, 1);
         long[] served = new long[3];
         // Responses that cross regions in the first 100 ms of the partition were already on their way.
         world.queue.after(2_100_000, () -> served[0] = world.servedAcrossRegions());
         world.queue.after(3_999_999, () -> served[1] = world.servedAcrossRegions());
-        GraphReport report = world.play();
-        assertEquals(List.of(), report.broken());
+        GraphReport report = world.run();
+        assertEquals(List.of(), report.violations());
         assertTrue(served[0] > 0, "nothing was answered before the cut");
         assertEquals(served[0], served[1], "answered across the cut");
         assertTrue(world.servedAcrossRegions() > served[1], "nothing was answered after it");
@@ -249,65 +253,66 @@
     }
 
     private static void assertDetected(String expectedText, GraphReport report) {
-        assertTrue(report.brokenCount() > 0, "nothing was found");
+        assertTrue(report.violationCount() > 0, "nothing was found");
         assertTrue(
-                report.broken().stream().anyMatch(b -> b.contains(expectedText)),
+                report.violations().stream().anyMatch(b -> b.contains(expectedText)),
                 expectedText + " is not among "
-                        + report.broken().subList(0, Math.min(3, report.broken().size())));
+                        + report.violations()
+                                .subList(0, Math.min(3, report.violations().size())));
     }
 
     @Test
     void detectsDeadlineThatIsNotPropagated() throws Exception {
         assertDetected(
                 "rule broken: the deadline is passed on",
-                world(few("world", 800, 2_500_000), 1, Balancer::create, Fitting.PLAIN, new GraphApplication() {
+                world(few("world", 800, 2_500_000), 1, Balancer::create, CoreWiring.UNCHANGED, new GraphApplication() {
                             @Override
-                            public long endOf(long endsAt, long now, long deadlineUs, long reserveUs) {
+                            public long callDeadline(long endsAt, long now, long deadlineUs, long reserveUs) {
                                 return now + deadlineUs;
                             }
                         })
-                        .play());
+                        .run());
     }
 
     @Test
     void detectsMissingCancellation() throws Exception {
-        assertEquals(List.of(), world(shortDeadlines(), 1).play().broken());
+        assertEquals(List.of(), world(shortDeadlines(), 1).run().violations());
         assertDetected(
                 "rule broken: what is cancelled above is cancelled below",
-                world(shortDeadlines(), 1, Balancer::create, Fitting.PLAIN, new GraphApplication() {
+                world(shortDeadlines(), 1, Balancer::create, CoreWiring.UNCHANGED, new GraphApplication() {
                             @Override
-                            public boolean cancelsBelow() {
+                            public boolean cancelsCalls() {
                                 return false;
                             }
                         })
-                        .play());
+                        .run());
     }
 
     @Test
     void detectsSendsAfterCancellation() throws Exception {
         assertDetected(
                 "rule broken: no request is lost: sent to",
-                world(shortDeadlines(), 1, Balancer::create, FaultyComponents.sendsAfterEnd(), GraphApplication.PLAIN)
-                        .play());
+                world(shortDeadlines(), 1, Balancer::create, FaultyComponents.sendsAfterEnd(), GraphApplication.DEFAULT)
+                        .run());
     }
 
     @Test
     void detectsCallWithStrongerEffectThanItsRequest() throws Exception {
         assertDetected(
                 "rule broken: no call has more of an effect than its request",
-                world(few("world", 800, 2_500_000), 1, Balancer::create, Fitting.PLAIN, new GraphApplication() {
+                world(few("world", 800, 2_500_000), 1, Balancer::create, CoreWiring.UNCHANGED, new GraphApplication() {
                             @Override
                             public int classOf(int reading, int ofRequest, boolean reads) {
                                 return 1;
                             }
                         })
-                        .play());
+                        .run());
     }
 
     @Test
     void detectsUnsafeEffectRepeatedByUpstreamRetry() throws Exception {
         GraphSpec failing = changedScenario("errors = \"0.02%\"", "errors = \"10%\"");
-        assertEquals(List.of(), world(failing, 1).play().broken());
+        assertEquals(List.of(), world(failing, 1).run().violations());
         assertDetected(
                 "no effect happens twice along a path",
                 world(
@@ -315,8 +320,8 @@
                                 1,
                                 FaultyComponents::resendsUnsafeRequests,
                                 FaultyComponents.skipsWantedCheck(),
-                                GraphApplication.PLAIN)
-                        .play());
+                                GraphApplication.DEFAULT)
+                        .run());
     }
 
     // ---- bad input -----------------------------------------------------------------------------------
@@ -352,7 +357,7 @@
     @Test
     void jsonReportHasEveryDepth() throws Exception {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        world(small("world", 400, 1_000_000), 1).play().json(bytes);
+        world(small("world", 400, 1_000_000), 1).run().json(bytes);
         String json = bytes.toString(StandardCharsets.UTF_8);
         for (String key : List.of(
                 "\"depth\" : 10",
--- a/src/test/java/mulleinfront/emulator/HistogramTest.java
+++ b/src/test/java/mulleinfront/emulator/HistogramTest.java
@@ -10,7 +10,7 @@
 class HistogramTest {
     @Test
     void quantilesAreWithinABucket() {
-        Chance chance = Chance.of(7, "times");
+        RandomStream chance = RandomStream.of(7, "times");
         Histogram histogram = new Histogram();
         long[] exact = new long[100_000];
         for (int i = 0; i < exact.length; i++) {
@@ -21,24 +21,25 @@
         for (double q : new double[] {0.001, 0.1, 0.5, 0.9, 0.99, 0.999, 1}) {
             long exactQuantile = exact[(int) Math.ceil(q * exact.length) - 1];
             assertTrue(
-                    histogram.at(q) >= exactQuantile && histogram.at(q) <= exactQuantile + exactQuantile / 128 + 1,
-                    q + ": " + histogram.at(q) + " for " + exactQuantile);
+                    histogram.quantile(q) >= exactQuantile
+                            && histogram.quantile(q) <= exactQuantile + exactQuantile / 128 + 1,
+                    q + ": " + histogram.quantile(q) + " for " + exactQuantile);
         }
         assertEquals(Arrays.stream(exact).average().orElseThrow(), histogram.mean(), 1e-6);
         long above = Arrays.stream(exact).filter(v -> v > 660).count();
-        assertEquals((double) above / exact.length, histogram.above(660), 0.005);
+        assertEquals((double) above / exact.length, histogram.fractionAbove(660), 0.005);
     }
 
     @Test
     void smallValuesAreExactAndEmptyHistogramHasNoQuantile() {
         Histogram histogram = new Histogram();
-        assertEquals(-1, histogram.at(0.5));
+        assertEquals(-1, histogram.quantile(0.5));
         for (long v : new long[] {0, 5, 127, 128, 255}) {
             histogram.add(v);
         }
-        assertEquals(0, histogram.at(0.2));
-        assertEquals(127, histogram.at(0.6));
-        assertEquals(255, histogram.at(1));
-        assertEquals(0.4, histogram.above(127), 1e-9);
+        assertEquals(0, histogram.quantile(0.2));
+        assertEquals(127, histogram.quantile(0.6));
+        assertEquals(255, histogram.quantile(1));
+        assertEquals(0.4, histogram.fractionAbove(127), 1e-9);
     }
 }
--- a/src/test/java/mulleinfront/emulator/IdleProcessesTest.java
+++ b/src/test/java/mulleinfront/emulator/IdleProcessesTest.java
@@ -117,8 +117,8 @@
                 scenario(load + "%", FAULTS.get(fault)).withProxies(proxies),
                 seed,
                 RecordingBalancer.factory(s -> s, () -> new IdleRecorder(idleInstances)),
-                Fitting.PLAIN);
-        assertTrue(world.play().service().asks() > 1_000, "something was asked");
+                CoreWiring.UNCHANGED);
+        assertTrue(world.run().service().requests() > 1_000, "something was asked");
         assertEquals(0, idleInstances.size(), "of " + proxies + ", seed " + seed);
     }
 }
--- a/src/test/java/mulleinfront/emulator/LargeFleetTest.java
+++ b/src/test/java/mulleinfront/emulator/LargeFleetTest.java
@@ -27,7 +27,7 @@
         assertEquals(8, large().size());
         for (Path file : large()) {
             Scenario scenario = ScenarioReader.read(file);
-            assertTrue(scenario.proxies().count() >= 5_000 || scenario.fleet() >= 5_000, file + " is not large");
+            assertTrue(scenario.proxies().count() >= 5_000 || scenario.serverCount() >= 5_000, file + " is not large");
         }
     }
 
@@ -40,11 +40,11 @@
     void tenthOfTheInstancesSatisfiesInvariantsWithoutCrashes(String name) throws Exception {
         Scenario scenario = ScenarioReader.read(LARGE.resolve(name + ".toml")).withProxies(500);
         World world = Worlds.world(scenario, 1);
-        world.playUntil(15_000_000);
+        world.runUntil(15_000_000);
         World.Result result = world.finish();
         assertEquals(List.of(), result.breaches());
         for (Server server : result.service().servers()) {
-            assertTrue(!server.figures().fell, server.name() + " fell over");
+            assertTrue(!server.figures().crashed, server.name() + " fell over");
             assertEquals(0, server.figures().connectionsRefused, server.name() + " was asked for too many connections");
         }
     }
@@ -54,12 +54,11 @@
         // If each of 500 instances kept a connection to each of the 14 servers, every server would have 500, above its
         // limit of 380.
         World.Result result = Worlds.world(Worlds.of("length = \"30s\"\n").withProxies(500), 1)
-                .play();
+                .run();
         assertEquals(List.of(), result.breaches());
         for (Server server : result.service().servers()) {
             assertTrue(
-                    server.figures().mostConnections < 300,
-                    server.name() + " held " + server.figures().mostConnections);
+                    server.figures().maxConnections < 300, server.name() + " held " + server.figures().maxConnections);
             assertEquals(0, server.figures().connectionsRefused);
         }
     }
@@ -74,7 +73,7 @@
                 do = "discovery-down"
                 at = "5s"
                 for = "10s"
-                """).withProxies(1_000), 1).play();
+                """).withProxies(1_000), 1).run();
         assertEquals(List.of(), result.breaches());
         long calls = result.service().counts().get("discovery calls");
         assertTrue(calls < 8_000, calls + " calls by 1,000 instances: one at the start, some in ten seconds of outage");
@@ -101,12 +100,12 @@
                 speed = 0.9
                 queue-per-core = 22
                 connections-per-core = 400
-                """), 1).play();
+                """), 1).run();
         assertEquals(List.of(), result.breaches());
         assertTrue(result.service().whole() > 0.95, "whole " + result.service().whole());
         for (Server server : result.service().servers()) {
             assertTrue(server.figures().served > 0, server.name() + " was left out");
-            assertTrue(!server.figures().fell, server.name() + " fell over");
+            assertTrue(!server.figures().crashed, server.name() + " fell over");
         }
     }
 
@@ -126,7 +125,7 @@
                 connections-per-core = 400
                 pause-every = "2s"
                 pause-for = "170ms"
-                """), 1).play();
+                """), 1).run();
         assertEquals(List.of(), result.breaches());
         assertTrue(result.service().whole() > 0.97, "whole " + result.service().whole());
         long maxServed = result.service().servers().stream()
@@ -160,10 +159,10 @@
                 at = "60m"
                 requests = 40
                 """), 1);
-        world.playUntil(3_630_000_000L);
+        world.runUntil(3_630_000_000L);
         World.Result result = world.finish();
         assertEquals(List.of(), result.breaches());
-        assertEquals(40, result.service().asks());
+        assertEquals(40, result.service().requests());
         assertTrue(result.service().whole() > 0.9, "whole " + result.service().whole());
         long calls = result.service().counts().get("discovery calls");
         assertTrue(calls <= 20, calls + " calls of discovery by 20 instances that watched all the time");
--- a/src/test/java/mulleinfront/emulator/LossAttributionTest.java
+++ b/src/test/java/mulleinfront/emulator/LossAttributionTest.java
@@ -26,7 +26,7 @@
     void attributedLossesSumToTheTotalLoss(Path file) throws Exception {
         Scenario scenario = ScenarioReader.read(file);
         World world = Worlds.world(scenario, 5);
-        ServiceReport report = world.play().service();
+        ServiceReport report = world.run().service();
         long missedRequests = report.classes().stream()
                 .mapToLong(requestClass -> requestClass.asked() - requestClass.onTime())
                 .sum();
@@ -52,7 +52,7 @@
         }
         // Cross-check by request class, from the report's counts. Requests above a tenant's share are worth less, hence
         // the range.
-        for (ServiceReport.Part requestClass : report.classes()) {
+        for (ServiceReport.GroupStatistics requestClass : report.classes()) {
             double worth = scenario.classes().stream()
                     .filter(k -> k.type().name().equals(requestClass.name()))
                     .findFirst()
--- a/src/test/java/mulleinfront/emulator/OneServiceScenariosTest.java
+++ b/src/test/java/mulleinfront/emulator/OneServiceScenariosTest.java
@@ -28,7 +28,7 @@
         assertTrue(files.size() >= 9, files.toString());
         for (Path file : files) {
             Scenario scenario = ScenarioReader.read(file);
-            assertEquals(670, scenario.fleet(), file.toString());
+            assertEquals(670, scenario.serverCount(), file.toString());
             assertEquals(670, scenario.proxies().count(), file.toString());
             assertEquals(5, scenario.zones().size(), file.toString());
             assertEquals(40_000, scenario.load().perSecond(), 1e-9, file.toString());
--- a/src/test/java/mulleinfront/emulator/ReferenceTest.java
+++ b/src/test/java/mulleinfront/emulator/ReferenceTest.java
@@ -13,7 +13,7 @@
 /** Tests of the reference policies. */
 class ReferenceTest {
     private static World.Result play(Reference reference, String lines) throws Exception {
-        return World.under(reference, Worlds.of(lines), 3).play();
+        return World.withReference(reference, Worlds.of(lines), 3).run();
     }
 
     @ParameterizedTest
@@ -67,18 +67,18 @@
     void eachPolicyIsDeterministic() throws Exception {
         for (Reference reference : Reference.values()) {
             String lines = "length = \"5s\"\n";
-            assertEquals(play(reference, lines).sha256(), play(reference, lines).sha256(), reference.word());
-            assertEquals(reference, Reference.of(reference.word()));
+            assertEquals(play(reference, lines).sha256(), play(reference, lines).sha256(), reference.outputName());
+            assertEquals(reference, Reference.forName(reference.outputName()));
         }
     }
 
     @Test
     void tableHasTheProductAndAllReferences() throws Exception {
         Scenario scenario = Worlds.of("length = \"5s\"\n");
-        List<Compared> all = Compared.play(scenario, 1, 2, 2);
-        String table = Compared.table(scenario, 1, 2, all);
+        List<BalancerComparison> all = BalancerComparison.run(scenario, 1, 2, 2);
+        String table = BalancerComparison.table(scenario, 1, 2, all);
         assertEquals(1 + Reference.values().length, all.size());
         assertTrue(table.contains("oracle") && table.contains("of late: "), table);
-        assertEquals(Sweep.play(scenario, 1, 2, 1, null, p -> {}), all.get(0).worlds());
+        assertEquals(Sweep.run(scenario, 1, 2, 1, null, p -> {}), all.get(0).results());
     }
 }
--- a/src/test/java/mulleinfront/emulator/ScenarioReaderTest.java
+++ b/src/test/java/mulleinfront/emulator/ScenarioReaderTest.java
@@ -135,8 +135,10 @@
     void everyKeyIsDocumented() throws Exception {
         String page = Files.readString(Path.of("docs/emulator.md"));
         Set<String> missing = new TreeSet<>();
-        Pattern keys = Pattern.compile("(?:time|times|share|shares|number|numbers|count|rate|text|texts|flag|word"
-                + "|table|tables|ownTables|positive\\(s,|positive\\(head,|place\\(s,)\\(?\\s*\"([a-z-]+)\"");
+        Pattern keys = Pattern.compile(
+                "(?:time|timeRange|share|shareRange|number|numberRange|count|rate|string|strings|bool|enumValue"
+                        + "|table|tables|ownTables|positiveTime\\(\\s*section,|positiveTime\\(\\s*head,"
+                        + "|indexOfName\\(\\s*section,)\\(?\\s*\"([a-z-]+)\"");
         int found = 0;
         for (String source : new String[] {"ScenarioReader", "FaultReader"}) {
             Matcher matcher =
@@ -149,8 +151,8 @@
             }
         }
         for (Scenario.Kind kind : Scenario.Kind.values()) {
-            if (!page.contains("`" + Section.form(kind) + "`")) {
-                missing.add(Section.form(kind));
+            if (!page.contains("`" + Section.outputName(kind) + "`")) {
+                missing.add(Section.outputName(kind));
             }
         }
         assertTrue(found > 80, "only " + found + " keys seen");
--- a/src/test/java/mulleinfront/emulator/ServerModelTest.java
+++ b/src/test/java/mulleinfront/emulator/ServerModelTest.java
@@ -6,10 +6,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mulleinfront.emulator.ServerModel.Figures;
+import mulleinfront.emulator.ServerModel.CancelPolicy;
 import mulleinfront.emulator.ServerModel.Job;
-import mulleinfront.emulator.ServerModel.Machine;
-import mulleinfront.emulator.ServerModel.Stops;
+import mulleinfront.emulator.ServerModel.Spec;
+import mulleinfront.emulator.ServerModel.Statistics;
 import mulleinfront.settings.Range;
 import org.junit.jupiter.api.Test;
 
@@ -40,16 +40,16 @@
         double coldWork;
         double crowdAt;
         double crowdLoss;
-        ServerModel.Linger linger;
-        Stops stops = Stops.ALL;
+        ServerModel.MetastableSlowdown linger;
+        CancelPolicy stops = CancelPolicy.ALL;
         boolean dropsExpired;
         long keyMemoryUs;
         double keySaving;
         int keys = 10;
         long pauseIntervalUs;
 
-        Machine build() {
-            return new Machine(
+        Spec build() {
+            return new Spec(
                     cores,
                     speed,
                     slots,
@@ -82,11 +82,11 @@
         return server(spec, null);
     }
 
-    private ServerModel server(SpecBuilder spec, ServerModel.Group group) {
+    private ServerModel server(SpecBuilder spec, ServerModel.DedupGroup group) {
         return new ServerModel(
                 spec.build(),
                 queue,
-                Chance.of(1, "server"),
+                RandomStream.of(1, "server"),
                 group,
                 (job, dropped) -> executed.add(job.requestId + (dropped ? " dropped" : "")),
                 true);
@@ -126,7 +126,7 @@
         spec.cores = servers;
         spec.slots = servers;
         ServerModel server = server(spec);
-        Chance chance = Chance.of(7, "arrivals");
+        RandomStream chance = RandomStream.of(7, "arrivals");
         int count = 2_000_000;
         double at = 0;
         for (int i = 0; i < count; i++) {
@@ -136,7 +136,7 @@
             server.offer(new Job("r", work, null, null, 0, Long.MAX_VALUE, (end, inflight) -> {}));
         }
         queue.runUntil((long) at + 100 * S);
-        Figures figures = server.figures();
+        Statistics figures = server.statistics();
         assertEquals(count, figures.served);
         return figures.waitSumUs / figures.begun;
     }
@@ -182,7 +182,7 @@
         offer(server, 20);
         runUntilMs(100);
         assertEquals(List.of("20 r0 SERVED", "30 r1 SERVED"), completions);
-        assertEquals(30 * MS, server.figures().busyCoreUs, 1);
+        assertEquals(30 * MS, server.statistics().busyCoreUs, 1);
     }
 
     @Test
@@ -196,7 +196,7 @@
         runUntilMs(100);
         assertEquals(List.of("0 r2 NOT_RUN", "10 r0 SERVED", "20 r1 SERVED"), completions);
         assertEquals(List.of("r0", "r1"), executed);
-        assertEquals(1, server.figures().turnedAway);
+        assertEquals(1, server.statistics().rejected);
     }
 
     @Test
@@ -207,7 +207,7 @@
         server.pause(170 * MS);
         runUntilMs(500);
         assertEquals(List.of("180 r0 SERVED"), completions);
-        assertEquals(170 * MS, server.figures().pausedUs);
+        assertEquals(170 * MS, server.statistics().pausedUs);
     }
 
     @Test
@@ -216,7 +216,7 @@
         spec.pauseIntervalUs = 100 * MS;
         ServerModel server = server(spec);
         runUntilMs(100_000);
-        assertEquals(1000, server.figures().pausedUs / (15.0 * MS), 150, "pauses of 15 ms in the mean");
+        assertEquals(1000, server.statistics().pausedUs / (15.0 * MS), 150, "pauses of 15 ms in the mean");
     }
 
     @Test
@@ -232,26 +232,27 @@
         runUntilMs(1_000);
         assertEquals(List.of(), completions);
         assertEquals(List.of(), executed);
-        assertEquals(5, server.held());
+        assertEquals(5, server.inFlight());
         server.hang(false);
         runUntilMs(2_000);
         assertEquals(5, completions.size());
-        assertEquals(1_000 * 5 * MS + (10 * 5 + 10 * 4 + 10 * 3 + 10 * 2 + 10) * MS, server.figures().heldSumUs, 9);
+        assertEquals(
+                1_000 * 5 * MS + (10 * 5 + 10 * 4 + 10 * 3 + 10 * 2 + 10) * MS, server.statistics().inFlightSumUs, 9);
     }
 
     @Test
     void slownessAndNoisyNeighbourReduceSpeedWhileTheyLast() {
         ServerModel server = server(new SpecBuilder());
         offer(server, 100);
-        server.slow(4);
+        server.slowDown(4);
         runUntilMs(200);
-        server.slow(1);
-        server.neighbour(0.5);
+        server.slowDown(1);
+        server.noisyNeighbour(0.5);
         runUntilMs(240);
-        server.neighbour(0);
+        server.noisyNeighbour(0);
         runUntilMs(1_000);
         assertEquals(List.of("270 r0 SERVED"), completions, "200 / 4 + 40 / 2 + 30 = 100");
-        assertEquals(100 * MS, server.figures().workDone, 1);
+        assertEquals(100 * MS, server.statistics().workDone, 1);
     }
 
     @Test
@@ -266,8 +267,8 @@
         runUntilMs(100);
         assertEquals(List.of("10 r0 ERROR", "20 r1 SERVED"), completions);
         assertEquals(List.of("r0", "r1"), executed);
-        assertEquals(1, server.figures().errors);
-        assertEquals(10 * MS, server.figures().workWasted, 1);
+        assertEquals(1, server.statistics().errors);
+        assertEquals(10 * MS, server.statistics().workWasted, 1);
     }
 
     @Test
@@ -299,19 +300,19 @@
     @Test
     void metastableSlowdownLastsUntilTheServerIsIdle() {
         SpecBuilder spec = new SpecBuilder();
-        spec.linger = new ServerModel.Linger(1, 100 * MS, 3, 0.3, 500 * MS, 60 * S);
+        spec.linger = new ServerModel.MetastableSlowdown(1, 100 * MS, 3, 0.3, 500 * MS, 60 * S);
         ServerModel server = server(spec);
         for (int i = 0; i < 8; i++) {
             offer(server, 50);
         }
         runUntilMs(200);
-        assertTrue(server.lingering(), "8 held, 2 bearable");
+        assertTrue(server.inSlowdown(), "8 held, 2 bearable");
         runUntilMs(2_000);
         assertEquals(8, completions.size());
         assertTrue(Long.parseLong(completions.get(7).split(" ")[0]) > 900, "three times slower: " + completions);
         runUntilMs(10_000);
-        assertFalse(server.lingering(), "it has rested");
-        assertTrue(server.figures().lingeredUs > 900 * MS);
+        assertFalse(server.inSlowdown(), "it has rested");
+        assertTrue(server.statistics().slowedDownUs > 900 * MS);
         long before = queue.now() / MS;
         offer(server, 50);
         runUntilMs(20_000);
@@ -321,17 +322,17 @@
     @Test
     void metastableSlowdownEndsAfterItsLongestTime() {
         SpecBuilder spec = new SpecBuilder();
-        spec.linger = new ServerModel.Linger(0, 100 * MS, 2, 0.1, 500 * MS, 3 * S);
+        spec.linger = new ServerModel.MetastableSlowdown(0, 100 * MS, 2, 0.1, 500 * MS, 3 * S);
         ServerModel server = server(spec);
         for (int i = 0; i < 200; i++) {
             offer(server, 50);
         }
         runUntilMs(1_000);
-        assertTrue(server.lingering());
+        assertTrue(server.inSlowdown());
         for (int i = 1_000; i < 30_000; i += 100) {
             runUntilMs(i);
         }
-        assertTrue(server.figures().lingeredUs >= 3 * S - 100 * MS);
+        assertTrue(server.statistics().slowedDownUs >= 3 * S - 100 * MS);
     }
 
     @Test
@@ -369,12 +370,12 @@
     void crashedServerStaysDown() {
         ServerModel server = server(new SpecBuilder());
         offer(server, 10);
-        server.fall();
+        server.crash();
         offer(server, 10);
         runUntilMs(1_000);
         assertEquals(List.of(), completions);
         assertTrue(server.stopped());
-        assertTrue(server.figures().fell);
+        assertTrue(server.statistics().crashed);
     }
 
     @Test
@@ -403,15 +404,15 @@
                         "2010 r5 SERVED"),
                 completions,
                 "forgotten for room, then for age");
-        assertEquals(1, server.figures().keyHits);
+        assertEquals(1, server.statistics().keyHits);
     }
 
     @Test
     void repeatsAreDroppedWithinTheGroupAndTheWindow() {
-        ServerModel.Group group = new ServerModel.Group();
+        ServerModel.DedupGroup group = new ServerModel.DedupGroup();
         ServerModel one = server(new SpecBuilder(), group);
         ServerModel other = server(new SpecBuilder(), group);
-        ServerModel elsewhere = server(new SpecBuilder(), new ServerModel.Group());
+        ServerModel elsewhere = server(new SpecBuilder(), new ServerModel.DedupGroup());
         one.offer(job(10 * MS, null, "e", Long.MAX_VALUE));
         runUntilMs(100);
         other.offer(job(10 * MS, null, "e", Long.MAX_VALUE));
@@ -420,14 +421,14 @@
         other.offer(job(10 * MS, null, "e", Long.MAX_VALUE));
         runUntilMs(30_000);
         assertEquals(List.of("r0", "r1 dropped", "r2", "r3"), executed);
-        assertEquals(1, other.figures().repeatsDropped);
+        assertEquals(1, other.statistics().repeatsDropped);
     }
 
     @Test
     void shortWindowDoesNotEndLongerOnes() {
         // Guards against a purge that, once many effects are stored, drops all that are older than the request's own
         // window.
-        ServerModel one = server(new SpecBuilder(), new ServerModel.Group());
+        ServerModel one = server(new SpecBuilder(), new ServerModel.DedupGroup());
         one.offer(job(1, null, "e", Long.MAX_VALUE));
         for (int i = 0; i < 1100; i++) {
             runUntilMs(1 + i);
@@ -438,7 +439,7 @@
         runUntilMs(6_000);
         one.offer(job(1, null, "e", Long.MAX_VALUE));
         runUntilMs(7_000);
-        assertEquals(1, one.figures().repeatsDropped);
+        assertEquals(1, one.statistics().repeatsDropped);
     }
 
     @Test
@@ -451,8 +452,8 @@
         assertFalse(server.connect());
         server.disconnect();
         assertTrue(server.connect());
-        assertEquals(1, server.figures().connectionsRefused);
-        assertEquals(3, server.figures().handshakes);
+        assertEquals(1, server.statistics().connectionsRefused);
+        assertEquals(3, server.statistics().handshakes);
     }
 
     @Test
@@ -474,7 +475,7 @@
         offer(shallow, 10);
         runUntilMs(200);
         assertEquals(List.of("probe 1", "110 r0 SERVED", "125 r1 SERVED"), completions, "its work delays the next");
-        assertEquals(1, shallow.figures().probes);
+        assertEquals(1, shallow.statistics().probes);
     }
 
     @Test
@@ -495,7 +496,7 @@
 
     @Test
     void cancellationStopsWorkAsConfigured() {
-        for (Stops stops : Stops.values()) {
+        for (CancelPolicy stops : CancelPolicy.values()) {
             completions.clear();
             ids = 0;
             long from = queue.now() / MS;
@@ -518,7 +519,7 @@
                         case ALL -> List.of(from + 15 + " r2 SERVED");
                     },
                     completions);
-            assertEquals(stops == Stops.ALL ? 5 * MS : 0, server.figures().workWasted, 1);
+            assertEquals(stops == CancelPolicy.ALL ? 5 * MS : 0, server.statistics().workWasted, 1);
         }
     }
 
@@ -532,6 +533,6 @@
         runUntilMs(100);
         assertEquals(List.of("10 r0 SERVED", "10 r1 NOT_RUN"), completions);
         assertEquals(List.of("r0"), executed);
-        assertEquals(1, server.figures().expired);
+        assertEquals(1, server.statistics().expired);
     }
 }
--- a/src/test/java/mulleinfront/emulator/SoakRangesTest.java
+++ b/src/test/java/mulleinfront/emulator/SoakRangesTest.java
@@ -19,14 +19,14 @@
     void callDurationsSpanThePropagationDeadlines() {
         assertWithin(
                 "2 s after the end of a watch",
-                GeneratedScenario.ALL_CALL_US[0],
-                ToldDeadlines.WATCH_ENDED_US,
-                GeneratedScenario.ALL_CALL_US[1]);
+                GeneratedScenario.CALLS_OF_ALL_PROXIES_US[0],
+                PropagationDeadlines.WATCH_ENDED_US,
+                GeneratedScenario.CALLS_OF_ALL_PROXIES_US[1]);
         assertWithin(
                 "6 s in which all is told",
-                GeneratedScenario.ALL_CALL_US[0],
-                ToldDeadlines.REACHABLE_US,
-                GeneratedScenario.ALL_CALL_US[1]);
+                GeneratedScenario.CALLS_OF_ALL_PROXIES_US[0],
+                PropagationDeadlines.REACHABLE_US,
+                GeneratedScenario.CALLS_OF_ALL_PROXIES_US[1]);
     }
 
     @Test
@@ -35,12 +35,12 @@
                 "patience of a call",
                 0,
                 Wire.CALL_TIMEOUT_US,
-                GeneratedScenario.CALL_TIMEOUT_US[1] + GeneratedScenario.MOST_LATE_US);
+                GeneratedScenario.CALL_TIMEOUT_US[1] + GeneratedScenario.MAX_EXTRA_DELAY_US);
         assertWithin(
                 "patience of a call after a move",
                 0,
                 Wire.MOVED_CALL_TIMEOUT_US,
-                GeneratedScenario.CALL_TIMEOUT_US[1] + GeneratedScenario.MOST_LATE_US);
+                GeneratedScenario.CALL_TIMEOUT_US[1] + GeneratedScenario.MAX_EXTRA_DELAY_US);
     }
 
     @Test
@@ -60,6 +60,9 @@
     @Test
     void outagesExceedThePropagationDeadlineAndCallTimeout() {
         assertWithin(
-                "an outage", 0, ToldDeadlines.REACHABLE_US + Wire.CALL_TIMEOUT_US, GeneratedScenario.MOST_OUTAGE_US);
+                "an outage",
+                0,
+                PropagationDeadlines.REACHABLE_US + Wire.CALL_TIMEOUT_US,
+                GeneratedScenario.MAX_OUTAGE_US);
     }
 }
--- a/src/test/java/mulleinfront/emulator/ThunderingHerdTest.java
+++ b/src/test/java/mulleinfront/emulator/ThunderingHerdTest.java
@@ -65,11 +65,11 @@
                 .replace("@", ",");
     }
 
-    private static ServiceReport.Starts firstStarts(World.Result result) {
-        return result.service().starts().get(0);
+    private static ServiceReport.RestartStatistics firstStarts(World.Result result) {
+        return result.service().restarts().get(0);
     }
 
-    private static double refusedShare(ServiceReport.Starts starts) {
+    private static double refusedShare(ServiceReport.RestartStatistics starts) {
         return (double) starts.refused() / starts.tries();
     }
 
@@ -149,7 +149,7 @@
                 1);
         assertTrue(
                 result.service().service() > 0.72, "service " + result.service().service());
-        List<ServiceReport.Part> classes = result.service().classes();
+        List<ServiceReport.GroupStatistics> classes = result.service().classes();
         assertTrue(classes.get(1).share() > classes.get(0).share() + 0.2, classes.toString());
     }
 
--- a/src/test/java/mulleinfront/emulator/WorldTest.java
+++ b/src/test/java/mulleinfront/emulator/WorldTest.java
@@ -41,7 +41,7 @@
     void shippedScenariosSatisfyTheInvariants(Path file) throws Exception {
         Scenario scenario = ScenarioReader.read(file);
         for (long seed = 1001; seed <= 1006; seed++) {
-            World.Result result = assertInvariants(Worlds.world(scenario, seed).play());
+            World.Result result = assertInvariants(Worlds.world(scenario, seed).run());
             // When the offered load exceeds the capacity, the goodput decides.
             assertTrue(
                     result.service().service() > 0.6 || result.goodput() > 0.8,
@@ -184,7 +184,7 @@
                 "" + result.service().outcomes());
         World.Result withoutCheck = Worlds.world(
                         Worlds.of(slowNetwork), 1, Balancer::create, FaultyComponents.skipsWantedCheck())
-                .play();
+                .run();
         assertTrue(
                 withoutCheck.breaches().stream().anyMatch(b -> b.rule() == Rule.DRAINS),
                 "it is the check before the first byte that keeps the rule");
@@ -201,7 +201,7 @@
                 at = "5s"
                 requests = 10000
                 """);
-        assertTrue(result.service().asks() > 10_000);
+        assertTrue(result.service().requests() > 10_000);
     }
 
     @Test
@@ -211,7 +211,7 @@
                 [load]
                 rate = "0/s"
                 """);
-        assertEquals(0, result.service().asks());
+        assertEquals(0, result.service().requests());
         assertTrue(result.events() < 100_000, result.events() + " events");
         assertTrue(result.decisions() < 200, result.decisions() + " lines of decisions");
     }
@@ -227,7 +227,7 @@
                 at = "60m"
                 requests = 20
                 """);
-        assertEquals(20, result.service().asks());
+        assertEquals(20, result.service().requests());
         assertEquals(20, count(result.service().tries(), "served"));
     }
 
@@ -312,10 +312,9 @@
     @Test
     void sweepResultsDoNotDependOnParallelism() throws Exception {
         Scenario scenario = Worlds.of("length = \"5s\"\n");
-        List<Sweep.SeedResult> sequential = Sweep.play(scenario, 3, 10, 1, null, p -> {});
-        assertEquals(sequential, Sweep.play(scenario, 3, 10, 5, null, p -> {}));
-        assertEquals(
-                Worlds.world(scenario, 4).play().sha256(), sequential.get(1).sha256());
+        List<Sweep.SeedResult> sequential = Sweep.run(scenario, 3, 10, 1, null, p -> {});
+        assertEquals(sequential, Sweep.run(scenario, 3, 10, 5, null, p -> {}));
+        assertEquals(Worlds.world(scenario, 4).run().sha256(), sequential.get(1).sha256());
         assertEquals(
                 sequential.stream().mapToDouble(Sweep.SeedResult::service).min().orElseThrow(),
                 Sweep.worst(sequential, 3).get(0).service());
@@ -324,15 +323,15 @@
     @Test
     void noRequestsOrConnectionsRemainAfterTheRun() throws Exception {
         World world = Worlds.world(Worlds.of("length = \"10s\"\nsettle = \"20s\"\n"), 1);
-        assertInvariants(world.play());
+        assertInvariants(world.run());
         for (Instance instance : world.proxies) {
             Proxy proxy = (Proxy) instance;
-            assertEquals(0, proxy.held(), "requests");
+            assertEquals(0, proxy.openRequests(), "requests");
             assertEquals(0, proxy.connections(), "connections close when idle");
         }
         for (Host host : world.hosts) {
             assertEquals(0, host.links.size());
-            assertEquals(0, host.life.held());
+            assertEquals(0, host.process.inFlight());
         }
     }
 }
--- a/src/test/java/mulleinfront/emulator/Worlds.java
+++ b/src/test/java/mulleinfront/emulator/Worlds.java
@@ -36,14 +36,14 @@
     }
 
     static World world(Scenario scenario, long seed) {
-        return world(scenario, seed, Balancer::create, Fitting.PLAIN);
+        return world(scenario, seed, Balancer::create, CoreWiring.UNCHANGED);
     }
 
-    static World world(Scenario scenario, long seed, Core.BalancerFactory factory, Fitting fitting) {
+    static World world(Scenario scenario, long seed, Core.BalancerFactory factory, CoreWiring fitting) {
         return new World(scenario, seed, new Trace(null), factory, fitting);
     }
 
     static World.Result play(String lines, long seed) throws BadFileException {
-        return world(of(lines), seed).play();
+        return world(of(lines), seed).run();
     }
 }
--- a/src/test/java/mulleinfront/fleet/BrokenFleetTest.java
+++ b/src/test/java/mulleinfront/fleet/BrokenFleetTest.java
@@ -16,12 +16,12 @@
 class BrokenFleetTest {
     private static final int MEMBERS = 12;
 
-    private static FleetRun convergedFleet(FleetRun.Maker maker) {
+    private static FleetRun convergedFleet(FleetRun.MemberFactory maker) {
         return FleetFixtures.converge(FleetRun.alone(MEMBERS, 1, i -> settings(i, MEMBERS), maker));
     }
 
     private static void assertReported(FleetRun run, Rule rule) {
-        List<Rule> reported = run.judge().breaches().stream()
+        List<Rule> reported = run.auditor().breaches().stream()
                 .map(breach -> breach.rule())
                 .distinct()
                 .toList();
@@ -30,8 +30,8 @@
 
     private static void assertNoBreaches(FleetRun run) {
         assertTrue(
-                run.judge().breachCount() == 0,
-                () -> "violation before the fault: " + run.judge().breaches().get(0));
+                run.auditor().breachCount() == 0,
+                () -> "violation before the fault: " + run.auditor().breaches().get(0));
     }
 
     @Test
@@ -65,7 +65,7 @@
                     void applyOwnUpdate(long incarnation, MemberState state, long at) {}
                 });
         assertNoBreaches(run);
-        run.stop(3, 20 * SECOND_US);
+        run.pause(3, 20 * SECOND_US);
         run.run(20 * SECOND_US + 2 * convergenceBoundUs(MEMBERS));
         assertReported(run, Rule.CALLED_FAILED);
     }
@@ -79,7 +79,7 @@
                         return incarnation(member) != incarnation || state(member) != state;
                     }
                 });
-        run.repeat(30 * SECOND_US, 20, 60 * SECOND_US);
+        run.repeatDatagrams(30 * SECOND_US, 20, 60 * SECOND_US);
         run.kill(3);
         run.run(20 * SECOND_US);
         run.start(3);
@@ -167,8 +167,8 @@
         }
 
         @Override
-        public void listen(Listener listener) {
-            super.listen(new Listener() {
+        public void addListener(Listener listener) {
+            super.addListener(new Listener() {
                 @Override
                 public void changed(Change change) {
                     if (change.number() % 2 == 0) {
@@ -187,8 +187,8 @@
             for (boolean basic : new boolean[] {false, true}) {
                 FleetRun run = FleetFixtures.converge(
                         FleetRun.alone(30, seed, i -> basic ? settings(i, 30).withoutSuspicion() : settings(i, 30)));
-                run.watch((observer, change) -> {
-                    if (change.to() == MemberState.FAILED && run.up(change.member())) {
+                run.addListener((observer, change) -> {
+                    if (change.to() == MemberState.FAILED && run.isRunning(change.member())) {
                         (basic ? failuresWithoutSuspicion : failuresWithSuspicion)[0]++;
                     }
                 });
--- a/src/test/java/mulleinfront/fleet/DatagramTest.java
+++ b/src/test/java/mulleinfront/fleet/DatagramTest.java
@@ -158,7 +158,7 @@
             now[0] += 1_000;
             fleet.onDatagram(now[0], random.nextInt(40), bytes, bytes.length);
         }
-        fleet.drops().forEach((reason, count) -> dropCounts.merge(reason, (int) (long) count, Integer::sum));
+        fleet.dropCounts().forEach((reason, count) -> dropCounts.merge(reason, (int) (long) count, Integer::sum));
         assertEquals(changes, fleet.lastChange());
         assertEquals(
                 100_000,
@@ -186,7 +186,7 @@
         Fleet fleet = startedMember(now, sent);
         MemberState[] state = new MemberState[Members.MAX_MEMBERS];
         long[] incarnation = new long[Members.MAX_MEMBERS];
-        fleet.listen(change -> {
+        fleet.addListener(change -> {
             assertTrue(
                     change.incarnation() > incarnation[change.member()]
                             || change.incarnation() == incarnation[change.member()]
@@ -210,7 +210,7 @@
             fleet.onDatagram(now[0], 3, bytes, bytes.length);
             fleet.onTimer(now[0]);
         }
-        assertTrue(fleet.received() > 10_000, fleet.received() + " read");
+        assertTrue(fleet.receivedDatagrams() > 10_000, fleet.receivedDatagrams() + " read");
         assertTrue(sent[0] < 64 * 1_000 + 200, sent[0] + " sent in 1,000 s, above the rate limit");
     }
 }
--- a/src/test/java/mulleinfront/fleet/ExploreTest.java
+++ b/src/test/java/mulleinfront/fleet/ExploreTest.java
@@ -15,8 +15,8 @@
 /**
  * Explores all sequences of steps of three members up to a depth: a datagram on any link is delivered or lost, the next
  * timer fires, one member is killed and restarted, one is paused and resumed. After each step no recorded state may
- * have gone back. From each state at the final depth, once datagrams arrive without loss, all running members must converge
- * on one correct view. {@code -Dexplore.depth=N} explores deeper than CI has time for.
+ * have gone back. From each state at the final depth, once datagrams arrive without loss, all running members must
+ * converge on one correct view. {@code -Dexplore.depth=N} explores deeper than CI has time for.
  */
 class ExploreTest {
     private static final int MEMBERS = 3;
@@ -87,7 +87,7 @@
                             timers[i] = atUs;
                         }
                     });
-            fleets[i].listen(change -> {
+            fleets[i].addListener(change -> {
                 int member = change.member();
                 assertTrue(
                         change.incarnation() > incarnation[i][member]
--- a/src/test/java/mulleinfront/fleet/HardCasesTest.java
+++ b/src/test/java/mulleinfront/fleet/HardCasesTest.java
@@ -22,13 +22,13 @@
 /** Failures, partitions, losses and configuration errors of a fleet on virtual time, most under several seeds. */
 class HardCasesTest {
     private static void assertNoBreaches(FleetRun run) {
-        assertEquals(List.of(), run.judge().breaches());
+        assertEquals(List.of(), run.auditor().breaches());
     }
 
     private static int[] countFalseFailures(FleetRun run) {
         int[] count = {0};
-        run.watch(
-                (observer, change) -> count[0] += change.to() == MemberState.FAILED && run.up(change.member()) ? 1 : 0);
+        run.addListener((observer, change) ->
+                count[0] += change.to() == MemberState.FAILED && run.isRunning(change.member()) ? 1 : 0);
         return count;
     }
 
@@ -42,9 +42,9 @@
         }
         run.run(convergenceBoundUs(9) + 5 * SECOND_US);
         for (int i = 0; i < 3; i++) {
-            assertEquals(6, run.believing((int) (seed + 3 * i) % 9, MemberState.FAILED));
+            assertEquals(6, run.countRecording((int) (seed + 3 * i) % 9, MemberState.FAILED));
         }
-        assertTrue(run.even());
+        assertTrue(run.viewsAgree());
         assertNoBreaches(run);
     }
 
@@ -53,7 +53,7 @@
     void partitionOfFiveAndFourHeals(long seed) {
         FleetRun run = convergedFleet(9, seed);
         assertEquals(Reachability.ALL, run.member(0).reachability());
-        PeerFaults.End partition = run.partition(members(0, 5), members(5, 9), false);
+        PeerFaults.ActiveFault partition = run.partition(members(0, 5), members(5, 9), false);
         run.run(20 * SECOND_US);
         assertEquals(Reachability.MAJORITY, run.member(0).reachability());
         assertEquals(Reachability.MINORITY, run.member(8).reachability());
@@ -74,14 +74,14 @@
     @ValueSource(booleans = {true, false})
     void oneWayPartitionIsDetectedAndHeals(boolean receives) {
         FleetRun run = convergedFleet(9, 1);
-        PeerFaults.End partition =
+        PeerFaults.ActiveFault partition =
                 receives ? run.partition(only(3), allExcept(3), true) : run.partition(allExcept(3), only(3), true);
         run.run(convergenceBoundUs(9) + 10 * SECOND_US);
         // A member from which no other member gets an ack counts as failed, whichever direction is blocked.
-        assertEquals(8, run.believing(3, MemberState.FAILED));
+        assertEquals(8, run.countRecording(3, MemberState.FAILED));
         partition.end();
         run.run(convergenceBoundUs(9) + 10 * SECOND_US);
-        assertEquals(9, run.believing(3, MemberState.ALIVE));
+        assertEquals(9, run.countRecording(3, MemberState.ALIVE));
         assertNoBreaches(run);
     }
 
@@ -108,17 +108,17 @@
     void stalledMemberRecordsNoOtherAsFailed(long seconds) {
         FleetRun run = convergedFleet(9, 1);
         List<Integer> recordedAsFailed = new ArrayList<>();
-        run.watch((observer, change) -> {
+        run.addListener((observer, change) -> {
             if (observer == 4 && change.to() == MemberState.FAILED) {
                 recordedAsFailed.add(change.member());
             }
         });
-        run.stop(4, seconds * SECOND_US);
+        run.pause(4, seconds * SECOND_US);
         run.run(seconds * SECOND_US + 2 * SECOND_US);
         assertTrue(seconds < 5 || run.member(4).localHealth() > 0, "its local health is reduced");
         run.run(20 * SECOND_US);
         assertEquals(List.of(), recordedAsFailed);
-        assertEquals(9, run.believing(4, MemberState.ALIVE));
+        assertEquals(9, run.countRecording(4, MemberState.ALIVE));
         run.run(convergenceBoundUs(9));
         assertNoBreaches(run);
     }
@@ -136,7 +136,7 @@
             run.after(leaveAt + 2 * SECOND_US, () -> run.start(number));
         }
         run.run(40 * SECOND_US + convergenceBoundUs(20));
-        assertTrue(run.even());
+        assertTrue(run.viewsAgree());
         assertEquals(20, run.member(7).count(MemberState.ALIVE));
         assertNoBreaches(run);
     }
@@ -145,13 +145,14 @@
     void quickRestartIsSeenAsANewProcess() {
         FleetRun run = convergedFleet(9, 1);
         int[] newProcessChanges = {0};
-        run.watch((observer, change) -> newProcessChanges[0] += change.member() == 2 && change.newProcess() ? 1 : 0);
+        run.addListener(
+                (observer, change) -> newProcessChanges[0] += change.member() == 2 && change.newProcess() ? 1 : 0);
         run.kill(2);
         run.run(SECOND_US / 10);
         run.start(2);
         run.run(5 * SECOND_US);
         assertEquals(8, newProcessChanges[0]);
-        assertEquals(9, run.believing(2, MemberState.ALIVE));
+        assertEquals(9, run.countRecording(2, MemberState.ALIVE));
         run.run(convergenceBoundUs(9));
         assertNoBreaches(run);
     }
@@ -167,7 +168,7 @@
                         : settings(i, members));
         List<String> reported = new ArrayList<>();
         FleetFixtures.converge(run);
-        run.member(0).listen(new Fleet.Listener() {
+        run.member(0).addListener(new Fleet.Listener() {
             @Override
             public void changed(Change change) {}
 
@@ -206,7 +207,7 @@
                         wallClockMs,
                         actions));
         run.run(convergenceBoundUs(9));
-        assertEquals(8, run.believing(6, MemberState.FAILED));
+        assertEquals(8, run.countRecording(6, MemberState.FAILED));
         assertTrue(run.dropped(DropReason.OTHER_FLEET) > 0);
     }
 
@@ -214,19 +215,19 @@
     @ValueSource(longs = {-3_600_000, 3_600_000})
     void clockJumpBetweenRestartsKeepsTheMemberAlive(long jumpMs) {
         FleetRun run = convergedFleet(9, 1);
-        run.clockJumps(5, jumpMs);
+        run.shiftClock(5, jumpMs);
         run.kill(5);
         run.run(2 * SECOND_US);
         run.start(5);
         run.run(20 * SECOND_US);
-        assertEquals(9, run.believing(5, MemberState.ALIVE));
+        assertEquals(9, run.countRecording(5, MemberState.ALIVE));
         // The clock jumps back again: the incarnation of the new process must still be higher than the earlier ones.
-        run.clockJumps(5, -jumpMs);
+        run.shiftClock(5, -jumpMs);
         run.kill(5);
         run.run(30 * SECOND_US);
         run.start(5);
         run.run(20 * SECOND_US);
-        assertEquals(9, run.believing(5, MemberState.ALIVE));
+        assertEquals(9, run.countRecording(5, MemberState.ALIVE));
         run.run(convergenceBoundUs(9));
         assertNoBreaches(run);
     }
@@ -236,12 +237,12 @@
     void thirtyPercentLossCausesNoFalseFailures(long seed) {
         FleetRun run = convergedFleet(20, seed);
         int[] falseFailures = countFalseFailures(run);
-        PeerFaults.End lossFault = run.beginFault(null, null, 0.3, 0, 0, 0, NO_TIME);
+        PeerFaults.ActiveFault lossFault = run.beginFault(null, null, 0.3, 0, 0, 0, NO_TIME);
         run.run(60 * SECOND_US);
         lossFault.end();
         run.run(20 * SECOND_US);
         assertEquals(0, falseFailures[0]);
-        assertTrue(run.even());
+        assertTrue(run.viewsAgree());
         assertNoBreaches(run);
     }
 
@@ -249,7 +250,7 @@
     void replayedOldDatagramsChangeNothing() {
         FleetRun run = convergedFleet(9, 1);
         // The recorded datagrams, which are replayed later, include a failure and a return.
-        run.repeat(60 * SECOND_US, 50, 4_200 * SECOND_US);
+        run.repeatDatagrams(60 * SECOND_US, 50, 4_200 * SECOND_US);
         run.kill(2);
         run.run(50 * SECOND_US);
         run.start(2);
@@ -257,7 +258,7 @@
         long changes = run.member(0).lastChange();
         run.run(300 * SECOND_US);
         assertEquals(changes, run.member(0).lastChange());
-        assertEquals(9, run.believing(2, MemberState.ALIVE));
+        assertEquals(9, run.countRecording(2, MemberState.ALIVE));
         assertNoBreaches(run);
     }
 
@@ -265,10 +266,10 @@
     void floodFromUnknownSendersIsOnlyCounted() {
         FleetRun run = convergedFleet(9, 1);
         long changes = run.member(4).lastChange();
-        run.strangers(20_000, 20 * SECOND_US);
+        run.sendFromUnknownSenders(20_000, 20 * SECOND_US);
         run.run(40 * SECOND_US);
         assertEquals(changes, run.member(4).lastChange());
-        assertTrue(run.figures().dropped() > 300_000);
+        assertTrue(run.trafficCounts().dropped() > 300_000);
         assertEquals(Reachability.ALL, run.member(4).reachability());
         assertNoBreaches(run);
     }
@@ -281,7 +282,7 @@
             run.start(10 * i + 3);
         }
         run.run(30 * SECOND_US);
-        assertTrue(run.even());
+        assertTrue(run.viewsAgree());
         assertEquals(6, run.member(3).count(MemberState.ALIVE));
         assertEquals(
                 Reachability.ALL,
@@ -309,7 +310,7 @@
         run.run(60 * SECOND_US);
         for (int i = 0; i < 10; i++) {
             assertEquals(5, run.member(i).count(MemberState.ALIVE), "member " + i);
-            assertTrue(run.member(i).drops().get(DropReason.OTHER_VERSION) > 0);
+            assertTrue(run.member(i).dropCounts().get(DropReason.OTHER_VERSION) > 0);
             assertEquals(
                     10,
                     run.member(i).liveMembers(run.now()),
@@ -320,7 +321,7 @@
     @Test
     void fiveHundredSimultaneousStartsConverge() {
         FleetRun run = convergedFleet(500, 1);
-        assertTrue(run.even());
+        assertTrue(run.viewsAgree());
         assertEquals(500, run.member(123).count(MemberState.ALIVE));
         assertNoBreaches(run);
     }
@@ -328,13 +329,13 @@
     @Test
     void partitionOfTwoHalvesHeals() {
         FleetRun run = convergedFleet(200, 1);
-        PeerFaults.End partition = run.partition(members(0, 100), members(100, 200), false);
+        PeerFaults.ActiveFault partition = run.partition(members(0, 100), members(100, 200), false);
         run.run(convergenceBoundUs(200) + 10 * SECOND_US);
         assertEquals(100, run.member(0).count(MemberState.FAILED));
         assertEquals(Reachability.MINORITY, run.member(0).reachability(), "half of the members is not a majority");
         partition.end();
         run.run(40 * SECOND_US);
-        assertTrue(run.even());
+        assertTrue(run.viewsAgree());
         assertEquals(200, run.member(199).count(MemberState.ALIVE));
         assertNoBreaches(run);
     }
@@ -344,15 +345,15 @@
         FleetRun run = convergedFleet(20, 1);
         run.leave(7);
         run.run(2 * SECOND_US);
-        assertEquals(20, run.believing(7, MemberState.LEFT));
+        assertEquals(20, run.countRecording(7, MemberState.LEFT));
         assertEquals(19, run.member(0).liveMembers(run.now()));
         assertEquals(Reachability.ALL, run.member(0).reachability());
         run.kill(7);
         run.run(convergenceBoundUs(20));
-        assertEquals(0, run.believing(7, MemberState.FAILED));
+        assertEquals(0, run.countRecording(7, MemberState.FAILED));
         run.start(7);
         run.run(10 * SECOND_US);
-        assertEquals(20, run.believing(7, MemberState.ALIVE));
+        assertEquals(20, run.countRecording(7, MemberState.ALIVE));
         assertEquals(20, run.member(0).liveMembers(run.now()));
         assertNoBreaches(run);
     }
@@ -375,7 +376,7 @@
     void changeNumbersAreConsecutive() {
         FleetRun run = convergedFleet(5, 1);
         List<Long> numbers = new ArrayList<>();
-        run.watch((observer, change) -> {
+        run.addListener((observer, change) -> {
             if (observer == 0) {
                 numbers.add(change.number());
             }
--- a/src/test/java/mulleinfront/keep/RegisterTest.java
+++ b/src/test/java/mulleinfront/keep/ConfigStateMachineTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The state machine without Raft. */
-class RegisterTest {
+class ConfigStateMachineTest {
     private static ProposalResult committed(long number) {
         return new ProposalResult(ProposalOutcome.DECIDED, number, "");
     }
@@ -27,14 +27,14 @@
 
     @Test
     void versionNumbersAreConsecutiveFromOne() {
-        Register stateMachine = new Register();
+        ConfigStateMachine stateMachine = new ConfigStateMachine();
         assertEquals(Version.NONE, stateMachine.newest());
         assertEquals(Version.NONE, stateMachine.at(0));
         assertEquals(committed(1), stateMachine.apply(TestCluster.proposal("a", 0, "1")));
         assertEquals(committed(2), stateMachine.apply(TestCluster.proposal("b", -1, "2")));
         assertEquals(committed(3), stateMachine.apply(TestCluster.proposal("c", 2, "3")));
         assertEquals("2", stateMachine.at(2).entries().get("limit"));
-        assertEquals("because of c", stateMachine.newest().why());
+        assertEquals("because of c", stateMachine.newest().description());
         assertNull(stateMachine.at(0));
         assertNull(stateMachine.at(4));
         assertEquals(List.of(stateMachine.at(2), stateMachine.at(3)), stateMachine.versionsAfter(1));
@@ -42,7 +42,7 @@
 
     @Test
     void repeatedIdGetsTheSameResult() {
-        Register stateMachine = new Register();
+        ConfigStateMachine stateMachine = new ConfigStateMachine();
         stateMachine.apply(TestCluster.proposal("a", -1, "1"));
         stateMachine.apply(TestCluster.proposal("b", -1, "2"));
         assertEquals(committed(1), stateMachine.apply(TestCluster.proposal("a", -1, "1")));
@@ -60,64 +60,64 @@
 
     @Test
     void repeatedIdWithOtherEntriesIsRefused() {
-        Register stateMachine = new Register();
+        ConfigStateMachine stateMachine = new ConfigStateMachine();
         stateMachine.apply(TestCluster.proposal("a", -1, "1"));
         ProposalResult result = stateMachine.apply(TestCluster.proposal("a", -1, "2"));
-        assertEquals(ProposalOutcome.REFUSED, result.what());
+        assertEquals(ProposalOutcome.REFUSED, result.outcome());
         assertTrue(result.reason().startsWith("the id a was given to version 1"), result.reason());
         assertEquals(1, stateMachine.newest().number());
     }
 
     @Test
     void invalidProposalsAreRefused() {
-        Register stateMachine = new Register();
+        ConfigStateMachine stateMachine = new ConfigStateMachine();
         assertEquals(
                 ProposalOutcome.REFUSED,
                 stateMachine
-                        .apply(proposalOfSize("big", Register.MAX_VERSION_BYTES))
-                        .what());
+                        .apply(proposalOfSize("big", ConfigStateMachine.MAX_VERSION_BYTES))
+                        .outcome());
         assertEquals(
                 ProposalOutcome.REFUSED,
-                stateMachine.apply(TestCluster.proposal("", -1, "1")).what());
+                stateMachine.apply(TestCluster.proposal("", -1, "1")).outcome());
         assertEquals(
                 ProposalOutcome.REFUSED,
                 stateMachine
                         .apply(TestCluster.proposal("i".repeat(101), -1, "1"))
-                        .what());
+                        .outcome());
         assertEquals(
                 ProposalOutcome.REFUSED,
                 stateMachine
                         .apply(new Proposal("two", -1, new TreeMap<>(), "one\ntwo", 0))
-                        .what());
+                        .outcome());
         assertEquals(0, stateMachine.newest().number());
     }
 
     @Test
     void historyIsBoundedByCountAndSize() {
-        Register many = new Register();
-        for (int i = 1; i <= Register.MAX_VERSIONS + 10; i++) {
+        ConfigStateMachine many = new ConfigStateMachine();
+        for (int i = 1; i <= ConfigStateMachine.MAX_VERSIONS + 10; i++) {
             many.apply(TestCluster.proposal("p" + i, -1, "" + i));
         }
         assertNull(many.at(10));
         assertNotNull(many.at(11));
-        Register large = new Register();
+        ConfigStateMachine large = new ConfigStateMachine();
         for (int i = 1; i <= 100; i++) {
             assertEquals(committed(i), large.apply(proposalOfSize("p" + i, 100_000)));
         }
         // 100,000 characters count as slightly more than 200,000 bytes.
-        long keptVersions = Register.MAX_HISTORY_BYTES / 200_000;
+        long keptVersions = ConfigStateMachine.MAX_HISTORY_BYTES / 200_000;
         assertNull(large.at(100 - keptVersions));
         assertNotNull(large.at(100 - keptVersions + 2));
     }
 
     @Test
     void rememberedIdsAreBounded() {
-        Register stateMachine = new Register();
+        ConfigStateMachine stateMachine = new ConfigStateMachine();
         stateMachine.apply(TestCluster.proposal("first", -1, "1"));
-        for (int i = 1; i < Register.MAX_ACCEPTED_IDS; i++) {
+        for (int i = 1; i < ConfigStateMachine.MAX_ACCEPTED_IDS; i++) {
             stateMachine.apply(TestCluster.proposal("p" + i, -1, "1"));
         }
-        for (int i = 0; i < 3 * Register.MAX_REFUSED_IDS; i++) {
+        for (int i = 0; i < 3 * ConfigStateMachine.MAX_REFUSED_IDS; i++) {
             stateMachine.apply(TestCluster.proposal("r" + i, 0, "1"));
         }
         assertEquals(
@@ -126,12 +126,13 @@
                 "refused proposals must not evict accepted ones");
         stateMachine.apply(TestCluster.proposal("last", -1, "1"));
         assertEquals(
-                committed(Register.MAX_ACCEPTED_IDS + 2), stateMachine.apply(TestCluster.proposal("first", -1, "1")));
+                committed(ConfigStateMachine.MAX_ACCEPTED_IDS + 2),
+                stateMachine.apply(TestCluster.proposal("first", -1, "1")));
     }
 
     @Test
     void snapshotRestoresTheState() {
-        Register stateMachine = new Register();
+        ConfigStateMachine stateMachine = new ConfigStateMachine();
         for (int i = 1; i <= 60; i++) {
             stateMachine.apply(proposalOfSize("p" + i, 30_000 + i));
         }
@@ -141,20 +142,22 @@
         for (byte[] part : parts) {
             assertTrue(part.length < ReplicaTransport.MAX_BODY_BYTES / 2, "a part of " + part.length);
         }
-        Register loaded = Register.decodeSnapshot(parts);
+        ConfigStateMachine loaded = ConfigStateMachine.decodeSnapshot(parts);
         assertEquals(stateMachine.versionsAfter(0), loaded.versionsAfter(0));
         assertEquals(committed(7), loaded.apply(proposalOfSize("p7", 30_007)));
         assertEquals(
                 stateMachine.apply(TestCluster.proposal("refused", 1, "1")),
                 loaded.apply(TestCluster.proposal("refused", 1, "1")));
         assertEquals(committed(61), loaded.apply(TestCluster.proposal("next", 60, "1")));
-        assertThrows(IllegalArgumentException.class, () -> Register.decodeSnapshot(parts.subList(0, parts.size() - 1)));
-        assertThrows(IllegalArgumentException.class, () -> Register.decodeSnapshot(List.of()));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> ConfigStateMachine.decodeSnapshot(parts.subList(0, parts.size() - 1)));
+        assertThrows(IllegalArgumentException.class, () -> ConfigStateMachine.decodeSnapshot(List.of()));
     }
 
     @Test
     void laterChangesOfTheProposersMapHaveNoEffect() {
-        Register stateMachine = new Register();
+        ConfigStateMachine stateMachine = new ConfigStateMachine();
         TreeMap<String, String> entries = new TreeMap<>(Map.of("a", "1"));
         stateMachine.apply(new Proposal("p", -1, entries, "", 0));
         entries.put("a", "2");
--- a/src/test/java/mulleinfront/keep/ReplicaNodeTest.java
+++ b/src/test/java/mulleinfront/keep/ReplicaNodeTest.java
@@ -50,7 +50,7 @@
             assertEquals(
                     1,
                     cluster.proposeUntilKnown("k1", TestCluster.proposal("one", 0, "a"))
-                            .number());
+                            .version());
             for (String name : TestCluster.NAMES) {
                 assertEquals(
                         new ProposalResult(ProposalOutcome.DECIDED, 1, ""),
@@ -62,7 +62,7 @@
             assertEquals(
                     2,
                     cluster.proposeUntilKnown("k3", TestCluster.proposal("three", 1, "c"))
-                            .number());
+                            .version());
             assertEquals(
                     new ProposalResult(ProposalOutcome.REFUSED, 1, "based on version 0, the newest is 1"),
                     cluster.proposeUntilKnown("k1", TestCluster.proposal("two", 0, "b")));
@@ -83,7 +83,7 @@
                 return null;
             });
             ProposalResult first = answer.get(10, TimeUnit.SECONDS);
-            assertEquals(ProposalOutcome.UNKNOWN, first.what(), first.toString());
+            assertEquals(ProposalOutcome.UNKNOWN, first.outcome(), first.toString());
             String other = cluster.runningReplicaExcept();
             assertEquals(
                     new ProposalResult(ProposalOutcome.DECIDED, 2, ""),
@@ -92,7 +92,7 @@
                     3,
                     cluster.proposeUntilKnown(
                                     cluster.runningReplicaExcept(other), TestCluster.proposal("after", 2, "c"))
-                            .number());
+                            .version());
             cluster.start(leader);
             for (long number = cluster.newest(leader).number(); number < 3; ) {
                 number = cluster.nextVersion(leader).number();
@@ -126,10 +126,10 @@
             cluster.stop(cluster.runningReplicaExcept(leader, follower));
             cluster.stop(follower);
             ProposalResult answer = cluster.propose(leader, TestCluster.proposal("two", 1, "b"));
-            assertEquals(ProposalOutcome.UNKNOWN, answer.what(), answer.toString());
-            assertEquals(1, answer.number());
+            assertEquals(ProposalOutcome.UNKNOWN, answer.outcome(), answer.toString());
+            assertEquals(1, answer.version());
             assertEquals(1, cluster.newest(leader).number());
-            assertNull(cluster.runOnLoop(leader, () -> cluster.nodes.get(leader).at(2)));
+            assertNull(cluster.runOnLoop(leader, () -> cluster.nodes.get(leader).find(2)));
             cluster.start(follower);
             assertEquals(
                     new ProposalResult(ProposalOutcome.DECIDED, 2, ""),
@@ -154,14 +154,14 @@
             assertEquals("v4", cluster.newest("k2").entries().get("limit"));
             assertEquals(
                     "v2",
-                    cluster.runOnLoop("k2", () -> cluster.nodes.get("k2").at(3))
+                    cluster.runOnLoop("k2", () -> cluster.nodes.get("k2").find(3))
                             .entries()
                             .get("limit"));
             cluster.start("k3");
             assertEquals(
                     6,
                     cluster.proposeUntilKnown("k3", TestCluster.proposal("p5", 5, "v5"))
-                            .number());
+                            .version());
             // Versions reported before the restart are not reported again.
             assertEquals(6, cluster.nextVersion("k2").number());
         }
@@ -179,7 +179,7 @@
                 assertEquals(
                         i + 1,
                         cluster.proposeUntilKnown(at, TestCluster.proposal("p" + i, i, "v" + i))
-                                .number());
+                                .version());
             }
             cluster.start(away);
             long number = cluster.newest(away).number();
@@ -223,11 +223,11 @@
             assertEquals(ReplicaStatus.Role.STOPPED, cluster.status(old).role());
             assertEquals(
                     ProposalOutcome.UNKNOWN,
-                    cluster.propose(old, TestCluster.proposal("five", 4, "e")).what());
+                    cluster.propose(old, TestCluster.proposal("five", 4, "e")).outcome());
             assertEquals(
                     5,
                     cluster.proposeUntilKnown(cluster.runningReplicaExcept(old), TestCluster.proposal("five", 4, "e"))
-                            .number());
+                            .version());
             assertEquals(1, cluster.runOnLoop(old, node::newest).number());
         }
     }
--- a/src/test/java/mulleinfront/keep/ReplicaSimulation.java
+++ b/src/test/java/mulleinfront/keep/ReplicaSimulation.java
@@ -70,7 +70,7 @@
             boolean[] answered = {false};
             attempts++;
             Proposal sent = variant == Variant.LOSES_PROPOSAL_ID && attempts > 1
-                    ? new Proposal(proposal.id() + "." + attempts, -1, proposal.entries(), proposal.why(), 0)
+                    ? new Proposal(proposal.id() + "." + attempts, -1, proposal.entries(), proposal.description(), 0)
                     : proposal;
             target.replica.propose(sent, outcome -> {
                 verify(!answered[0], "got two results");
@@ -91,18 +91,18 @@
         }
 
         private void onResult(VersionLog.ProposalResult received) {
-            if (received.what() == ProposalOutcome.UNKNOWN) {
+            if (received.outcome() == ProposalOutcome.UNKNOWN) {
                 scheduleAfter(millis(10 + random.nextInt(500)), this::attempt);
                 return;
             }
             result = received;
             openProposals--;
-            if (received.what() == ProposalOutcome.DECIDED) {
+            if (received.outcome() == ProposalOutcome.DECIDED) {
                 committedProposals++;
-                Version version = committedVersions.get(received.number());
+                Version version = committedVersions.get(received.version());
                 verify(
                         version == null || version.entries().get("id").equals(proposal.id()),
-                        proposal.id() + " was reported as version " + received.number()
+                        proposal.id() + " was reported as version " + received.version()
                                 + ", which is another proposal");
             }
         }
@@ -141,13 +141,13 @@
             Replica started = replica;
             Version newest =
                     variant == Variant.REPORTS_OLDER_VERSION && started.newest().number() > 0
-                            ? started.at(Math.max(1, started.newest().number() - 1))
+                            ? started.find(Math.max(1, started.newest().number() - 1))
                             : started.newest();
             verify(
                     newest.number() >= reportedVersion,
                     name + " restarted at version " + newest.number() + ", had reported " + reportedVersion);
             reportedVersion = Math.max(reportedVersion, newest.number());
-            started.listen(version -> {
+            started.addListener(version -> {
                 verify(
                         version.number() == reportedVersion + 1,
                         name + " reported " + version.number() + " after " + reportedVersion);
@@ -353,7 +353,7 @@
             Long number = versionNumbersById.get(proposer.proposal.id());
             boolean committed = number != null;
             verify(
-                    proposer.result == null || committed == (proposer.result.what() == ProposalOutcome.DECIDED),
+                    proposer.result == null || committed == (proposer.result.outcome() == ProposalOutcome.DECIDED),
                     proposer.proposal.id() + " has the result " + proposer.result + ", but is version " + number);
         }
         return newest;
--- a/src/test/java/mulleinfront/keep/TestCluster.java
+++ b/src/test/java/mulleinfront/keep/TestCluster.java
@@ -64,7 +64,7 @@
         BlockingQueue<Version> queue = new LinkedBlockingQueue<>();
         reportedVersions.put(name, queue);
         runOnLoop(name, () -> {
-            node.listen(queue::add);
+            node.addListener(queue::add);
             node.start();
             return null;
         });
@@ -111,7 +111,7 @@
         VersionLog.ProposalResult result;
         do {
             result = propose(replica, proposal);
-        } while (result.what() == VersionLog.ProposalOutcome.UNKNOWN);
+        } while (result.outcome() == VersionLog.ProposalOutcome.UNKNOWN);
         return result;
     }
 
--- a/src/test/java/mulleinfront/kit/BrokenDaemon.java
+++ b/src/test/java/mulleinfront/kit/BrokenDaemon.java
@@ -69,7 +69,7 @@
             InputStream in = new BufferedInputStream(client.getInputStream());
             for (String head; !(head = head(in)).isEmpty(); ) {
                 if (head.startsWith("GET /-/ready")) {
-                    String version = fault.equals("other-version") ? "9.9.9" : Version.OWN;
+                    String version = fault.equals("other-version") ? "9.9.9" : Version.CURRENT;
                     write(
                             client,
                             "HTTP/1.1 200 OK\r\n" + Version.HEADER + ": " + version
--- a/src/test/java/mulleinfront/kit/FleetProcessesTest.java
+++ b/src/test/java/mulleinfront/kit/FleetProcessesTest.java
@@ -32,7 +32,7 @@
                 "[scenario]\ntitle = \"a test\"\nworld = \""
                         + Path.of("scenarios/fleet/nine.toml").toAbsolutePath() + "\"\n" + lines);
         return new RealRun(ScenarioReader.read(file), 1, DAEMON, Path.of("").toAbsolutePath(), folder, line -> {})
-                .play();
+                .run();
     }
 
     private List<String> logLines(int member, String what) throws Exception {
--- a/src/test/java/mulleinfront/kit/RealRunTest.java
+++ b/src/test/java/mulleinfront/kit/RealRunTest.java
@@ -58,7 +58,7 @@
     @Test
     void keepsTheRulesWithoutFaults() throws Exception {
         assertRulesKept(run(DAEMON, "length = \"4s\"\n[proxies]\ncount = 2\n[load]\nrate = \"60/s\"\n")
-                .play());
+                .run());
     }
 
     @Test
@@ -103,7 +103,7 @@
                 do = "end-proxy"
                 at = "4s"
                 proxy = 1
-                """).play();
+                """).run();
         assertRulesKept(result);
         assertEquals(4L, result.sockets().service().counts().get("client proxy starts"));
         assertEquals(
@@ -112,7 +112,7 @@
                         .filter(s -> s.name().equals("new-1"))
                         .findFirst()
                         .orElseThrow()
-                        .lives());
+                        .processes());
     }
 
     @Test
@@ -130,7 +130,7 @@
                     line -> {});
             both[i] = new Thread(() -> {
                 try {
-                    ended.add(run.play());
+                    ended.add(run.run());
                 } catch (Exception e) {
                     ended.add(e);
                 }
@@ -167,7 +167,7 @@
                 at = "0s"
                 rate = "30%"
                 part = "100%"
-                """).play();
+                """).run();
         if (rule == null) {
             assertRulesKept(result);
             return;
@@ -211,7 +211,7 @@
                 do = "drain"
                 at = "500ms"
                 servers = ["new-0", "new-1"]
-                """).play();
+                """).run();
         assertTrue(
                 result.sockets().breaches().stream().anyMatch(b -> b.rule() == Rule.DRAINS),
                 result.failures() + " " + result.sockets().breaches());
@@ -230,8 +230,8 @@
                 at = "500ms"
                 drain = "100ms"
                 servers = ["new-0"]
-                """).play();
-        assertTrue(result.sockets().service().servers().stream().anyMatch(s -> s.figures().fell), "new-0 fell over");
+                """).run();
+        assertTrue(result.sockets().service().servers().stream().anyMatch(s -> s.figures().crashed), "new-0 fell over");
     }
 
     @Test
@@ -251,7 +251,7 @@
                 do = "end-proxy"
                 at = "2s"
                 proxy = 0
-                """).play();
+                """).run();
         assertTrue(
                 result.sockets().breaches().stream()
                         .anyMatch(b -> b.rule() == Rule.LOST && b.what().contains("when its client proxy ended")),
@@ -261,7 +261,7 @@
     @Test
     void detectsADescriptorLeak() throws Exception {
         KitResult result = run(BROKEN + "leaks", "length = \"12s\"\n[proxies]\ncount = 1\n[load]\nrate = \"40/s\"\n")
-                .play();
+                .run();
         assertTrue(
                 result.failures().stream().anyMatch(f -> f.startsWith("client proxies leak")),
                 result.failures() + " " + result.quarters());
@@ -271,7 +271,7 @@
     void checksAnotherVersionOnlyOnRequest() throws Exception {
         String command = BROKEN + "other-version";
         String lines = "length = \"1s\"\n[proxies]\ncount = 1\n[load]\nrate = \"20/s\"\n";
-        KitResult rejected = run(command, lines).play();
+        KitResult rejected = run(command, lines).run();
         assertNull(rejected.sockets());
         assertEquals(KitResult.Verdict.WRONG_VERSION, rejected.verdict(false));
         ByteArrayOutputStream xml = new ByteArrayOutputStream();
@@ -281,7 +281,7 @@
         String text = Report.text(rejected, false);
         assertTrue(text.contains("the daemon says 9.9.9, this kit is " + rejected.kitVersion()), text);
         assertTrue(text.contains("--any-version"), text);
-        KitResult accepted = run(command, lines).anyVersion().play();
+        KitResult accepted = run(command, lines).anyVersion().run();
         assertNotNull(accepted.sockets());
         assertTrue(Report.text(accepted, true).contains("versions differ"));
     }
@@ -290,12 +290,12 @@
     void reportsADaemonThatIsNeverReadyExitsOrIgnoresSigterm() throws Exception {
         String lines = "length = \"3s\"\n[proxies]\ncount = 1\n[load]\nrate = \"20/s\"\n";
         KitResult neverReady =
-                run("exec sleep 600", lines).withTimeouts(1_000, 5_000).play();
+                run("exec sleep 600", lines).withTimeouts(1_000, 5_000).run();
         assertEquals(KitResult.Verdict.FAILED, neverReady.verdict(false));
         assertTrue(
                 neverReady.failures().get(0).startsWith("client proxy 0 never got ready"),
                 neverReady.failures().toString());
-        KitResult exitedAtOnce = run("echo no way; exit 7", lines).play();
+        KitResult exitedAtOnce = run("echo no way; exit 7", lines).run();
         assertTrue(
                 exitedAtOnce.failures().get(0).contains("it ended: ")
                         && exitedAtOnce.failures().get(0).contains("no way"),
@@ -303,13 +303,13 @@
         KitResult killed = run(
                         "(sleep 3; kill -9 $$) & " + BROKEN + "none",
                         "length = \"6s\"\n[proxies]\ncount = 1\n[load]\nrate = \"20/s\"\n")
-                .play();
+                .run();
         assertTrue(
                 killed.failures().stream().anyMatch(f -> f.contains("ended by itself, exit code 137")),
                 killed.failures().toString());
         KitResult ignoresSigterm = run("trap '' TERM; " + BROKEN + "none", lines)
                 .withTimeouts(60_000, 500)
-                .play();
+                .run();
         assertTrue(
                 ignoresSigterm.failures().stream().anyMatch(f -> f.contains("did not end within")),
                 ignoresSigterm.failures().toString());
--- a/src/test/java/mulleinfront/kit/ScaleRunTest.java
+++ b/src/test/java/mulleinfront/kit/ScaleRunTest.java
@@ -35,7 +35,7 @@
     @Test
     void realAndSimulatedMembersConvergeThroughAllFaults() throws Exception {
         ScaleRun.Plan plan = new ScaleRun.Plan(3, 30, 15, 1, 2, 12, 200, true, EnumSet.allOf(ScaleRun.Fault.class));
-        ScaleReport report = run(plan, JAVA + "serve").play();
+        ScaleReport report = run(plan, JAVA + "serve").run();
         assertEquals(java.util.List.of(), report.failures(), report.text());
         Set<String> phases = report.rows().stream().map(ScaleReport.Row::phase).collect(Collectors.toSet());
         assertTrue(
@@ -63,7 +63,7 @@
     void reportsAProxyThatNeverGetsReady() throws Exception {
         ScaleReport report = run(
                         new ScaleRun.Plan(1, 0, 1, 1, 1, 1, 200, false, Set.of()), "echo no such thing; exit 1")
-                .play();
+                .run();
         assertEquals(1, report.failures().size(), report.text());
         assertTrue(
                 report.failures().get(0).contains("never got ready")
--- a/src/test/java/mulleinfront/kit/SoakTest.java
+++ b/src/test/java/mulleinfront/kit/SoakTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import mulleinfront.emulator.GeneratedScenario;
 import mulleinfront.emulator.ScenarioReader;
-import mulleinfront.proxy.DeafToEndsDaemon;
+import mulleinfront.proxy.IgnoresWatchEndsDaemon;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Execution;
@@ -25,24 +25,24 @@
     @TempDir
     Path folder;
 
-    private Soak.Played play(String daemon, long seed) throws Exception {
+    private Soak.SeedResult play(String daemon, long seed) throws Exception {
         return play(new Soak.Plan(4, 14, 1_000), daemon, seed);
     }
 
-    private Soak.Played play(Soak.Plan plan, String daemon, long seed) throws Exception {
-        return new Soak(plan, JAVA + daemon, Path.of("").toAbsolutePath(), line -> {}).play(seed, folder);
+    private Soak.SeedResult play(Soak.Plan plan, String daemon, long seed) throws Exception {
+        return new Soak(plan, JAVA + daemon, Path.of("").toAbsolutePath(), line -> {}).run(seed, folder);
     }
 
     @Test
     void fourProcessesKeepTheRules() throws Exception {
-        Soak.Played result = play("mulleinfront.Main serve", 2);
+        Soak.SeedResult result = play("mulleinfront.Main serve", 2);
         assertEquals(List.of(), result.failures());
-        assertTrue(result.rehearsal().sockets().service().tries().get("served") > 100, "it was served");
+        assertTrue(result.result().sockets().service().tries().get("served") > 100, "it was served");
     }
 
     @Test
     void failsADaemonThatBreaksARule() throws Exception {
-        Soak.Played result = play(BrokenDaemon.class.getName() + " answers-twice", 2);
+        Soak.SeedResult result = play(BrokenDaemon.class.getName() + " answers-twice", 2);
         assertFalse(result.failures().isEmpty());
     }
 
@@ -51,7 +51,7 @@
      */
     @Test
     void failsADaemonThatIgnoresTheEndOfItsWatch() throws Exception {
-        Soak.Played result = play(new Soak.Plan(6, 20, 0), DeafToEndsDaemon.class.getName(), 11);
+        Soak.SeedResult result = play(new Soak.Plan(6, 20, 0), IgnoresWatchEndsDaemon.class.getName(), 11);
         assertTrue(result.failures().stream().anyMatch(f -> f.contains("drains are kept")), "" + result.failures());
     }
 
--- a/src/test/java/mulleinfront/kit/StaleListTest.java
+++ b/src/test/java/mulleinfront/kit/StaleListTest.java
@@ -51,7 +51,7 @@
                 "[scenario]\ntitle = \"a test\"\nworld = \""
                         + Path.of("scenarios/calm.toml").toAbsolutePath() + "\"\n" + WORLD + lines + DRAIN);
         KitResult result =
-                new RealRun(ScenarioReader.read(file), 1, DAEMON, Path.of("").toAbsolutePath(), folder, l -> {}).play();
+                new RealRun(ScenarioReader.read(file), 1, DAEMON, Path.of("").toAbsolutePath(), folder, l -> {}).run();
         assertEquals(List.of(), result.failures());
         assertEquals(
                 List.of(),
--- a/src/test/java/mulleinfront/proxy/AttemptDeadlineTest.java
+++ b/src/test/java/mulleinfront/proxy/AttemptDeadlineTest.java
@@ -30,7 +30,9 @@
         return System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(delayMs);
     }
 
-    /** Lets some of the client's time pass before the attempt's connection is established, and checks the deadline sent. */
+    /**
+     * Lets some of the client's time pass before the attempt's connection is established, and checks the deadline sent.
+     */
     private static void assertRemainingTimeIsSent(FullBacklogEndpoint host) throws Exception {
         spinUntil(nanoTimeAfter(WAIT_MS));
         host.acceptPending();
--- a/src/test/java/mulleinfront/proxy/ClientChannelTest.java
+++ b/src/test/java/mulleinfront/proxy/ClientChannelTest.java
@@ -65,7 +65,7 @@
             CountDownLatch closed = new CountDownLatch(1);
             loop.execute(() -> {
                 listener.config().setAutoRead(true);
-                listener.closeAfterAll(1024, closed::countDown);
+                listener.closeAfterBacklog(1024, closed::countDown);
             });
             assertTrue(closed.await(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
             assertEquals(pendingCount, accepted[0]);
--- a/src/test/java/mulleinfront/proxy/ClosingTest.java
+++ b/src/test/java/mulleinfront/proxy/ClosingTest.java
@@ -165,7 +165,7 @@
         // Guards against a truncated response: a connection whose response was being written looked idle, and a drain
         // closes
         // idle connections.
-        String largeBody = "x".repeat(Framing.MOST_BODY);
+        String largeBody = "x".repeat(Framing.MAX_BUFFERED_BODY_BYTES);
         Server host = startServer(request -> request.respondOk(largeBody));
         startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
         balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
--- a/src/test/java/mulleinfront/proxy/ConfigServeTest.java
+++ b/src/test/java/mulleinfront/proxy/ConfigServeTest.java
@@ -246,7 +246,7 @@
         Path loaded = folder.resolve("loaded");
         Process process = startProxy(ServeTest.freePort(), "127.0.0.1:1", errors, "-Xlog:class+load:file=" + loaded);
         awaitLine(errors, "listening on");
-        awaitLine(loaded, "mulleinfront.follow.Following ");
+        awaitLine(loaded, "mulleinfront.follow.ConfigWatcher ");
         process.destroy();
         assertTrue(process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS), "nobody hands out, and it ends all the same");
         String classes = Files.readString(loaded);
--- a/src/test/java/mulleinfront/proxy/CongestionTest.java
+++ b/src/test/java/mulleinfront/proxy/CongestionTest.java
@@ -49,7 +49,7 @@
                 .replace("\"balancers\":3", "\"balancers\":100")
                 .replace("\"onTimeUs\":20000000,\"deadlineUs\":20000000", "\"onTimeUs\":400000,\"deadlineUs\":400000");
         proxy = ClientProxy.start(Config.parse(config.getBytes(StandardCharsets.UTF_8)), Balancer::create);
-        ClientProxy.operate(List.of(proxy));
+        ClientProxy.openManagement(List.of(proxy));
         Client client = connectClient();
         int served = 0;
         for (int i = 0; served < 30; i++) {
--- a/src/test/java/mulleinfront/proxy/ControlPlaneNodes.java
+++ b/src/test/java/mulleinfront/proxy/ControlPlaneNodes.java
@@ -61,8 +61,8 @@
     }
 
     /**
-     * @param keep whether subscribers keep cached copies
-     * @param loops number of event loops that the subscribers share
+     * @param cacheCopies whether subscribers keep cached copies
+     * @param loopCount number of event loops that the subscribers share
      */
     ControlPlaneNodes(Path folder, boolean cacheCopies, int loopCount) throws Exception {
         this.group = new MultiThreadIoEventLoopGroup(loopCount, NioIoHandler.newFactory());
@@ -174,7 +174,9 @@
         return exitCode + "\n" + output;
     }
 
-    /** Proposes a configuration and requires that it is committed; returns the time before the proposal, in nanoseconds. */
+    /**
+     * Proposes a configuration and requires that it is committed; returns the time before the proposal, in nanoseconds.
+     */
     long propose(int number, String moreToml) throws Exception {
         Path toml =
                 Files.writeString(folder.resolve("fleet-" + number + ".toml"), "number = " + number + "\n" + moreToml);
@@ -214,7 +216,7 @@
     }
 
     InetSocketAddress clientAddress(int node) throws Exception {
-        return ControlFile.load(controlFile).machines().get(node - 1).clientAddress();
+        return ControlFile.load(controlFile).nodes().get(node - 1).clientAddress();
     }
 
     @Override
--- a/src/test/java/mulleinfront/proxy/IdleClientsTest.java
+++ b/src/test/java/mulleinfront/proxy/IdleClientsTest.java
@@ -34,7 +34,7 @@
     /** Descriptor limit in the configuration of {@link StandIns#configJson}. */
     private static final int DESCRIPTOR_LIMIT = 160;
     /** Descriptors left for clients besides those of the process and of connections to endpoints. */
-    private static final int MAX_CLIENTS = (DESCRIPTOR_LIMIT - ClientProxy.OWN_SOCKETS) / 2;
+    private static final int MAX_CLIENTS = (DESCRIPTOR_LIMIT - ClientProxy.RESERVED_SOCKETS) / 2;
     /** Attempts that the balancer has in flight, at most, at an endpoint that has not answered yet. */
     private static final int MAX_UNANSWERED_ATTEMPTS = 2;
 
@@ -150,7 +150,7 @@
         }
         assertEquals(404, last.read().status());
         assertTrue(
-                maxSockets <= MAX_CLIENTS + ClientProxy.OWN_SOCKETS,
+                maxSockets <= MAX_CLIENTS + ClientProxy.RESERVED_SOCKETS,
                 maxSockets + " sockets: nothing is left for others");
 
         try (ServerSocket returnedDiscovery = new ServerSocket(discoveryPort, 50, InetAddress.getLoopbackAddress())) {
--- a/src/test/java/mulleinfront/proxy/DeafToEndsDaemon.java
+++ b/src/test/java/mulleinfront/proxy/IgnoresWatchEndsDaemon.java
@@ -8,11 +8,11 @@
 import sun.misc.Signal;
 
 /**
- * The real client proxy with an injected fault: when discovery ends a watch or refuses a discovery call, the balancer is
- * notified that discovery is unreachable, which wrongly postpones the list's expiry.
+ * The real client proxy with an injected fault: when discovery ends a watch or refuses a discovery call, the balancer
+ * is notified that discovery is unreachable, which wrongly postpones the list's expiry.
  */
-public final class DeafToEndsDaemon {
-    private DeafToEndsDaemon() {}
+public final class IgnoresWatchEndsDaemon {
+    private IgnoresWatchEndsDaemon() {}
 
     /** Serves as the {@code serve} command does, with the configuration file that NODE_CONFIG names. */
     public static void main(String... args) throws Exception {
--- a/src/test/java/mulleinfront/proxy/ListsTest.java
+++ b/src/test/java/mulleinfront/proxy/ListsTest.java
@@ -64,7 +64,9 @@
         assertTrue(balancer.listEvents.isEmpty(), "each was told once");
     }
 
-    /** Makes the balancer subscribe and send an attempt on each request, and refuse the request if the attempt fails. */
+    /**
+     * Makes the balancer subscribe and send an attempt on each request, and refuse the request if the attempt fails.
+     */
     private void subscribeOnEachRequest() {
         balancer.onRequest = request -> {
             balancer.actions.subscribe();
--- a/src/test/java/mulleinfront/proxy/LoopStallTest.java
+++ b/src/test/java/mulleinfront/proxy/LoopStallTest.java
@@ -25,7 +25,7 @@
     @Test
     void lateTickOrReadIsAStall() {
         LoopStall stall = new LoopStall(TICK_US, 0);
-        assertEquals(0, stall.ageUs(nanos(TICK_US + LoopStall.LEAST_US)), "within the slack");
+        assertEquals(0, stall.ageUs(nanos(TICK_US + LoopStall.MIN_STALL_US)), "within the slack");
         assertEquals(1_200_000, stall.ageUs(nanos(1_200_000)));
         stall.tick(nanos(1_201_000));
         assertEquals(1_200_000, stall.ageUs(nanos(1_202_000)), "what was accepted in the first round");
--- a/src/test/java/mulleinfront/proxy/OperatedTest.java
+++ b/src/test/java/mulleinfront/proxy/OperatedTest.java
@@ -36,7 +36,7 @@
                 Config.parse(config.replace("{\"name\":\"n0\"", "{\"name\":\"n0\",\"management\":\"127.0.0.1:0\"")
                         .getBytes(StandardCharsets.UTF_8)),
                 Balancer::create);
-        ClientProxy.operate(List.of(proxy));
+        ClientProxy.openManagement(List.of(proxy));
     }
 
     private String sendCommand(String command) throws IOException {
@@ -72,7 +72,7 @@
     @Test
     void invalidCommandsAffectOnlyTheirOwnConnection() throws Exception {
         start(startServer(request -> request.respondOk("x")));
-        for (int i = 0; i < 3 * ManagementServer.MOST; i++) {
+        for (int i = 0; i < 3 * ManagementServer.MAX_CONNECTIONS; i++) {
             Socket silent = closeAfterTest(new Socket(InetAddress.getLoopbackAddress(), proxy.managementPort()));
             silent.getOutputStream().write(i % 2 == 0 ? new byte[0] : "heal".getBytes(StandardCharsets.US_ASCII));
         }
--- a/src/test/java/mulleinfront/proxy/ProxyTestBase.java
+++ b/src/test/java/mulleinfront/proxy/ProxyTestBase.java
@@ -24,7 +24,9 @@
 import mulleinfront.settings.Config;
 import org.junit.jupiter.api.AfterEach;
 
-/** Base of tests that run the proxy's sockets with a scripted balancer, so that each outcome is observed in isolation. */
+/**
+ * Base of tests that run the proxy's sockets with a scripted balancer, so that each outcome is observed in isolation.
+ */
 abstract class ProxyTestBase {
     final List<AutoCloseable> resources = new ArrayList<>();
     final ScriptedBalancer balancer = new ScriptedBalancer();
--- a/src/test/java/mulleinfront/proxy/StandIns.java
+++ b/src/test/java/mulleinfront/proxy/StandIns.java
@@ -22,7 +22,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Stand-ins for the clients, endpoints and discovery of a client proxy: minimal plain-socket peers that tests script. */
+/**
+ * Stand-ins for the clients, endpoints and discovery of a client proxy: minimal plain-socket peers that tests script.
+ */
 final class StandIns {
     /** Timeout of every wait; reaching it fails the test. */
     static final long TIMEOUT_S = 30;
--- a/src/test/java/mulleinfront/proxy/StartTest.java
+++ b/src/test/java/mulleinfront/proxy/StartTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a start waits for. When everything restarts at once, discovery is unreachable or overloaded, endpoints are not up
- * yet and clients connect early; a client proxy that has a list of endpoints is ready all the same.
+ * What a start waits for. When everything restarts at once, discovery is unreachable or overloaded, endpoints are not
+ * up yet and clients connect early; a client proxy that has a list of endpoints is ready all the same.
  */
 class StartTest extends ProxyTestBase {
     /** More clients than the warm-up has room for. */
--- a/src/test/java/mulleinfront/proxy/WarmUpTest.java
+++ b/src/test/java/mulleinfront/proxy/WarmUpTest.java
@@ -40,21 +40,23 @@
         Config config = config(0.5, 60, tenant("a", 400), tenant("b", 240));
         assertEquals(640.0 / 60, config.requestsPerS(), 1e-9);
         assertEquals(0.5, config.cores());
-        assertEquals(512, config.sockets());
+        assertEquals(512, config.maxSockets());
     }
 
     @Test
     void instanceWithLittleTrafficDoesNotWarmUp() throws Exception {
-        assertFalse(Rehearsal.pays(config(0.5, 60, tenant("a", 400), tenant("b", 240))));
+        assertFalse(WarmUp.isWorthwhile(config(0.5, 60, tenant("a", 400), tenant("b", 240))));
     }
 
     @Test
     void busyInstanceWarmsUp() throws Exception {
-        assertTrue(Rehearsal.pays(config(0.5, 3, tenant("a", 400), tenant("b", 240))));
-        assertTrue(Rehearsal.pays(config(0.05, 60, tenant("a", 400), tenant("b", 240))));
+        assertTrue(WarmUp.isWorthwhile(config(0.5, 3, tenant("a", 400), tenant("b", 240))));
+        assertTrue(WarmUp.isWorthwhile(config(0.05, 60, tenant("a", 400), tenant("b", 240))));
     }
 
-    /** Guards against a connection that stays open for ever: Netty's event loop may end without closing its channels. */
+    /**
+     * Guards against a connection that stays open for ever: Netty's event loop may end without closing its channels.
+     */
     @Test
     void managementConnectionsDuringTheWarmUpAreClosed() throws Exception {
         String config = StandIns.configJson(
@@ -99,7 +101,7 @@
 
     @Test
     void instanceWithUnknownTrafficWarmsUp() throws Exception {
-        assertTrue(Rehearsal.pays(config(1, 60, "{\"name\": \"a\", \"share\": 1}")));
-        assertTrue(Rehearsal.pays(config(1, 60)));
+        assertTrue(WarmUp.isWorthwhile(config(1, 60, "{\"name\": \"a\", \"share\": 1}")));
+        assertTrue(WarmUp.isWorthwhile(config(1, 60)));
     }
 }
--- a/src/test/java/mulleinfront/settings/ControlFileTest.java
+++ b/src/test/java/mulleinfront/settings/ControlFileTest.java
@@ -38,8 +38,8 @@
     void deployFileContainsTheDefaults() throws Exception {
         ControlFile file = ControlFile.load(Path.of("deploy/control.toml"));
         assertEquals(PublisherSettings.DEFAULTS, file.publisher());
-        assertEquals(SubscriberSettings.defaults(3), file.follow());
-        assertNull(file.state());
+        assertEquals(SubscriberSettings.defaults(3), file.subscriber());
+        assertNull(file.cacheDirectory());
         assertNull(file.eventLogFile());
     }
 
--- a/src/test/java/mulleinfront/settings/LoadReportTest.java
+++ b/src/test/java/mulleinfront/settings/LoadReportTest.java
@@ -11,9 +11,9 @@
 class LoadReportTest {
     @Test
     void readsRequestsInFlightUnderBothKeys() {
-        assertEquals(7, LoadReport.held("{\"outstanding\":7}"));
-        assertEquals(4.489, LoadReport.held("{\"util\": 0.61, \"inflight\": 4.489, \"x0\": {\"a\": [1]}}"));
-        assertEquals(0, LoadReport.held(" {\"outstanding\":0} "));
+        assertEquals(7, LoadReport.inFlight("{\"outstanding\":7}"));
+        assertEquals(4.489, LoadReport.inFlight("{\"util\": 0.61, \"inflight\": 4.489, \"x0\": {\"a\": [1]}}"));
+        assertEquals(0, LoadReport.inFlight(" {\"outstanding\":0} "));
     }
 
     @ParameterizedTest
@@ -39,12 +39,12 @@
                 "{\"outstanding\":99999999999999999999999999999999999999999999999999999999999999999e99999999}"
             })
     void ignoresMalformedReports(String text) {
-        assertTrue(Double.isNaN(LoadReport.held(text)), text);
+        assertTrue(Double.isNaN(LoadReport.inFlight(text)), text);
     }
 
     @Test
     void ignoresOverlongOrMissingReports() {
-        assertTrue(Double.isNaN(LoadReport.held("{\"outstanding\":7" + " ".repeat(600) + "}")));
-        assertTrue(Double.isNaN(LoadReport.held((String) null)));
+        assertTrue(Double.isNaN(LoadReport.inFlight("{\"outstanding\":7" + " ".repeat(600) + "}")));
+        assertTrue(Double.isNaN(LoadReport.inFlight((String) null)));
     }
 }
--- a/src/test/java/mulleinfront/settings/ProcessSettingsTest.java
+++ b/src/test/java/mulleinfront/settings/ProcessSettingsTest.java
@@ -58,8 +58,8 @@
         assertEquals(4, loops.size());
         for (Config loop : loops) {
             assertEquals(4 * config.settings().instances(), loop.settings().instances());
-            assertEquals(48 + (1024 - 48 - 3 * 16) / 4, loop.sockets());
-            assertEquals(config.known(), loop.known());
+            assertEquals(48 + (1024 - 48 - 3 * 16) / 4, loop.maxSockets());
+            assertEquals(config.lastKnownList(), loop.lastKnownList());
         }
         assertEquals(4, loops.stream().map(Config::seed).distinct().count());
         assertEquals(config.seed(), loops.get(0).seed());
