--- a/src/main/java/mulleinfront/State.java
+++ b/src/main/java/mulleinfront/State.java
@@ -38,7 +38,7 @@
         double capacity;
         /** Its contribution to the total capacity: 0 while it is not usable. */
         double countedCapacity;
-        /** Decaying number of requests for which it was the a usable owner. */
+        /** Decaying number of requests for which it was a usable owner. */
         double offeredLoad;
         /** Start of its process according to the list, and start of its slow start. */
         long startedAt;
