--- a/src/main/java/mulleinfront/bench/MembershipCost.java
+++ b/src/main/java/mulleinfront/bench/MembershipCost.java
@@ -80,9 +80,10 @@
         SlopeCollector out = new SlopeCollector("client proxies", command);
         new MembershipCost(sizes[0], seed, rack, zones, new SlopeCollector("", "")).runAll();
         for (int n : sizes) {
-            long from = cpu();
+            long from = threadCpuNanos();
             new MembershipCost(n, seed, rack, zones, out).runAll();
-            progress.printf(Locale.ROOT, "membership of %d: %.0f s of processor time%n", n, (cpu() - from) / 1e9);
+            progress.printf(
+                    Locale.ROOT, "membership of %d: %.0f s of processor time%n", n, (threadCpuNanos() - from) / 1e9);
             progress.flush();
         }
         return out.slopes();
@@ -90,7 +91,7 @@
 
     private void runAll() {
         long heap = usedHeapBytes();
-        phase("start", "through a start of all within a second", 20, () -> scheduleStarts(0, count, SECOND));
+        measurePhase("start", "through a start of all within a second", 20, () -> scheduleStarts(0, count, SECOND));
         run.run(SETTLE_US);
         out.add(
                 count,
@@ -99,11 +100,11 @@
                 "bytes",
                 Math.max(0, usedHeapBytes() - heap) / (double) count);
         Reference.reachabilityFence(run);
-        phase("rest", "at rest", 20, () -> {});
+        measurePhase("rest", "at rest", 20, () -> {});
         measureKill("host", "after one host's end", Math.max(1, count / 2), 1);
         measureKill("rack", "after a rack's end, all at once", 0, Math.max(1, (int) Math.round(rackShare * count)));
         measureKill("zone", "after a zone's end, all at once", 0, count / zones);
-        phase("restarts", "while a day's restarts come at once", 20, () -> {
+        measurePhase("restarts", "while a day's restarts come at once", 20, () -> {
             int many = Math.max(1, (int) Math.round(DAILY_RESTART_SHARE * count));
             for (int i = 0; i < many; i++) {
                 run.kill(i * count / many);
@@ -115,8 +116,8 @@
             });
         });
         measurePartition();
-        phase("release", "while a tenth after the other is restarted, 5 s each", 55, this::rollingRestart);
-        phase("again", "while all are killed and started within a second", 20, () -> {
+        measurePhase("release", "while a tenth after the other is restarted, 5 s each", 55, this::rollingRestart);
+        measurePhase("again", "while all are killed and started within a second", 20, () -> {
             for (int i = 0; i < count; i++) {
                 run.kill(i);
             }
@@ -132,49 +133,58 @@
     }
 
     /** Kills some members at once and starts them again after the others have detected it. */
-    private void measureKill(String id, String what, int from, int many) {
+    private void measureKill(String id, String description, int from, int many) {
         Arrays.fill(killedAt, 0);
         Arrays.fill(firstSuspected, 0);
         Arrays.fill(lastFailed, 0);
-        phase(id, what, 30, () -> {
+        measurePhase(id, description, 30, () -> {
             for (int i = from; i < from + many; i++) {
                 killedAt[i] = run.now();
                 run.kill(i);
             }
         });
         double suspected = 0;
-        double worst = 0;
+        double maxDetectionSeconds = 0;
         for (int i = from; i < from + many; i++) {
             // If not all live members have recorded the failure by now, the elapsed time is a lower bound.
             int alive = count - many;
             long last = run.countRecording(i, MemberState.FAILED) < alive ? run.now() : lastFailed[i];
-            worst = Math.max(worst, (last - killedAt[i]) / 1e6);
+            maxDetectionSeconds = Math.max(maxDetectionSeconds, (last - killedAt[i]) / 1e6);
             suspected = Math.max(suspected, (firstSuspected[i] - killedAt[i]) / 1e6);
         }
         out.add(
                 count,
                 "membership." + id + ".suspected",
-                "worst time until somebody suspects one " + what,
+                "worst time until somebody suspects one " + description,
                 "s",
                 suspected);
-        out.add(count, "membership." + id + ".known", "worst time until all know of one " + what, "s", worst);
+        out.add(
+                count,
+                "membership." + id + ".known",
+                "worst time until all know of one " + description,
+                "s",
+                maxDetectionSeconds);
         Arrays.fill(killedAt, 0);
-        phase(id + "-return", what + " and its return within a second", 20, () -> scheduleStarts(from, many, SECOND));
+        measurePhase(
+                id + "-return",
+                description + " and its return within a second",
+                20,
+                () -> scheduleStarts(from, many, SECOND));
     }
 
     private void measurePartition() {
-        BitSet one = new BitSet();
-        one.set(0, count / 2);
-        BitSet other = new BitSet();
-        other.set(count / 2, count);
+        BitSet firstHalf = new BitSet();
+        firstHalf.set(0, count / 2);
+        BitSet secondHalf = new BitSet();
+        secondHalf.set(count / 2, count);
         PeerFaults.ActiveFault[] partition = new PeerFaults.ActiveFault[1];
-        phase(
+        measurePhase(
                 "apart",
                 "while two halves are apart for a minute",
                 60,
-                () -> partition[0] = run.partition(one, other, false));
+                () -> partition[0] = run.partition(firstHalf, secondHalf, false));
         long[] convergedUs = {0};
-        phase("together", "while two halves find each other again", 40, () -> {
+        measurePhase("together", "while two halves find each other again", 40, () -> {
             partition[0].end();
             long from = run.now();
             run.after(SECOND / 4, new Runnable() {
@@ -214,7 +224,7 @@
         }
     }
 
-    private void phase(String id, String what, int seconds, Runnable begin) {
+    private void measurePhase(String id, String description, int seconds, Runnable begin) {
         if (!id.equals("start") && !id.endsWith("-return") && !id.equals("together")) {
             run.run(BETWEEN_US);
         }
@@ -223,15 +233,15 @@
             sent[i] = lastSeen[i] == null ? 0 : lastSeen[i].sentBytes();
         }
         FleetRun.TrafficCounts before = run.trafficCounts();
-        long cpu = cpu();
+        long cpu = threadCpuNanos();
         begin.run();
-        long worst = 0;
+        long maxBytesPerSecond = 0;
         for (int s = 0; s < seconds; s++) {
             run.run(SECOND);
             for (int i = 0; i < count; i++) {
                 Fleet now = run.member(i);
                 long bytes = now == null ? 0 : now.sentBytes();
-                worst = Math.max(worst, now == lastSeen[i] ? bytes - sent[i] : bytes);
+                maxBytesPerSecond = Math.max(maxBytesPerSecond, now == lastSeen[i] ? bytes - sent[i] : bytes);
                 lastSeen[i] = now;
                 sent[i] = bytes;
             }
@@ -242,25 +252,30 @@
         out.add(
                 count,
                 name + ".processor",
-                "processor time of each " + what,
+                "processor time of each " + description,
                 "of a core",
-                (cpu() - cpu) / 1e9 / memberSeconds);
+                (threadCpuNanos() - cpu) / 1e9 / memberSeconds);
         out.add(
                 count,
                 name + ".messages",
-                "datagrams from each " + what,
+                "datagrams from each " + description,
                 "/s",
                 (after.datagrams() - before.datagrams()) / memberSeconds);
         out.add(
                 count,
                 name + ".bytes",
-                "bytes from each " + what,
+                "bytes from each " + description,
                 "bytes/s",
                 (after.bytes() - before.bytes()) / memberSeconds);
-        out.add(count, name + ".worst", "bytes from the busiest in its busiest second " + what, "bytes/s", worst);
+        out.add(
+                count,
+                name + ".worst",
+                "bytes from the busiest in its busiest second " + description,
+                "bytes/s",
+                maxBytesPerSecond);
     }
 
-    private static long cpu() {
+    private static long threadCpuNanos() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
--- a/src/main/java/mulleinfront/bench/SlopeCollector.java
+++ b/src/main/java/mulleinfront/bench/SlopeCollector.java
@@ -28,8 +28,8 @@
     }
 
     /** Adds one measured value at one size. */
-    void add(double size, String id, String what, String unit, double value) {
-        labels.put(id, new String[] {what, unit});
+    void add(double size, String id, String description, String unit, double value) {
+        labels.put(id, new String[] {description, unit});
         points.computeIfAbsent(id, i -> new ArrayList<>())
                 .add(new Fit.Point(size, new BigDecimal(value).round(PRECISION).doubleValue()));
     }
--- a/src/main/java/mulleinfront/cli/Emulate.java
+++ b/src/main/java/mulleinfront/cli/Emulate.java
@@ -228,9 +228,15 @@
             err.println();
         }
         PrintWriter out = spec.commandLine().getOut();
-        out.printf(Locale.ROOT, "%s, seeds %d..%d: mean service %.4f%n", name, range[0], range[1], Sweep.mean(results));
+        out.printf(
+                Locale.ROOT,
+                "%s, seeds %d..%d: mean service %.4f%n",
+                name,
+                range[0],
+                range[1],
+                Sweep.meanScore(results));
         StringBuilder worst = new StringBuilder();
-        for (Sweep.SeedResult result : Sweep.worst(results, WORST_SEEDS_PRINTED)) {
+        for (Sweep.SeedResult result : Sweep.lowestScores(results, WORST_SEEDS_PRINTED)) {
             worst.append(String.format(Locale.ROOT, " %d (%.4f)", result.seed(), result.service()));
         }
         out.printf(Locale.ROOT, "worst seeds:%s%n", worst);
@@ -243,7 +249,7 @@
                         .orElse(0),
                 results.stream().mapToDouble(Sweep.SeedResult::goodput).min().orElse(0),
                 results.stream().mapToInt(Sweep.SeedResult::crashedServers).sum());
-        Sweep.starts(results).forEach(out::println);
+        Sweep.describeRestarts(results).forEach(out::println);
         List<Sweep.SeedResult> broken =
                 results.stream().filter(result -> result.breaches() > 0).toList();
         if (broken.isEmpty()) {
--- a/src/main/java/mulleinfront/cli/ExplainCommand.java
+++ b/src/main/java/mulleinfront/cli/ExplainCommand.java
@@ -61,7 +61,7 @@
         Scenario scenario = ScenarioReader.read(file);
         List<String> lines = request != null
                 ? Explain.request(scenario, seed, request)
-                : Explain.cause(scenario, seed, parseCause(), (long) (fromSecond * 1e6), maxRequests);
+                : Explain.requestsLostBy(scenario, seed, parseCause(), (long) (fromSecond * 1e6), maxRequests);
         PrintWriter out = spec.commandLine().getOut();
         lines.forEach(out::println);
         out.flush();
--- a/src/main/java/mulleinfront/cli/ScaleCommand.java
+++ b/src/main/java/mulleinfront/cli/ScaleCommand.java
@@ -155,6 +155,8 @@
         try (OutputStream json = Files.newOutputStream(directory.resolve("report.json"))) {
             report.json(json);
         }
-        return !report.failures().isEmpty() ? CommandLine.FAILED : report.over() ? OVER_BUDGET : CommandLine.SUCCESS;
+        return !report.failures().isEmpty()
+                ? CommandLine.FAILED
+                : report.anyOverBudget() ? OVER_BUDGET : CommandLine.SUCCESS;
     }
 }
--- a/src/main/java/mulleinfront/config/ConfigPublisher.java
+++ b/src/main/java/mulleinfront/config/ConfigPublisher.java
@@ -9,9 +9,9 @@
 /**
  * Distributes configuration versions from a control-plane node to its subscribers: tracks the version of each
  * subscriber, decides what to send and limits the rate. A subscriber that is behind gets one delta to the newest
- * version, however many versions it lacks. Its state has a fixed size, and an encoded delta is shared by all
- * subscribers with the same base version. A subscriber that does not read is disconnected and never delays
- * another one.
+ * version, however many versions it lacks. The state kept for a subscriber has a fixed size, and an encoded delta
+ * is shared by all subscribers with the same base version. A subscriber that does not read is disconnected and
+ * never delays another one.
  *
  * <p>Confined to one event loop. The caller passes in the current time in microseconds.
  */
@@ -57,7 +57,7 @@
      *        also if this node does not retain that version
      * @param sentVersion number of the version that the subscriber has once it has read everything sent to it
      * @param watching whether the subscriber's watch is open at this node
-     * @param lastHeardUs when the watch was opened or last reported
+     * @param lastHeardUs when the watch was opened or the subscriber last reported
      */
     public record SubscriberStatus(
             String name,
--- a/src/main/java/mulleinfront/config/PublisherSettings.java
+++ b/src/main/java/mulleinfront/config/PublisherSettings.java
@@ -19,7 +19,10 @@
         long subscriberTimeoutUs,
         long sendTimeoutUs,
         int maxSubscribers) {
-    /** Defaults that keep the bound of 6 s from a proposal until its version is active at every subscriber. */
+    /**
+     * Defaults that keep the bound of 6 s from a proposal until its version is active at every subscriber;
+     * docs/design-configuration.md has the sum.
+     */
     public static final PublisherSettings DEFAULTS =
             new PublisherSettings(500_000, 8_000, 2_000, 6_000_000, 30_000_000, 2_000);
 }
--- a/src/main/java/mulleinfront/config/SubscriberSettings.java
+++ b/src/main/java/mulleinfront/config/SubscriberSettings.java
@@ -22,7 +22,10 @@
         long behindTimeoutUs,
         long reportIntervalUs) {
 
-    /** Defaults that keep the bound of 6 s from a proposal until its version is active at every subscriber. */
+    /**
+     * Defaults that keep the bound of 6 s from a proposal until its version is active at every subscriber;
+     * docs/design-configuration.md has the sum.
+     */
     public static SubscriberSettings defaults(int machines) {
         return new SubscriberSettings(
                 machines, 1_500_000, 500_000, 1_000_000, 500_000, 2_000_000, 1_000_000, 2_000_000);
--- a/src/main/java/mulleinfront/core/InstanceLimits.java
+++ b/src/main/java/mulleinfront/core/InstanceLimits.java
@@ -45,7 +45,7 @@
 
     /**
      * Sets how many instances may be using the endpoints now, this one included, if instances know of each other. An
-     * unreachable instance counts until it is known to have left, so that both sides of a network partition together
+     * unreachable instance counts until it has left or expired, so that both sides of a network partition together
      * stay within the sustainable load. It has no effect if nothing is limited by the settings.
      */
     public void setLiveInstances(int liveInstances) {
--- a/src/main/java/mulleinfront/emulator/Auditor.java
+++ b/src/main/java/mulleinfront/emulator/Auditor.java
@@ -52,8 +52,8 @@
 
         private final String description;
 
-        Rule(String words) {
-            this.description = words;
+        Rule(String description) {
+            this.description = description;
         }
 
         /** Description of the invariant. */
@@ -69,12 +69,13 @@
      * @param atUs when it was violated
      * @param proxy number of the client proxy at fault, -1 if no single proxy is
      * @param request id of the request, or null
-     * @param what description of the violation
+     * @param description description of the violation
      */
-    public record Breach(Rule rule, long atUs, int proxy, String request, String what) {
+    public record Breach(Rule rule, long atUs, int proxy, String request, String description) {
         @Override
         public String toString() {
-            return "rule broken: " + rule.description() + ": " + what + (request == null ? "" : ", request " + request)
+            return "rule broken: " + rule.description() + ": " + description
+                    + (request == null ? "" : ", request " + request)
                     + (proxy < 0 ? "" : ", client proxy " + proxy) + ", at "
                     + String.format(Locale.ROOT, "%.6f", atUs / 1e6) + " s";
         }
@@ -169,10 +170,10 @@
         addBreach(Rule.LOST, 0, -1, null, "an event or action threw " + e);
     }
 
-    private void addBreach(Rule rule, long at, int proxy, String request, String what) {
+    private void addBreach(Rule rule, long at, int proxy, String request, String description) {
         breachCount++;
         if (breaches.size() < MAX_RECORDED) {
-            breaches.add(new Breach(rule, at, proxy, request, what));
+            breaches.add(new Breach(rule, at, proxy, request, description));
         }
     }
 
@@ -215,7 +216,7 @@
     }
 
     /** Records the final answer of a request. Returns the request, or null if it is unknown. */
-    private AcceptedRequest end(int proxy, String id, long now, String how) {
+    private AcceptedRequest recordFinalAnswer(int proxy, String id, long now, String how) {
         AcceptedRequest request = requests.get(id);
         if (request == null) {
             addBreach(Rule.LOST, now, proxy, id, how + " what was not asked");
@@ -232,14 +233,14 @@
     }
 
     void served(int proxy, String id, String answerOf, long now) {
-        end(proxy, id, now, "served");
+        recordFinalAnswer(proxy, id, now, "served");
         if (!id.equals(answerOf)) {
             addBreach(Rule.LOST, now, proxy, id, "served with the answer to " + answerOf);
         }
     }
 
     void refused(int proxy, String id, long now) {
-        AcceptedRequest request = end(proxy, id, now, "refused");
+        AcceptedRequest request = recordFinalAnswer(proxy, id, now, "refused");
         if (request == null || Scenario.refusalHarmless(request.type)) {
             return;
         }
@@ -261,7 +262,7 @@
     }
 
     void failed(int proxy, String id, long now) {
-        end(proxy, id, now, "failed");
+        recordFinalAnswer(proxy, id, now, "failed");
     }
 
     /** Records that a request's client disconnected. */
@@ -279,7 +280,7 @@
     // ---- attempts ------------------------------------------------------------------------------------
 
     /** Checks an attempt when its first byte is sent; the same attempt may start again on a new connection. */
-    void sent(int proxy, String id, int number, String host, long now) {
+    void attemptSent(int proxy, String id, int number, String host, long now) {
         checkDrain(proxy, id, host, now);
         AcceptedRequest request = requests.get(id);
         if (request == null) {
--- a/src/main/java/mulleinfront/emulator/BalancerComparison.java
+++ b/src/main/java/mulleinfront/emulator/BalancerComparison.java
@@ -26,11 +26,11 @@
         return all;
     }
 
-    public double mean() {
-        return Sweep.mean(results);
+    public double meanScore() {
+        return Sweep.meanScore(results);
     }
 
-    public double worst() {
+    public double lowestScore() {
         return results.stream().mapToDouble(Sweep.SeedResult::service).min().orElse(0);
     }
 
@@ -74,8 +74,8 @@
                     Locale.ROOT,
                     "%-14s %8.4f %8.4f %8.3f %8d  %s%n",
                     compared.name,
-                    compared.mean(),
-                    compared.worst(),
+                    compared.meanScore(),
+                    compared.lowestScore(),
                     compared.results.stream()
                             .mapToDouble(Sweep.SeedResult::goodput)
                             .average()
@@ -90,7 +90,7 @@
                         Locale.ROOT,
                         "of %s: %.3f of its mean service, on the worst seed %.3f%n",
                         compared.name,
-                        product.mean() / Math.max(1e-9, compared.mean()),
+                        product.meanScore() / Math.max(1e-9, compared.meanScore()),
                         product.lowestRatioTo(compared)));
             }
         }
--- a/src/main/java/mulleinfront/emulator/Call.java
+++ b/src/main/java/mulleinfront/emulator/Call.java
@@ -9,6 +9,6 @@
  * @param key the request's key, or null
  * @param effect identity of the effect, equal for all tries of one request
  * @param windowUs how long servers drop repeats; 0: repeats are not dropped
- * @param hop the call of a call graph that the request is; null: none
+ * @param graphCall the call of a call graph that the request is; null: none
  */
-record Call(String id, int classIndex, double work, String key, String effect, long windowUs, Hop hop) {}
+record Call(String id, int classIndex, double work, String key, String effect, long windowUs, GraphCall graphCall) {}
--- a/src/main/java/mulleinfront/emulator/CallGraph.java
+++ b/src/main/java/mulleinfront/emulator/CallGraph.java
@@ -175,15 +175,15 @@
             visits[i] = 1.0 / spec.fronts();
         }
         List<UnscaledEdge> downward = new ArrayList<>(drawEdges);
-        downward.sort(Comparator.comparingInt(d -> level[d.from]));
-        for (UnscaledEdge d : downward) {
-            visits[d.to] += visits[d.from] * probability(d, factor);
+        downward.sort(Comparator.comparingInt(edge -> level[edge.from]));
+        for (UnscaledEdge edge : downward) {
+            visits[edge.to] += visits[edge.from] * probability(edge, factor);
         }
         return visits;
     }
 
-    private static double probability(UnscaledEdge d, double factor) {
-        return d.chained ? d.probability : Math.min(1, d.probability * factor);
+    private static double probability(UnscaledEdge edge, double factor) {
+        return edge.chained ? edge.probability : Math.min(1, edge.probability * factor);
     }
 
     private double calls(double factor) {
--- a/src/main/java/mulleinfront/emulator/Cause.java
+++ b/src/main/java/mulleinfront/emulator/Cause.java
@@ -37,8 +37,8 @@
 
     private final String description;
 
-    Cause(String words) {
-        this.description = words;
+    Cause(String description) {
+        this.description = description;
     }
 
     /** Description for people. */
--- a/src/main/java/mulleinfront/emulator/Clients.java
+++ b/src/main/java/mulleinfront/emulator/Clients.java
@@ -62,7 +62,7 @@
         /** Additional statistics that the request counts for; null: none. */
         ServiceStatistics.Sum restartStatistics;
         /** The call of a call graph that this request is; null: none. */
-        final Hop hop;
+        final GraphCall graphCall;
 
         private ClientRequest(
                 int classIndex,
@@ -76,7 +76,7 @@
                 int proxy,
                 double deadlineFactor,
                 boolean honoursRetryAfter,
-                Hop hop) {
+                GraphCall graphCall) {
             this.classIndex = classIndex;
             this.type = type;
             this.tenant = tenant;
@@ -88,7 +88,7 @@
             this.proxy = proxy;
             this.deadlineFactor = deadlineFactor;
             this.honoursRetryAfter = honoursRetryAfter;
-            this.hop = hop;
+            this.graphCall = graphCall;
         }
 
         long targetAt() {
@@ -238,20 +238,20 @@
     }
 
     /** Sends a call of the graph simulation, which replaces the generated load. */
-    void sendCall(Hop hop, int proxy, int tenant, String key, double work) {
+    void sendCall(GraphCall graphCall, int proxy, int tenant, String key, double work) {
         ClientRequest request = new ClientRequest(
-                hop.classIndex,
-                scenario.classes().get(hop.classIndex).type(),
+                graphCall.classIndex,
+                scenario.classes().get(graphCall.classIndex).type(),
                 tenant,
                 key,
-                hop.effect,
+                graphCall.effect,
                 Math.max(1, work),
                 overShare(tenant),
                 world.queue.now(),
                 proxy,
                 1,
                 false,
-                hop);
+                graphCall);
         world.statistics.requestArrived(request, world.proxies.get(proxy));
         world.lossAttribution.requestArrived(request);
         startTry(request);
@@ -279,8 +279,8 @@
         long deadline = Math.min(
                 now + (long) (request.deadlineFactor * request.type.deadlineUs()),
                 request.arrivedAt + request.type.deadlineUs());
-        if (request.hop != null) {
-            deadline = Math.min(deadline, request.hop.deadlineAt);
+        if (request.graphCall != null) {
+            deadline = Math.min(deadline, request.graphCall.deadlineAt);
         }
         if (deadline - now < 1_000) {
             finish(request, TryResult.TIMED_OUT);
@@ -297,11 +297,11 @@
                         request.key,
                         request.effect,
                         request.type.dedupWindowUs(),
-                        request.hop),
+                        request.graphCall),
                 now,
                 deadline);
-        if (request.hop != null) {
-            request.hop.tryStarted(clientTry, now);
+        if (request.graphCall != null) {
+            request.graphCall.tryStarted(clientTry, now);
         }
         world.statistics.trySent();
         world.lossAttribution.trySent(clientTry);
@@ -368,13 +368,14 @@
             wait = Math.max(wait, retryAfterUs);
         }
         if (!safeToRepeat
-                || request.tries > (request.hop == null ? scenario.clients().retries() : request.hop.retries())
+                || request.tries
+                        > (request.graphCall == null ? scenario.clients().retries() : request.graphCall.retries())
                 || now + wait >= request.arrivedAt + request.type.deadlineUs()) {
             finish(request, result);
             return;
         }
         world.queue.after((long) wait, () -> {
-            if (request.hop != null && request.hop.over()) {
+            if (request.graphCall != null && request.graphCall.over()) {
                 finish(request, TryResult.LEFT);
             } else {
                 startTry(request);
@@ -386,8 +387,8 @@
     private void finish(ClientRequest request, TryResult result) {
         double lostValue = world.statistics.requestEnded(request, result == TryResult.SERVED, world.queue.now());
         world.lossAttribution.requestEnded(request, lostValue, world.queue.now());
-        if (request.hop != null) {
-            request.hop.ended(result, world.queue.now());
+        if (request.graphCall != null) {
+            request.graphCall.onResult(result, world.queue.now());
         }
     }
 }
--- a/src/main/java/mulleinfront/emulator/DiscoveryClient.java
+++ b/src/main/java/mulleinfront/emulator/DiscoveryClient.java
@@ -74,14 +74,17 @@
     }
 
     /** Applies a list update, first to the wire and then to the balancer. */
-    void applyUpdate(Registry.ListUpdate news, Source source) {
-        world.auditor.listReceived(proxy, news.version(), source, news.entries(), time.now());
+    void applyUpdate(Registry.ListUpdate update, Source source) {
+        world.auditor.listReceived(proxy, update.version(), source, update.entries(), time.now());
         boolean full = source != Source.DELTA;
-        version = full ? news.version() : Math.max(version, news.version());
+        version = full ? update.version() : Math.max(version, update.version());
         Set<String> removed = full ? new HashSet<>(addresses.keySet()) : new HashSet<>();
         List<Endpoint> endpoints = new ArrayList<>();
         for (Registry.Entry entry : versionFilter.newEntries(
-                news.version(), full, news.entries(), entry -> entry.endpoint().id())) {
+                update.version(),
+                full,
+                update.entries(),
+                entry -> entry.endpoint().id())) {
             Endpoint endpoint = entry.endpoint();
             endpoints.add(endpoint);
             removed.remove(endpoint.id());
@@ -163,13 +166,13 @@
         }
 
         @Override
-        void receive(Registry.ListUpdate news) {
+        void receive(Registry.ListUpdate update) {
             if (!over && watch == this) {
                 if (!listReceived) {
                     cancelTimeout();
                     listReceived = true;
                 }
-                applyUpdate(news, news.full() ? Source.FULL : Source.DELTA);
+                applyUpdate(update, update.full() ? Source.FULL : Source.DELTA);
                 world.auditor.watching(proxy);
             }
         }
@@ -187,7 +190,7 @@
         }
 
         @Override
-        void receiveTruncated(Registry.ListUpdate news) {
+        void receiveTruncated(Registry.ListUpdate update) {
             fail();
         }
 
--- a/src/main/java/mulleinfront/emulator/EmulatedWire.java
+++ b/src/main/java/mulleinfront/emulator/EmulatedWire.java
@@ -13,8 +13,9 @@
 
 /**
  * The connections of one client proxy to servers, and its attempts, on the emulated network. They follow the steps of
- * the socket implementation (an idle connection after its cool-down, or a new one; a request that is sent whole or
- * surely not executed; exactly one end), with every delay and connection reset drawn.
+ * the socket implementation: an attempt uses an idle connection after its cool-down or opens a new one, a request that
+ * did not arrive completely was not executed, and each attempt ends exactly once. Delays and connection resets are
+ * drawn at random.
  */
 final class EmulatedWire implements Wire<Call, Answer> {
     /** Round trips of a connection handshake before a request can be sent. */
@@ -224,7 +225,7 @@
         private final int address;
         private final Call call;
         /** The call of a call graph that the attempt is for; null: none. */
-        private final Hop hop;
+        private final GraphCall graphCall;
 
         private final BooleanSupplier wanted;
         private final AttemptListener<Answer> end;
@@ -236,7 +237,7 @@
         /** The server's handling of the request with its further calls; null: not started. */
         private Handling handling;
         /** The server has noticed that the caller no longer waits. */
-        private boolean callerGone;
+        private boolean callerStoppedWaiting;
 
         private int newConnections;
         private boolean written;
@@ -254,7 +255,7 @@
             this.number = number;
             this.address = address;
             this.call = call;
-            this.hop = call == null ? null : call.hop();
+            this.graphCall = call == null ? null : call.graphCall();
             this.wanted = wanted;
             this.end = end;
             this.endsAt = time.now() + timeoutUs;
@@ -263,8 +264,8 @@
 
         @Override
         public void start() {
-            if (hop != null) {
-                hop.attemptStarted(number, time.now());
+            if (graphCall != null) {
+                graphCall.attemptStarted(number, time.now());
             }
             Link reused = takeIdle(address);
             if (reused != null) {
@@ -275,7 +276,7 @@
         }
 
         private void connect() {
-            if (openLinks.size() >= world.scenario.proxies().connections() && !idleLinks.isEmpty()) {
+            if (openLinks.size() >= world.scenario.proxies().maxConnections() && !idleLinks.isEmpty()) {
                 close(idleLinks.iterator().next());
             }
             newConnections++;
@@ -319,8 +320,7 @@
         }
 
         /**
-         * Sends the request, the only place that does. A request that is no longer wanted is not sent, whatever was
-         * decided earlier.
+         * Sends the request, unless the core no longer wants the attempt. No other method sends a request.
          */
         private void write(Link to) {
             cancel(dial);
@@ -332,16 +332,16 @@
             }
             Host host = to.host;
             if (requestId != null) {
-                world.auditor.sent(proxy, requestId, number, host.id, time.now());
+                world.auditor.attemptSent(proxy, requestId, number, host.id, time.now());
                 world.lossAttribution.attemptSent(requestId, number, host);
                 world.statistics.attemptSent(zone == host.zone);
             }
-            if (hop != null) {
-                hop.attemptWritten(number, newConnections > 0, zone, host.zone, time.now());
+            if (graphCall != null) {
+                graphCall.attemptWritten(number, newConnections > 0, zone, host.zone, time.now());
             }
             if (host.chance.happens(host.resetBeforeProbability)) {
                 // The server accepted the connection and reset it before the whole request arrived, so the request
-                // surely did not run.
+                // did not run.
                 close(to);
                 link = null;
                 if (newConnections < MAX_NEW_CONNECTIONS) {
@@ -381,8 +381,8 @@
                     call.windowUs(),
                     endsAt,
                     (result, inflight) -> ownWorkDone(to, result, inflight));
-            if (hop != null) {
-                hop.attemptArrived(number, world.queue.now());
+            if (graphCall != null) {
+                graphCall.attemptArrived(number, world.queue.now());
             }
             if (!over) {
                 job = made;
@@ -401,17 +401,17 @@
          * Continues when the server's own work is done: in a call graph its further calls come before its response.
          */
         private void ownWorkDone(Link to, ServerModel.End result, int inflight) {
-            if (hop == null || result != ServerModel.End.SERVED) {
+            if (graphCall == null || result != ServerModel.End.SERVED) {
                 respond(to, result, inflight);
-            } else if (!callerGone) {
-                handling = hop.serve(to.host, endsAt, end -> respond(to, end, inflight));
+            } else if (!callerStoppedWaiting) {
+                handling = graphCall.serve(to.host, endsAt, end -> respond(to, end, inflight));
                 handling.begin();
             }
         }
 
         /** Cancels the server's further calls once it notices that the caller no longer waits. */
         private void cancelFurtherCalls() {
-            callerGone = true;
+            callerStoppedWaiting = true;
             if (handling != null) {
                 handling.cancel();
             }
@@ -421,8 +421,8 @@
         private void respond(Link to, ServerModel.End result, int inflight) {
             Host host = to.host;
             to.lastResponseAt = world.queue.now();
-            if (hop != null) {
-                hop.responseSent(number, world.queue.now());
+            if (graphCall != null) {
+                graphCall.responseSent(number, world.queue.now());
             }
             if (requestId != null && host.chance.happens(host.resetAfterProbability)) {
                 world.reset(to);
--- a/src/main/java/mulleinfront/emulator/EventQueue.java
+++ b/src/main/java/mulleinfront/emulator/EventQueue.java
@@ -24,7 +24,7 @@
     private int size;
     private long now;
     private long scheduled;
-    private long ran;
+    private long tasksRun;
     private int cancelled;
 
     /**
@@ -60,8 +60,8 @@
     }
 
     /** Number of tasks run so far. */
-    public long ran() {
-        return ran;
+    public long tasksRun() {
+        return tasksRun;
     }
 
     @Override
@@ -72,7 +72,7 @@
             sequence = Arrays.copyOf(sequence, 2 * size);
             events = Arrays.copyOf(events, 2 * size);
         }
-        up(size++, now + Math.max(0, delayUs), scheduled++, event);
+        siftUp(size++, now + Math.max(0, delayUs), scheduled++, event);
         return event;
     }
 
@@ -85,7 +85,7 @@
             Event moved = events[last];
             events[last] = null;
             if (last > 0) {
-                down(0, dueAt[last], sequence[last], moved);
+                siftDown(0, dueAt[last], sequence[last], moved);
             }
             if (event.task == null) {
                 cancelled--;
@@ -94,7 +94,7 @@
             now = due;
             Runnable task = event.task;
             event.task = null;
-            ran++;
+            tasksRun++;
             task.run();
         }
         now = Math.max(now, instant);
@@ -110,7 +110,7 @@
         put(to, dueAt[from], sequence[from], events[from]);
     }
 
-    private void up(int index, long when, long number, Event event) {
+    private void siftUp(int index, long when, long number, Event event) {
         while (index > 0) {
             int parent = (index - 1) / CHILDREN;
             // At equal due times the task that was scheduled later stays below.
@@ -123,7 +123,7 @@
         put(index, when, number, event);
     }
 
-    private void down(int index, long when, long number, Event event) {
+    private void siftDown(int index, long when, long number, Event event) {
         for (int first; (first = CHILDREN * index + 1) < size; ) {
             int earliest = first;
             int end = Math.min(first + CHILDREN, size);
@@ -147,17 +147,17 @@
      * fill most of the heap.
      */
     private void sweep() {
-        int kept = 0;
+        int keptCount = 0;
         for (int i = 0; i < size; i++) {
             if (events[i].task != null) {
-                move(i, kept++);
+                move(i, keptCount++);
             }
         }
-        Arrays.fill(events, kept, size, null);
-        size = kept;
+        Arrays.fill(events, keptCount, size, null);
+        size = keptCount;
         cancelled = 0;
         for (int i = (size - 2) / CHILDREN; i >= 0 && size > 1; i--) {
-            down(i, dueAt[i], sequence[i], events[i]);
+            siftDown(i, dueAt[i], sequence[i], events[i]);
         }
     }
 }
--- a/src/main/java/mulleinfront/emulator/Explain.java
+++ b/src/main/java/mulleinfront/emulator/Explain.java
@@ -32,7 +32,7 @@
      * @param from earliest arrival time of these requests, microseconds
      * @param maxRequests maximum number of requests
      */
-    public static List<String> cause(Scenario scenario, long seed, Cause wanted, long from, int maxRequests) {
+    public static List<String> requestsLostBy(Scenario scenario, long seed, Cause wanted, long from, int maxRequests) {
         List<String> lines = new ArrayList<>();
         int[] described = {0};
         World world = World.create(scenario, seed, null);
@@ -46,9 +46,9 @@
         return lines;
     }
 
-    private static void describe(World world, Clients.ClientRequest request, Cause cause, Consumer<String> to) {
-        world.lossAttribution.history(request).forEach(to);
-        to.accept(cause == null ? "             served in time" : "             lost: " + cause.description());
-        to.accept("");
+    private static void describe(World world, Clients.ClientRequest request, Cause cause, Consumer<String> output) {
+        world.lossAttribution.history(request).forEach(output);
+        output.accept(cause == null ? "             served in time" : "             lost: " + cause.description());
+        output.accept("");
     }
 }
--- a/src/main/java/mulleinfront/emulator/FleetAuditor.java
+++ b/src/main/java/mulleinfront/emulator/FleetAuditor.java
@@ -33,8 +33,8 @@
 
         private final String description;
 
-        Rule(String words) {
-            this.description = words;
+        Rule(String description) {
+            this.description = description;
         }
 
         /** Description of the rule's violation. */
@@ -44,10 +44,10 @@
     }
 
     /** A violation of a rule: the observer, the member that the wrong state is about, and a description. */
-    public record Breach(Rule rule, long atUs, int observer, int member, String what) {
+    public record Breach(Rule rule, long atUs, int observer, int member, String description) {
         @Override
         public String toString() {
-            return "rule broken: " + rule.description() + ": " + what + ", at "
+            return "rule broken: " + rule.description() + ": " + description + ", at "
                     + String.format(Locale.ROOT, "%.3f", atUs / 1e6) + " s";
         }
     }
@@ -83,7 +83,7 @@
         boolean passes(int from, int to);
 
         /** Whether all datagrams are delivered: no partition is active, the usual case. */
-        boolean whole();
+        boolean fullyConnected();
     }
 
     /**
@@ -110,10 +110,10 @@
         return breachCount;
     }
 
-    private void breach(Rule rule, long now, int observer, int member, String what) {
+    private void addBreach(Rule rule, long now, int observer, int member, String description) {
         breachCount++;
         if (breaches.size() < MAX_RECORDED_BREACHES) {
-            breaches.add(new Breach(rule, now, observer, member, what));
+            breaches.add(new Breach(rule, now, observer, member, description));
         }
     }
 
@@ -157,7 +157,7 @@
     public void changed(int observer, Change change) {
         ReportedView view = views[observer];
         if (change.number() != view.changes + 1) {
-            breach(
+            addBreach(
                     Rule.OUT_OF_ORDER,
                     change.atUs(),
                     observer,
@@ -173,7 +173,7 @@
         boolean wentBack = change.incarnation() < incarnation
                 || change.incarnation() == incarnation && change.to().ordinal() < view.state[change.member()];
         if (wentBack) {
-            breach(
+            addBreach(
                     Rule.WENT_BACK,
                     change.atUs(),
                     observer,
@@ -209,7 +209,7 @@
                         && !paused[member]
                         && !leaving[member]
                         && !recordedPresent) {
-                    breach(
+                    addBreach(
                             Rule.CALLED_FAILED,
                             now,
                             observer,
@@ -217,7 +217,7 @@
                             "member " + observer + " calls " + member + " "
                                     + MemberState.values()[state[member]].outputName());
                 } else if (!running[member] && recordedPresent) {
-                    breach(
+                    addBreach(
                             Rule.CALLED_ALIVE,
                             now,
                             observer,
@@ -245,7 +245,7 @@
             if (first[g] < 0) {
                 first[g] = m;
             } else if (views[m].digest != views[first[g]].digest) {
-                breach(
+                addBreach(
                         Rule.VIEWS_DIFFER,
                         now,
                         first[g],
@@ -258,7 +258,7 @@
     /** Group number of each member; members of one group reach each other, directly or through other members. */
     private int[] reachabilityGroups() {
         int[] of = new int[members];
-        if (links.whole()) {
+        if (links.fullyConnected()) {
             // All running members are in one group, whose number is no member's number.
             Arrays.setAll(of, m -> running[m] && !paused[m] ? members : m);
             return of;
--- a/src/main/java/mulleinfront/emulator/FleetRun.java
+++ b/src/main/java/mulleinfront/emulator/FleetRun.java
@@ -29,7 +29,7 @@
         void changed(int observer, Change change);
 
         /** The reachability that an observer reports, or whether its view has converged, changed. */
-        default void reach(int observer, long now, Reachability reach, boolean settled) {}
+        default void reachabilityChanged(int observer, long now, Reachability reach, boolean converged) {}
     }
 
     private final EventQueue queue;
@@ -51,7 +51,7 @@
         Fleet create(FleetSettings settings, RandomGenerator random, long now, long wallClockMs, Fleet.Actions out);
     }
 
-    /** Counts of datagrams and bytes that members sent, and of datagrams that they read, dropped or held back. */
+    /** Counts of datagrams and bytes that members sent, and of datagrams that they read, dropped or rate-limited. */
     public record TrafficCounts(long datagrams, long bytes, long read, long dropped, long rateLimited) {
         private TrafficCounts plus(Fleet f) {
             long lost =
@@ -104,7 +104,7 @@
             }
 
             @Override
-            public boolean whole() {
+            public boolean fullyConnected() {
                 return activePartitions == 0;
             }
         });
@@ -117,8 +117,8 @@
         queue.after(checkIntervalUs, this::check);
     }
 
-    public void addListener(MemberListener watch) {
-        listeners.add(watch);
+    public void addListener(MemberListener listener) {
+        listeners.add(listener);
     }
 
     public FleetAuditor auditor() {
@@ -185,8 +185,8 @@
             }
 
             @Override
-            public void reachabilityChanged(long now, Reachability reach, boolean settled, long digest) {
-                listeners.forEach(w -> w.reach(number, now, reach, settled));
+            public void reachabilityChanged(long now, Reachability reach, boolean converged, long digest) {
+                listeners.forEach(w -> w.reachabilityChanged(number, now, reach, converged));
             }
         });
         peer.start();
@@ -323,18 +323,18 @@
     }
 
     /** Datagrams that members did not read, by reason. */
-    public long dropped(DropReason why) {
+    public long dropped(DropReason reason) {
         long sum = 0;
         for (Peer p : peers) {
-            sum += p == null ? 0 : p.fleet().dropCounts().getOrDefault(why, 0L);
+            sum += p == null ? 0 : p.fleet().dropCounts().getOrDefault(reason, 0L);
         }
         return sum;
     }
 
     /** The report of the run so far. */
     public FleetReport report() {
-        TrafficCounts f = trafficCounts();
-        return new FleetReport(auditor.breaches(), auditor.breachCount(), f, members(), queue.now(), viewsAgree());
+        TrafficCounts counts = trafficCounts();
+        return new FleetReport(auditor.breaches(), auditor.breachCount(), counts, members(), queue.now(), viewsAgree());
     }
 
     /** Whether all members that run and are not paused have the same view. */
--- a/src/main/java/mulleinfront/emulator/GraphAuditor.java
+++ b/src/main/java/mulleinfront/emulator/GraphAuditor.java
@@ -27,8 +27,8 @@
 
         private final String description;
 
-        Rule(String words) {
-            this.description = words;
+        Rule(String description) {
+            this.description = description;
         }
 
         /** Description of the rule. */
@@ -43,10 +43,10 @@
      * @param atUs when the violation was detected
      * @param service the service that was called
      */
-    public record Breach(Rule rule, long atUs, String service, String what) {
+    public record Breach(Rule rule, long atUs, String service, String description) {
         @Override
         public String toString() {
-            return "rule broken: " + rule.description() + ": " + what + ", call of " + service + ", at "
+            return "rule broken: " + rule.description() + ": " + description + ", call of " + service + ", at "
                     + String.format(Locale.ROOT, "%.6f", atUs / 1e6) + " s";
         }
     }
@@ -76,29 +76,32 @@
         return repeatedKeyedEffects;
     }
 
-    private void breach(Rule rule, Hop hop, String what) {
+    private void addBreach(Rule rule, GraphCall graphCall, String description) {
         breachCount++;
         if (breaches.size() < MAX_RECORDED_BREACHES) {
             breaches.add(new Breach(
-                    rule, graph.queue.now(), graph.nodes().get(hop.edge.to()).name(), what));
+                    rule,
+                    graph.queue.now(),
+                    graph.nodes().get(graphCall.edge.to()).name(),
+                    description));
         }
     }
 
     /** An application makes a call. */
-    void called(Hop hop) {
-        if (hop.deadlineAt > hop.caller.endsAt) {
-            breach(
+    void callMade(GraphCall graphCall) {
+        if (graphCall.deadlineAt > graphCall.caller.endsAt) {
+            addBreach(
                     Rule.DEADLINE,
-                    hop,
-                    "it may take " + (hop.deadlineAt - hop.caller.endsAt)
+                    graphCall,
+                    "it may take " + (graphCall.deadlineAt - graphCall.caller.endsAt)
                             + " us longer than the request that it is made for");
         }
-        Effect effect = effect(hop.classIndex);
-        Effect most = hop.caller.incoming == null
-                ? effect(hop.caller.request.classIndex)
-                : effect(hop.caller.incoming.classIndex);
-        if (strength(effect) > strength(most)) {
-            breach(Rule.EFFECT, hop, "a " + most + " request makes a " + effect + " call");
+        Effect effect = effect(graphCall.classIndex);
+        Effect strongestAllowed = graphCall.caller.incoming == null
+                ? effect(graphCall.caller.request.classIndex)
+                : effect(graphCall.caller.incoming.classIndex);
+        if (strength(effect) > strength(strongestAllowed)) {
+            addBreach(Rule.EFFECT, graphCall, "a " + strongestAllowed + " request makes a " + effect + " call");
         }
     }
 
@@ -106,8 +109,8 @@
         return graph.spec.world().classes().get(classIndex).type().effect();
     }
 
-    private static int strength(Effect e) {
-        return switch (e) {
+    private static int strength(Effect effect) {
+        return switch (effect) {
             case RETRYABLE -> 0;
             case DEDUP -> 1;
             case FRAGILE -> 2;
@@ -115,20 +118,20 @@
     }
 
     /** An attempt's first byte leaves a client proxy. */
-    void sent(Hop hop, long now) {
-        if (hop.caller.overAt() >= 0 && now > hop.caller.overAt()) {
-            breach(
+    void attemptSent(GraphCall graphCall, long now) {
+        if (graphCall.caller.overAt() >= 0 && now > graphCall.caller.overAt()) {
+            addBreach(
                     Rule.CANCEL,
-                    hop,
-                    "sent " + (now - hop.caller.overAt()) + " us after the request that it is made for was over");
+                    graphCall,
+                    "sent " + (now - graphCall.caller.overAt()) + " us after the request that it is made for was over");
         }
-        if (now > hop.deadlineAt) {
-            breach(Rule.DEADLINE, hop, "sent " + (now - hop.deadlineAt) + " us after its time");
+        if (now > graphCall.deadlineAt) {
+            addBreach(Rule.DEADLINE, graphCall, "sent " + (now - graphCall.deadlineAt) + " us after its time");
         }
     }
 
     /** A server has begun to execute this effect. */
-    void ran(String effect, boolean dropped) {
+    void effectRan(String effect, boolean dropped) {
         char kind = effect.charAt(0);
         if (dropped || kind == GraphWorld.SAFE) {
             return;
--- a/src/main/java/mulleinfront/emulator/Hop.java
+++ b/src/main/java/mulleinfront/emulator/GraphCall.java
@@ -4,7 +4,7 @@
  * One call from a service to another, from the application through its client proxy to a server and back, with the
  * instants that divide its time. Late events of an attempt that was given up have no effect.
  */
-final class Hop {
+final class GraphCall {
     final CallGraph.Edge edge;
     /** The request on whose behalf the call is made. */
     final Handling caller;
@@ -16,7 +16,7 @@
     final long deadlineAt;
 
     private final GraphWorld graph;
-    private Clients.Try current;
+    private Clients.Try currentTry;
     private long createdAt = -1;
     private long sentAt;
     private long acceptedAt;
@@ -30,13 +30,13 @@
     private boolean lastAttemptAcrossRegions;
     private boolean over;
 
-    Hop(GraphWorld graph, CallGraph.Edge edge, Handling above, int classIndex, String effect, long endAt) {
+    GraphCall(GraphWorld graph, CallGraph.Edge edge, Handling caller, int classIndex, String effect, long deadlineAt) {
         this.graph = graph;
         this.edge = edge;
-        this.caller = above;
+        this.caller = caller;
         this.classIndex = classIndex;
         this.effect = effect;
-        this.deadlineAt = endAt;
+        this.deadlineAt = deadlineAt;
     }
 
     /** Number of calls from the request from outside down to this one, inclusive. */
@@ -63,8 +63,8 @@
 
     // ---- progress --------------------------------------------------------------------------------------
 
-    void tryStarted(Clients.Try t, long now) {
-        current = t;
+    void tryStarted(Clients.Try clientTry, long now) {
+        currentTry = clientTry;
         createdAt = createdAt < 0 ? now : createdAt;
         sentAt = now;
         firstAttemptAt = -1;
@@ -82,9 +82,9 @@
         lastAttemptAt = now;
     }
 
-    void attemptWritten(int attempt, boolean fresh, int fromZone, int toZone, long now) {
-        graph.audit.sent(this, now);
-        graph.tally.attemptSent(depth(), createdAt, fromZone, toZone, fresh);
+    void attemptWritten(int attempt, boolean newConnection, int fromZone, int toZone, long now) {
+        graph.auditor.attemptSent(this, now);
+        graph.statistics.attemptSent(depth(), createdAt, fromZone, toZone, newConnection);
         if (attempt == lastAttempt) {
             writtenAt = now;
             lastAttemptAcrossRegions =
@@ -122,22 +122,22 @@
     // ---- end -------------------------------------------------------------------------------------------
 
     /** The application received the call's final result. */
-    void ended(Clients.TryResult how, long now) {
+    void onResult(Clients.TryResult result, long now) {
         if (over) {
             return;
         }
         over = true;
-        graph.tally.callEnded(this, how, now);
-        caller.ended(this, how);
+        graph.statistics.callEnded(this, result, now);
+        caller.callEnded(this, result);
     }
 
     /** The application cancels the call. */
     void giveUp() {
         if (!over) {
             over = true;
-            graph.tally.callEnded(this, Clients.TryResult.LEFT, graph.queue.now());
-            if (current != null) {
-                graph.part(edge.to()).clients.cancelCall(current);
+            graph.statistics.callEnded(this, Clients.TryResult.LEFT, graph.queue.now());
+            if (currentTry != null) {
+                graph.serviceWorld(edge.to()).clients.cancelCall(currentTry);
             }
         }
     }
@@ -147,8 +147,8 @@
         return lastAttemptAcrossRegions;
     }
 
-    /** The time of an answered call that belongs to a {@link GraphTally.Span}, microseconds. */
-    long span(GraphTally.Span span, long now) {
+    /** The time of an answered call that belongs to a {@link GraphStatistics.Span}, microseconds. */
+    long timeSpent(GraphStatistics.Span span, long now) {
         return switch (span) {
             case ALL -> now - createdAt;
             case ADDED -> now - createdAt - (responseSentAt - arrivedAt) - network();
--- a/src/main/java/mulleinfront/emulator/GraphContext.java
+++ b/src/main/java/mulleinfront/emulator/GraphContext.java
@@ -26,11 +26,11 @@
     long startAt(int proxy);
 
     /** Whether a server runs, or from where it is reachable, may have changed. */
-    void changed(Host host);
+    void hostChanged(Host host);
 
     /** A server has begun a request with this effect; {@code dropped}: it dropped the request as a repeat. */
-    void ran(String effect, boolean dropped);
+    void effectRan(String effect, boolean dropped);
 
     /** A client proxy has given up a request for this reason. */
-    void unserved(long now, UnservedReason why);
+    void requestUnserved(long now, UnservedReason reason);
 }
--- a/src/main/java/mulleinfront/emulator/GraphMachine.java
+++ b/src/main/java/mulleinfront/emulator/GraphMachine.java
@@ -24,9 +24,9 @@
     boolean disconnected;
 
     /** The client proxy's part for one service: a core, its balancer, its connections and its list. */
-    record Upstream(World part, int service, int proxy) {
+    record Upstream(World serviceWorld, int service, int proxy) {
         Instance instance() {
-            return part.proxies.get(proxy);
+            return serviceWorld.proxies.get(proxy);
         }
     }
 
--- a/src/main/java/mulleinfront/emulator/GraphReport.java
+++ b/src/main/java/mulleinfront/emulator/GraphReport.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Locale;
 import mulleinfront.UnservedReason.Cause;
-import mulleinfront.emulator.GraphTally.CallStatistics;
-import mulleinfront.emulator.GraphTally.DepthStatistics;
-import mulleinfront.emulator.GraphTally.SecondStatistics;
-import mulleinfront.emulator.GraphTally.Span;
+import mulleinfront.emulator.GraphStatistics.CallStatistics;
+import mulleinfront.emulator.GraphStatistics.DepthStatistics;
+import mulleinfront.emulator.GraphStatistics.SecondStatistics;
+import mulleinfront.emulator.GraphStatistics.Span;
 import mulleinfront.settings.Section;
 
 /** The result of a graph simulation, as text and as JSON with the same numbers. */
@@ -20,10 +20,10 @@
     private static final String[] QUANTILE_NAMES = {"p50", "p99", "p999"};
     private static final int FIRST_SECONDS = 10;
     /** Length in seconds of the start phase, which is reported separately. */
-    private static final int START_PHASE_SECONDS = (int) (GraphTally.START_PHASE_US / 1_000_000);
+    private static final int START_PHASE_SECONDS = (int) (GraphStatistics.START_PHASE_US / 1_000_000);
 
     private final GraphWorld graph;
-    private final GraphTally tally;
+    private final GraphStatistics statistics;
     private final GraphSpec spec;
     private final List<World.Result> results;
     private final long seed;
@@ -33,7 +33,7 @@
 
     GraphReport(GraphWorld graph, List<World.Result> results, long seed, String sha256, long decisions) {
         this.graph = graph;
-        this.tally = graph.tally;
+        this.statistics = graph.statistics;
         this.spec = graph.spec;
         this.results = results;
         this.seed = seed;
@@ -45,8 +45,8 @@
     // ---- metrics -------------------------------------------------------------------------------------
 
     /** Value earned by answers to requests from outside, as a fraction of the value asked for. */
-    public double service() {
-        return tally.service();
+    public double earnedShare() {
+        return statistics.earnedShare();
     }
 
     /** Digest of all decisions of all client proxies. */
@@ -61,7 +61,7 @@
 
     /** Number of all violations. */
     public int violationCount() {
-        int sum = graph.audit.breachCount();
+        int sum = graph.auditor.breachCount();
         for (World.Result r : results) {
             sum += r == null ? 0 : r.breachCount();
         }
@@ -70,12 +70,12 @@
 
     /** Number of calls between services. */
     public long calls() {
-        return tally.all.calls;
+        return statistics.all.calls;
     }
 
     /** Number of calls of one depth, from 1 on. */
     public long calls(int depth) {
-        return tally.depths[depth].calls;
+        return statistics.callsByDepth[depth].calls;
     }
 
     /** Virtual time in microseconds in which requests were sent. */
@@ -94,24 +94,24 @@
 
     /** 99th percentile of the time added to answered calls, microseconds. */
     public long addedP99Us() {
-        return tally.all.histogram(Span.ADDED).quantile(0.99);
+        return statistics.all.histogram(Span.ADDED).quantile(0.99);
     }
 
     /**
      * Value earned as a fraction of the value asked for in the seconds {@code from} (inclusive) to {@code to}
      * (exclusive).
      */
-    public double service(int from, int to) {
-        double asked = 0;
+    public double earnedShare(int from, int to) {
+        double offered = 0;
         double earned = 0;
-        for (int i = from; i < Math.min(to, tally.seconds.size()); i++) {
-            asked += tally.seconds.get(i).asked;
-            earned += tally.seconds.get(i).earned;
+        for (int i = from; i < Math.min(to, statistics.seconds.size()); i++) {
+            offered += statistics.seconds.get(i).offeredValue;
+            earned += statistics.seconds.get(i).earnedValue;
         }
-        return asked == 0 ? 1 : earned / asked;
+        return offered == 0 ? 1 : earned / offered;
     }
 
-    private long counted(String name) {
+    private long sumOfCounts(String name) {
         long sum = 0;
         for (World.Result r : results) {
             sum += r == null ? 0 : r.service().counts().getOrDefault(name, 0L);
@@ -120,17 +120,17 @@
     }
 
     private double maxColdLoad() {
-        double most = 0;
+        double max = 0;
         for (GraphMachine m : graph.machines) {
-            most = Math.max(most, m.host == null ? 0 : m.host.coldLoad.highestUse());
+            max = Math.max(max, m.host == null ? 0 : m.host.coldLoad.highestUse());
         }
-        return most;
+        return max;
     }
 
     private long listEntriesSent() {
         long sum = 0;
         for (CallGraph.Node n : graph.nodes()) {
-            sum += n.level() == 0 ? 0 : graph.part(n.number()).auditor.entriesSent;
+            sum += n.level() == 0 ? 0 : graph.serviceWorld(n.number()).auditor.entriesSent;
         }
         return sum;
     }
@@ -143,19 +143,19 @@
         return graph.machines.stream().mapToInt(m -> m.upstreams.size()).max().orElse(0);
     }
 
-    private SecondStatistics sum(int from, int to) {
+    private SecondStatistics sumSeconds(int from, int to) {
         SecondStatistics all = new SecondStatistics();
-        for (int i = from; i < Math.min(to, tally.seconds.size()); i++) {
-            SecondStatistics s = tally.seconds.get(i);
-            all.asked += s.asked;
-            all.earned += s.earned;
+        for (int i = from; i < Math.min(to, statistics.seconds.size()); i++) {
+            SecondStatistics s = statistics.seconds.get(i);
+            all.offeredValue += s.offeredValue;
+            all.earnedValue += s.earnedValue;
             all.requests += s.requests;
             all.calls += s.calls;
             all.refused += s.refused;
             all.notServed += s.notServed;
-            for (int c = 0; c < all.causes.length; c++) {
-                all.causes[c] += s.causes[c];
-                all.recentlyStarted[c] += s.recentlyStarted[c];
+            for (int c = 0; c < all.unservedByCause.length; c++) {
+                all.unservedByCause[c] += s.unservedByCause[c];
+                all.unservedAfterStartByCause[c] += s.unservedAfterStartByCause[c];
             }
         }
         return all;
@@ -164,13 +164,13 @@
     private static String causes(SecondStatistics s) {
         StringBuilder out = new StringBuilder();
         for (Cause c : Cause.values()) {
-            if (s.causes[c.ordinal()] > 0) {
+            if (s.unservedByCause[c.ordinal()] > 0) {
                 out.append(out.length() == 0 ? "" : ", ")
                         .append(c.outputName())
                         .append(' ')
-                        .append(s.causes[c.ordinal()])
+                        .append(s.unservedByCause[c.ordinal()])
                         .append(" (young ")
-                        .append(s.recentlyStarted[c.ordinal()])
+                        .append(s.unservedAfterStartByCause[c.ordinal()])
                         .append(')');
             }
         }
@@ -208,33 +208,33 @@
                         .filter(n -> n.level() > 0)
                         .mapToDouble(CallGraph.Node::visits)
                         .sum(),
-                (double) tally.all.calls / Math.max(1, tally.requests),
+                (double) statistics.all.calls / Math.max(1, statistics.requests),
                 (double) upstreams() / graph.machines.size(),
                 maxUpstreams());
         line(
                 out,
                 "load: %.0f requests/s from outside, %.0f calls/s in all",
-                tally.requests / (scenario.lengthUs() / 1e6),
-                tally.all.calls / (scenario.lengthUs() / 1e6));
+                statistics.requests / (scenario.lengthUs() / 1e6),
+                statistics.all.calls / (scenario.lengthUs() / 1e6));
         line(out, "");
         line(
                 out,
                 "service %.4f of the worth of %d requests (%d left by their clients): first %d s %.4f, "
                         + "after %.4f; p50 %.1f ms, p99 %.1f ms",
-                service(),
-                tally.requests,
-                tally.requestsLeft,
+                earnedShare(),
+                statistics.requests,
+                statistics.requestsLeft,
                 START_PHASE_SECONDS,
-                service(0, START_PHASE_SECONDS),
-                service(START_PHASE_SECONDS, Integer.MAX_VALUE),
-                tally.requestTimes.quantile(0.5) / 1e3,
-                tally.requestTimes.quantile(0.99) / 1e3);
-        for (int c = 0; c < tally.classAsked.length; c++) {
+                earnedShare(0, START_PHASE_SECONDS),
+                earnedShare(START_PHASE_SECONDS, Integer.MAX_VALUE),
+                statistics.requestTimes.quantile(0.5) / 1e3,
+                statistics.requestTimes.quantile(0.99) / 1e3);
+        for (int c = 0; c < statistics.offeredValueByClass.length; c++) {
             line(
                     out,
                     "  %-16s %.4f",
                     scenario.classes().get(c).type().name(),
-                    tally.classEarned[c] / Math.max(1e-9, tally.classAsked[c]));
+                    statistics.earnedValueByClass[c] / Math.max(1e-9, statistics.offeredValueByClass[c]));
         }
         depths(out);
         spans(out);
@@ -244,26 +244,29 @@
         line(
                 out,
                 "attempts %d: across zones %.1f%%, across regions %.1f%%, on a new connection %.1f%%",
-                tally.all.attempts,
-                percent(tally.all.acrossZones),
-                percent(tally.all.acrossRegions),
-                percent(tally.all.newConnections));
+                statistics.all.attempts,
+                percent(statistics.all.acrossZones),
+                percent(statistics.all.acrossRegions),
+                percent(statistics.all.newConnections));
         line(
                 out,
                 "probes %d, discovery calls %d (failed %d), entries of lists told %d; connections of a"
                         + " client proxy: mean %.1f, most %d",
-                counted("probes"),
-                counted("discovery calls"),
-                counted("discovery calls failed"),
+                sumOfCounts("probes"),
+                sumOfCounts("discovery calls"),
+                sumOfCounts("discovery calls failed"),
                 listEntriesSent(),
-                tally.meanConnections,
-                tally.mostConnections);
+                statistics.meanConnections,
+                statistics.maxConnections);
         line(
                 out,
                 "cold servers: most sent to one %.0f%% of what pushes it over; fell over: %d",
                 100 * maxColdLoad(),
                 crashedServers());
-        line(out, "keyed effects run again in another group by a repeat above: %d", graph.audit.repeatedKeyedEffects());
+        line(
+                out,
+                "keyed effects run again in another group by a repeat above: %d",
+                graph.auditor.repeatedKeyedEffects());
         line(out, "");
         if (violationCount() == 0) {
             line(out, "rules: all four kept in each service, and those along the paths");
@@ -276,7 +279,7 @@
     }
 
     private double percent(long attempts) {
-        return 100.0 * attempts / Math.max(1, tally.all.attempts);
+        return 100.0 * attempts / Math.max(1, statistics.all.attempts);
     }
 
     private void depths(StringBuilder out) {
@@ -295,11 +298,11 @@
                 "left",
                 "added p50/p99/p99.9 ms");
         for (int d = 1; d <= spec.depth(); d++) {
-            row(out, String.valueOf(d), tally.depths[d]);
+            row(out, String.valueOf(d), statistics.callsByDepth[d]);
         }
-        row(out, "all", tally.all);
-        if (tally.afterStartPhase.calls > 0) {
-            row(out, "later", tally.afterStartPhase);
+        row(out, "all", statistics.all);
+        if (statistics.afterStartPhase.calls > 0) {
+            row(out, "later", statistics.afterStartPhase);
         }
     }
 
@@ -310,7 +313,7 @@
                 "%5s %9d %8.4f %8d %8d %8d %8d %8d %8d  %.3f / %.3f / %.3f",
                 name,
                 group.calls,
-                group.service(),
+                group.earnedShare(),
                 group.ended(Clients.TryResult.SERVED),
                 group.ended(Clients.TryResult.REFUSED),
                 group.ended(Clients.TryResult.FAILED),
@@ -323,9 +326,9 @@
     }
 
     private void spans(StringBuilder out) {
-        spans(out, "all", tally.all);
-        if (tally.afterStartPhase.calls > 0) {
-            spans(out, "made after the first " + START_PHASE_SECONDS + " s", tally.afterStartPhase);
+        spans(out, "all", statistics.all);
+        if (statistics.afterStartPhase.calls > 0) {
+            spans(out, "made after the first " + START_PHASE_SECONDS + " s", statistics.afterStartPhase);
         }
     }
 
@@ -367,7 +370,7 @@
                 spec.addedTimeBudgetUs() / 1e3);
         StringBuilder row = new StringBuilder();
         for (int d = 1; d <= spec.depth(); d++) {
-            DepthStatistics g = tally.deepest[d];
+            DepthStatistics g = statistics.requestsByDepth[d];
             row.append(String.format(
                     Locale.ROOT,
                     "%s %d: %d (%.1f%%)",
@@ -392,24 +395,28 @@
                 "refused",
                 "busy",
                 "given up by client proxies");
-        for (int i = 0; i < Math.min(FIRST_SECONDS, tally.seconds.size()); i++) {
-            row(out, String.valueOf(i), sum(i, i + 1), tally.seconds.get(i).busy);
+        for (int i = 0; i < Math.min(FIRST_SECONDS, statistics.seconds.size()); i++) {
+            row(out, String.valueOf(i), sumSeconds(i, i + 1), statistics.seconds.get(i).busy);
         }
-        int worst = -1;
-        int last = (int) (spec.world().lengthUs() / 1_000_000);
-        for (int i = FIRST_SECONDS; i < Math.min(last, tally.seconds.size()); i++) {
-            worst = worst < 0
-                            || tally.seconds.get(i).service()
-                                    < tally.seconds.get(worst).service()
+        int worstSecond = -1;
+        int endSecond = (int) (spec.world().lengthUs() / 1_000_000);
+        for (int i = FIRST_SECONDS; i < Math.min(endSecond, statistics.seconds.size()); i++) {
+            worstSecond = worstSecond < 0
+                            || statistics.seconds.get(i).earnedShare()
+                                    < statistics.seconds.get(worstSecond).earnedShare()
                     ? i
-                    : worst;
+                    : worstSecond;
         }
-        if (worst >= 0) {
+        if (worstSecond >= 0) {
             line(out, "the worst after that:");
-            row(out, String.valueOf(worst), sum(worst, worst + 1), tally.seconds.get(worst).busy);
+            row(
+                    out,
+                    String.valueOf(worstSecond),
+                    sumSeconds(worstSecond, worstSecond + 1),
+                    statistics.seconds.get(worstSecond).busy);
         }
-        line(out, "first %d s: %s", START_PHASE_SECONDS, causes(sum(0, START_PHASE_SECONDS)));
-        line(out, "after:     %s", causes(sum(START_PHASE_SECONDS, Integer.MAX_VALUE)));
+        line(out, "first %d s: %s", START_PHASE_SECONDS, causes(sumSeconds(0, START_PHASE_SECONDS)));
+        line(out, "after:     %s", causes(sumSeconds(START_PHASE_SECONDS, Integer.MAX_VALUE)));
     }
 
     private static void row(StringBuilder out, String name, SecondStatistics s, double busy) {
@@ -418,7 +425,7 @@
                 "%6s %8d %8.4f %8d %8d %8d %5.1f%%  %s",
                 name,
                 s.requests,
-                s.service(),
+                s.earnedShare(),
                 s.notServed,
                 s.calls,
                 s.refused,
@@ -442,47 +449,48 @@
             out.writeNumberField("depth", spec.depth());
             out.writeNumberField("upstreams", upstreams());
             out.writeNumberField("upstreams_most", maxUpstreams());
-            out.writeNumberField("requests", tally.requests);
-            out.writeNumberField("requests_left", tally.requestsLeft);
-            out.writeNumberField("requests_served", tally.requestsServed);
-            out.writeNumberField("service", service());
-            out.writeNumberField("service_first_s", service(0, START_PHASE_SECONDS));
-            out.writeNumberField("service_after", service(START_PHASE_SECONDS, Integer.MAX_VALUE));
-            out.writeNumberField("request_p50_us", tally.requestTimes.quantile(0.5));
-            out.writeNumberField("request_p99_us", tally.requestTimes.quantile(0.99));
+            out.writeNumberField("requests", statistics.requests);
+            out.writeNumberField("requests_left", statistics.requestsLeft);
+            out.writeNumberField("requests_served", statistics.requestsServed);
+            out.writeNumberField("service", earnedShare());
+            out.writeNumberField("service_first_s", earnedShare(0, START_PHASE_SECONDS));
+            out.writeNumberField("service_after", earnedShare(START_PHASE_SECONDS, Integer.MAX_VALUE));
+            out.writeNumberField("request_p50_us", statistics.requestTimes.quantile(0.5));
+            out.writeNumberField("request_p99_us", statistics.requestTimes.quantile(0.99));
             out.writeNumberField("added_budget_us", spec.addedTimeBudgetUs());
             out.writeNumberField(
-                    "added_over_budget", tally.all.histogram(Span.ADDED).fractionAbove(spec.addedTimeBudgetUs()));
+                    "added_over_budget", statistics.all.histogram(Span.ADDED).fractionAbove(spec.addedTimeBudgetUs()));
             out.writeObjectFieldStart("all");
-            group(out, tally.all);
+            group(out, statistics.all);
             out.writeEndObject();
             out.writeObjectFieldStart("later");
-            group(out, tally.afterStartPhase);
+            group(out, statistics.afterStartPhase);
             out.writeNumberField(
                     "added_over_budget",
-                    tally.afterStartPhase.histogram(Span.ADDED).fractionAbove(spec.addedTimeBudgetUs()));
+                    statistics.afterStartPhase.histogram(Span.ADDED).fractionAbove(spec.addedTimeBudgetUs()));
             out.writeEndObject();
             out.writeArrayFieldStart("depths");
             for (int d = 1; d <= spec.depth(); d++) {
                 out.writeStartObject();
                 out.writeNumberField("depth", d);
-                group(out, tally.depths[d]);
-                out.writeNumberField("requests_this_deep", tally.deepest[d].requests);
-                out.writeNumberField("requests_with_a_call_over_budget", tally.deepest[d].withCallOverBudget);
+                group(out, statistics.callsByDepth[d]);
+                out.writeNumberField("requests_this_deep", statistics.requestsByDepth[d].requests);
+                out.writeNumberField(
+                        "requests_with_a_call_over_budget", statistics.requestsByDepth[d].withCallOverBudget);
                 out.writeEndObject();
             }
             out.writeEndArray();
             services(out);
             seconds(out);
-            out.writeNumberField("probes", counted("probes"));
-            out.writeNumberField("discovery_calls", counted("discovery calls"));
-            out.writeNumberField("discovery_calls_failed", counted("discovery calls failed"));
+            out.writeNumberField("probes", sumOfCounts("probes"));
+            out.writeNumberField("discovery_calls", sumOfCounts("discovery calls"));
+            out.writeNumberField("discovery_calls_failed", sumOfCounts("discovery calls failed"));
             out.writeNumberField("list_entries_told", listEntriesSent());
-            out.writeNumberField("connections_mean", tally.meanConnections);
-            out.writeNumberField("connections_most", tally.mostConnections);
+            out.writeNumberField("connections_mean", statistics.meanConnections);
+            out.writeNumberField("connections_most", statistics.maxConnections);
             out.writeNumberField("cold_most_part_of_fall", maxColdLoad());
             out.writeNumberField("fell", crashedServers());
-            out.writeNumberField("keyed_effects_again", graph.audit.repeatedKeyedEffects());
+            out.writeNumberField("keyed_effects_again", graph.auditor.repeatedKeyedEffects());
             out.writeNumberField("rules_broken", violationCount());
             out.writeArrayFieldStart("broken");
             for (String b : violations) {
@@ -495,7 +503,7 @@
 
     private static void group(JsonGenerator out, CallStatistics group) throws IOException {
         out.writeNumberField("calls", group.calls);
-        out.writeNumberField("service", group.service());
+        out.writeNumberField("service", group.earnedShare());
         out.writeObjectFieldStart("ended");
         for (Clients.TryResult how : Clients.TryResult.values()) {
             out.writeNumberField(Section.outputName(how), group.ended(how));
@@ -522,19 +530,19 @@
     private void services(JsonGenerator out) throws IOException {
         out.writeArrayFieldStart("service_list");
         for (CallGraph.Node n : graph.nodes()) {
-            CallStatistics group = tally.services[n.number()];
+            CallStatistics group = statistics.callsByService[n.number()];
             out.writeStartObject();
             out.writeStringField("name", n.name());
             out.writeNumberField("level", n.level());
             out.writeNumberField("hosts", n.hosts());
             out.writeNumberField(
                     "callers",
-                    n.level() == 0 ? 0 : graph.part(n.number()).proxies.size());
+                    n.level() == 0 ? 0 : graph.serviceWorld(n.number()).proxies.size());
             out.writeNumberField("visits", n.visits());
             out.writeNumberField("calls", group.calls);
             out.writeNumberField("served", group.ended(Clients.TryResult.SERVED));
             out.writeNumberField("refused", group.ended(Clients.TryResult.REFUSED));
-            out.writeNumberField("service", group.service());
+            out.writeNumberField("service", group.earnedShare());
             out.writeNumberField("added_p99_us", group.histogram(Span.ADDED).quantile(0.99));
             out.writeEndObject();
         }
@@ -543,20 +551,20 @@
 
     private void seconds(JsonGenerator out) throws IOException {
         out.writeArrayFieldStart("seconds");
-        List<SecondStatistics> all = new ArrayList<>(tally.seconds);
+        List<SecondStatistics> all = new ArrayList<>(statistics.seconds);
         for (SecondStatistics s : all) {
             out.writeStartObject();
             out.writeNumberField("requests", s.requests);
             out.writeNumberField("not_served", s.notServed);
-            out.writeNumberField("service", s.service());
+            out.writeNumberField("service", s.earnedShare());
             out.writeNumberField("calls", s.calls);
             out.writeNumberField("refused", s.refused);
             out.writeNumberField("busy", s.busy);
             out.writeObjectFieldStart("given_up");
             for (Cause c : Cause.values()) {
-                if (s.causes[c.ordinal()] > 0) {
-                    out.writeNumberField(c.outputName(), s.causes[c.ordinal()]);
-                    out.writeNumberField(c.outputName() + "-young", s.recentlyStarted[c.ordinal()]);
+                if (s.unservedByCause[c.ordinal()] > 0) {
+                    out.writeNumberField(c.outputName(), s.unservedByCause[c.ordinal()]);
+                    out.writeNumberField(c.outputName() + "-young", s.unservedAfterStartByCause[c.ordinal()]);
                 }
             }
             out.writeEndObject();
--- a/src/main/java/mulleinfront/emulator/GraphScript.java
+++ b/src/main/java/mulleinfront/emulator/GraphScript.java
@@ -80,7 +80,7 @@
         machine.down = true;
         machine.cancelHandlings();
         if (machine.host != null) {
-            World part = graph.part(machine.node.number());
+            World part = graph.serviceWorld(machine.node.number());
             machine.host.disconnected = true;
             part.stopServer(machine.host);
             part.registry.serverChanged(machine.host, Availability.GONE, true);
@@ -94,7 +94,7 @@
         machine.down = false;
         if (machine.host != null) {
             machine.host.disconnected = false;
-            World part = graph.part(machine.node.number());
+            World part = graph.serviceWorld(machine.node.number());
             part.resetAll(machine.host);
             part.startServer(machine.host, false);
         }
@@ -103,7 +103,7 @@
     /** A server drains, ends and starts again cold; requests from outside go to other machines in the meantime. */
     private void restart(Failure failure, GraphMachine machine) {
         machine.down = true;
-        World part = machine.host == null ? null : graph.part(machine.node.number());
+        World part = machine.host == null ? null : graph.serviceWorld(machine.node.number());
         if (part != null) {
             part.drainServer(machine.host);
         }
@@ -115,7 +115,7 @@
             long up = startUs() + 1;
             if (failure.proxies()) {
                 machine.upstreams.forEach(u -> u.instance().terminate());
-                up += graph.spec.world().proxies().lateCallsUs() + startUs();
+                up += graph.spec.world().proxies().lateRequestsUs() + startUs();
             }
             graph.queue.after(up, () -> {
                 machine.down = false;
@@ -131,7 +131,7 @@
         setDisconnected(machine, true);
         boolean noticed = failure.forUs()
                 > graph.spec.world().discovery().silentNoticeDelay().high();
-        World part = machine.host == null ? null : graph.part(machine.node.number());
+        World part = machine.host == null ? null : graph.serviceWorld(machine.node.number());
         if (part != null && noticed) {
             part.registry.serverChanged(machine.host, Availability.GONE, true);
         }
@@ -143,7 +143,8 @@
                     part.registry.serverChanged(machine.host, Availability.READY, false);
                 }
             }
-            machine.upstreams.forEach(u -> resetCrossedConnections(u.part(), link -> link.owner.proxy() == u.proxy()));
+            machine.upstreams.forEach(
+                    u -> resetCrossedConnections(u.serviceWorld(), link -> link.owner.proxy() == u.proxy()));
         });
     }
 
@@ -153,8 +154,8 @@
             machine.host.disconnected = on;
         }
         machine.upstreams.forEach(u -> {
-            u.part().network.disconnect(u.proxy(), on);
-            u.part().registry.partition(u.proxy(), on);
+            u.serviceWorld().network.disconnect(u.proxy(), on);
+            u.serviceWorld().registry.partition(u.proxy(), on);
         });
     }
 
@@ -167,7 +168,7 @@
     private void partitionRegions(boolean on) {
         int[] region = graph.spec.regionOf();
         for (CallGraph.Node node : graph.nodes()) {
-            World part = graph.part(node.number());
+            World part = graph.serviceWorld(node.number());
             if (part == null) {
                 continue;
             }
@@ -184,7 +185,7 @@
         }
         for (GraphMachine machine : graph.machines) {
             if (region[machine.zone] != region[0]) {
-                machine.upstreams.forEach(u -> u.part().registry.partition(u.proxy(), on));
+                machine.upstreams.forEach(u -> u.serviceWorld().registry.partition(u.proxy(), on));
             }
         }
     }
--- a/src/main/java/mulleinfront/emulator/GraphTally.java
+++ b/src/main/java/mulleinfront/emulator/GraphStatistics.java
@@ -7,7 +7,7 @@
 import mulleinfront.core.UnservedCounts;
 
 /** Collects the statistics for the report on a graph of services. */
-final class GraphTally {
+final class GraphStatistics {
     /** Part of a call's time. */
     enum Span {
         /** From the application's call to its answer. */
@@ -32,15 +32,15 @@
     static final class CallStatistics {
         final long[] ended = new long[Clients.TryResult.values().length];
         final Histogram[] spans = new Histogram[Span.values().length];
-        double asked;
-        double inTime;
+        double offeredValue;
+        double valueInTime;
         long calls;
         long attempts;
         long acrossZones;
         long acrossRegions;
         long newConnections;
         /** Number of answers from another region. */
-        long servedAcross;
+        long servedAcrossRegions;
 
         CallStatistics() {
             Arrays.setAll(spans, i -> new Histogram());
@@ -50,34 +50,34 @@
             return spans[span.ordinal()];
         }
 
-        long ended(Clients.TryResult how) {
-            return ended[how.ordinal()];
+        long ended(Clients.TryResult result) {
+            return ended[result.ordinal()];
         }
 
         /**
          * Value of the calls that were answered within the request's target latency, as a fraction of the value of all
          * calls that were not cancelled.
          */
-        double service() {
-            return asked == 0 ? 1 : inTime / asked;
+        double earnedShare() {
+            return offeredValue == 0 ? 1 : valueInTime / offeredValue;
         }
     }
 
     /** Statistics of one second of virtual time. */
     static final class SecondStatistics {
-        double asked;
-        double earned;
+        double offeredValue;
+        double earnedValue;
         long requests;
         long calls;
         long refused;
         long notServed;
-        final long[] causes = new long[UnservedReason.Cause.values().length];
-        final long[] recentlyStarted = new long[UnservedReason.Cause.values().length];
+        final long[] unservedByCause = new long[UnservedReason.Cause.values().length];
+        final long[] unservedAfterStartByCause = new long[UnservedReason.Cause.values().length];
         /** Fraction of all cores that was busy. */
         double busy;
 
-        double service() {
-            return asked == 0 ? 1 : earned / asked;
+        double earnedShare() {
+            return offeredValue == 0 ? 1 : earnedValue / offeredValue;
         }
     }
 
@@ -95,36 +95,36 @@
     /** Calls made after the start phase. */
     final CallStatistics afterStartPhase = new CallStatistics();
 
-    final CallStatistics[] depths;
-    final CallStatistics[] services;
-    final DepthStatistics[] deepest;
+    final CallStatistics[] callsByDepth;
+    final CallStatistics[] callsByService;
+    final DepthStatistics[] requestsByDepth;
     final List<SecondStatistics> seconds = new ArrayList<>();
     final Histogram requestTimes = new Histogram();
-    final double[] classAsked;
-    final double[] classEarned;
+    final double[] offeredValueByClass;
+    final double[] earnedValueByClass;
     long requests;
     long requestsServed;
     long requestsLeft;
-    double asked;
-    double earned;
+    double offeredValue;
+    double earnedValue;
     /**
-     * Connections of one client proxy to all servers: the most of any client proxy, and the highest mean over all, of
-     * all seconds.
+     * Connections of a client proxy to all servers, sampled once per second: the highest number of any client proxy,
+     * and the highest mean over all client proxies.
      */
-    int mostConnections;
+    int maxConnections;
 
     double meanConnections;
 
-    GraphTally(GraphSpec spec) {
+    GraphStatistics(GraphSpec spec) {
         this.spec = spec;
-        this.depths = new CallStatistics[spec.depth() + 1];
-        this.services = new CallStatistics[spec.services()];
-        this.deepest = new DepthStatistics[spec.depth() + 1];
-        this.classAsked = new double[spec.world().classes().size()];
-        this.classEarned = new double[classAsked.length];
-        Arrays.setAll(depths, i -> new CallStatistics());
-        Arrays.setAll(services, i -> new CallStatistics());
-        Arrays.setAll(deepest, i -> new DepthStatistics());
+        this.callsByDepth = new CallStatistics[spec.depth() + 1];
+        this.callsByService = new CallStatistics[spec.services()];
+        this.requestsByDepth = new DepthStatistics[spec.depth() + 1];
+        this.offeredValueByClass = new double[spec.world().classes().size()];
+        this.earnedValueByClass = new double[offeredValueByClass.length];
+        Arrays.setAll(callsByDepth, i -> new CallStatistics());
+        Arrays.setAll(callsByService, i -> new CallStatistics());
+        Arrays.setAll(requestsByDepth, i -> new DepthStatistics());
     }
 
     SecondStatistics second(long at) {
@@ -137,10 +137,10 @@
 
     void requestStarted(GraphRequest request) {
         requests++;
-        asked += request.worth;
-        classAsked[request.classIndex] += request.worth;
+        offeredValue += request.worth;
+        offeredValueByClass[request.classIndex] += request.worth;
         SecondStatistics statistics = second(request.createdAt);
-        statistics.asked += request.worth;
+        statistics.offeredValue += request.worth;
         statistics.requests++;
     }
 
@@ -149,14 +149,14 @@
         SecondStatistics statistics = second(request.createdAt);
         if (left) {
             requestsLeft++;
-            asked -= request.worth;
-            classAsked[request.classIndex] -= request.worth;
-            statistics.asked -= request.worth;
+            offeredValue -= request.worth;
+            offeredValueByClass[request.classIndex] -= request.worth;
+            statistics.offeredValue -= request.worth;
             return;
         }
-        DepthStatistics d = deepest[request.deepest];
-        d.requests++;
-        d.withCallOverBudget += request.callsOverBudget > 0 ? 1 : 0;
+        DepthStatistics depthStatistics = requestsByDepth[request.deepest];
+        depthStatistics.requests++;
+        depthStatistics.withCallOverBudget += request.callsOverBudget > 0 ? 1 : 0;
         if (!served) {
             statistics.notServed++;
             return;
@@ -167,74 +167,74 @@
                 * (now <= request.targetAt
                         ? 1
                         : spec.world().classes().get(request.classIndex).type().lateWorth());
-        earned += worth;
-        classEarned[request.classIndex] += worth;
-        statistics.earned += worth;
+        earnedValue += worth;
+        earnedValueByClass[request.classIndex] += worth;
+        statistics.earnedValue += worth;
     }
 
-    void callStarted(Hop hop, long now) {
+    void callStarted(GraphCall graphCall, long now) {
         all.calls++;
         afterStartPhase.calls += now >= START_PHASE_US ? 1 : 0;
-        depths[hop.depth()].calls++;
-        services[hop.edge.to()].calls++;
+        callsByDepth[graphCall.depth()].calls++;
+        callsByService[graphCall.edge.to()].calls++;
         second(now).calls++;
     }
 
-    void attemptSent(int depth, long bornAt, int fromZone, int toZone, boolean connected) {
-        countSent(all, fromZone, toZone, connected);
-        if (bornAt >= START_PHASE_US) {
-            countSent(afterStartPhase, fromZone, toZone, connected);
+    void attemptSent(int depth, long createdAt, int fromZone, int toZone, boolean newConnection) {
+        countSent(all, fromZone, toZone, newConnection);
+        if (createdAt >= START_PHASE_US) {
+            countSent(afterStartPhase, fromZone, toZone, newConnection);
         }
-        countSent(depths[depth], fromZone, toZone, connected);
+        countSent(callsByDepth[depth], fromZone, toZone, newConnection);
     }
 
-    private void countSent(CallStatistics group, int fromZone, int toZone, boolean connected) {
+    private void countSent(CallStatistics group, int fromZone, int toZone, boolean newConnection) {
         group.attempts++;
         group.acrossZones += fromZone == toZone ? 0 : 1;
         group.acrossRegions += spec.regionOf()[fromZone] == spec.regionOf()[toZone] ? 0 : 1;
-        group.newConnections += connected ? 1 : 0;
+        group.newConnections += newConnection ? 1 : 0;
     }
 
     /** A call has ended for the application that made it. */
-    void callEnded(Hop hop, Clients.TryResult how, long now) {
-        countEnded(all, hop, how, now);
-        if (hop.createdAt() >= START_PHASE_US) {
-            countEnded(afterStartPhase, hop, how, now);
+    void callEnded(GraphCall graphCall, Clients.TryResult result, long now) {
+        countEnded(all, graphCall, result, now);
+        if (graphCall.createdAt() >= START_PHASE_US) {
+            countEnded(afterStartPhase, graphCall, result, now);
         }
-        countEnded(depths[hop.depth()], hop, how, now);
-        countEnded(services[hop.edge.to()], hop, how, now);
-        if (how == Clients.TryResult.REFUSED) {
+        countEnded(callsByDepth[graphCall.depth()], graphCall, result, now);
+        countEnded(callsByService[graphCall.edge.to()], graphCall, result, now);
+        if (result == Clients.TryResult.REFUSED) {
             second(now).refused++;
         }
-        if (how == Clients.TryResult.SERVED && hop.span(Span.ADDED, now) > spec.addedTimeBudgetUs()) {
-            hop.caller.request.callsOverBudget++;
+        if (result == Clients.TryResult.SERVED && graphCall.timeSpent(Span.ADDED, now) > spec.addedTimeBudgetUs()) {
+            graphCall.caller.request.callsOverBudget++;
         }
     }
 
-    private void countEnded(CallStatistics group, Hop hop, Clients.TryResult how, long now) {
-        group.ended[how.ordinal()]++;
-        if (how == Clients.TryResult.LEFT) {
+    private void countEnded(CallStatistics group, GraphCall graphCall, Clients.TryResult result, long now) {
+        group.ended[result.ordinal()]++;
+        if (result == Clients.TryResult.LEFT) {
             return;
         }
-        double worth = spec.world().classes().get(hop.classIndex).type().worth();
-        group.asked += worth;
-        if (how == Clients.TryResult.SERVED) {
-            group.servedAcross += hop.acrossRegions() ? 1 : 0;
-            group.inTime += now <= hop.caller.request.targetAt ? worth : 0;
+        double worth = spec.world().classes().get(graphCall.classIndex).type().worth();
+        group.offeredValue += worth;
+        if (result == Clients.TryResult.SERVED) {
+            group.servedAcrossRegions += graphCall.acrossRegions() ? 1 : 0;
+            group.valueInTime += now <= graphCall.caller.request.targetAt ? worth : 0;
             for (Span span : Span.values()) {
-                group.histogram(span).add(hop.span(span, now));
+                group.histogram(span).add(graphCall.timeSpent(span, now));
             }
         }
     }
 
-    void unserved(long now, UnservedReason why) {
+    void requestUnserved(long now, UnservedReason reason) {
         SecondStatistics statistics = second(now);
-        statistics.causes[why.cause().ordinal()]++;
-        statistics.recentlyStarted[why.cause().ordinal()] +=
-                why.instanceAgeUs() < UnservedCounts.RECENT_START_US ? 1 : 0;
+        statistics.unservedByCause[reason.cause().ordinal()]++;
+        statistics.unservedAfterStartByCause[reason.cause().ordinal()] +=
+                reason.instanceAgeUs() < UnservedCounts.RECENT_START_US ? 1 : 0;
     }
 
-    double service() {
-        return asked <= 0 ? 1 : earned / asked;
+    double earnedShare() {
+        return offeredValue <= 0 ? 1 : earnedValue / offeredValue;
     }
 }
--- a/src/main/java/mulleinfront/emulator/GraphWorld.java
+++ b/src/main/java/mulleinfront/emulator/GraphWorld.java
@@ -29,8 +29,8 @@
 
     final GraphSpec spec;
     final EventQueue queue = new EventQueue();
-    final GraphTally tally;
-    final GraphAuditor audit;
+    final GraphStatistics statistics;
+    final GraphAuditor auditor;
     final GraphApplication application;
     final List<GraphMachine> machines = new ArrayList<>();
     private final RandomStream arrivalChance;
@@ -40,7 +40,7 @@
     private final long seed;
     private final long[][] oneWay;
     /** Simulation of each service by its number; null for front services. */
-    private final World[] parts;
+    private final World[] serviceWorlds;
 
     private final int[] firstMachine;
     private final Map<Host, GraphMachine> byHost = new HashMap<>();
@@ -70,12 +70,12 @@
         this.trace = trace;
         this.application = application;
         this.graph = CallGraph.generate(spec, seed);
-        this.tally = new GraphTally(spec);
-        this.audit = new GraphAuditor(this);
+        this.statistics = new GraphStatistics(spec);
+        this.auditor = new GraphAuditor(this);
         this.arrivalChance = RandomStream.of(seed, "arrivals");
         this.workChance = RandomStream.of(seed, "works");
         this.oneWay = zoneDelays();
-        this.parts = new World[spec.services()];
+        this.serviceWorlds = new World[spec.services()];
         this.firstMachine = new int[spec.services()];
         Scenario scenario = spec.world();
         this.classes = RandomStream.cumulative(scenario.classes().stream()
@@ -109,7 +109,7 @@
         queue.after(SECOND_US, this::recordSecond);
     }
 
-    /** Creates a simulation with the real balancer. */
+    /** Creates a simulation with the production balancer. */
     public static GraphWorld of(GraphSpec spec, long seed, OutputStream traceFile) {
         return new GraphWorld(
                 spec, seed, new Trace(traceFile), Balancer::create, CoreWiring.UNCHANGED, GraphApplication.DEFAULT);
@@ -202,7 +202,7 @@
                 fitting,
                 null,
                 new Service(node, first, callers));
-        parts[node.number()] = part;
+        serviceWorlds[node.number()] = part;
         for (int i = 0; i < node.hosts(); i++) {
             GraphMachine m = machines.get(first + i);
             m.host = part.hosts.get(i);
@@ -256,7 +256,7 @@
         }
 
         @Override
-        public void changed(Host host) {
+        public void hostChanged(Host host) {
             GraphMachine m = byHost.get(host);
             if (!host.alive()) {
                 m.cancelHandlings();
@@ -264,13 +264,13 @@
         }
 
         @Override
-        public void ran(String effect, boolean dropped) {
-            audit.ran(effect, dropped);
+        public void effectRan(String effect, boolean dropped) {
+            auditor.effectRan(effect, dropped);
         }
 
         @Override
-        public void unserved(long now, UnservedReason why) {
-            tally.unserved(now, why);
+        public void requestUnserved(long now, UnservedReason reason) {
+            statistics.requestUnserved(now, reason);
         }
     }
 
@@ -278,13 +278,13 @@
         return graph.nodes();
     }
 
-    World part(int service) {
-        return parts[service];
+    World serviceWorld(int service) {
+        return serviceWorlds[service];
     }
 
     /** Number of answers that came from another region than their call. */
     long servedAcrossRegions() {
-        return tally.all.servedAcross;
+        return statistics.all.servedAcrossRegions;
     }
 
     GraphMachine machine(Host host) {
@@ -329,7 +329,7 @@
                 now,
                 now + type.targetLatencyUs(),
                 now + (long) (timeoutFraction * type.deadlineUs()));
-        tally.requestStarted(request);
+        statistics.requestStarted(request);
         if (machine.down || machine.disconnected) {
             endRequest(request, false, false);
             return;
@@ -366,7 +366,7 @@
     private void endRequest(GraphRequest request, boolean served, boolean left) {
         if (!request.ended) {
             request.ended = true;
-            tally.requestEnded(request, served, left, queue.now());
+            statistics.requestEnded(request, served, left, queue.now());
         }
     }
 
@@ -398,7 +398,7 @@
     }
 
     /** Creates a call on behalf of a request. */
-    Hop hop(Handling above, CallGraph.Edge edge) {
+    GraphCall createCall(Handling above, CallGraph.Edge edge) {
         int ofRequest = above.incoming == null ? above.request.classIndex : above.incoming.classIndex;
         int classIndex =
                 application.classOf(effectLetter(ofRequest) == SAFE ? ofRequest : readClass, ofRequest, edge.reads());
@@ -411,43 +411,57 @@
                 queue.now(),
                 spec.world().classes().get(classIndex).type().deadlineUs(),
                 spec.reserveUs());
-        Hop hop = new Hop(this, edge, above, classIndex, effect, endAt);
-        audit.called(hop);
-        tally.callStarted(hop, queue.now());
-        return hop;
+        GraphCall graphCall = new GraphCall(this, edge, above, classIndex, effect, endAt);
+        auditor.callMade(graphCall);
+        statistics.callStarted(graphCall, queue.now());
+        return graphCall;
     }
 
-    void call(Hop hop, GraphMachine from) {
-        GraphMachine.Upstream u = from.upstream(hop.edge.to());
-        double work = u.part().scenario.classes().get(hop.classIndex).drawUs(workChance);
-        u.part().clients.sendCall(hop, u.proxy(), hop.caller.request.tenant, hop.caller.request.key, work);
+    void sendCall(GraphCall graphCall, GraphMachine from) {
+        GraphMachine.Upstream upstream = from.upstream(graphCall.edge.to());
+        double work = upstream.serviceWorld()
+                .scenario
+                .classes()
+                .get(graphCall.classIndex)
+                .drawUs(workChance);
+        upstream.serviceWorld()
+                .clients
+                .sendCall(
+                        graphCall,
+                        upstream.proxy(),
+                        graphCall.caller.request.tenant,
+                        graphCall.caller.request.key,
+                        work);
     }
 
     // ---- statistics per second -----------------------------------------------------------------------
 
     private void recordSecond() {
-        double sum = 0;
+        double busyUs = 0;
         double cores = 0;
-        int most = 0;
-        long open = 0;
-        for (GraphMachine m : machines) {
-            if (m.host != null && m.host.process != null) {
-                double now = m.host.process.statistics().busyCoreUs;
-                sum += now - (countedProcesses[m.number] == m.host.process ? countedBusyUs[m.number] : 0);
-                countedProcesses[m.number] = m.host.process;
-                countedBusyUs[m.number] = now;
-                cores += m.host.spec.cores();
+        int maxConnections = 0;
+        long openConnections = 0;
+        for (GraphMachine machine : machines) {
+            if (machine.host != null && machine.host.process != null) {
+                double now = machine.host.process.statistics().busyCoreUs;
+                busyUs += now
+                        - (countedProcesses[machine.number] == machine.host.process
+                                ? countedBusyUs[machine.number]
+                                : 0);
+                countedProcesses[machine.number] = machine.host.process;
+                countedBusyUs[machine.number] = now;
+                cores += machine.host.spec.cores();
             }
             int connections = 0;
-            for (GraphMachine.Upstream u : m.upstreams) {
+            for (GraphMachine.Upstream u : machine.upstreams) {
                 connections += ((Proxy) u.instance()).connections();
             }
-            most = Math.max(most, connections);
-            open += connections;
+            maxConnections = Math.max(maxConnections, connections);
+            openConnections += connections;
         }
-        tally.second(queue.now() - 1).busy = sum / (cores * SECOND_US);
-        tally.mostConnections = Math.max(tally.mostConnections, most);
-        tally.meanConnections = Math.max(tally.meanConnections, (double) open / machines.size());
+        statistics.second(queue.now() - 1).busy = busyUs / (cores * SECOND_US);
+        statistics.maxConnections = Math.max(statistics.maxConnections, maxConnections);
+        statistics.meanConnections = Math.max(statistics.meanConnections, (double) openConnections / machines.size());
         if (queue.now() < spec.world().lengthUs()) {
             queue.after(SECOND_US, this::recordSecond);
         }
@@ -459,7 +473,7 @@
     public GraphReport run() {
         queue.runUntil(spec.world().lengthUs() + spec.world().settleUs());
         List<World.Result> results = new ArrayList<>();
-        for (World part : parts) {
+        for (World part : serviceWorlds) {
             results.add(part == null ? null : part.finish());
         }
         return new GraphReport(this, results, seed, trace.sha256(), trace.lines());
@@ -468,7 +482,7 @@
     /** Descriptions of the violations: those along paths, and those of the four rules by service. */
     static List<String> violations(GraphWorld graph, List<World.Result> results) {
         List<String> all = new ArrayList<>();
-        graph.audit.breaches().forEach(b -> all.add(b.toString()));
+        graph.auditor.breaches().forEach(b -> all.add(b.toString()));
         for (World.Result r : results) {
             if (r != null) {
                 r.breaches()
--- a/src/main/java/mulleinfront/emulator/Handling.java
+++ b/src/main/java/mulleinfront/emulator/Handling.java
@@ -12,7 +12,7 @@
     /** The external request that it is a part of. */
     final GraphRequest request;
     /** The incoming call; null if it is the external request itself. */
-    final Hop incoming;
+    final GraphCall incoming;
 
     final GraphMachine machine;
     /** When the caller stops waiting. */
@@ -20,9 +20,9 @@
 
     final int depth;
     private final GraphWorld graph;
-    private final ResponseListener done;
+    private final ResponseListener responseListener;
     private List<CallGraph.Edge> edges;
-    private final Set<Hop> open = new LinkedHashSet<>();
+    private final Set<GraphCall> open = new LinkedHashSet<>();
     private int nextEdge;
     private int openCalls;
     /** When it was answered or cancelled; -1 while it is open. */
@@ -37,17 +37,17 @@
     Handling(
             GraphWorld graph,
             GraphRequest request,
-            Hop incoming,
+            GraphCall incoming,
             GraphMachine machine,
             long endsAt,
-            ResponseListener done) {
+            ResponseListener responseListener) {
         this.graph = graph;
         this.request = request;
         this.incoming = incoming;
         this.machine = machine;
         this.endsAt = endsAt;
         this.depth = incoming == null ? 0 : incoming.depth();
-        this.done = done;
+        this.responseListener = responseListener;
     }
 
     long overAt() {
@@ -79,18 +79,18 @@
     }
 
     private void call(CallGraph.Edge edge) {
-        Hop hop = graph.hop(this, edge);
-        open.add(hop);
-        graph.call(hop, machine);
+        GraphCall graphCall = graph.createCall(this, edge);
+        open.add(graphCall);
+        graph.sendCall(graphCall, machine);
     }
 
     /** Processes the end of one of its calls. */
-    void ended(Hop hop, Clients.TryResult result) {
-        open.remove(hop);
+    void callEnded(GraphCall graphCall, Clients.TryResult result) {
+        open.remove(graphCall);
         if (overAt >= 0) {
             return;
         }
-        if (result != Clients.TryResult.SERVED && !hop.edge.optional()) {
+        if (result != Clients.TryResult.SERVED && !graphCall.edge.optional()) {
             finish(ServerModel.End.ERROR);
         } else if (machine.node.sequential()) {
             callNext();
@@ -101,7 +101,7 @@
 
     private void finish(ServerModel.End end) {
         close(true);
-        done.done(end);
+        responseListener.done(end);
     }
 
     /**
@@ -118,7 +118,7 @@
         overAt = graph.queue.now();
         machine.handlings.remove(this);
         if (cancelCalls) {
-            List.copyOf(open).forEach(Hop::giveUp);
+            List.copyOf(open).forEach(GraphCall::giveUp);
             open.clear();
         }
     }
--- a/src/main/java/mulleinfront/emulator/HybridSimulation.java
+++ b/src/main/java/mulleinfront/emulator/HybridSimulation.java
@@ -24,8 +24,8 @@
      */
     private static final long REQUEST_ID_RETENTION_US = 30_000_000;
     /**
-     * Data that was sent, or a close, may not have been read yet. An attempt that arrives while an earlier one seems to
-     * be in flight, and the end of a client proxy, are therefore checked after this delay.
+     * Delay of the checks that depend on data or a close that a socket may not have read yet: the check of an attempt
+     * that arrives while an earlier attempt seems to be in flight, and the check of a client proxy that has ended.
      */
     private static final long CHECK_DELAY_US = 20_000;
 
@@ -41,7 +41,7 @@
         PeerFaults peerFaults();
 
         /** Sends SIGTERM, and starts the proxy again when it has ended. */
-        void end(int proxy);
+        void terminate(int proxy);
 
         /** Opens idle client connections to the proxy for a time. */
         void floodConnections(int proxy, int connections, long forUs);
@@ -56,13 +56,13 @@
         void send(Outgoing request);
 
         /** The client of a try disconnects. */
-        void leave(int proxy, String id);
+        void disconnectClient(int proxy, String id);
 
         /** The result of {@link HybridSimulation#connectBehaviour} for an address may have changed. */
-        void changed(int address);
+        void addressChanged(int address);
 
         /** Resets all connections to an address. */
-        void reset(int address);
+        void resetConnections(int address);
     }
 
     /** How an address reacts to a new connection. */
@@ -96,14 +96,14 @@
         private boolean left;
         private Attempt lastAttempt;
 
-        PendingTry(Clients.Try t, int proxy) {
-            this.clientTry = t;
+        PendingTry(Clients.Try clientTry, int proxy) {
+            this.clientTry = clientTry;
             this.proxy = proxy;
         }
     }
 
     /** Runs a task at an instant, or at once if the instant has passed. */
-    private void at(long instant, Runnable task) {
+    private void runAt(long instant, Runnable task) {
         if (instant <= world.queue.now()) {
             task.run();
         } else {
@@ -158,7 +158,7 @@
     // ---- client proxies ------------------------------------------------------------------------------
 
     /** The initial list of a client proxy that starts now; the auditor counts it as known to the proxy from now on. */
-    public ListUpdate begin(int proxy) {
+    public ListUpdate startProxy(int proxy) {
         Registry.ListUpdate known = world.initialList();
         world.auditor.proxyStarted(proxy, world.queue.now());
         world.auditor.listReceived(proxy, known.version(), Source.CACHED, known.entries(), world.queue.now());
@@ -169,10 +169,10 @@
         return initialListUnknown[proxy] ? new ListUpdate(0, update.full(), update.servers()) : update;
     }
 
-    private static ListUpdate toListUpdate(Registry.ListUpdate news) {
+    private static ListUpdate toListUpdate(Registry.ListUpdate update) {
         List<Listed> servers = new ArrayList<>();
-        news.entries().forEach(e -> servers.add(new Listed(e.endpoint(), e.address())));
-        return new ListUpdate(news.version(), news.full(), servers);
+        update.entries().forEach(e -> servers.add(new Listed(e.endpoint(), e.address())));
+        return new ListUpdate(update.version(), update.full(), servers);
     }
 
     /**
@@ -214,7 +214,7 @@
 
             @Override
             void terminate() {
-                externalProxies.end(number);
+                externalProxies.terminate(number);
             }
 
             @Override
@@ -228,26 +228,26 @@
             }
 
             @Override
-            void accept(Clients.Try t) {
-                tries.put(t.call.id(), new PendingTry(t, number));
-                world.queue.after(REQUEST_ID_RETENTION_US, () -> tries.remove(t.call.id()));
+            void accept(Clients.Try clientTry) {
+                tries.put(clientTry.call.id(), new PendingTry(clientTry, number));
+                world.queue.after(REQUEST_ID_RETENTION_US, () -> tries.remove(clientTry.call.id()));
                 externalProxies.send(new Outgoing(
                         number,
-                        t.call.id(),
-                        t.call.classIndex(),
-                        t.call.key(),
-                        t.call.effect(),
-                        t.request.tenant,
-                        t.deadlineAt - t.sentAt));
+                        clientTry.call.id(),
+                        clientTry.call.classIndex(),
+                        clientTry.call.key(),
+                        clientTry.call.effect(),
+                        clientTry.request.tenant,
+                        clientTry.deadlineAt - clientTry.sentAt));
             }
 
             @Override
-            void clientDisconnected(Clients.Try t) {
-                PendingTry pending = tries.get(t.call.id());
+            void clientDisconnected(Clients.Try clientTry) {
+                PendingTry pending = tries.get(clientTry.call.id());
                 if (pending != null) {
                     pending.left = true;
-                    world.auditor.clientDisconnected(number, t.call.id(), world.queue.now());
-                    externalProxies.leave(number, t.call.id());
+                    world.auditor.clientDisconnected(number, clientTry.call.id(), world.queue.now());
+                    externalProxies.disconnectClient(number, clientTry.call.id());
                 }
             }
         };
@@ -330,11 +330,11 @@
     // ---- servers -------------------------------------------------------------------------------------
 
     void changed(Host host) {
-        externalProxies.changed(host.address);
+        externalProxies.addressChanged(host.address);
     }
 
     void reset(Host host) {
-        externalProxies.reset(host.address);
+        externalProxies.resetConnections(host.address);
     }
 
     /** How an address reacts now to a new connection from a client proxy. */
@@ -417,7 +417,7 @@
         public void request(String id, String effect, long firstByteAt, Reply reply) {
             PendingTry pending = tries.get(id);
             if (pending == null) {
-                world.auditor.sent(proxy, id, 0, host.id, firstByteAt);
+                world.auditor.attemptSent(proxy, id, 0, host.id, firstByteAt);
                 reply.answer(400, false);
                 return;
             }
@@ -429,7 +429,7 @@
             // Attempts are checked in order: an attempt is checked after an earlier one that is still to be checked.
             long closing = before == null || before.ended ? 0 : CHECK_DELAY_US;
             attempt.checkedAt = Math.max(world.queue.now() + closing, before == null ? 0 : before.checkedAt);
-            at(attempt.checkedAt, () -> world.auditor.sent(proxy, id, attempt.number, host.id, firstByteAt));
+            runAt(attempt.checkedAt, () -> world.auditor.attemptSent(proxy, id, attempt.number, host.id, firstByteAt));
             world.statistics.attemptSent(world.zoneOf(proxy) == host.zone);
             if (world.queue.now() - lastResponseAt > process.spec().idleCloseUs()) {
                 attempt.reset();
@@ -541,7 +541,7 @@
         private void ended(Outcome outcome) {
             if (!ended) {
                 ended = true;
-                at(
+                runAt(
                         checkedAt,
                         () -> world.auditor.attemptEnded(
                                 connection.proxy, pending.clientTry.call.id(), number, outcome, world.queue.now()));
@@ -558,16 +558,16 @@
         /** The call is accepted: heartbeats start. */
         void startHeartbeats();
 
-        void sendUpdate(ListUpdate news);
+        void sendUpdate(ListUpdate update);
 
         /** Heartbeats stop or resume. */
         void setSilent(boolean on);
 
         /** Sends the first half of a list; the full list follows later. */
-        void sendFirstHalf(ListUpdate news);
+        void sendFirstHalf(ListUpdate update);
 
         /** Sends a truncated list and breaks the connection. */
-        void sendTruncated(ListUpdate news);
+        void sendTruncated(ListUpdate update);
 
         /**
          * The call or the watch has failed.
@@ -621,23 +621,23 @@
         }
 
         @Override
-        void receive(Registry.ListUpdate news) {
+        void receive(Registry.ListUpdate update) {
             if (!ended) {
-                output.sendUpdate(HybridSimulation.toListUpdate(news));
+                output.sendUpdate(HybridSimulation.toListUpdate(update));
                 world.auditor.listReceived(
                         proxy,
-                        news.version(),
-                        news.full() ? Source.FULL : Source.DELTA,
-                        news.entries(),
+                        update.version(),
+                        update.full() ? Source.FULL : Source.DELTA,
+                        update.entries(),
                         world.queue.now());
                 world.auditor.watching(proxy);
             }
         }
 
         @Override
-        void receiveFirstHalf(Registry.ListUpdate news) {
+        void receiveFirstHalf(Registry.ListUpdate update) {
             if (!ended) {
-                output.sendFirstHalf(HybridSimulation.toListUpdate(news));
+                output.sendFirstHalf(HybridSimulation.toListUpdate(update));
             }
         }
 
@@ -650,9 +650,9 @@
         }
 
         @Override
-        void receiveTruncated(Registry.ListUpdate news) {
+        void receiveTruncated(Registry.ListUpdate update) {
             if (!ended) {
-                output.sendTruncated(HybridSimulation.toListUpdate(news));
+                output.sendTruncated(HybridSimulation.toListUpdate(update));
                 end();
                 world.auditor.watchFailed(proxy, world.queue.now(), true);
             }
--- a/src/main/java/mulleinfront/emulator/Instance.java
+++ b/src/main/java/mulleinfront/emulator/Instance.java
@@ -35,8 +35,8 @@
     void floodConnections(int connections, long forUs) {}
 
     /** Accepts a try whose last byte has arrived. */
-    abstract void accept(Clients.Try t);
+    abstract void accept(Clients.Try clientTry);
 
     /** Reports that the client of a try has disconnected. */
-    abstract void clientDisconnected(Clients.Try t);
+    abstract void clientDisconnected(Clients.Try clientTry);
 }
--- a/src/main/java/mulleinfront/emulator/LossAttribution.java
+++ b/src/main/java/mulleinfront/emulator/LossAttribution.java
@@ -74,7 +74,7 @@
 
     LossAttribution(World world) {
         this.world = world;
-        for (int i = 0; i < LossReport.Part.values().length; i++) {
+        for (int i = 0; i < LossReport.Dimension.values().length; i++) {
             parts.add(new TreeMap<>());
         }
     }
@@ -183,7 +183,7 @@
         if (lostWorth > 0) {
             lostValue += lostWorth;
             byCause.computeIfAbsent(cause, c -> new LossReport.Loss()).add(lostWorth);
-            for (LossReport.Part part : LossReport.Part.values()) {
+            for (LossReport.Dimension part : LossReport.Dimension.values()) {
                 parts.get(part.ordinal())
                         .computeIfAbsent(name(part, request), n -> new TreeMap<>())
                         .merge(cause, lostWorth, Double::sum);
@@ -192,7 +192,7 @@
         request.tryIds.forEach(histories::remove);
     }
 
-    private String name(LossReport.Part part, Clients.ClientRequest request) {
+    private String name(LossReport.Dimension part, Clients.ClientRequest request) {
         return switch (part) {
             case INSTANCE -> String.format(Locale.ROOT, "%5d", request.proxy);
             case ZONE -> world.scenario.zones().get(world.zoneOf(request.proxy));
@@ -338,8 +338,8 @@
     /** The report so far; requests that are still open count as not served. */
     LossReport report() {
         List.copyOf(open).forEach(request -> requestEnded(request, world.statistics.worth(request), world.queue.now()));
-        Map<LossReport.Part, Map<String, Map<Cause, Double>>> named = new LinkedHashMap<>();
-        for (LossReport.Part part : LossReport.Part.values()) {
+        Map<LossReport.Dimension, Map<String, Map<Cause, Double>>> named = new LinkedHashMap<>();
+        for (LossReport.Dimension part : LossReport.Dimension.values()) {
             named.put(part, parts.get(part.ordinal()));
         }
         return new LossReport(lostValue, byCause, named);
--- a/src/main/java/mulleinfront/emulator/LossReport.java
+++ b/src/main/java/mulleinfront/emulator/LossReport.java
@@ -6,14 +6,15 @@
 /**
  * The losses of a simulation, by cause.
  *
- * @param lost value that was offered and not earned
+ * @param lostValue value that was offered and not earned
  * @param causes losses by cause
- * @param parts lost value by cause for each instance, zone, class, tenant and window of 10 s, by name
+ * @param causesByDimension lost value by cause for each instance, zone, class, tenant and window of 10 s, by name
  */
-public record LossReport(double lost, Map<Cause, Loss> causes, Map<Part, Map<String, Map<Cause, Double>>> parts) {
+public record LossReport(
+        double lostValue, Map<Cause, Loss> causes, Map<Dimension, Map<String, Map<Cause, Double>>> causesByDimension) {
 
     /** The dimensions by which losses are reported in addition to their causes. */
-    public enum Part {
+    public enum Dimension {
         INSTANCE,
         ZONE,
         CLASS,
--- a/src/main/java/mulleinfront/emulator/Network.java
+++ b/src/main/java/mulleinfront/emulator/Network.java
@@ -79,10 +79,10 @@
     }
 
     /** Begins or ends a partition between two zones. */
-    void partitionZones(int a, int b, boolean on) {
+    void partitionZones(int firstZone, int secondZone, boolean on) {
         partitionedPairs = partitionedPairs == null ? new int[oneWay.length][oneWay.length] : partitionedPairs;
-        partitionedPairs[a][b] += on ? 1 : -1;
-        partitionedPairs[b][a] += on ? 1 : -1;
+        partitionedPairs[firstZone][secondZone] += on ? 1 : -1;
+        partitionedPairs[secondZone][firstZone] += on ? 1 : -1;
     }
 
     /** Disconnects a client proxy's machine from the network, or reconnects it. */
--- a/src/main/java/mulleinfront/emulator/Proxy.java
+++ b/src/main/java/mulleinfront/emulator/Proxy.java
@@ -135,7 +135,7 @@
         if (world.fleet != null) {
             world.fleet.leave(number);
         }
-        world.queue.after(world.scenario.proxies().lateCallsUs(), () -> {
+        world.queue.after(world.scenario.proxies().lateRequestsUs(), () -> {
             ending.listening = false;
             ending.endIfDone();
         });
@@ -280,8 +280,8 @@
             world.auditor.requestAccepted(
                     number, clientTry.call.id(), clientTry.call.classIndex(), now, clientTry.deadlineAt);
             world.lossAttribution.tryAccepted(clientTry.call.id());
-            if (clientTry.call.hop() != null) {
-                clientTry.call.hop().accepted(now());
+            if (clientTry.call.graphCall() != null) {
+                clientTry.call.graphCall().accepted(now());
             }
             waitingForCpu.add(clientTry);
             runOnCpu(cpu.halfUs(requests++), () -> {
@@ -306,8 +306,8 @@
                     world.wiring.responseHandler(
                             new ResponseHandler<Call, Answer>() {
                                 @Override
-                                public void opened(Core.RequestHandle<Call, Answer> exchange) {
-                                    open.put(clientTry, exchange);
+                                public void opened(Core.RequestHandle<Call, Answer> handle) {
+                                    open.put(clientTry, handle);
                                 }
 
                                 @Override
@@ -318,8 +318,8 @@
                                         if (responding.remove(clientTry)) {
                                             world.auditor.served(
                                                     number, clientTry.call.id(), answer.requestId(), now());
-                                            if (clientTry.call.hop() != null) {
-                                                clientTry.call.hop().answered(now());
+                                            if (clientTry.call.graphCall() != null) {
+                                                clientTry.call.graphCall().answered(now());
                                             }
                                             finish(clientTry, Clients.TryResult.SERVED, 0);
                                         }
@@ -367,9 +367,9 @@
                 return;
             }
             world.auditor.clientDisconnected(number, clientTry.call.id(), now());
-            Core.RequestHandle<Call, Answer> exchange = open.remove(clientTry);
-            if (exchange != null) {
-                core.abandoned(exchange);
+            Core.RequestHandle<Call, Answer> handle = open.remove(clientTry);
+            if (handle != null) {
+                core.abandoned(handle);
             }
             waitingForCpu.remove(clientTry);
             responding.remove(clientTry);
--- a/src/main/java/mulleinfront/emulator/Registry.java
+++ b/src/main/java/mulleinfront/emulator/Registry.java
@@ -155,24 +155,24 @@
             world.queue.after(world.network.delay(watcher.zone(), 0), watcher::fail);
             return;
         }
-        ListUpdate news = from < 0 || version() - from > 2L * listed.size() + 16
+        ListUpdate update = from < 0 || version() - from > 2L * listed.size() + 16
                 ? fullList()
                 : new ListUpdate(version(), false, List.copyOf(changes.subList((int) from, changes.size())));
         watcher.sentVersion = version();
         if (consume(remainingTruncations, watcher.proxy())) {
             watches.remove(watcher);
-            world.queue.after(delayTo(watcher), () -> watcher.receiveTruncated(news));
+            world.queue.after(delayTo(watcher), () -> watcher.receiveTruncated(update));
             return;
         }
         if (consume(remainingPauses, watcher.proxy())) {
             long beginsIn = delayTo(watcher);
             watcher.pausing = true;
-            world.queue.after(beginsIn, () -> watcher.receiveFirstHalf(news));
+            world.queue.after(beginsIn, () -> watcher.receiveFirstHalf(update));
             world.queue.after(
-                    beginsIn + (long) pauseRange.draw(chance::uniformBetween), () -> resumeList(watcher, news));
+                    beginsIn + (long) pauseRange.draw(chance::uniformBetween), () -> resumeList(watcher, update));
             return;
         }
-        Runnable delivery = () -> watcher.receive(news);
+        Runnable delivery = () -> watcher.receive(update);
         if (shuffleLists > 0) {
             shuffledDeliveries.add(delivery);
             if (shuffledDeliveries.size() >= shuffleLists) {
@@ -184,10 +184,10 @@
     }
 
     /** Sends the rest of a list that had stopped halfway, and then later changes. */
-    private void resumeList(Watcher watcher, ListUpdate news) {
+    private void resumeList(Watcher watcher, ListUpdate update) {
         watcher.pausing = false;
         if (!watcher.ended()) {
-            watcher.receive(news);
+            watcher.receive(update);
             sendUpdate(watcher);
         }
     }
--- a/src/main/java/mulleinfront/emulator/ReportWriter.java
+++ b/src/main/java/mulleinfront/emulator/ReportWriter.java
@@ -34,7 +34,7 @@
                 out,
                 "service %.3f: whole %.3f, worst %.0f s %.3f, worst class %.3f, worst branch %.3f; prices%s",
                 report.service(),
-                report.whole(),
+                report.overallShare(),
                 result.scenario().service().windowUs() / 1e6,
                 report.worstWindow(),
                 report.worstClass(),
@@ -49,7 +49,7 @@
                         out,
                         "  %8.3f s  %s%s",
                         h.atUs() / 1e6,
-                        h.what(),
+                        h.description(),
                         h.forUs() > 0 ? String.format(Locale.ROOT, " for %.3f s", h.forUs() / 1e6) : "");
             }
         }
@@ -60,14 +60,14 @@
         line(out, "");
         line(out, "%10s %8s %8s", "5 s from", "asked", "service");
         for (ServiceReport.Window window : report.windows()) {
-            line(out, "%8.0f s %8d %8.3f", window.atUs() / 1e6, window.asked(), window.share());
+            line(out, "%8.0f s %8d %8.3f", window.atUs() / 1e6, window.requests(), window.share());
         }
         for (ServiceReport.RestartStatistics starts : report.restarts()) {
             line(
                     out,
                     "%-14s %8d asked, service %.3f, %.3f of tries refused",
                     starts.name(),
-                    starts.asked(),
+                    starts.requests(),
                     starts.share(),
                     (double) starts.refused() / Math.max(1, starts.tries()));
         }
@@ -94,22 +94,22 @@
                 "conns",
                 "notes");
         for (ServiceReport.Server server : report.servers()) {
-            ServerModel.Statistics figures = server.figures();
+            ServerModel.Statistics statistics = server.statistics();
             line(
                     out,
                     "%-18s %5d %8d %8d %6d %7d %7d %6d %8.1f %8.1f %6d  %s",
                     server.name(),
                     server.processes(),
-                    figures.offered,
-                    figures.served,
-                    figures.errors,
-                    figures.rejected + figures.expired,
-                    figures.cancelled,
-                    figures.maxInFlight,
-                    figures.begun == 0 ? 0 : figures.waitSumUs / figures.begun / 1e3,
-                    figures.busyCoreUs / 1e6,
-                    figures.maxConnections,
-                    notes(figures));
+                    statistics.offered,
+                    statistics.served,
+                    statistics.errors,
+                    statistics.rejected + statistics.expired,
+                    statistics.cancelled,
+                    statistics.maxInFlight,
+                    statistics.begun == 0 ? 0 : statistics.waitSumUs / statistics.begun / 1e3,
+                    statistics.busyCoreUs / 1e6,
+                    statistics.maxConnections,
+                    notes(statistics));
         }
         line(out, "");
         if (result.breachCount() == 0) {
@@ -129,10 +129,10 @@
 
     /** Writes the lost requests by cause, the largest loss first. */
     private static void losses(StringBuilder out, ServiceReport report) {
-        if (report.losses().lost() <= 0) {
+        if (report.losses().lostValue() <= 0) {
             return;
         }
-        double asked = report.losses().lost() / Math.max(1e-9, 1 - report.whole());
+        double offered = report.losses().lostValue() / Math.max(1e-9, 1 - report.overallShare());
         line(out, "");
         line(out, "%-44s %8s %9s", "lost by its first cause", "requests", "of worth");
         report.losses().causes().entrySet().stream()
@@ -143,7 +143,7 @@
                         "%-44s %8d %8.2f%%",
                         e.getKey().description(),
                         e.getValue().requests(),
-                        100 * e.getValue().worth() / asked));
+                        100 * e.getValue().worth() / offered));
     }
 
     /** Writes the reasons that client proxies reported for requests they gave up. */
@@ -162,7 +162,9 @@
                         c.description(),
                         report.unserved().count(c),
                         report.unserved().recentlyStarted(c),
-                        report.unservedIn().stream().map(w -> "" + w.count(c)).collect(Collectors.joining(" ")));
+                        report.unservedByWindow().stream()
+                                .map(w -> "" + w.count(c))
+                                .collect(Collectors.joining(" ")));
             }
         }
     }
@@ -170,10 +172,10 @@
     /**
      * The losses by part as text: a line for each instance, zone, class, tenant or window with a loss.
      */
-    public static String losses(LossReport losses, LossReport.Part part) {
+    public static String losses(LossReport losses, LossReport.Dimension part) {
         StringBuilder out = new StringBuilder();
         line(out, "%-20s %10s  %s", "lost by " + part.outputName(), "worth", "causes");
-        losses.parts().get(part).forEach((name, causes) -> {
+        losses.causesByDimension().get(part).forEach((name, causes) -> {
             StringBuilder all = new StringBuilder();
             causes.entrySet().stream()
                     .sorted((a, b) -> Double.compare(b.getValue(), a.getValue()))
@@ -190,22 +192,22 @@
         return out.toString();
     }
 
-    private static String notes(ServerModel.Statistics figures) {
+    private static String notes(ServerModel.Statistics statistics) {
         StringBuilder notes = new StringBuilder();
-        if (figures.crashed) {
+        if (statistics.crashed) {
             notes.append("fell over; ");
         }
-        if (figures.slowedDownUs > 0) {
-            notes.append(String.format(Locale.ROOT, "slow for %.1f s after load; ", figures.slowedDownUs / 1e6));
+        if (statistics.slowedDownUs > 0) {
+            notes.append(String.format(Locale.ROOT, "slow for %.1f s after load; ", statistics.slowedDownUs / 1e6));
         }
-        if (figures.pausedUs > 0) {
-            notes.append(String.format(Locale.ROOT, "paused %.1f s; ", figures.pausedUs / 1e6));
+        if (statistics.pausedUs > 0) {
+            notes.append(String.format(Locale.ROOT, "paused %.1f s; ", statistics.pausedUs / 1e6));
         }
-        if (figures.repeatsDropped > 0) {
-            notes.append(figures.repeatsDropped).append(" repeats dropped; ");
+        if (statistics.repeatsDropped > 0) {
+            notes.append(statistics.repeatsDropped).append(" repeats dropped; ");
         }
-        if (figures.connectionsRefused > 0) {
-            notes.append(figures.connectionsRefused).append(" connections refused; ");
+        if (statistics.connectionsRefused > 0) {
+            notes.append(statistics.connectionsRefused).append(" connections refused; ");
         }
         return notes.length() == 0 ? "" : notes.substring(0, notes.length() - 2);
     }
@@ -218,7 +220,7 @@
                     out,
                     "%-26s %8d %8d %8d %8.3f %9.1f %9.1f",
                     part.name(),
-                    part.asked(),
+                    part.requests(),
                     part.onTime(),
                     part.served(),
                     part.share(),
@@ -257,7 +259,7 @@
             out.writeNumberField("decisions", result.decisions());
             out.writeNumberField("events", result.events());
             out.writeNumberField("service", report.service());
-            out.writeNumberField("whole", report.whole());
+            out.writeNumberField("whole", report.overallShare());
             out.writeNumberField("worst_window", report.worstWindow());
             out.writeNumberField("worst_class", report.worstClass());
             out.writeNumberField("worst_tenant", report.worstTenant());
@@ -274,7 +276,7 @@
             for (ServiceReport.Window window : report.windows()) {
                 out.writeStartObject();
                 out.writeNumberField("at_us", window.atUs());
-                out.writeNumberField("asked", window.asked());
+                out.writeNumberField("asked", window.requests());
                 out.writeNumberField("service", window.share());
                 out.writeEndObject();
             }
@@ -297,7 +299,7 @@
                 out.writeStartObject();
                 out.writeNumberField("at_us", h.atUs());
                 out.writeNumberField("for_us", h.forUs());
-                out.writeStringField("what", h.what());
+                out.writeStringField("what", h.description());
                 out.writeEndObject();
             }
             out.writeEndArray();
@@ -309,7 +311,7 @@
                 out.writeNumberField("at_us", b.atUs());
                 out.writeNumberField("proxy", b.proxy());
                 out.writeStringField("request", b.request());
-                out.writeStringField("what", b.what());
+                out.writeStringField("what", b.description());
                 out.writeEndObject();
             }
             out.writeEndArray();
@@ -322,7 +324,7 @@
         for (GroupStatistics part : parts) {
             out.writeStartObject();
             out.writeStringField("name", part.name());
-            out.writeNumberField("asked", part.asked());
+            out.writeNumberField("asked", part.requests());
             out.writeNumberField("on_time", part.onTime());
             out.writeNumberField("served", part.served());
             out.writeNumberField("service", part.share());
@@ -342,30 +344,30 @@
     }
 
     private static void server(JsonGenerator out, ServiceReport.Server server) throws IOException {
-        ServerModel.Statistics figures = server.figures();
+        ServerModel.Statistics statistics = server.statistics();
         out.writeStartObject();
         out.writeStringField("name", server.name());
         out.writeNumberField("lives", server.processes());
-        out.writeNumberField("offered", figures.offered);
-        out.writeNumberField("served", figures.served);
-        out.writeNumberField("errors", figures.errors);
-        out.writeNumberField("turned_away", figures.rejected);
-        out.writeNumberField("expired", figures.expired);
-        out.writeNumberField("cancelled", figures.cancelled);
-        out.writeNumberField("repeats_dropped", figures.repeatsDropped);
-        out.writeNumberField("key_hits", figures.keyHits);
-        out.writeNumberField("probes", figures.probes);
-        out.writeNumberField("handshakes", figures.handshakes);
-        out.writeNumberField("connections_refused", figures.connectionsRefused);
-        out.writeNumberField("most_connections", figures.maxConnections);
-        out.writeNumberField("most_held", figures.maxInFlight);
-        out.writeNumberField("paused_us", figures.pausedUs);
-        out.writeNumberField("lingered_us", figures.slowedDownUs);
-        out.writeBooleanField("fell", figures.crashed);
-        out.writeNumberField("work_done", figures.workDone);
-        out.writeNumberField("work_wasted", figures.workWasted);
-        out.writeNumberField("mean_wait_us", figures.begun == 0 ? 0 : figures.waitSumUs / figures.begun);
-        out.writeNumberField("busy_core_us", figures.busyCoreUs);
+        out.writeNumberField("offered", statistics.offered);
+        out.writeNumberField("served", statistics.served);
+        out.writeNumberField("errors", statistics.errors);
+        out.writeNumberField("turned_away", statistics.rejected);
+        out.writeNumberField("expired", statistics.expired);
+        out.writeNumberField("cancelled", statistics.cancelled);
+        out.writeNumberField("repeats_dropped", statistics.repeatsDropped);
+        out.writeNumberField("key_hits", statistics.keyHits);
+        out.writeNumberField("probes", statistics.probes);
+        out.writeNumberField("handshakes", statistics.handshakes);
+        out.writeNumberField("connections_refused", statistics.connectionsRefused);
+        out.writeNumberField("most_connections", statistics.maxConnections);
+        out.writeNumberField("most_held", statistics.maxInFlight);
+        out.writeNumberField("paused_us", statistics.pausedUs);
+        out.writeNumberField("lingered_us", statistics.slowedDownUs);
+        out.writeBooleanField("fell", statistics.crashed);
+        out.writeNumberField("work_done", statistics.workDone);
+        out.writeNumberField("work_wasted", statistics.workWasted);
+        out.writeNumberField("mean_wait_us", statistics.begun == 0 ? 0 : statistics.waitSumUs / statistics.begun);
+        out.writeNumberField("busy_core_us", statistics.busyCoreUs);
         out.writeEndObject();
     }
 }
--- a/src/main/java/mulleinfront/emulator/Scenario.java
+++ b/src/main/java/mulleinfront/emulator/Scenario.java
@@ -92,42 +92,42 @@
      * @param count number of client proxies
      * @param spread Zipf exponent of the distribution of traffic among them; 0: equal
      * @param startWithinUs all proxies start within this time
-     * @param known how current the initial list is
-     * @param knownAgeUs age of a stale initial list
+     * @param initialList how current the initial list is
+     * @param initialListAgeUs age of a stale initial list
      * @param unreachableListed unreachable servers that a stale list still names
      * @param startUs time from the start of a process until it accepts requests
-     * @param lateCallsUs how long a proxy goes on accepting requests after the shutdown signal
+     * @param lateRequestsUs how long a proxy goes on accepting requests after the shutdown signal
      * @param killAfterUs time from the shutdown signal until the process is killed
-     * @param connections most connections to servers per proxy
+     * @param maxConnections most connections to servers per proxy
      * @param cpu CPU cost of the proxy's own code
      */
     public record Proxies(
             int count,
             double spread,
             long startWithinUs,
-            InitialList known,
-            long knownAgeUs,
+            InitialList initialList,
+            long initialListAgeUs,
             int unreachableListed,
             long startUs,
-            long lateCallsUs,
+            long lateRequestsUs,
             long killAfterUs,
-            int connections,
+            int maxConnections,
             Cpu cpu) {}
 
     /**
      * CPU cost of a client proxy's own code: half of a request's CPU time is spent when the request arrives and half
      * when its response is sent, one piece of work after another. Code that the JIT has not compiled yet takes longer.
      *
-     * @param core fraction of a core that each process has; 0: its code costs no time
+     * @param coreShare fraction of a core that each process has; 0: its code costs no time
      * @param coldUs CPU time of a process's first request
      * @param warmUs CPU time of a request once the code is compiled
-     * @param warmAfter requests until then; the cost falls linearly
+     * @param requestsUntilWarm requests until then; the cost falls linearly
      */
-    public record Cpu(double core, long coldUs, long warmUs, int warmAfter) {
+    public record Cpu(double coreShare, long coldUs, long warmUs, int requestsUntilWarm) {
         /** Time in microseconds that half of a process's nth request takes. */
         long halfUs(long nth) {
-            double cold = Math.max(0, 1 - (double) nth / warmAfter);
-            return core == 0 ? 0 : (long) ((warmUs + (coldUs - warmUs) * cold) / core / 2);
+            double cold = Math.max(0, 1 - (double) nth / requestsUntilWarm);
+            return coreShare == 0 ? 0 : (long) ((warmUs + (coldUs - warmUs) * cold) / coreShare / 2);
         }
     }
 
@@ -195,27 +195,27 @@
             Range speed,
             int slots,
             int queueCapacity,
-            int connections,
+            int maxConnections,
             Range handshakeWork,
             long idleCloseUs,
-            double errors,
+            double errorProbability,
             Range reportEvery,
             double probeWork,
-            int probes,
+            int maxProbes,
             boolean deepProbes,
-            Range coldFrom,
-            Range coldFor,
-            double coldWork,
+            Range coldFraction,
+            Range warmUp,
+            double warmUpWork,
             long pauseEveryUs,
             Range pause,
             double overloadAt,
             double overloadLoss,
-            ServerModel.MetastableSlowdown linger,
-            ServerModel.CancelPolicy stops,
+            ServerModel.MetastableSlowdown slowdown,
+            ServerModel.CancelPolicy cancelPolicy,
             boolean dropsExpired,
-            long keyMemoryUs,
+            long keyCacheUs,
             double keySaving,
-            int keysKept) {
+            int maxCachedKeys) {
         /** A group of {@code many} such servers under another name. */
         Servers withNameAndCount(String newName, int many) {
             return new Servers(
@@ -227,27 +227,27 @@
                     speed,
                     slots,
                     queueCapacity,
-                    connections,
+                    maxConnections,
                     handshakeWork,
                     idleCloseUs,
-                    errors,
+                    errorProbability,
                     reportEvery,
                     probeWork,
-                    probes,
+                    maxProbes,
                     deepProbes,
-                    coldFrom,
-                    coldFor,
-                    coldWork,
+                    coldFraction,
+                    warmUp,
+                    warmUpWork,
                     pauseEveryUs,
                     pause,
                     overloadAt,
                     overloadLoss,
-                    linger,
-                    stops,
+                    slowdown,
+                    cancelPolicy,
                     dropsExpired,
-                    keyMemoryUs,
+                    keyCacheUs,
                     keySaving,
-                    keysKept);
+                    maxCachedKeys);
         }
     }
 
@@ -275,9 +275,9 @@
      * @param reports share of the answers that report their server's requests in flight
      */
     public record Limits(
-            int attempts,
-            boolean cancel,
-            boolean probes,
+            int maxAttempts,
+            boolean mayCancel,
+            boolean mayProbe,
             long retryAfterUs,
             long dialTimeoutUs,
             long connIdleUs,
@@ -303,10 +303,10 @@
 
     /** Weights of the parts of the service score, and prices as fractions of it. */
     public record Service(
-            double whole,
-            double window,
-            double worstClass,
-            double worstTenant,
+            double overallWeight,
+            double windowWeight,
+            double worstClassWeight,
+            double worstTenantWeight,
             long windowUs,
             double waste,
             double lateFail,
@@ -442,9 +442,9 @@
                 discovery.polled(),
                 false,
                 new Balancer.Limits(
-                        limits.attempts(),
-                        limits.cancel(),
-                        limits.probes(),
+                        limits.maxAttempts(),
+                        limits.mayCancel(),
+                        limits.mayProbe(),
                         limits.retryAfterUs(),
                         limits.connIdleUs()),
                 new Balancer.Contract(rules.askWithinUs(), rules.coldFrom(), rules.coldUs(), rules.coldMultiple()));
@@ -466,13 +466,13 @@
                 count,
                 proxies.spread(),
                 proxies.startWithinUs(),
-                proxies.known(),
-                proxies.knownAgeUs(),
+                proxies.initialList(),
+                proxies.initialListAgeUs(),
                 proxies.unreachableListed(),
                 proxies.startUs(),
-                proxies.lateCallsUs(),
+                proxies.lateRequestsUs(),
                 proxies.killAfterUs(),
-                proxies.connections(),
+                proxies.maxConnections(),
                 proxies.cpu());
         return with(resized, rules, faults);
     }
--- a/src/main/java/mulleinfront/emulator/ScenarioReader.java
+++ b/src/main/java/mulleinfront/emulator/ScenarioReader.java
@@ -215,10 +215,11 @@
                         section.time("cold-request", 0L),
                         section.time("warm-request", 0L),
                         section.count("warm-after", 200, 1)));
-        if (proxies.cpu().core() == 0 && proxies.cpu().coldUs() + proxies.cpu().warmUs() > 0) {
+        if (proxies.cpu().coreShare() == 0
+                && proxies.cpu().coldUs() + proxies.cpu().warmUs() > 0) {
             throw section.error("core", "requests that take CPU need a share of a core: core = 0.5");
         }
-        if (proxies.unreachableListed() > 0 && proxies.known() != InitialList.STALE) {
+        if (proxies.unreachableListed() > 0 && proxies.initialList() != InitialList.STALE) {
             throw section.error("ghosts", "only a stale list names servers that are gone: known = \"stale\"");
         }
         section.rejectUnknownKeys();
@@ -478,7 +479,10 @@
                 section.share("price-cross-zone", 0.03, 1),
                 section.share("price-linger", 0.04, 1),
                 section.share("tenants-of-capacity", 0.85, 100));
-        double sum = service.whole() + service.window() + service.worstClass() + service.worstTenant();
+        double sum = service.overallWeight()
+                + service.windowWeight()
+                + service.worstClassWeight()
+                + service.worstTenantWeight();
         if (!sumToOne(sum)) {
             throw section.error("the weights make " + percent(sum) + ", not 100%");
         }
--- a/src/main/java/mulleinfront/emulator/Script.java
+++ b/src/main/java/mulleinfront/emulator/Script.java
@@ -32,12 +32,16 @@
         world.statistics.faultApplied(fault, world.queue.now());
         switch (fault.kind()) {
             case SLOW ->
-                forEachProcess(fault, host -> host.process.slowDown(fault.factor()), host -> host.process.slowDown(1));
-            case HANG -> forEachProcess(fault, host -> host.process.hang(true), host -> host.process.hang(false));
+                forEachProcess(
+                        fault, host -> host.process.setSlowdown(fault.factor()), host -> host.process.setSlowdown(1));
+            case HANG -> forEachProcess(fault, host -> host.process.setHung(true), host -> host.process.setHung(false));
             case ERRORS ->
-                forEachProcess(fault, host -> host.process.errors(fault.share()), host -> host.process.errors(0));
+                forEachProcess(
+                        fault,
+                        host -> host.process.setErrorProbability(fault.share()),
+                        host -> host.process.setErrorProbability(0));
             case PAUSE -> targetHosts(fault).forEach(host -> host.process.pause(fault.forUs()));
-            case NEIGHBOUR -> targetHosts(fault).forEach(host -> neighbour(fault, host, host.process, true));
+            case NEIGHBOUR -> targetHosts(fault).forEach(host -> toggleNoisyNeighbour(fault, host, host.process, true));
             case DRAIN -> targetHosts(fault).forEach(world::drainServer);
             case RESTART -> targetHosts(fault).forEach(host -> restart(fault, host));
             case DEPLOY -> deploy(fault);
@@ -99,7 +103,7 @@
                 targetProxies(fault).forEach(p -> afterRandomDelay(fault, () -> p.kill(fault.drainUs())));
             case END_PROXY -> targetProxies(fault).forEach(p -> afterRandomDelay(fault, p::terminate));
             case RELOAD_PROXY -> targetProxies(fault).forEach(p -> afterRandomDelay(fault, p::reload));
-            case ROLL_PROXIES -> roll(fault);
+            case ROLL_PROXIES -> rollProxies(fault);
             case PAUSE_PROXY -> targetProxies(fault).forEach(p -> p.pause(fault.forUs()));
             case CUT_PROXY -> partitionProxies(fault);
             case CUT_PEERS, DATAGRAMS -> beginDatagramFault(fault);
@@ -187,16 +191,17 @@
         return candidates;
     }
 
-    private void neighbour(Fault fault, Host host, ServerModel process, boolean on) {
+    private void toggleNoisyNeighbour(Fault fault, Host host, ServerModel process, boolean on) {
         boolean over = fault.forUs() > 0 && world.queue.now() >= fault.at() + fault.forUs();
         if (process.stopped() || over) {
-            process.noisyNeighbour(0);
+            process.setNeighbourShare(0);
             return;
         }
-        process.noisyNeighbour(on ? fault.share() : 0);
+        process.setNeighbourShare(on ? fault.share() : 0);
         long lasts = (long) (on ? fault.on() : fault.off()).draw(host.chance::uniformBetween);
         long left = fault.forUs() > 0 ? fault.at() + fault.forUs() - world.queue.now() : Long.MAX_VALUE;
-        world.queue.after(Math.min(left, Math.max(1_000, lasts)), () -> neighbour(fault, host, process, !on));
+        world.queue.after(
+                Math.min(left, Math.max(1_000, lasts)), () -> toggleNoisyNeighbour(fault, host, process, !on));
     }
 
     private void restart(Fault fault, Host host) {
@@ -251,7 +256,7 @@
     }
 
     /** Shuts client proxies down in batches; each is started again when it has ended. */
-    private void roll(Fault fault) {
+    private void rollProxies(Fault fault) {
         int count = world.proxies.size();
         int batch = Math.max(1, (int) Math.round(fault.share() * count));
         int batches = (count + batch - 1) / batch;
--- a/src/main/java/mulleinfront/emulator/ServerModel.java
+++ b/src/main/java/mulleinfront/emulator/ServerModel.java
@@ -353,7 +353,7 @@
     }
 
     /** Remaining work of the requests in flight, without the savings of the key cache. */
-    double workAhead() {
+    double pendingWork() {
         advance();
         double ahead = 0;
         for (Job job : running) {
@@ -378,7 +378,7 @@
     }
 
     /** Fraction of a request's work that remains if its key is cached; 1 if it is not cached. */
-    double workLeftOf(String key) {
+    double remainingWorkFraction(String key) {
         Long last = key == null || spec.keyCacheUs() == 0 ? null : keyLastUsed.get(key);
         return last != null && time.now() - last <= spec.keyCacheUs() ? 1 - spec.keySaving() : 1;
     }
@@ -538,17 +538,17 @@
     // ---- faults ----------------------------------------------------------------------------------------
 
     /** Slows the server down by this factor; 1 ends the fault. */
-    public void slowDown(double factor) {
+    public void setSlowdown(double factor) {
         applyChange(() -> slowDown = factor);
     }
 
     /** A noisy neighbour takes this fraction of the machine; 0 ends the fault. */
-    public void noisyNeighbour(double part) {
-        applyChange(() -> neighbourShare = part);
+    public void setNeighbourShare(double share) {
+        applyChange(() -> neighbourShare = share);
     }
 
     /** While on, the server accepts requests and answers none. */
-    public void hang(boolean on) {
+    public void setHung(boolean on) {
         applyChange(() -> {
             hung = on;
             startQueued();
@@ -556,7 +556,7 @@
     }
 
     /** Sets the probability of an error response; the failed requests have run. */
-    public void errors(double probability) {
+    public void setErrorProbability(double probability) {
         errors = Math.max(spec.errorProbability(), probability);
     }
 
--- a/src/main/java/mulleinfront/emulator/ServiceReport.java
+++ b/src/main/java/mulleinfront/emulator/ServiceReport.java
@@ -9,7 +9,7 @@
  * as part of its first try, less prices.
  *
  * @param service the service score: weighted parts less prices
- * @param whole value earned over value asked for in the whole run
+ * @param overallShare value earned over value asked for in the whole run
  * @param worstWindow the same of the worst window
  * @param worstClass the same of the worst-served class
  * @param worstTenant the same of the worst-served tenant, within its share
@@ -25,13 +25,13 @@
  * @param faults faults, with their times
  * @param losses value that was not earned, by cause
  * @param unserved reasons for which client proxies gave requests up; empty if the proxies are processes
- * @param unservedIn {@code unserved} by window
+ * @param unservedByWindow {@code unserved} by window
  * @param restarts requests to restarted client proxies in the first 10 s in which they accept requests, and requests to
  *        the other client proxies from the first of these restarts to 10 s after the last
  */
 public record ServiceReport(
         double service,
-        double whole,
+        double overallShare,
         double worstWindow,
         double worstClass,
         double worstTenant,
@@ -47,13 +47,13 @@
         List<FaultRecord> faults,
         LossReport losses,
         UnservedCounts unserved,
-        List<UnservedCounts> unservedIn,
+        List<UnservedCounts> unservedByWindow,
         List<RestartStatistics> restarts) {
 
     /**
      * Statistics of a class or tenant.
      *
-     * @param asked first tries
+     * @param requests first tries
      * @param onTime requests answered within the target latency
      * @param served requests answered at all
      * @param share value earned over value asked for
@@ -61,17 +61,17 @@
      * @param p99Us 99th percentile of that time
      */
     public record GroupStatistics(
-            String name, long asked, long onTime, long served, double share, long p50Us, long p99Us) {}
+            String name, long requests, long onTime, long served, double share, long p50Us, long p99Us) {}
 
     /** Requests, requests served in time, value earned over value asked for, tries and refused tries. */
-    public record RestartStatistics(String name, long asked, long onTime, double share, long tries, long refused) {}
+    public record RestartStatistics(String name, long requests, long onTime, double share, long tries, long refused) {}
 
     /** A time window: its start, the first tries in it, and value earned over value asked for. */
-    public record Window(long atUs, long asked, double share) {}
+    public record Window(long atUs, long requests, double share) {}
 
     /** A server's statistics over all its processes. */
-    public record Server(String name, int processes, ServerModel.Statistics figures) {}
+    public record Server(String name, int processes, ServerModel.Statistics statistics) {}
 
     /** A fault: when it began, its duration, and its description. */
-    public record FaultRecord(long atUs, long forUs, String what) {}
+    public record FaultRecord(long atUs, long forUs, String description) {}
 }
--- a/src/main/java/mulleinfront/emulator/ServiceStatistics.java
+++ b/src/main/java/mulleinfront/emulator/ServiceStatistics.java
@@ -17,7 +17,7 @@
     static final long WINDOW_US = 5_000_000;
 
     private final Scenario scenario;
-    private final Sum whole = new Sum();
+    private final Sum total = new Sum();
     private final Sum[] classes;
     private final Sum[] tenants;
     private final List<Sum> windows = new ArrayList<>();
@@ -50,19 +50,19 @@
     static final class Sum {
         private long tries;
         private long refused;
-        private double asked;
+        private double offered;
         private double earned;
         private long count;
         private long onTime;
         private long served;
-        private double askedWithin;
-        private double earnedWithin;
+        private double offeredWithinShare;
+        private double earnedWithinShare;
         private long[] latenciesUs = new long[256];
 
-        private void asked(double worth, boolean overShare) {
+        private void offered(double worth, boolean overShare) {
             count++;
-            asked += worth;
-            askedWithin += overShare ? 0 : worth;
+            offered += worth;
+            offeredWithinShare += overShare ? 0 : worth;
         }
 
         private void served(double worth, boolean overShare, long us, boolean inTime) {
@@ -72,18 +72,18 @@
             latenciesUs[(int) served++] = us;
             onTime += inTime ? 1 : 0;
             earned += worth;
-            earnedWithin += overShare ? 0 : worth;
+            earnedWithinShare += overShare ? 0 : worth;
         }
 
-        private double share() {
-            return asked == 0 ? 1 : earned / asked;
+        private double earnedShare() {
+            return offered == 0 ? 1 : earned / offered;
         }
 
-        private double shareWithin() {
-            return askedWithin == 0 ? 1 : earnedWithin / askedWithin;
+        private double earnedShareWithin() {
+            return offeredWithinShare == 0 ? 1 : earnedWithinShare / offeredWithinShare;
         }
 
-        private ServiceReport.GroupStatistics part(String name, double share) {
+        private ServiceReport.GroupStatistics toGroupStatistics(String name, double share) {
             long[] sorted = Arrays.copyOf(latenciesUs, (int) served);
             Arrays.sort(sorted);
             return new ServiceReport.GroupStatistics(
@@ -135,14 +135,14 @@
         double worth = worth(request);
         request.restartStatistics = proxy.running() ? restartStatisticsOf(proxy, request.arrivedAt) : null;
         if (request.restartStatistics != null) {
-            request.restartStatistics.asked(worth, request.overShare);
+            request.restartStatistics.offered(worth, request.overShare);
         }
-        whole.asked(worth, request.overShare);
-        classes[request.classIndex].asked(worth, request.overShare);
+        total.offered(worth, request.overShare);
+        classes[request.classIndex].offered(worth, request.overShare);
         if (tenants.length > 0) {
-            tenants[request.tenant].asked(worth, request.overShare);
+            tenants[request.tenant].offered(worth, request.overShare);
         }
-        window(request.arrivedAt).asked(worth, request.overShare);
+        window(request.arrivedAt).offered(worth, request.overShare);
     }
 
     private Sum window(long at) {
@@ -179,7 +179,7 @@
         boolean inTime = now <= request.targetAt();
         double worth = worth(request) * (inTime ? 1 : type.lateWorth());
         long us = now - request.arrivedAt;
-        whole.served(worth, request.overShare, us, inTime);
+        total.served(worth, request.overShare, us, inTime);
         classes[request.classIndex].served(worth, request.overShare, us, inTime);
         if (tenants.length > 0) {
             tenants[request.tenant].served(worth, request.overShare, us, inTime);
@@ -208,8 +208,8 @@
         workOffered += work;
     }
 
-    void processStarted(Host host, ServerModel life) {
-        processesByHost.computeIfAbsent(host.id, id -> new ArrayList<>()).add(life);
+    void processStarted(Host host, ServerModel process) {
+        processesByHost.computeIfAbsent(host.id, id -> new ArrayList<>()).add(process);
     }
 
     private UnservedCounts newUnservedCounts() {
@@ -217,13 +217,13 @@
                 scenario.classes().stream().map(Scenario.ClassSpec::type).toList());
     }
 
-    void requestUnserved(long now, UnservedReason why) {
-        requestUnserved.requestUnserved(now, why);
+    void requestUnserved(long now, UnservedReason reason) {
+        requestUnserved.requestUnserved(now, reason);
         int index = (int) (now / WINDOW_US);
         while (unservedByWindow.size() <= index) {
             unservedByWindow.add(newUnservedCounts());
         }
-        unservedByWindow.get(index).requestUnserved(now, why);
+        unservedByWindow.get(index).requestUnserved(now, reason);
     }
 
     // ---- the report ----------------------------------------------------------------------------------
@@ -239,40 +239,40 @@
             wasted += statistics.workWasted;
             lingered += statistics.slowedDownUs > 0 ? 1 : 0;
         }
-        long requestCount = Math.max(1, whole.count);
+        long requestCount = Math.max(1, total.count);
         Map<String, Double> prices = new LinkedHashMap<>();
         prices.put("waste", spec.waste() * Math.min(1, wasted / Math.max(1, workOffered)));
-        prices.put("late-fail", spec.lateFail() * lateWorth / Math.max(1e-9, whole.asked));
+        prices.put("late-fail", spec.lateFail() * lateWorth / Math.max(1e-9, total.offered));
         prices.put("probe", spec.probe() * probes / requestCount);
         prices.put("cross-zone", spec.crossZone() * crossZoneAttempts / requestCount);
         prices.put("linger", spec.linger() * lingered / Math.max(1, servers.size()));
         double worstClass = Arrays.stream(classes)
                 .filter(c -> c.count > 0)
-                .mapToDouble(Sum::share)
+                .mapToDouble(Sum::earnedShare)
                 .min()
                 .orElse(1);
         double worstTenant = Arrays.stream(tenants)
-                .filter(t -> t.askedWithin > 0)
-                .mapToDouble(Sum::shareWithin)
+                .filter(t -> t.offeredWithinShare > 0)
+                .mapToDouble(Sum::earnedShareWithin)
                 .min()
-                .orElse(whole.shareWithin());
+                .orElse(total.earnedShareWithin());
         double worstWindow = worstWindow(spec.windowUs());
-        double service = spec.whole() * whole.share()
-                + spec.window() * worstWindow
-                + spec.worstClass() * worstClass
-                + spec.worstTenant() * worstTenant
+        double service = spec.overallWeight() * total.earnedShare()
+                + spec.windowWeight() * worstWindow
+                + spec.worstClassWeight() * worstClass
+                + spec.worstTenantWeight() * worstTenant
                 - prices.values().stream().mapToDouble(Double::doubleValue).sum();
         return new ServiceReport(
                 service,
-                whole.share(),
+                total.earnedShare(),
                 worstWindow,
                 worstClass,
                 worstTenant,
                 prices,
-                whole.count,
-                parts(classes, i -> scenario.classes().get(i).type().name(), false),
-                parts(tenants, i -> scenario.tenants().get(i).name(), true),
-                windowParts(),
+                total.count,
+                groupStatistics(classes, i -> scenario.classes().get(i).type().name(), false),
+                groupStatistics(tenants, i -> scenario.tenants().get(i).name(), true),
+                windowStatistics(),
                 nonZeroByName(triesByResult, i -> Section.outputName(Clients.TryResult.values()[i])),
                 nonZeroByName(outcomes, i -> Section.outputName(Outcome.values()[i])),
                 counts(world),
@@ -283,11 +283,14 @@
                 List.copyOf(unservedByWindow),
                 restarted.count == 0
                         ? List.of()
-                        : List.of(starts("started again", restarted), starts("never killed", stayed)));
+                        : List.of(
+                                restartStatistics("started again", restarted),
+                                restartStatistics("never killed", stayed)));
     }
 
-    private static ServiceReport.RestartStatistics starts(String name, Sum s) {
-        return new ServiceReport.RestartStatistics(name, s.count, s.onTime, s.share(), s.tries, s.refused);
+    private static ServiceReport.RestartStatistics restartStatistics(String name, Sum group) {
+        return new ServiceReport.RestartStatistics(
+                name, group.count, group.onTime, group.earnedShare(), group.tries, group.refused);
     }
 
     /**
@@ -297,37 +300,38 @@
     private double worstWindow(long lengthUs) {
         int windowCount = (int) Math.max(1, lengthUs / WINDOW_US);
         double worst = 1;
-        double minOffered = whole.asked / Math.max(1, windows.size()) * windowCount / 10;
+        double minOffered = total.offered / Math.max(1, windows.size()) * windowCount / 10;
         for (int from = 0; from + windowCount <= windows.size(); from++) {
-            double asked = 0;
+            double offered = 0;
             double earned = 0;
             for (Sum w : windows.subList(from, from + windowCount)) {
-                asked += w.asked;
+                offered += w.offered;
                 earned += w.earned;
             }
-            worst = asked > minOffered ? Math.min(worst, earned / asked) : worst;
+            worst = offered > minOffered ? Math.min(worst, earned / offered) : worst;
         }
         return worst;
     }
 
     /** Returns the name to report for an index of a counter array. */
     private interface Namer {
-        String name(int place);
+        String name(int index);
     }
 
-    private static List<ServiceReport.GroupStatistics> parts(Sum[] sums, Namer namer, boolean withinShare) {
+    private static List<ServiceReport.GroupStatistics> groupStatistics(Sum[] sums, Namer namer, boolean withinShare) {
         List<ServiceReport.GroupStatistics> parts = new ArrayList<>();
         for (int i = 0; i < sums.length; i++) {
-            parts.add(sums[i].part(namer.name(i), withinShare ? sums[i].shareWithin() : sums[i].share()));
+            parts.add(sums[i].toGroupStatistics(
+                    namer.name(i), withinShare ? sums[i].earnedShareWithin() : sums[i].earnedShare()));
         }
         return parts;
     }
 
-    private List<ServiceReport.Window> windowParts() {
+    private List<ServiceReport.Window> windowStatistics() {
         List<ServiceReport.Window> all = new ArrayList<>();
         for (int i = 0; i < windows.size(); i++) {
             all.add(new ServiceReport.Window(
-                    i * WINDOW_US, windows.get(i).count, windows.get(i).share()));
+                    i * WINDOW_US, windows.get(i).count, windows.get(i).earnedShare()));
         }
         return all;
     }
@@ -357,9 +361,9 @@
         return counts;
     }
 
-    private static ServerModel.Statistics sum(List<ServerModel> lives) {
+    private static ServerModel.Statistics sum(List<ServerModel> processes) {
         ServerModel.Statistics all = new ServerModel.Statistics();
-        lives.forEach(l -> all.add(l.statistics()));
+        processes.forEach(l -> all.add(l.statistics()));
         return all;
     }
 }
--- a/src/main/java/mulleinfront/emulator/Sweep.java
+++ b/src/main/java/mulleinfront/emulator/Sweep.java
@@ -25,7 +25,7 @@
      * @param goodput see {@link World.Result#goodput}
      * @param crashedServers number of servers that crashed from overload
      * @param breach description of the first violation, or null
-     * @param starts see {@link ServiceReport#restarts}
+     * @param restarts see {@link ServiceReport#restarts}
      */
     public record SeedResult(
             long seed,
@@ -35,7 +35,7 @@
             int breaches,
             String breach,
             String sha256,
-            List<ServiceReport.RestartStatistics> starts) {}
+            List<ServiceReport.RestartStatistics> restarts) {}
 
     /** The scenario of a seed: a fixed one, or one generated from the seed. */
     public interface ScenarioSource {
@@ -114,7 +114,7 @@
     }
 
     /** The seeds with the lowest service scores, the worst first. */
-    public static List<SeedResult> worst(List<SeedResult> all, int count) {
+    public static List<SeedResult> lowestScores(List<SeedResult> all, int count) {
         return all.stream()
                 .sorted(Comparator.comparingDouble(SeedResult::service).thenComparingLong(SeedResult::seed))
                 .limit(count)
@@ -125,13 +125,13 @@
      * A line for each type of start over all simulations: the fraction of value served and the fraction of tries
      * refused.
      */
-    public static List<String> starts(List<SeedResult> all) {
+    public static List<String> describeRestarts(List<SeedResult> all) {
         List<String> lines = new ArrayList<>();
-        for (int i = 0; !all.isEmpty() && i < all.get(0).starts().size(); i++) {
+        for (int i = 0; !all.isEmpty() && i < all.get(0).restarts().size(); i++) {
             int index = i;
             List<ServiceReport.RestartStatistics> each = all.stream()
-                    .filter(p -> p.starts().size() > index)
-                    .map(p -> p.starts().get(index))
+                    .filter(p -> p.restarts().size() > index)
+                    .map(p -> p.restarts().get(index))
                     .toList();
             lines.add(String.format(
                     Locale.ROOT,
@@ -153,7 +153,7 @@
         return lines;
     }
 
-    public static double mean(List<SeedResult> all) {
+    public static double meanScore(List<SeedResult> all) {
         return all.stream().mapToDouble(SeedResult::service).average().orElse(0);
     }
 }
--- a/src/main/java/mulleinfront/emulator/Trace.java
+++ b/src/main/java/mulleinfront/emulator/Trace.java
@@ -81,24 +81,24 @@
         }
     }
 
-    private Trace begin(long now, int proxy, String what) {
-        number(now);
+    private Trace beginLine(long now, int proxy, String eventName) {
+        appendNumber(now);
         append(" p");
-        number(proxy);
-        return word(what);
+        appendNumber(proxy);
+        return appendWord(eventName);
     }
 
     /** Records a change in one client proxy's view of another. */
     void membershipChanged(int proxy, Change change) {
-        begin(change.atUs(), proxy, "fleet")
-                .word(change.number())
-                .word(change.member())
-                .word(change.from().outputName())
-                .word(change.to().outputName())
-                .word(change.incarnation())
-                .word(change.sourceMember())
-                .word(change.cause().outputName())
-                .word(change.digest())
+        beginLine(change.atUs(), proxy, "fleet")
+                .appendWord(change.number())
+                .appendWord(change.member())
+                .appendWord(change.from().outputName())
+                .appendWord(change.to().outputName())
+                .appendWord(change.incarnation())
+                .appendWord(change.sourceMember())
+                .appendWord(change.cause().outputName())
+                .appendWord(change.digest())
                 .end();
     }
 
@@ -114,7 +114,7 @@
         }
     }
 
-    private Trace word(String text) {
+    private Trace appendWord(String text) {
         append(" ");
         return append(text);
     }
@@ -136,13 +136,13 @@
         return this;
     }
 
-    private Trace word(long n) {
+    private Trace appendWord(long n) {
         append(" ");
-        number(n);
+        appendNumber(n);
         return this;
     }
 
-    private Trace number(long n) {
+    private Trace appendNumber(long n) {
         if (n == Long.MIN_VALUE) {
             return append(Long.toString(n));
         }
@@ -189,7 +189,7 @@
     /** A factory whose balancers are traced, with their actions, under a client proxy's number. */
     Core.BalancerFactory traced(Core.BalancerFactory factory, int proxy, EventQueue time) {
         return (settings, seed, now, actions) -> {
-            begin(now, proxy, "start").word(seed).end();
+            beginLine(now, proxy, "start").appendWord(seed).end();
             return new EventTracer(factory.create(settings, seed, now, new ActionTracer(actions, proxy, time)), proxy);
         };
     }
@@ -206,13 +206,13 @@
 
         @Override
         public void onEndpoints(long now, Source source, List<Endpoint> endpoints) {
-            begin(now, proxy, "list").word(source.name());
+            beginLine(now, proxy, "list").appendWord(source.name());
             for (Endpoint e : endpoints) {
-                word(e.id())
+                appendWord(e.id())
                         .append("=")
                         .append(e.availability().name())
                         .append("@")
-                        .number(e.startedAtUs());
+                        .appendNumber(e.startedAtUs());
             }
             end();
             balancer.onEndpoints(now, source, endpoints);
@@ -220,87 +220,93 @@
 
         @Override
         public void onDiscoveryFailed(long now) {
-            begin(now, proxy, "discovery-failed").end();
+            beginLine(now, proxy, "discovery-failed").end();
             balancer.onDiscoveryFailed(now);
         }
 
         @Override
         public void onDiscoveryFailed(long now, long quietUs) {
-            begin(now, proxy, "discovery-failed")
+            beginLine(now, proxy, "discovery-failed")
                     .append(" quiet=")
-                    .number(quietUs)
+                    .appendNumber(quietUs)
                     .end();
             balancer.onDiscoveryFailed(now, quietUs);
         }
 
         @Override
         public void onDiscoveryUnreachable(long now) {
-            begin(now, proxy, "discovery-unreachable").end();
+            beginLine(now, proxy, "discovery-unreachable").end();
             balancer.onDiscoveryUnreachable(now);
         }
 
         @Override
         public void onProcessStart(long now, long agoUs) {
-            begin(now, proxy, "process-start").number(agoUs).end();
+            beginLine(now, proxy, "process-start").appendNumber(agoUs).end();
             balancer.onProcessStart(now, agoUs);
         }
 
         @Override
         public void onWatchEnded(long now) {
-            begin(now, proxy, "watch-ended").end();
+            beginLine(now, proxy, "watch-ended").end();
             balancer.onWatchEnded(now);
         }
 
         @Override
         public void onDiscoveryMoved(long now, long movedAgoUs) {
-            begin(now, proxy, "discovery-moved").number(movedAgoUs).end();
+            beginLine(now, proxy, "discovery-moved").appendNumber(movedAgoUs).end();
             balancer.onDiscoveryMoved(now, movedAgoUs);
         }
 
         @Override
         public void onRequest(long now, Request request) {
-            begin(now, proxy, "request")
-                    .word(request.id())
+            beginLine(now, proxy, "request")
+                    .appendWord(request.id())
                     .append(" class=")
-                    .number(request.classIndex())
+                    .appendNumber(request.classIndex())
                     .append(" key=")
                     .append(String.valueOf(request.key()))
                     .append(" budget=")
-                    .number(request.budgetUs())
+                    .appendNumber(request.budgetUs())
                     .append(" tenant=")
-                    .number(request.tenant())
+                    .appendNumber(request.tenant())
                     .end();
             balancer.onRequest(now, request);
         }
 
         @Override
         public void onRequestAbandoned(long now, String requestId) {
-            begin(now, proxy, "gone").word(requestId).end();
+            beginLine(now, proxy, "gone").appendWord(requestId).end();
             balancer.onRequestAbandoned(now, requestId);
         }
 
         @Override
         public void onStreamStarted(long now, String requestId, int attempt) {
-            begin(now, proxy, "stream").word(requestId).word(attempt).end();
+            beginLine(now, proxy, "stream")
+                    .appendWord(requestId)
+                    .appendWord(attempt)
+                    .end();
             balancer.onStreamStarted(now, requestId, attempt);
         }
 
         @Override
         public void onAttemptEnded(long now, AttemptEnd end) {
-            begin(now, proxy, "ended")
-                    .word(end.requestId())
-                    .word(end.attempt())
-                    .word(end.outcome().name())
-                    .word(end.requestDone() ? "done" : "open")
-                    .word(end.latencyUs())
+            beginLine(now, proxy, "ended")
+                    .appendWord(end.requestId())
+                    .appendWord(end.attempt())
+                    .appendWord(end.outcome().name())
+                    .appendWord(end.requestDone() ? "done" : "open")
+                    .appendWord(end.latencyUs())
                     .end();
             balancer.onAttemptEnded(now, end);
         }
 
         @Override
-        public void onLoadReport(long now, String endpointId, double held) {
-            begin(now, proxy, "report").word(endpointId).word((long) held).end();
-            balancer.onLoadReport(now, endpointId, held);
+        public void onLoadReport(long now, String endpointId, double inFlight) {
+            beginLine(now, proxy, "report")
+                    .appendWord(endpointId)
+                    .appendWord((long) inFlight)
+                    .end();
+            balancer.onLoadReport(now, endpointId, inFlight);
         }
 
         @Override
@@ -310,17 +316,17 @@
 
         @Override
         public void onProbeEnded(long now, String endpointId, Outcome outcome, long latencyUs) {
-            begin(now, proxy, "probed")
-                    .word(endpointId)
-                    .word(outcome.name())
-                    .word(latencyUs)
+            beginLine(now, proxy, "probed")
+                    .appendWord(endpointId)
+                    .appendWord(outcome.name())
+                    .appendWord(latencyUs)
                     .end();
             balancer.onProbeEnded(now, endpointId, outcome, latencyUs);
         }
 
         @Override
         public void onTimer(long now) {
-            begin(now, proxy, "timer").end();
+            beginLine(now, proxy, "timer").end();
             balancer.onTimer(now);
         }
     }
@@ -338,36 +344,40 @@
         }
 
         private Trace action(String what) {
-            return begin(time.now(), proxy, ">").word(what);
+            return beginLine(time.now(), proxy, ">").appendWord(what);
         }
 
         @Override
         public void send(String requestId, String endpointId, long timeoutUs) {
-            action("send").word(requestId).word(endpointId).word(timeoutUs).end();
+            action("send")
+                    .appendWord(requestId)
+                    .appendWord(endpointId)
+                    .appendWord(timeoutUs)
+                    .end();
             actions.send(requestId, endpointId, timeoutUs);
         }
 
         @Override
         public void refuse(String requestId, long retryAfterUs) {
-            action("refuse").word(requestId).word(retryAfterUs).end();
+            action("refuse").appendWord(requestId).appendWord(retryAfterUs).end();
             actions.refuse(requestId, retryAfterUs);
         }
 
         @Override
         public void fail(String requestId) {
-            action("fail").word(requestId).end();
+            action("fail").appendWord(requestId).end();
             actions.fail(requestId);
         }
 
         @Override
         public void cancel(String requestId, int attempt) {
-            action("cancel").word(requestId).word(attempt).end();
+            action("cancel").appendWord(requestId).appendWord(attempt).end();
             actions.cancel(requestId, attempt);
         }
 
         @Override
         public void probe(String endpointId) {
-            action("probe").word(endpointId).end();
+            action("probe").appendWord(endpointId).end();
             actions.probe(endpointId);
         }
 
@@ -390,13 +400,13 @@
 
         @Override
         public void onListExpired(Balancer.ListExpiryReason bound) {
-            action("list-overdue").word(bound.name()).end();
+            action("list-overdue").appendWord(bound.name()).end();
             actions.onListExpired(bound);
         }
 
         @Override
         public void wakeAt(long atUs) {
-            action("wake").word(atUs).end();
+            action("wake").appendWord(atUs).end();
             actions.wakeAt(atUs);
         }
     }
--- a/src/main/java/mulleinfront/emulator/TrueState.java
+++ b/src/main/java/mulleinfront/emulator/TrueState.java
@@ -13,7 +13,7 @@
     private static final long RECORD_INTERVAL_US = 50_000;
 
     private final World world;
-    private final long lateUs;
+    private final long delayUs;
     private final Map<String, Host> byId = new HashMap<>();
     private int indexedHosts;
     /**
@@ -40,7 +40,7 @@
 
     TrueState(World world, long lateUs) {
         this.world = world;
-        this.lateUs = lateUs;
+        this.delayUs = lateUs;
         if (lateUs > 0) {
             record();
         }
@@ -50,7 +50,7 @@
         Map<Host, ServerState> servers = new HashMap<>();
         world.hosts.forEach(host -> servers.put(host, stateOf(host)));
         records.add(new Record(world.queue.now(), servers));
-        while (records.size() > 1 && world.queue.now() - records.peek().at > lateUs) {
+        while (records.size() > 1 && world.queue.now() - records.peek().at > delayUs) {
             records.poll();
         }
         world.queue.after(RECORD_INTERVAL_US, this::record);
@@ -63,7 +63,7 @@
         ServerModel process = host.process;
         return new ServerState(
                 !process.hung(),
-                process.workAhead(),
+                process.pendingWork(),
                 process.coreSpeed(),
                 process.spec().cores(),
                 process.inFlight());
@@ -84,8 +84,9 @@
                 return ServerKnowledge.NEVER;
             }
             ServerState state =
-                    lateUs == 0 ? stateOf(host) : records.peek().servers.getOrDefault(host, ServerState.AWAY);
-            return state.answerUs(world.scenario.classes().get(classIndex).workUs() * host.process.workLeftOf(key));
+                    delayUs == 0 ? stateOf(host) : records.peek().servers.getOrDefault(host, ServerState.AWAY);
+            return state.answerUs(
+                    world.scenario.classes().get(classIndex).workUs() * host.process.remainingWorkFraction(key));
         };
     }
 }
--- a/src/main/java/mulleinfront/emulator/Watcher.java
+++ b/src/main/java/mulleinfront/emulator/Watcher.java
@@ -19,15 +19,15 @@
     /** No data or heartbeat follows; the last heartbeat was {@code agoUs} ago. */
     abstract void stopReceiving(long agoUs);
 
-    abstract void receive(Registry.ListUpdate news);
+    abstract void receive(Registry.ListUpdate update);
 
     /** The first half of a list arrives; {@link #receive} follows with all of it. */
-    void receiveFirstHalf(Registry.ListUpdate news) {}
+    void receiveFirstHalf(Registry.ListUpdate update) {}
 
     abstract void fail();
 
     /** A list is truncated and its watch ends with it. */
-    abstract void receiveTruncated(Registry.ListUpdate news);
+    abstract void receiveTruncated(Registry.ListUpdate update);
 
     /** Whether a list on the watch has stopped halfway. */
     boolean pausing;
--- a/src/main/java/mulleinfront/emulator/World.java
+++ b/src/main/java/mulleinfront/emulator/World.java
@@ -45,7 +45,7 @@
 
     private final HybridSimulation hybrid;
     /** The graph simulation that contains this one; null if this simulation is standalone. */
-    private final GraphContext part;
+    private final GraphContext graphContext;
 
     private final long seed;
     private final List<Host> hostsByAddress = new ArrayList<>();
@@ -80,7 +80,7 @@
         this(scenario, seed, trace, factories, wiring, hybrid, null);
     }
 
-    /** @param part the graph simulation that contains this one and starts its calls and faults; null if standalone */
+    /** @param graphContext the graph simulation that contains this one and starts its calls and faults; null if standalone */
     World(
             Scenario scenario,
             long seed,
@@ -88,9 +88,9 @@
             BalancerFactories factories,
             CoreWiring wiring,
             HybridSimulation hybrid,
-            GraphContext part) {
-        this.part = part;
-        this.queue = part == null ? new EventQueue() : part.queue();
+            GraphContext graphContext) {
+        this.graphContext = graphContext;
+        this.queue = graphContext == null ? new EventQueue() : graphContext.queue();
         this.hybrid = hybrid;
         this.wiring = wiring;
         this.scenario = scenario;
@@ -98,9 +98,9 @@
         this.pausesProxies = scenario.faults().stream().anyMatch(f -> f.kind() == Scenario.Kind.PAUSE_PROXY);
         this.seed = seed;
         this.trace = trace;
-        this.network = part == null
+        this.network = graphContext == null
                 ? new Network(scenario.network(), scenario.zones().size(), chance("network"))
-                : new Network(part.oneWay(), scenario.network().jitter(), chance("network"));
+                : new Network(graphContext.oneWay(), scenario.network().jitter(), chance("network"));
         this.auditor = new Auditor(scenario);
         this.statistics = new ServiceStatistics(scenario);
         this.lossAttribution = new LossAttribution(this);
@@ -115,7 +115,7 @@
             }
         }
         this.clients = new Clients(this);
-        if (part == null) {
+        if (graphContext == null) {
             clients.begin(hybrid == null ? scenario.proxies().startWithinUs() : 0);
             new Script(this).schedule();
         }
@@ -183,7 +183,7 @@
             for (int i = 0; i < group.count(); i++, number++) {
                 Host host = addHost(
                         group.name() + "-" + i,
-                        part == null ? number % scenario.zones().size() : part.zoneOfHost(number),
+                        graphContext == null ? number % scenario.zones().size() : graphContext.zoneOfHost(number),
                         kind,
                         number / group.cell(),
                         group);
@@ -205,27 +205,27 @@
                 group.speed().draw(chance::uniformBetween),
                 group.slots(),
                 group.queueCapacity(),
-                group.connections(),
+                group.maxConnections(),
                 group.handshakeWork().draw(chance::uniformBetween),
                 group.idleCloseUs(),
-                group.errors(),
+                group.errorProbability(),
                 (long) group.reportEvery().draw(chance::uniformBetween),
                 group.probeWork(),
-                group.probes(),
+                group.maxProbes(),
                 group.deepProbes(),
-                group.coldFrom().draw(chance::uniformBetween),
-                (long) group.coldFor().draw(chance::uniformBetween),
-                group.coldWork(),
+                group.coldFraction().draw(chance::uniformBetween),
+                (long) group.warmUp().draw(chance::uniformBetween),
+                group.warmUpWork(),
                 group.pauseEveryUs(),
                 group.pause(),
                 group.overloadAt(),
                 group.overloadLoss(),
-                group.linger(),
-                group.stops(),
+                group.slowdown(),
+                group.cancelPolicy(),
                 group.dropsExpired(),
-                group.keyMemoryUs(),
+                group.keyCacheUs(),
                 group.keySaving(),
-                group.keysKept());
+                group.maxCachedKeys());
         Host host = new Host(
                 id,
                 zone,
@@ -244,7 +244,7 @@
 
     /** The zone of a client proxy; proxies are spread over the zones round-robin. */
     int zoneOf(int proxy) {
-        return part == null ? proxy % scenario.zones().size() : part.zoneOfProxy(proxy);
+        return graphContext == null ? proxy % scenario.zones().size() : graphContext.zoneOfProxy(proxy);
     }
 
     private void scheduleProxyStarts(BalancerFactories factories) {
@@ -255,10 +255,13 @@
                     this,
                     i,
                     zoneOf(i),
-                    trace.traced(factories.forZone(this, zoneOf(i)), part == null ? i : part.traceNumber(i), queue));
+                    trace.traced(
+                            factories.forZone(this, zoneOf(i)),
+                            graphContext == null ? i : graphContext.traceNumber(i),
+                            queue));
             proxies.add(proxy);
             queue.after(
-                    part == null ? (long) (spec.startWithinUs() * chance.uniform()) : part.startAt(i),
+                    graphContext == null ? (long) (spec.startWithinUs() * chance.uniform()) : graphContext.startAt(i),
                     () -> proxy.start(initialList()));
         }
     }
@@ -266,12 +269,12 @@
     /** The cached endpoint list that a client proxy starts with. */
     Registry.ListUpdate initialList() {
         Scenario.Proxies spec = scenario.proxies();
-        switch (spec.known()) {
+        switch (spec.initialList()) {
             case EMPTY -> {
                 return new Registry.ListUpdate(0, true, List.of());
             }
             case STALE -> {
-                Registry.ListUpdate cached = registry.listAt(Math.max(0, queue.now() - spec.knownAgeUs()));
+                Registry.ListUpdate cached = registry.listAt(Math.max(0, queue.now() - spec.initialListAgeUs()));
                 List<Registry.Entry> entries = new ArrayList<>(cached.entries());
                 for (int i = 0; i < spec.unreachableListed(); i++) {
                     entries.add(new Registry.Entry(
@@ -308,8 +311,8 @@
                 dedupGroupOf(host),
                 (job, dropped) -> {
                     auditor.effectRan(job.requestId, host.id, dropped, queue.now());
-                    if (part != null) {
-                        part.ran(job.effect, dropped);
+                    if (graphContext != null) {
+                        graphContext.effectRan(job.effect, dropped);
                     }
                 },
                 cold);
@@ -366,8 +369,8 @@
         if (hybrid != null) {
             hybrid.changed(host);
         }
-        if (part != null) {
-            part.changed(host);
+        if (graphContext != null) {
+            graphContext.hostChanged(host);
         }
     }
 
@@ -413,12 +416,12 @@
     }
 
     /** Records why a client proxy left a request unserved. */
-    void requestUnserved(int proxy, long now, UnservedReason why) {
-        statistics.requestUnserved(now, why);
-        if (part != null) {
-            part.unserved(now, why);
+    void requestUnserved(int proxy, long now, UnservedReason reason) {
+        statistics.requestUnserved(now, reason);
+        if (graphContext != null) {
+            graphContext.requestUnserved(now, reason);
         }
-        trace.requestUnserved(now, proxy, why);
+        trace.requestUnserved(now, proxy, reason);
     }
 
     // ---- running -------------------------------------------------------------------------------------
@@ -443,7 +446,7 @@
                 auditor.breachCount(),
                 trace.sha256(),
                 trace.lines(),
-                queue.ran(),
+                queue.tasksRun(),
                 hosts.stream()
                         .limit(scenario.serverCount())
                         .mapToDouble(h -> h.spec.capacity())
@@ -510,8 +513,9 @@
 
         /** Number of servers that crashed from overload. */
         public int crashedServers() {
-            return (int)
-                    service.servers().stream().filter(s -> s.figures().crashed).count();
+            return (int) service.servers().stream()
+                    .filter(s -> s.statistics().crashed)
+                    .count();
         }
     }
 }
