--- a/src/main/java/mulleinfront/emulator/reference/PickingBalancer.java
+++ b/src/main/java/mulleinfront/emulator/reference/PickingBalancer.java
@@ -23,7 +23,7 @@
     /** Servers that are ready according to the lists received so far. */
     final Servers servers = new Servers();
 
-    private final Actions out;
+    private final Actions actions;
     private final Map<String, OpenRequest> open = new HashMap<>();
     private long resubscribeAt = Long.MAX_VALUE;
 
@@ -50,12 +50,12 @@
         }
     }
 
-    PickingBalancer(Settings settings, long seed, Actions out) {
+    PickingBalancer(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
-        this.out = out;
+        this.actions = actions;
         if (settings.subscribe()) {
-            out.subscribe();
+            actions.subscribe();
         }
     }
 
@@ -90,22 +90,22 @@
     @Override
     public void onDiscoveryFailed(long now) {
         resubscribeAt = now + (long) (RESUBSCRIBE_DELAY_US * (0.5 + random.nextDouble()));
-        out.wakeAt(resubscribeAt);
+        actions.wakeAt(resubscribeAt);
     }
 
     @Override
     public void onTimer(long now) {
         if (now >= resubscribeAt) {
             resubscribeAt = Long.MAX_VALUE;
-            out.subscribe();
+            actions.subscribe();
         }
     }
 
     @Override
-    public void onRequest(long now, Request in) {
-        long hash = in.key() == null ? random.nextLong() : Servers.HASH.hashCharsToLong(in.key());
-        OpenRequest request = new OpenRequest(in, settings.classes().get(in.classIndex()), hash, now);
-        open.put(in.id(), request);
+    public void onRequest(long now, Request incoming) {
+        long hash = incoming.key() == null ? random.nextLong() : Servers.HASH.hashCharsToLong(incoming.key());
+        OpenRequest request = new OpenRequest(incoming, settings.classes().get(incoming.classIndex()), hash, now);
+        open.put(incoming.id(), request);
         sendAttempt(request, now);
     }
 
@@ -123,7 +123,8 @@
         long left = Math.max(1, request.targetAt - now);
         boolean more = request.type.effect() != Effect.FRAGILE
                 && request.attempts < settings.limits().maxAttempts();
-        out.send(request.request.id(), endpoint.id(), more ? Math.max(1, (long) (ATTEMPT_TIME_FRACTION * left)) : left);
+        actions.send(
+                request.request.id(), endpoint.id(), more ? Math.max(1, (long) (ATTEMPT_TIME_FRACTION * left)) : left);
     }
 
     private void finish(OpenRequest request) {
@@ -132,9 +133,9 @@
                 || request.type.effect() == Effect.RETRYABLE
                 || request.type.effect() == Effect.DEDUP && request.type.scope() == DedupScope.ALL;
         if (harmless) {
-            out.refuse(request.request.id(), 0);
+            actions.refuse(request.request.id(), 0);
         } else {
-            out.fail(request.request.id());
+            actions.fail(request.request.id());
         }
     }
 
@@ -143,7 +144,7 @@
         OpenRequest request = open.remove(requestId);
         if (request != null && request.last != null) {
             attemptsChanged(request.last, -1);
-            out.cancel(requestId, request.attempts - 1);
+            actions.cancel(requestId, request.attempts - 1);
         }
     }
 
--- a/src/main/java/mulleinfront/emulator/reference/Reference.java
+++ b/src/main/java/mulleinfront/emulator/reference/Reference.java
@@ -40,9 +40,9 @@
     private final String description;
     private final Visibility visibility;
 
-    Reference(String words, Visibility sees) {
-        this.description = words;
-        this.visibility = sees;
+    Reference(String description, Visibility visibility) {
+        this.description = description;
+        this.visibility = visibility;
     }
 
     /** The output name, also used on the command line. */
@@ -61,9 +61,9 @@
     }
 
     /** The policy with that name; null if there is none. */
-    public static Reference forName(String word) {
+    public static Reference forName(String outputName) {
         return Arrays.stream(values())
-                .filter(r -> r.outputName().equals(word))
+                .filter(r -> r.outputName().equals(outputName))
                 .findFirst()
                 .orElse(null);
     }
@@ -90,7 +90,7 @@
         private static final int DRAWS = 8;
 
         private final int choices;
-        private final Map<String, Integer> out = new HashMap<>();
+        private final Map<String, Integer> attemptsInFlight = new HashMap<>();
 
         RandomChoices(Settings settings, long seed, Actions actions, int choices) {
             super(settings, seed, actions);
@@ -103,7 +103,9 @@
             for (int i = 0; i < choices; i++) {
                 Endpoint endpoint = draw(request);
                 if (endpoint != null
-                        && (best == null || out.getOrDefault(endpoint.id(), 0) < out.getOrDefault(best.id(), 0))) {
+                        && (best == null
+                                || attemptsInFlight.getOrDefault(endpoint.id(), 0)
+                                        < attemptsInFlight.getOrDefault(best.id(), 0))) {
                     best = endpoint;
                 }
             }
@@ -112,14 +114,14 @@
 
         private Endpoint draw(OpenRequest request) {
             for (int i = 0; i < DRAWS; i++) {
-                Endpoint endpoint = servers.at(random.nextInt(servers.size()));
+                Endpoint endpoint = servers.get(random.nextInt(servers.size()));
                 if (allowed(request, endpoint)) {
                     return endpoint;
                 }
             }
             for (int i = 0; i < servers.size(); i++) {
-                if (allowed(request, servers.at(i))) {
-                    return servers.at(i);
+                if (allowed(request, servers.get(i))) {
+                    return servers.get(i);
                 }
             }
             return null;
@@ -127,7 +129,7 @@
 
         @Override
         void attemptsChanged(Endpoint server, int change) {
-            out.merge(server.id(), change, (a, b) -> a + b == 0 ? null : a + b);
+            attemptsInFlight.merge(server.id(), change, (a, b) -> a + b == 0 ? null : a + b);
         }
     }
 
@@ -143,7 +145,7 @@
         @Override
         Endpoint pick(OpenRequest request, long now) {
             for (int i = 0; i < servers.size(); i++) {
-                Endpoint endpoint = servers.at(next++ % servers.size());
+                Endpoint endpoint = servers.get(next++ % servers.size());
                 if (allowed(request, endpoint)) {
                     return endpoint;
                 }
@@ -179,7 +181,7 @@
         private static final int RANDOM_CANDIDATES = 3;
         private final ServerKnowledge knowledge;
         private final boolean immediate;
-        private final Map<String, Integer> out = new HashMap<>();
+        private final Map<String, Integer> attemptsInFlight = new HashMap<>();
 
         Informed(Settings settings, long seed, Actions actions, ServerKnowledge knowledge, boolean immediate) {
             super(settings, seed, actions);
@@ -200,7 +202,7 @@
             Endpoint best = null;
             double soonest = left;
             for (int i = 0; i < RANDOM_CANDIDATES; i++) {
-                Endpoint endpoint = servers.at(random.nextInt(servers.size()));
+                Endpoint endpoint = servers.get(random.nextInt(servers.size()));
                 double us = answerUs(request, endpoint);
                 if (us < soonest) {
                     soonest = us;
@@ -216,7 +218,7 @@
             double soonest = within;
             int from = random.nextInt(servers.size());
             for (int i = 0; i < servers.size(); i++) {
-                Endpoint endpoint = servers.at((from + i) % servers.size());
+                Endpoint endpoint = servers.get((from + i) % servers.size());
                 double us = answerUs(request, endpoint);
                 if (us < soonest) {
                     soonest = us;
@@ -230,12 +232,12 @@
             return !allowed(request, endpoint)
                     ? ServerKnowledge.NEVER
                     : knowledge.answerUs(endpoint.id(), request.request.key(), request.request.classIndex())
-                            * (immediate ? 1 : 1 + out.getOrDefault(endpoint.id(), 0));
+                            * (immediate ? 1 : 1 + attemptsInFlight.getOrDefault(endpoint.id(), 0));
         }
 
         @Override
         void attemptsChanged(Endpoint server, int change) {
-            out.merge(server.id(), change, (a, b) -> a + b == 0 ? null : a + b);
+            attemptsInFlight.merge(server.id(), change, (a, b) -> a + b == 0 ? null : a + b);
         }
     }
 }
--- a/src/main/java/mulleinfront/emulator/reference/Servers.java
+++ b/src/main/java/mulleinfront/emulator/reference/Servers.java
@@ -28,13 +28,13 @@
             indexOf.clear();
         }
         for (Endpoint endpoint : entries) {
-            Integer place = indexOf.get(endpoint.id());
+            Integer index = indexOf.get(endpoint.id());
             if (endpoint.availability() != Availability.READY) {
-                if (place != null) {
-                    remove(endpoint.id(), place);
+                if (index != null) {
+                    remove(endpoint.id(), index);
                 }
-            } else if (place != null) {
-                ready.set(place, endpoint);
+            } else if (index != null) {
+                ready.set(index, endpoint);
             } else {
                 indexOf.put(endpoint.id(), ready.size());
                 ready.add(endpoint);
@@ -44,12 +44,12 @@
     }
 
     /** Removes a server; the last one moves to its index. */
-    private void remove(String id, int place) {
+    private void remove(String id, int index) {
         indexOf.remove(id);
         Endpoint last = ready.remove(ready.size() - 1);
-        if (place < ready.size()) {
-            ready.set(place, last);
-            indexOf.put(last.id(), place);
+        if (index < ready.size()) {
+            ready.set(index, last);
+            indexOf.put(last.id(), index);
         }
     }
 
@@ -61,20 +61,20 @@
         return ready.size();
     }
 
-    Endpoint at(int place) {
-        return ready.get(place);
+    Endpoint get(int index) {
+        return ready.get(index);
     }
 
     /** The first owners of a hash in ring order: at most {@code most}, each server once. */
-    List<Endpoint> owners(long hash, int most) {
+    List<Endpoint> owners(long hash, int limit) {
         if (points == null) {
             build();
         }
-        List<Endpoint> owners = new ArrayList<>(most);
-        int at = Arrays.binarySearch(points, hash & ~0xffffL);
-        at = at < 0 ? ~at : at;
-        for (int i = 0; i < points.length && owners.size() < Math.min(most, ringOf.size()); i++) {
-            Endpoint endpoint = ringOf.get((int) points[(at + i) % points.length] & 0xffff);
+        List<Endpoint> owners = new ArrayList<>(limit);
+        int start = Arrays.binarySearch(points, hash & ~0xffffL);
+        start = start < 0 ? ~start : start;
+        for (int i = 0; i < points.length && owners.size() < Math.min(limit, ringOf.size()); i++) {
+            Endpoint endpoint = ringOf.get((int) points[(start + i) % points.length] & 0xffff);
             if (!owners.contains(endpoint)) {
                 owners.add(endpoint);
             }
--- a/src/main/java/mulleinfront/fleet/Fleet.java
+++ b/src/main/java/mulleinfront/fleet/Fleet.java
@@ -29,7 +29,10 @@
  * two sides of a network partition find each other after it heals.
  */
 public class Fleet {
-    /** First and longest interval between pings to peers that were never heard from, and its growth factor. */
+    /**
+     * Mean interval between pings to peers that were never heard from: it starts at this value and grows by
+     * {@link #JOIN_INTERVAL_GROWTH} each time, up to {@link #MAX_JOIN_INTERVAL_US}.
+     */
     private static final long INITIAL_JOIN_INTERVAL_US = 500_000;
 
     private static final long MAX_JOIN_INTERVAL_US = 5_000_000;
@@ -820,7 +823,10 @@
 
     // ---- updates of the view -------------------------------------------------------------------------
 
-    /** Applies an update about a member if it is newer than the recorded state, or confirms a suspicion. */
+    /**
+     * Applies an update about a member if it is newer than the recorded state, or confirms a suspicion. A record of
+     * anti-entropy confirms none, since it doesn't name the member that suspects.
+     */
     void applyUpdate(int member, long memberIncarnation, MemberState state, int source, Cause cause, long now) {
         if (member == settings.number()) {
             applyOwnUpdate(memberIncarnation, state, now);
@@ -847,6 +853,8 @@
         members.record(member, memberIncarnation, state, source, now);
         if (state == MemberState.SUSPECTED) {
             long minTimeoutUs = settings.minSuspicionUs(members.presentCount());
+            // The suspected member and the source can't confirm. The limit is one below the number of members that are
+            // left, and 0 for up to three present members: the shortest timeout then applies from the start.
             int neededConfirmations = Math.max(0, Math.min(settings.confirmations(), members.presentCount() - 3));
             suspicions.begin(
                     member,
--- a/src/main/java/mulleinfront/fleet/FleetSettings.java
+++ b/src/main/java/mulleinfront/fleet/FleetSettings.java
@@ -131,13 +131,13 @@
     }
 
     /** Decimal logarithm of the number of members, at least 1. */
-    static double sizeFactor(int members) {
+    static double log10Members(int members) {
         return Math.max(1, StrictMath.log10(Math.max(1, members)));
     }
 
     /** Shortest suspicion timeout in a fleet of this size. */
     long minSuspicionUs(int members) {
-        return (long) (minSuspicionFactor * sizeFactor(members) * periodUs);
+        return (long) (minSuspicionFactor * log10Members(members) * periodUs);
     }
 
     /** Transmissions of one update by one member in a fleet of this size. */
--- a/src/main/java/mulleinfront/gossip/Membership.java
+++ b/src/main/java/mulleinfront/gossip/Membership.java
@@ -28,7 +28,10 @@
  * its view to operators, and writes its event log. All methods run on the event loop.
  */
 public final class Membership implements Fleet.Actions {
-    /** Interval at which the number of live members is reported, in addition to each change. */
+    /**
+     * Interval at which the number of live members is reported, in addition to each change of the view: members that
+     * were not seen expire without such a change.
+     */
     private static final long LIVE_MEMBERS_INTERVAL_MS = 1_000;
 
     private static final int MAX_WATCHERS = 4;
--- a/src/main/java/mulleinfront/gossip/PeerSocket.java
+++ b/src/main/java/mulleinfront/gossip/PeerSocket.java
@@ -64,27 +64,27 @@
 
     /** Binds the socket, retrying until the address is free, and then runs the callback on the event loop. */
     void open(Runnable onOpen) {
-        ChannelFuture bound = new Bootstrap()
+        ChannelFuture bindFuture = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .option(ChannelOption.ALLOCATOR, buffers)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES))
                 .handler(new DatagramHandler())
                 .bind(listen);
-        bound.addListener(future -> onBound(bound, onOpen, true));
+        bindFuture.addListener(future -> onBound(bindFuture, onOpen, true));
     }
 
-    private void onBound(ChannelFuture bound, Runnable onOpen, boolean firstAttempt) {
+    private void onBound(ChannelFuture bindFuture, Runnable onOpen, boolean firstAttempt) {
         if (closed) {
-            bound.channel().close();
-        } else if (bound.isSuccess()) {
-            channel = bound.channel();
+            bindFuture.channel().close();
+        } else if (bindFuture.isSuccess()) {
+            channel = bindFuture.channel();
             onOpen.run();
         } else {
             if (firstAttempt) {
                 System.err.println("mulleinfront: can't listen for other client proxies on "
                         + NetUtil.toSocketAddressString(listen) + ": "
-                        + bound.cause().getMessage() + "; trying on");
+                        + bindFuture.cause().getMessage() + "; trying on");
             }
             loop.schedule(
                     () -> {
--- a/src/main/java/mulleinfront/handout/ConfigServer.java
+++ b/src/main/java/mulleinfront/handout/ConfigServer.java
@@ -60,7 +60,7 @@
 public final class ConfigServer implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 1024 * 1024;
     private static final int MAX_REPORT_BYTES = 256;
-    private static final int BACKLOG = 1_024;
+    private static final int ACCEPT_BACKLOG = 1_024;
     /** Bytes that may be queued in this process for one subscriber. */
     private static final WriteBufferWaterMark WRITE_BUFFER_LIMITS = new WriteBufferWaterMark(4 * 1024, 16 * 1024);
     /** A connection is closed after this time unless it has become a watch. */
@@ -113,10 +113,10 @@
         eventLoop
                 .submit(() -> versionLog.addListener(server::onVersionCommitted))
                 .awaitUninterruptibly();
-        ChannelFuture bound = new ServerBootstrap()
+        ChannelFuture bindFuture = new ServerBootstrap()
                 .group(eventLoop)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_LIMITS)
@@ -128,12 +128,12 @@
                 })
                 .bind(address)
                 .awaitUninterruptibly();
-        if (!bound.isSuccess()) {
+        if (!bindFuture.isSuccess()) {
             server.eventLog.close();
             throw new IOException(
-                    "can't listen on " + address + ": " + bound.cause().getMessage(), bound.cause());
+                    "can't listen on " + address + ": " + bindFuture.cause().getMessage(), bindFuture.cause());
         }
-        server.listener = bound.channel();
+        server.listener = bindFuture.channel();
         return server;
     }
 
--- a/src/main/java/mulleinfront/keep/Replica.java
+++ b/src/main/java/mulleinfront/keep/Replica.java
@@ -162,6 +162,8 @@
 
     private static RaftConfig raftConfig(int snapshotIntervalEntries) {
         return RaftConfig.newBuilder()
+                // In the library's scaled time. In real time: a heartbeat every 250 ms, a heartbeat timeout of 1 s
+                // and an election timeout of 300 ms.
                 .setLeaderHeartbeatPeriodSecs(1)
                 .setLeaderHeartbeatTimeoutSecs(TIME_SCALE)
                 .setLeaderElectionTimeoutMillis(300 * TIME_SCALE)
@@ -638,13 +640,13 @@
     /** The library's clock: monotonic, and {@link #TIME_SCALE} times as fast as real time. */
     private final class ScaledClock extends Clock {
         /** Start value, far from 0 because the library takes timestamp 0 as "never heard". */
-        private static final long BASE_MILLIS = 1_000_000_000L;
+        private static final long START_TIME_MS = 1_000_000_000L;
 
         private final long startNanos = scheduler.nanoTime();
 
         @Override
         public long millis() {
-            return BASE_MILLIS + TimeUnit.NANOSECONDS.toMillis((scheduler.nanoTime() - startNanos) * TIME_SCALE);
+            return START_TIME_MS + TimeUnit.NANOSECONDS.toMillis((scheduler.nanoTime() - startNanos) * TIME_SCALE);
         }
 
         @Override
--- a/src/main/java/mulleinfront/kit/FleetTimeline.java
+++ b/src/main/java/mulleinfront/kit/FleetTimeline.java
@@ -47,7 +47,7 @@
             }
 
             @Override
-            public boolean whole() {
+            public boolean fullyConnected() {
                 return partitions.isEmpty();
             }
         });
--- a/src/main/java/mulleinfront/kit/PartitionRelay.java
+++ b/src/main/java/mulleinfront/kit/PartitionRelay.java
@@ -109,7 +109,7 @@
     }
 
     /** Starts or heals the network partition. */
-    void partitioned(boolean on) {
+    void setPartitioned(boolean on) {
         partitioned = on;
         links.forEach(l -> l.accepted.eventLoop().execute(l::updateReading));
     }
--- a/src/main/java/mulleinfront/kit/RealRun.java
+++ b/src/main/java/mulleinfront/kit/RealRun.java
@@ -323,7 +323,7 @@
         for (int i = 0; i < daemons.length; i++) {
             int number = i;
             onLoop(() -> {
-                launch(number, simulation.begin(number));
+                launch(number, simulation.startProxy(number));
                 return null;
             });
         }
@@ -484,7 +484,7 @@
             return;
         }
         try {
-            launch(proxy, simulation.begin(proxy));
+            launch(proxy, simulation.startProxy(proxy));
             DaemonProcess daemon = daemons[proxy];
             Thread readinessPoll = new Thread(() -> acceptWhenReady(daemon), "ready");
             readinessPoll.setDaemon(true);
@@ -545,7 +545,7 @@
     }
 
     @Override
-    public void end(int proxy) {
+    public void terminate(int proxy) {
         DaemonProcess daemon = daemons[proxy];
         if (timeline != null) {
             timeline.terminated(proxy);
@@ -555,7 +555,7 @@
                 () -> {
                     openOnly[proxy] |= daemons[proxy] == daemon;
                 },
-                scenario.proxies().lateCallsUs(),
+                scenario.proxies().lateRequestsUs(),
                 TimeUnit.MICROSECONDS);
         clock.loop.schedule(
                 () -> {
@@ -594,17 +594,17 @@
     }
 
     @Override
-    public void leave(int proxy, String id) {
+    public void disconnectClient(int proxy, String id) {
         clients.abandon(id);
     }
 
     @Override
-    public void changed(int address) {
+    public void addressChanged(int address) {
         servers.changed(address);
     }
 
     @Override
-    public void reset(int address) {
+    public void resetConnections(int address) {
         servers.reset(address);
     }
 }
--- a/src/main/java/mulleinfront/kit/ScaleControlPlane.java
+++ b/src/main/java/mulleinfront/kit/ScaleControlPlane.java
@@ -162,10 +162,10 @@
                 WatchLine.proposal(new Proposal("kit-" + number, -1, entries, reason, System.currentTimeMillis()));
         long until = System.nanoTime() + COMMIT_TIMEOUT_MS * 1_000_000;
         for (int turn = 0; System.nanoTime() < until; turn++) {
-            int m = turn % COUNT;
-            if (processes[m].alive()) {
+            int node = turn % COUNT;
+            if (processes[node].alive()) {
                 try {
-                    Map<String, String> answer = post(addresses.node(m), "/config/propose", body);
+                    Map<String, String> answer = post(addresses.node(node), "/config/propose", body);
                     if ("decided".equals(answer.get("what"))) {
                         return Long.parseLong(answer.get("version"));
                     }
@@ -240,7 +240,7 @@
      * Sets whether reports of subscribers may be delayed, as by a network partition. While they may, an older version
      * reported after a newer one does not count as a step back.
      */
-    void delayedReports(boolean possible) throws IOException {
+    void setDelayedReports(boolean possible) throws IOException {
         catchUp();
         delayedReports = possible;
     }
@@ -268,13 +268,13 @@
     }
 
     /** The largest resident memory of a node, kilobytes. */
-    long residentKb() {
-        long most = 0;
+    long maxResidentKb() {
+        long max = 0;
         for (DaemonProcess process : processes) {
             DaemonProcess.Sample sample = process.sample();
-            most = Math.max(most, sample == null ? 0 : sample.residentKb());
+            max = Math.max(max, sample == null ? 0 : sample.residentKb());
         }
-        return most;
+        return max;
     }
 
     boolean alive(int node) {
--- a/src/main/java/mulleinfront/kit/ScaleDiscovery.java
+++ b/src/main/java/mulleinfront/kit/ScaleDiscovery.java
@@ -73,7 +73,7 @@
     }
 
     /** The service that a server or member belongs to. */
-    int service(int member) {
+    int serviceOf(int member) {
         return member % services;
     }
 
@@ -117,21 +117,21 @@
     }
 
     /** Changes a server's state and sends a delta to the watches of the services that call it. */
-    void changed(int server, String state, boolean newIncarnation) {
+    void setServerState(int server, String state, boolean newIncarnation) {
         loop.execute(() -> {
             incarnations[server] += newIncarnation ? 1 : 0;
             states[server] = state;
             changes.put(++version, server);
-            String line = list(false, List.of(server)) + "\n";
+            String line = toListLine(false, List.of(server)) + "\n";
             for (Watch watch : List.copyOf(watches)) {
-                if (calls(watch.service, service(server))) {
+                if (isCallerOf(watch.service, serviceOf(server))) {
                     watch.chunk(line);
                 }
             }
         });
     }
 
-    private boolean calls(int caller, int called) {
+    private boolean isCallerOf(int caller, int called) {
         int distance = Math.floorMod(called - caller, services);
         return distance >= 1 && distance <= CALLED_SERVICES;
     }
@@ -146,7 +146,7 @@
         return calls.get();
     }
 
-    private String list(boolean full, Iterable<Integer> serverNumbers) {
+    private String toListLine(boolean full, Iterable<Integer> serverNumbers) {
         StringBuilder line = new StringBuilder(160)
                 .append("{\"version\":")
                 .append(version)
@@ -198,16 +198,16 @@
             TreeSet<Integer> wanted = new TreeSet<>();
             if (after.isEmpty()) {
                 for (int h = 0; h < servers; h++) {
-                    if (calls(service, service(h))) {
+                    if (isCallerOf(service, serviceOf(h))) {
                         wanted.add(h);
                     }
                 }
             } else {
                 changes.tailMap(Long.parseLong(after.get(0)), false).values().stream()
-                        .filter(h -> calls(service, service(h)))
+                        .filter(h -> isCallerOf(service, serviceOf(h)))
                         .forEach(wanted::add);
             }
-            chunk(list(after.isEmpty(), wanted) + "\n");
+            chunk(toListLine(after.isEmpty(), wanted) + "\n");
             ctx.executor().scheduleWithFixedDelay(() -> chunk("\n"), HEARTBEAT_MS, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
         }
 
--- a/src/main/java/mulleinfront/kit/ScaleReport.java
+++ b/src/main/java/mulleinfront/kit/ScaleReport.java
@@ -14,14 +14,14 @@
      * One metric.
      *
      * @param phase the phase of the test
-     * @param what the name of the metric
+     * @param metric the name of the metric
      * @param value the measured value
      * @param unit its unit
      * @param budget the upper limit of the value; NaN if there is none
      */
-    public record Row(String phase, String what, double value, String unit, double budget) {
+    public record Row(String phase, String metric, double value, String unit, double budget) {
         /** Whether the value exceeds its budget. */
-        public boolean over() {
+        public boolean overBudget() {
             return value > budget;
         }
     }
@@ -29,15 +29,15 @@
     private final List<Row> rows = new ArrayList<>();
     private final List<String> failures = new ArrayList<>();
 
-    void add(String phase, String what, double value, String unit) {
-        add(phase, what, value, unit, Double.NaN);
+    void add(String phase, String metric, double value, String unit) {
+        add(phase, metric, value, unit, Double.NaN);
     }
 
-    void add(String phase, String what, double value, String unit, double budget) {
-        rows.add(new Row(phase, what, value, unit, budget));
+    void add(String phase, String metric, double value, String unit, double budget) {
+        rows.add(new Row(phase, metric, value, unit, budget));
     }
 
-    void fail(String description) {
+    void addFailure(String description) {
         failures.add(description);
     }
 
@@ -52,8 +52,8 @@
     }
 
     /** Whether any value exceeds its budget. */
-    public boolean over() {
-        return rows.stream().anyMatch(Row::over);
+    public boolean anyOverBudget() {
+        return rows.stream().anyMatch(Row::overBudget);
     }
 
     /** The report as text. */
@@ -65,14 +65,15 @@
                 phase = row.phase();
                 out.append(phase).append('\n');
             }
-            out.append(String.format(Locale.ROOT, "  %-62s %12.3f %-12s", row.what(), row.value(), row.unit()));
+            out.append(String.format(Locale.ROOT, "  %-62s %12.3f %-12s", row.metric(), row.value(), row.unit()));
             if (!Double.isNaN(row.budget())) {
-                out.append(String.format(Locale.ROOT, " budget %.3f%s", row.budget(), row.over() ? "  OVER" : ""));
+                out.append(
+                        String.format(Locale.ROOT, " budget %.3f%s", row.budget(), row.overBudget() ? "  OVER" : ""));
             }
             out.append('\n');
         }
         failures.forEach(f -> out.append("FAILED  ").append(f).append('\n'));
-        return out.append(!failures.isEmpty() ? "failed" : over() ? "over budget" : "within budget")
+        return out.append(!failures.isEmpty() ? "failed" : anyOverBudget() ? "over budget" : "within budget")
                 .append('\n')
                 .toString();
     }
@@ -85,12 +86,12 @@
             for (Row row : rows) {
                 out.writeStartObject();
                 out.writeStringField("phase", row.phase());
-                out.writeStringField("what", row.what());
+                out.writeStringField("what", row.metric());
                 out.writeNumberField("value", row.value());
                 out.writeStringField("unit", row.unit());
                 if (!Double.isNaN(row.budget())) {
                     out.writeNumberField("budget", row.budget());
-                    out.writeBooleanField("over", row.over());
+                    out.writeBooleanField("over", row.overBudget());
                 }
                 out.writeEndObject();
             }
--- a/src/main/java/mulleinfront/kit/ScaleRun.java
+++ b/src/main/java/mulleinfront/kit/ScaleRun.java
@@ -129,14 +129,14 @@
     }
 
     /** A process and the members that it runs. */
-    private final class Unit {
+    private final class MemberProcess {
         private final int number;
         private final List<Integer> members;
         private DaemonProcess process;
-        /** CPU time of earlier processes of this unit. */
+        /** CPU time of earlier processes that ran these members. */
         private long earlierCpuMs;
 
-        Unit(int number, List<Integer> members) {
+        MemberProcess(int number, List<Integer> members) {
             this.number = number;
             this.members = members;
         }
@@ -204,8 +204,8 @@
     private final ScaleAddressPlan addresses = new ScaleAddressPlan();
     private final PartitionRelay relay;
     private final ScaleDiscovery discovery;
-    private final List<Unit> units = new ArrayList<>();
-    private final Unit[] unitByMember;
+    private final List<MemberProcess> memberProcesses = new ArrayList<>();
+    private final MemberProcess[] processByMember;
     private final List<MemberView> views = new ArrayList<>();
     private final ScaleReport report = new ScaleReport();
     /** Null if the run has no control plane. */
@@ -241,10 +241,12 @@
         for (int p = 0; p < plan.real() + plan.simulatedProcesses(); p++) {
             int first = p < plan.real() ? p : plan.real() + (p - plan.real()) * plan.perProcess();
             int end = p < plan.real() ? p + 1 : Math.min(plan.members(), first + plan.perProcess());
-            units.add(new Unit(p, IntStream.range(first, end).boxed().toList()));
+            memberProcesses.add(
+                    new MemberProcess(p, IntStream.range(first, end).boxed().toList()));
         }
-        this.unitByMember = new Unit[plan.members()];
-        units.forEach(unit -> unit.members.forEach(m -> unitByMember[m] = unit));
+        this.processByMember = new MemberProcess[plan.members()];
+        memberProcesses.forEach(
+                memberProcess -> memberProcess.members.forEach(m -> processByMember[m] = memberProcess));
         this.relay = new PartitionRelay(
                 group, addresses, plan.members(), plan.controlPlane() ? ScaleControlPlane.COUNT : 0, this::side);
         this.discovery =
@@ -284,7 +286,7 @@
 
     /** Processes alternate between the two sides, so that real client proxies are on both. */
     private int side(int member) {
-        return unitByMember[member].number % ScaleAddressPlan.SIDES;
+        return processByMember[member].number % ScaleAddressPlan.SIDES;
     }
 
     private String config(int member) throws IOException {
@@ -297,7 +299,7 @@
                 member,
                 RandomStream.of(plan.seed(), "member" + member).nextLong(),
                 addresses.listen(member),
-                addresses.discovery(discovery.service(member)),
+                addresses.discovery(discovery.serviceOf(member)),
                 "null",
                 new DaemonProcess.FleetMembership(
                         addresses.peer(member), peers, member < plan.real() ? loggingFleetFile : fleetFile));
@@ -325,21 +327,21 @@
                 }
             }
         } catch (IOException e) {
-            report.fail(e.getMessage());
+            report.addFailure(e.getMessage());
         } finally {
-            for (Unit unit : units) {
-                if (unit.process != null) {
-                    unit.process.kill();
+            for (MemberProcess memberProcess : memberProcesses) {
+                if (memberProcess.process != null) {
+                    memberProcess.process.kill();
                 }
             }
-            for (Unit unit : units) {
-                if (unit.process != null && !unit.process.awaitExit(EXIT_TIMEOUT_MS)) {
-                    report.fail("process " + unit.number + " could not be ended");
+            for (MemberProcess memberProcess : memberProcesses) {
+                if (memberProcess.process != null && !memberProcess.process.awaitExit(EXIT_TIMEOUT_MS)) {
+                    report.addFailure("process " + memberProcess.number + " could not be ended");
                 }
             }
             if (controlPlane != null) {
                 controlPlane.close();
-                controlPlane.regressions().forEach(w -> report.fail("went back to an older version: " + w));
+                controlPlane.regressions().forEach(w -> report.addFailure("went back to an older version: " + w));
             }
             relay.close();
             discovery.close();
@@ -361,11 +363,11 @@
                     controlPlane.awaitFirstVersion(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS));
         }
         long began = System.currentTimeMillis();
-        for (Unit unit : units) {
-            unit.start();
+        for (MemberProcess memberProcess : memberProcesses) {
+            memberProcess.start();
         }
-        for (Unit unit : units) {
-            unit.awaitReady();
+        for (MemberProcess memberProcess : memberProcesses) {
+            memberProcess.awaitReady();
         }
         report.add("start", "until all are ready", (System.currentTimeMillis() - began) / 1e3, "s");
         awaitViews("start", "until all know all", all(), "alive", began, Set.of());
@@ -392,8 +394,8 @@
                 break;
             }
             if (System.nanoTime() > until) {
-                report.fail(phase + ": " + what + ": after " + ACTIVATION_TIMEOUT_MS / 1000 + " s version " + version
-                        + " is not in force at " + missing + " of " + members.size());
+                report.addFailure(phase + ": " + what + ": after " + ACTIVATION_TIMEOUT_MS / 1000 + " s version "
+                        + version + " is not in force at " + missing + " of " + members.size());
                 return;
             }
             Thread.sleep(POLL_INTERVAL_MS);
@@ -444,11 +446,11 @@
                 && !members.stream().allMatch(m -> controlPlane.hasVersion("n" + m, newest[0])));
         for (long[] p : proposed) {
             for (int m : members) {
-                long inForce = controlPlane.activeAtMs("n" + m, p[0], p[1]);
-                if (inForce < 0) {
-                    report.fail(phase + ": version " + p[0] + " never was in force at n" + m);
+                long activeAtMs = controlPlane.activeAtMs("n" + m, p[0], p[1]);
+                if (activeAtMs < 0) {
+                    report.addFailure(phase + ": version " + p[0] + " never was in force at n" + m);
                 } else {
-                    durationsMs.add(inForce - p[1]);
+                    durationsMs.add(activeAtMs - p[1]);
                 }
             }
         }
@@ -498,7 +500,7 @@
                 break;
             }
             if (System.nanoTime() > until) {
-                report.fail(phase + ": " + what + ": after " + convergenceBoundMs / 1000 + " s, the bound, still "
+                report.addFailure(phase + ": " + what + ": after " + convergenceBoundMs / 1000 + " s, the bound, still "
                         + missing + " of " + observers.size() * members.size() + " views are otherwise");
                 return;
             }
@@ -537,8 +539,9 @@
     private Counts counts() {
         return new Counts(
                 System.nanoTime(),
-                units.stream()
-                        .mapToLong(unit -> unit.earlierCpuMs + unit.sample().cpuMs())
+                memberProcesses.stream()
+                        .mapToLong(memberProcess -> memberProcess.earlierCpuMs
+                                + memberProcess.sample().cpuMs())
                         .toArray(),
                 relay.datagrams(),
                 relay.datagramBytes(),
@@ -584,7 +587,7 @@
      *
      * @param started processes started meanwhile; they are left out because startup is not control overhead
      */
-    private void addCosts(String phase, Counts before, List<Unit> started) {
+    private void addCosts(String phase, Counts before, List<MemberProcess> started) {
         Counts after = counts();
         double seconds = (after.atNanos - before.atNanos) / 1e9;
         double realPercent = 0;
@@ -592,18 +595,18 @@
         double simulatedPercent = 0;
         int real = 0;
         int simulated = 0;
-        for (Unit unit : units) {
-            double percent = (after.cpuMs[unit.number] - before.cpuMs[unit.number]) / seconds / 10;
-            if (started.contains(unit)) {
+        for (MemberProcess memberProcess : memberProcesses) {
+            double percent = (after.cpuMs[memberProcess.number] - before.cpuMs[memberProcess.number]) / seconds / 10;
+            if (started.contains(memberProcess)) {
                 continue;
             }
-            if (unit.real()) {
+            if (memberProcess.real()) {
                 realPercent += percent;
                 maxRealPercent = Math.max(maxRealPercent, percent);
                 real++;
             } else {
                 simulatedPercent += percent;
-                simulated += unit.members.size();
+                simulated += memberProcess.members.size();
             }
         }
         if (real > 0) {
@@ -662,15 +665,19 @@
         }
         if (controlPlane != null) {
             report.add(
-                    phase, "resident memory of a control machine, the most", controlPlane.residentKb() / 1024.0, "MB");
+                    phase,
+                    "resident memory of a control machine, the most",
+                    controlPlane.maxResidentKb() / 1024.0,
+                    "MB");
         }
         report.add(phase, "calls to discovery by all", (after.discoveryCalls - before.discoveryCalls) / seconds, "1/s");
         report.add(
                 phase,
                 "resident memory of a real one, the most",
-                units.stream()
-                                .filter(Unit::real)
-                                .mapToLong(unit -> unit.sample().residentKb())
+                memberProcesses.stream()
+                                .filter(MemberProcess::real)
+                                .mapToLong(
+                                        memberProcess -> memberProcess.sample().residentKb())
                                 .max()
                                 .orElse(0)
                         / 1024.0,
@@ -679,9 +686,10 @@
         report.add(
                 phase,
                 "resident memory of a hollow one's process over how many it is",
-                units.stream()
-                        .filter(unit -> !unit.real())
-                        .mapToDouble(unit -> unit.sample().residentKb() / 1024.0 / unit.members.size())
+                memberProcesses.stream()
+                        .filter(memberProcess -> !memberProcess.real())
+                        .mapToDouble(memberProcess ->
+                                memberProcess.sample().residentKb() / 1024.0 / memberProcess.members.size())
                         .max()
                         .orElse(0),
                 "MB");
@@ -691,50 +699,50 @@
      * Every {@code divisor}-th real process and process of simulated members, but never the first, which keeps
      * observing.
      */
-    private List<Unit> selectUnits(int divisor, int remainder) {
-        List<Unit> selected = new ArrayList<>();
+    private List<MemberProcess> selectProcesses(int divisor, int remainder) {
+        List<MemberProcess> selected = new ArrayList<>();
         int real = 0;
         int simulated = 0;
-        for (Unit unit : units) {
-            int index = unit.real() ? real++ : simulated++;
-            if (index % divisor == remainder && unit.number > 0) {
-                selected.add(unit);
+        for (MemberProcess memberProcess : memberProcesses) {
+            int index = memberProcess.real() ? real++ : simulated++;
+            if (index % divisor == remainder && memberProcess.number > 0) {
+                selected.add(memberProcess);
             }
         }
         return selected;
     }
 
-    private static Set<Integer> members(List<Unit> of) {
+    private static Set<Integer> members(List<MemberProcess> selected) {
         Set<Integer> all = new TreeSet<>();
-        of.forEach(unit -> all.addAll(unit.members));
+        selected.forEach(memberProcess -> all.addAll(memberProcess.members));
         return all;
     }
 
-    private void restartUnits(List<Unit> of) throws IOException, InterruptedException {
-        for (Unit unit : of) {
-            unit.start();
+    private void restartProcesses(List<MemberProcess> selected) throws IOException, InterruptedException {
+        for (MemberProcess memberProcess : selected) {
+            memberProcess.start();
         }
-        for (Unit unit : of) {
-            unit.awaitReady();
-            unit.members.forEach(m -> discovery.changed(m, "in_service", true));
+        for (MemberProcess memberProcess : selected) {
+            memberProcess.awaitReady();
+            memberProcess.members.forEach(m -> discovery.setServerState(m, "in_service", true));
         }
     }
 
-    private void recordCpu(Unit unit) throws InterruptedException, IOException {
-        unit.earlierCpuMs += unit.sample().cpuMs();
+    private void recordCpu(MemberProcess memberProcess) throws InterruptedException, IOException {
+        memberProcess.earlierCpuMs += memberProcess.sample().cpuMs();
     }
 
     private void killFifth() throws IOException, InterruptedException {
-        List<Unit> killed = selectUnits(5, 1);
+        List<MemberProcess> killed = selectProcesses(5, 1);
         Set<Integer> away = members(killed);
         Counts before = counts();
-        for (Unit unit : killed) {
-            recordCpu(unit);
+        for (MemberProcess memberProcess : killed) {
+            recordCpu(memberProcess);
         }
         long killedAtMs = System.currentTimeMillis();
-        for (Unit unit : killed) {
-            unit.process.kill();
-            unit.members.forEach(m -> discovery.changed(m, "terminated", false));
+        for (MemberProcess memberProcess : killed) {
+            memberProcess.process.kill();
+            memberProcess.members.forEach(m -> discovery.setServerState(m, "terminated", false));
         }
         report.add("a fifth killed at once", "members killed", away.size(), "");
         if (controlPlane != null) {
@@ -743,7 +751,7 @@
         awaitViews("a fifth killed at once", "until known to have failed", away, "failed", killedAtMs, away);
         addCosts("a fifth killed at once", before, killed);
         long restartedAtMs = System.currentTimeMillis();
-        restartUnits(killed);
+        restartProcesses(killed);
         awaitViews(
                 "a fifth back", "until known to be alive, from their start", all(), "alive", restartedAtMs, Set.of());
         if (controlPlane != null) {
@@ -754,9 +762,9 @@
     private void partition() throws IOException, InterruptedException {
         Counts before = counts();
         long sinceMs = System.currentTimeMillis();
-        relay.partitioned(true);
+        relay.setPartitioned(true);
         if (controlPlane != null) {
-            controlPlane.delayedReports(true);
+            controlPlane.setDelayedReports(true);
         }
         long newest = 0;
         long end = sinceMs + plan.partitionS() * 1000L;
@@ -769,7 +777,7 @@
         addCosts("two sides cut", before);
         before = counts();
         sinceMs = System.currentTimeMillis();
-        relay.partitioned(false);
+        relay.setPartitioned(false);
         if (controlPlane != null) {
             List<Integer> otherSide = IntStream.range(0, plan.members())
                     .filter(m -> side(m) == 1)
@@ -786,7 +794,7 @@
         awaitViews("the cut heals", "until all know all again", all(), "alive", sinceMs, Set.of());
         addCosts("the cut heals", before);
         if (controlPlane != null) {
-            controlPlane.delayedReports(false);
+            controlPlane.setDelayedReports(false);
         }
     }
 
@@ -796,18 +804,18 @@
         long newest = 0;
         long proposed = began;
         for (int tenth = 0; tenth < 10; tenth++) {
-            List<Unit> tenthUnits = selectUnits(10, tenth);
-            for (Unit unit : tenthUnits) {
-                recordCpu(unit);
-                unit.members.forEach(m -> discovery.changed(m, "terminating", false));
-                unit.process.terminate();
+            List<MemberProcess> tenthUnits = selectProcesses(10, tenth);
+            for (MemberProcess memberProcess : tenthUnits) {
+                recordCpu(memberProcess);
+                memberProcess.members.forEach(m -> discovery.setServerState(m, "terminating", false));
+                memberProcess.process.terminate();
             }
-            for (Unit unit : tenthUnits) {
-                if (!unit.process.awaitExit(EXIT_TIMEOUT_MS)) {
-                    throw new IOException("process " + unit.number + " did not end on SIGTERM");
+            for (MemberProcess memberProcess : tenthUnits) {
+                if (!memberProcess.process.awaitExit(EXIT_TIMEOUT_MS)) {
+                    throw new IOException("process " + memberProcess.number + " did not end on SIGTERM");
                 }
             }
-            restartUnits(tenthUnits);
+            restartProcesses(tenthUnits);
             if (controlPlane != null) {
                 newest = controlPlane.propose("restarted in tenths", true);
                 proposed = System.currentTimeMillis();
@@ -824,14 +832,14 @@
         }
         report.add("restarted in tenths", "until the last is ready", (System.currentTimeMillis() - began) / 1e3, "s");
         awaitViews("restarted in tenths", "until all know all, from the begin", all(), "alive", began, Set.of());
-        addCosts("restarted in tenths", before, units.subList(1, units.size()));
-        int[] exited = Arrays.stream(units.stream()
-                        .mapToInt(unit -> unit.process.alive() ? 0 : 1)
+        addCosts("restarted in tenths", before, memberProcesses.subList(1, memberProcesses.size()));
+        int[] exited = Arrays.stream(memberProcesses.stream()
+                        .mapToInt(memberProcess -> memberProcess.process.alive() ? 0 : 1)
                         .toArray())
                 .filter(x -> x > 0)
                 .toArray();
         if (exited.length > 0) {
-            report.fail(exited.length + " processes ended by themselves");
+            report.addFailure(exited.length + " processes ended by themselves");
         }
     }
 }
--- a/src/main/java/mulleinfront/kit/StandInDiscovery.java
+++ b/src/main/java/mulleinfront/kit/StandInDiscovery.java
@@ -177,15 +177,15 @@
         }
 
         @Override
-        public void sendFirstHalf(HybridSimulation.ListUpdate news) {
-            String text = line(proxy, news);
+        public void sendFirstHalf(HybridSimulation.ListUpdate update) {
+            String text = line(proxy, update);
             sentLength = text.length() / 2;
             chunk(text.substring(0, sentLength));
         }
 
         @Override
-        public void sendUpdate(HybridSimulation.ListUpdate news) {
-            String rest = line(proxy, news).substring(sentLength) + "\n";
+        public void sendUpdate(HybridSimulation.ListUpdate update) {
+            String rest = line(proxy, update).substring(sentLength) + "\n";
             sentLength = 0;
             chunk(rest);
         }
@@ -199,8 +199,8 @@
         }
 
         @Override
-        public void sendTruncated(HybridSimulation.ListUpdate news) {
-            String text = line(proxy, news);
+        public void sendTruncated(HybridSimulation.ListUpdate update) {
+            String text = line(proxy, update);
             write(Integer.toHexString(text.length()) + "\r\n" + text.substring(0, text.length() / 2));
             ctx.close();
         }
--- a/src/main/java/mulleinfront/proxy/ClientProxy.java
+++ b/src/main/java/mulleinfront/proxy/ClientProxy.java
@@ -67,7 +67,7 @@
     static final int RESERVED_SOCKETS_PER_LOOP = 16;
     /** Limit of the time that requests get after SIGTERM; the longest request deadline if that is shorter. */
     private static final long MAX_SHUTDOWN_US = 3_000_000;
-    /** Added to this time after SIGTERM. */
+    /** Margin added to the time that requests get after SIGTERM. */
     private static final long SHUTDOWN_MARGIN_US = 600_000;
     /** Time for which binding is retried while the address is in use. */
     private static final long BIND_TIMEOUT_MS = 3_000;
@@ -152,9 +152,9 @@
             }
         });
         this.frontend = new Frontend(this, lifecycle, loop, socketsPerSide, metrics);
-        List<RequestClass> all = config.settings().classes();
-        for (int i = 0; i < all.size(); i++) {
-            classIndexes.put(all.get(i).name(), i);
+        List<RequestClass> requestClasses = config.settings().classes();
+        for (int i = 0; i < requestClasses.size(); i++) {
+            classIndexes.put(requestClasses.get(i).name(), i);
         }
     }
 
@@ -248,19 +248,21 @@
      */
     public static List<ClientProxy> startAll(List<Config> configs, Consumer<ClientProxy> onCreated) throws Exception {
         warmUp(configs.get(0), false);
-        List<ClientProxy> all = new ArrayList<>();
+        List<ClientProxy> proxies = new ArrayList<>();
         try {
             for (Config config : configs) {
-                all.add(start(
-                        all.isEmpty() ? config : config.withPort(all.get(0).port()),
+                proxies.add(start(
+                        proxies.isEmpty()
+                                ? config
+                                : config.withPort(proxies.get(0).port()),
                         Balancer::create,
                         true,
                         null,
                         onCreated));
             }
-            return all;
+            return proxies;
         } catch (Exception e) {
-            all.forEach(ClientProxy::drain);
+            proxies.forEach(ClientProxy::drain);
             throw e;
         }
     }
@@ -426,14 +428,14 @@
      * effect: it moves the discovery watch, as a reload of the process's own configuration does. The latest change of
      * the two applies.
      */
-    public void watchConfiguration(ControlFile file, String name, List<ClientProxy> all) throws IOException {
+    public void watchConfiguration(ControlFile file, String name, List<ClientProxy> proxies) throws IOException {
         String[] previousDiscovery = {null};
         configWatcher = new ConfigWatcher(loop, Upstream.ALLOCATOR, file, name, config.seed(), (version, origin) -> {
             System.err.println("mulleinfront: configuration version " + version.number() + " in force, " + origin);
             String currentDiscovery = version.entries().get("discovery");
             if (!Objects.equals(currentDiscovery, previousDiscovery[0])) {
                 previousDiscovery[0] = currentDiscovery;
-                all.forEach(proxy -> proxy.moveDiscovery(currentDiscovery));
+                proxies.forEach(proxy -> proxy.moveDiscovery(currentDiscovery));
             }
         });
         configWatcher.start();
--- a/src/main/java/mulleinfront/proxy/Discovery.java
+++ b/src/main/java/mulleinfront/proxy/Discovery.java
@@ -39,7 +39,10 @@
  */
 final class Discovery {
     static final long WATCH_TIMEOUT_MS = Wire.WATCH_TIMEOUT_US / 1000;
-    /** The propagation deadline after a move is 4 s: an unresponsive new address is called again before it. */
+    /**
+     * Timeout of the first call at a new address where lists are pushed: the propagation deadline after a move is 4 s,
+     * and an unresponsive address is called again before it.
+     */
     private static final long MOVED_CALL_TIMEOUT_MS = 1_800;
 
     private static final int CONNECT_TIMEOUT_MS = 1_000;
--- a/src/main/java/mulleinfront/proxy/Frontend.java
+++ b/src/main/java/mulleinfront/proxy/Frontend.java
@@ -105,9 +105,9 @@
      * the connection, and the client could lose the response.
      */
     private static final long LINGER_MS = 1_000;
-    /** The same time at shutdown. */
+    /** Time for which such data is read and dropped at shutdown, when less time is left. */
     private static final long SHUTDOWN_LINGER_MS = 250;
-    /** Tells the proxy's version, since a test kit of another version must not check it. */
+    /** Header with the proxy's version, since a test kit of another version must not check this proxy. */
     private static final String VERSION_HEADER = Version.HEADER + ": " + Version.CURRENT + "\r\n";
 
     private final ClientProxy proxy;
@@ -155,9 +155,9 @@
         if (reusePort) {
             serverBootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         }
-        ChannelFuture bound = serverBootstrap.bind(address);
-        this.listener = (ClientChannel.Listener) bound.channel();
-        return bound;
+        ChannelFuture bindFuture = serverBootstrap.bind(address);
+        this.listener = (ClientChannel.Listener) bindFuture.channel();
+        return bindFuture;
     }
 
     /** Accepts on an inherited listening socket. */
@@ -519,11 +519,11 @@
         /**
          * Reading follows the pace of the body's sink; before there is one, it goes on up to one client's buffer limit.
          */
-        private void setUploadReading(boolean on) {
+        private void setUploadReading(boolean reading) {
             if (upload != null && upload.attached()) {
                 releaseUploadBytes();
             }
-            channel.config().setAutoRead(on);
+            channel.config().setAutoRead(reading);
             lastProgressNanos = System.nanoTime();
         }
 
--- a/src/main/java/mulleinfront/proxy/LoopStall.java
+++ b/src/main/java/mulleinfront/proxy/LoopStall.java
@@ -9,7 +9,10 @@
  */
 final class LoopStall {
     static final long MIN_STALL_US = 150_000;
-    /** Connections accepted by the event loop's first iteration after a stall are read by an iteration soon after. */
+    /**
+     * Time after a stall for which data may still date from the stall: a connection accepted by the event loop's first
+     * iteration after the stall is read by a later one.
+     */
     private static final long AFTER_STALL_US = 20_000;
 
     private final long tickIntervalUs;
--- a/src/main/java/mulleinfront/proxy/Upstream.java
+++ b/src/main/java/mulleinfront/proxy/Upstream.java
@@ -386,7 +386,10 @@
                     }
                 }
 
-                /** After an incomplete body nothing is written: the client has disconnected and the core cancels. */
+                /**
+                 * After an incomplete body nothing is written: the client has disconnected, and the core cancels the
+                 * attempt.
+                 */
                 @Override
                 public void end(boolean complete) {
                     target.upload = null;
@@ -507,7 +510,7 @@
         /** The length of the body stated in the response's head; -1 if there is none. */
         private long statedLength;
 
-        /** Closes the connection on data that arrives without a request: it belongs to none, complete or not. */
+        /** Closes the connection when data arrives while no request is in progress: it is a response to none. */
         private final Framing.ResponseDecoder decoder = new Framing.ResponseDecoder() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object in) throws Exception {
@@ -599,7 +602,8 @@
                     startStreaming();
                 } else {
                     if (statedLength < 0 && body.readableBytes() == 0 && data.isReadable()) {
-                        // Of unknown length: the first bytes of a slow response don't wait for its last ones.
+                        // The length is unknown: streaming starts after this delay, so that the first bytes of a slow
+                        // response don't wait for its last ones.
                         Attempt receiving = attempt;
                         loop.schedule(() -> streamIfSlow(receiving), STREAM_AFTER_MS, TimeUnit.MILLISECONDS);
                     }
--- a/src/main/java/mulleinfront/settings/FleetFile.java
+++ b/src/main/java/mulleinfront/settings/FleetFile.java
@@ -127,8 +127,10 @@
         return us;
     }
 
-    private static String formatTime(long us) {
-        return us % 1_000_000 == 0 ? us / 1_000_000 + "s" : us % 1_000 == 0 ? us / 1_000 + "ms" : us + "us";
+    private static String formatTime(long timeUs) {
+        return timeUs % 1_000_000 == 0
+                ? timeUs / 1_000_000 + "s"
+                : timeUs % 1_000 == 0 ? timeUs / 1_000 + "ms" : timeUs + "us";
     }
 
     private static double numberWithin(Section section, String key, double defaultValue, double min, double max)
--- a/src/main/java/mulleinfront/settings/Section.java
+++ b/src/main/java/mulleinfront/settings/Section.java
@@ -128,7 +128,10 @@
         return position == null ? line : position.line();
     }
 
-    /** Rejects unknown keys in this table and the base table. Call it after all keys have been read. */
+    /**
+     * Rejects unknown keys, which are probably misspelled, in this table and the base table. Call it after all keys
+     * have been read.
+     */
     public void rejectUnknownKeys() throws BadFileException {
         for (String key : table.keySet()) {
             if (!readKeys.contains(key)) {
--- a/src/test/java/mulleinfront/emulator/AuditorTest.java
+++ b/src/test/java/mulleinfront/emulator/AuditorTest.java
@@ -119,7 +119,7 @@
         assertFalse(
                 breaches.isEmpty(),
                 "not caught: " + result.breaches().stream().limit(5).toList());
-        assertTrue(breaches.stream().anyMatch(b -> b.what().contains(expectedText)), "" + breaches.get(0));
+        assertTrue(breaches.stream().anyMatch(b -> b.description().contains(expectedText)), "" + breaches.get(0));
         Breach first = breaches.get(0);
         assertTrue(
                 first.atUs() > 0
@@ -151,7 +151,7 @@
     @Test
     void overloadedServerCrashesAndStaysDown() throws Exception {
         World.Result result = play(FaultyComponents::floodsNewestServer, CoreWiring.UNCHANGED);
-        assertTrue(result.service().servers().stream().anyMatch(s -> s.figures().crashed));
+        assertTrue(result.service().servers().stream().anyMatch(s -> s.statistics().crashed));
     }
 
     @Test
@@ -168,7 +168,7 @@
         assertTrue(result.breachCount() > 0);
         assertEquals(
                 "not answered when its client proxy ended",
-                result.breaches().get(0).what());
+                result.breaches().get(0).description());
     }
 
     @Test
@@ -188,7 +188,9 @@
                         FaultyComponents.skipsWantedCheck())
                 .run();
         List<String> drainBreaches = new ArrayList<>();
-        result.breaches().stream().filter(b -> b.rule() == Rule.DRAINS).forEach(b -> drainBreaches.add(b.what()));
+        result.breaches().stream()
+                .filter(b -> b.rule() == Rule.DRAINS)
+                .forEach(b -> drainBreaches.add(b.description()));
         assertTrue(drainBreaches.stream().anyMatch(w -> w.contains("counts as told")), "" + result.breaches());
     }
 
@@ -203,6 +205,7 @@
                         },
                         CoreWiring.UNCHANGED)
                 .run();
-        assertTrue(result.breaches().stream().anyMatch(b -> b.what().contains("a defect")), "" + result.breaches());
+        assertTrue(
+                result.breaches().stream().anyMatch(b -> b.description().contains("a defect")), "" + result.breaches());
     }
 }
--- a/src/test/java/mulleinfront/emulator/GraphWorldTest.java
+++ b/src/test/java/mulleinfront/emulator/GraphWorldTest.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 import mulleinfront.Balancer;
 import mulleinfront.core.Core;
-import mulleinfront.emulator.GraphTally.Span;
+import mulleinfront.emulator.GraphStatistics.Span;
 import mulleinfront.settings.BadFileException;
 import mulleinfront.settings.Section;
 import org.junit.jupiter.api.Test;
@@ -145,9 +145,9 @@
             GraphRequest request = new GraphRequest("s1", 0, 0, null, 1, 0, 500, 1_000);
             Handling root = new Handling(world, request, null, front, 1_000, end -> {});
             CallGraph.Edge edge = front.node.calls().get(0);
-            Hop hop = new Hop(world, edge, root, 0, "s1.0", 900);
-            Host hub = world.part(edge.to()).hosts.get(0);
-            Handling downstream = hop.serve(hub, 600, end -> {});
+            GraphCall graphCall = new GraphCall(world, edge, root, 0, "s1.0", 900);
+            Host hub = world.serviceWorld(edge.to()).hosts.get(0);
+            Handling downstream = graphCall.serve(hub, 600, end -> {});
             assertEquals(file.equals("told") ? 900 : 600, downstream.endsAt);
             assertEquals(1, downstream.depth);
         }
@@ -162,7 +162,7 @@
         assertEquals(List.of(), first.violations());
         assertEquals(0, first.violationCount());
         assertTrue(first.calls(8) > 0, "nobody came eight calls deep");
-        assertTrue(first.service() > 0.5, "service " + first.service());
+        assertTrue(first.earnedShare() > 0.5, "service " + first.earnedShare());
         GraphReport again = world(spec, 1).run();
         assertEquals(first.sha256(), again.sha256());
         assertEquals(first.text(), again.text());
@@ -206,7 +206,7 @@
     void callLatencyIsTheSumOfItsSpans() throws Exception {
         GraphWorld world = world(few("world", 800, 2_000_000), 1);
         world.run();
-        GraphTally.CallStatistics all = world.tally.all;
+        GraphStatistics.CallStatistics all = world.statistics.all;
         double parts = 0;
         double added = 0;
         for (Span span : List.of(Span.LOCAL, Span.ADMISSION, Span.RETRIES, Span.CONNECTION)) {
--- a/src/test/java/mulleinfront/emulator/LargeFleetTest.java
+++ b/src/test/java/mulleinfront/emulator/LargeFleetTest.java
@@ -44,8 +44,9 @@
         World.Result result = world.finish();
         assertEquals(List.of(), result.breaches());
         for (Server server : result.service().servers()) {
-            assertTrue(!server.figures().crashed, server.name() + " fell over");
-            assertEquals(0, server.figures().connectionsRefused, server.name() + " was asked for too many connections");
+            assertTrue(!server.statistics().crashed, server.name() + " fell over");
+            assertEquals(
+                    0, server.statistics().connectionsRefused, server.name() + " was asked for too many connections");
         }
     }
 
@@ -58,8 +59,9 @@
         assertEquals(List.of(), result.breaches());
         for (Server server : result.service().servers()) {
             assertTrue(
-                    server.figures().maxConnections < 300, server.name() + " held " + server.figures().maxConnections);
-            assertEquals(0, server.figures().connectionsRefused);
+                    server.statistics().maxConnections < 300,
+                    server.name() + " held " + server.statistics().maxConnections);
+            assertEquals(0, server.statistics().connectionsRefused);
         }
     }
 
@@ -102,10 +104,12 @@
                 connections-per-core = 400
                 """), 1).run();
         assertEquals(List.of(), result.breaches());
-        assertTrue(result.service().whole() > 0.95, "whole " + result.service().whole());
+        assertTrue(
+                result.service().overallShare() > 0.95,
+                "whole " + result.service().overallShare());
         for (Server server : result.service().servers()) {
-            assertTrue(server.figures().served > 0, server.name() + " was left out");
-            assertTrue(!server.figures().crashed, server.name() + " fell over");
+            assertTrue(server.statistics().served > 0, server.name() + " was left out");
+            assertTrue(!server.statistics().crashed, server.name() + " fell over");
         }
     }
 
@@ -127,15 +131,17 @@
                 pause-for = "170ms"
                 """), 1).run();
         assertEquals(List.of(), result.breaches());
-        assertTrue(result.service().whole() > 0.97, "whole " + result.service().whole());
+        assertTrue(
+                result.service().overallShare() > 0.97,
+                "whole " + result.service().overallShare());
         long maxServed = result.service().servers().stream()
-                .mapToLong(server -> server.figures().served)
+                .mapToLong(server -> server.statistics().served)
                 .max()
                 .orElseThrow();
         for (Server server : result.service().servers()) {
             assertTrue(
-                    server.figures().served > maxServed / 4,
-                    server.name() + " served " + server.figures().served + " of " + maxServed);
+                    server.statistics().served > maxServed / 4,
+                    server.name() + " served " + server.statistics().served + " of " + maxServed);
         }
     }
 
@@ -163,7 +169,9 @@
         World.Result result = world.finish();
         assertEquals(List.of(), result.breaches());
         assertEquals(40, result.service().requests());
-        assertTrue(result.service().whole() > 0.9, "whole " + result.service().whole());
+        assertTrue(
+                result.service().overallShare() > 0.9,
+                "whole " + result.service().overallShare());
         long calls = result.service().counts().get("discovery calls");
         assertTrue(calls <= 20, calls + " calls of discovery by 20 instances that watched all the time");
     }
--- a/src/test/java/mulleinfront/emulator/LossAttributionTest.java
+++ b/src/test/java/mulleinfront/emulator/LossAttributionTest.java
@@ -18,7 +18,7 @@
 
     private static double totalWorth(ServiceReport report, Scenario scenario) {
         // Requests of tenants above their share are worth less, so the total worth is derived from the lost share.
-        return report.losses().lost() / Math.max(1e-12, 1 - report.whole());
+        return report.losses().lostValue() / Math.max(1e-12, 1 - report.overallShare());
     }
 
     @ParameterizedTest
@@ -28,7 +28,7 @@
         World world = Worlds.world(scenario, 5);
         ServiceReport report = world.run().service();
         long missedRequests = report.classes().stream()
-                .mapToLong(requestClass -> requestClass.asked() - requestClass.onTime())
+                .mapToLong(requestClass -> requestClass.requests() - requestClass.onTime())
                 .sum();
         LossReport losses = report.losses();
         assertEquals(
@@ -39,9 +39,9 @@
         double lostWorth = losses.causes().values().stream()
                 .mapToDouble(LossReport.Loss::worth)
                 .sum();
-        assertEquals(losses.lost(), lostWorth, 1e-6);
-        assertEquals(1 - report.whole(), lostWorth / totalWorth(report, scenario), 1e-9);
-        for (Map<String, Map<Cause, Double>> part : losses.parts().values()) {
+        assertEquals(losses.lostValue(), lostWorth, 1e-6);
+        assertEquals(1 - report.overallShare(), lostWorth / totalWorth(report, scenario), 1e-9);
+        for (Map<String, Map<Cause, Double>> part : losses.causesByDimension().values()) {
             assertEquals(
                     lostWorth,
                     part.values().stream()
@@ -59,19 +59,19 @@
                     .orElseThrow()
                     .type()
                     .worth();
-            double classLoss =
-                    losses
-                            .parts()
-                            .get(LossReport.Part.CLASS)
-                            .getOrDefault(requestClass.name(), Map.of())
-                            .values()
-                            .stream()
-                            .mapToDouble(Double::doubleValue)
-                            .sum();
-            assertTrue(classLoss <= worth * (requestClass.asked() - requestClass.onTime()) + 1e-6, requestClass.name());
+            double classLoss = losses
+                    .causesByDimension()
+                    .get(LossReport.Dimension.CLASS)
+                    .getOrDefault(requestClass.name(), Map.of())
+                    .values()
+                    .stream()
+                    .mapToDouble(Double::doubleValue)
+                    .sum();
+            assertTrue(
+                    classLoss <= worth * (requestClass.requests() - requestClass.onTime()) + 1e-6, requestClass.name());
             assertTrue(
                     classLoss
-                            >= scenario.overShareWorth() * worth * (requestClass.asked() - requestClass.onTime())
+                            >= scenario.overShareWorth() * worth * (requestClass.requests() - requestClass.onTime())
                                     - 1e-6,
                     requestClass.name());
         }
@@ -111,7 +111,7 @@
     @Test
     void requestHistoryListsAttemptsAndCause() throws Exception {
         Scenario scenario = Worlds.of(fault("do = \"hang\"\ncount = 3\n"));
-        List<String> lines = Explain.cause(scenario, 1, Cause.HANGING, 5_000_000, 1);
+        List<String> lines = Explain.requestsLostBy(scenario, 1, Cause.HANGING, 5_000_000, 1);
         String history = String.join("\n", lines);
         assertTrue(
                 history.contains("(hanging)")
--- a/src/test/java/mulleinfront/emulator/ServerModelTest.java
+++ b/src/test/java/mulleinfront/emulator/ServerModelTest.java
@@ -224,7 +224,7 @@
         SpecBuilder spec = new SpecBuilder();
         spec.queueCapacity = 1;
         ServerModel server = server(spec);
-        server.hang(true);
+        server.setHung(true);
         for (int i = 0; i < 5; i++) {
             offer(server, 10);
         }
@@ -233,7 +233,7 @@
         assertEquals(List.of(), completions);
         assertEquals(List.of(), executed);
         assertEquals(5, server.inFlight());
-        server.hang(false);
+        server.setHung(false);
         runUntilMs(2_000);
         assertEquals(5, completions.size());
         assertEquals(
@@ -244,12 +244,12 @@
     void slownessAndNoisyNeighbourReduceSpeedWhileTheyLast() {
         ServerModel server = server(new SpecBuilder());
         offer(server, 100);
-        server.slowDown(4);
+        server.setSlowdown(4);
         runUntilMs(200);
-        server.slowDown(1);
-        server.noisyNeighbour(0.5);
+        server.setSlowdown(1);
+        server.setNeighbourShare(0.5);
         runUntilMs(240);
-        server.noisyNeighbour(0);
+        server.setNeighbourShare(0);
         runUntilMs(1_000);
         assertEquals(List.of("270 r0 SERVED"), completions, "200 / 4 + 40 / 2 + 30 = 100");
         assertEquals(100 * MS, server.statistics().workDone, 1);
@@ -259,10 +259,10 @@
     void errorsAreReturnedAfterExecution() {
         SpecBuilder spec = new SpecBuilder();
         ServerModel server = server(spec);
-        server.errors(1);
+        server.setErrorProbability(1);
         offer(server, 10);
         runUntilMs(10);
-        server.errors(0);
+        server.setErrorProbability(0);
         offer(server, 10);
         runUntilMs(100);
         assertEquals(List.of("10 r0 ERROR", "20 r1 SERVED"), completions);
--- a/src/test/java/mulleinfront/emulator/ThunderingHerdTest.java
+++ b/src/test/java/mulleinfront/emulator/ThunderingHerdTest.java
@@ -133,7 +133,7 @@
         World.Result result =
                 play("55%", 60, "start = \"900ms\"", fault("do = \"kill-proxy\", at = \"8s\", proxy = 3"), 1);
         assertTrue(
-                firstStarts(result).asked() > 100 && firstStarts(result).share() > 0.99,
+                firstStarts(result).requests() > 100 && firstStarts(result).share() > 0.99,
                 firstStarts(result).toString());
         assertEquals(0, firstStarts(result).refused());
     }
--- a/src/test/java/mulleinfront/emulator/WorldTest.java
+++ b/src/test/java/mulleinfront/emulator/WorldTest.java
@@ -103,10 +103,10 @@
 
     private static double meanWaitUs(World.Result result) {
         return result.service().servers().stream()
-                        .mapToDouble(s -> s.figures().waitSumUs)
+                        .mapToDouble(s -> s.statistics().waitSumUs)
                         .sum()
                 / result.service().servers().stream()
-                        .mapToLong(s -> s.figures().begun)
+                        .mapToLong(s -> s.statistics().begun)
                         .sum();
     }
 
@@ -317,7 +317,7 @@
         assertEquals(Worlds.world(scenario, 4).run().sha256(), sequential.get(1).sha256());
         assertEquals(
                 sequential.stream().mapToDouble(Sweep.SeedResult::service).min().orElseThrow(),
-                Sweep.worst(sequential, 3).get(0).service());
+                Sweep.lowestScores(sequential, 3).get(0).service());
     }
 
     @Test
--- a/src/test/java/mulleinfront/kit/RealRunTest.java
+++ b/src/test/java/mulleinfront/kit/RealRunTest.java
@@ -174,7 +174,7 @@
         }
         assertTrue(
                 result.sockets().breaches().stream()
-                        .anyMatch(b -> b.rule() == rule && b.what().contains(words)),
+                        .anyMatch(b -> b.rule() == rule && b.description().contains(words)),
                 fault + ": " + result.sockets().breaches());
         ByteArrayOutputStream xml = new ByteArrayOutputStream();
         Report.junit("day", result, false, xml);
@@ -231,7 +231,8 @@
                 drain = "100ms"
                 servers = ["new-0"]
                 """).run();
-        assertTrue(result.sockets().service().servers().stream().anyMatch(s -> s.figures().crashed), "new-0 fell over");
+        assertTrue(
+                result.sockets().service().servers().stream().anyMatch(s -> s.statistics().crashed), "new-0 fell over");
     }
 
     @Test
@@ -254,7 +255,8 @@
                 """).run();
         assertTrue(
                 result.sockets().breaches().stream()
-                        .anyMatch(b -> b.rule() == Rule.LOST && b.what().contains("when its client proxy ended")),
+                        .anyMatch(
+                                b -> b.rule() == Rule.LOST && b.description().contains("when its client proxy ended")),
                 result.sockets().breaches().toString());
     }
 
