--- a/src/test/java/mulleinfront/emulator/ScenarioReaderTest.java
+++ b/src/test/java/mulleinfront/emulator/ScenarioReaderTest.java
@@ -30,9 +30,9 @@
             length = 5                                 | scenarios/test.toml:4: scenario.length: '5' is no time
             length = "5"                               | scenarios/test.toml:4: scenario.length: '5' is no time
             length = "5 minutes"                       | scenarios/test.toml:4: scenario.length: '5 minutes' is no
-            length = "-5s"                             | scenarios/test.toml:4: scenario.length: '-5s' is no number
+            length = "-5s"                             | scenarios/test.toml:4: scenario.length: '-5s' must be a number with its unit
             length = "0s"                              | scenarios/test.toml:4: scenario.length: must be more than
-            length = "five s"                          | scenarios/test.toml:4: scenario.length: 'five s' is no
+            length = "five s"                          | scenarios/test.toml:4: scenario.length: 'five s' must be a number with its unit
             length = "5s"\\nlength = "6s"              | scenarios/test.toml:5: length previously defined
             length = 5s                                | scenarios/test.toml:4: Unexpected
             [netwrok]                                  | scenarios/test.toml:4: netwrok: unknown key
