--- a/src/main/java/mulleinfront/cli/CommandLine.java
+++ b/src/main/java/mulleinfront/cli/CommandLine.java
@@ -54,7 +54,7 @@
     public void run() {
         throw new ParameterException(
                 spec.commandLine(),
-                "a word is missing: emulate, kit, bench," + " fleet, keep, config, serve or benchlink");
+                "a command is missing: emulate, kit, bench," + " fleet, keep, config, serve or benchlink");
     }
 
     /** Runs a command line on standard output and error; returns the exit code. */
--- a/src/main/java/mulleinfront/emulator/FaultReader.java
+++ b/src/main/java/mulleinfront/emulator/FaultReader.java
@@ -130,7 +130,7 @@
                 throw section.error("count", "there are only " + scenario.serverCount() + " servers");
             }
             if (named.isEmpty() && zone < 0 && count < 0) {
-                throw section.error("names nobody: it needs servers, count, part or zone");
+                throw section.error("names no target: it needs servers, count, part or zone");
             }
             if (!named.isEmpty() && (zone >= 0 || count >= 0)) {
                 throw section.error("servers", "names all targets: count, part and zone don't go with it");
@@ -143,7 +143,7 @@
                             ? countOfPart(section, scenario.proxies().count())
                             : -1;
             if (proxy < 0 == count < 0) {
-                throw section.error("names nobody: it needs either proxy (its number), count or part");
+                throw section.error("names no target: it needs either proxy (its number), count or part");
             }
             if (proxy >= scenario.proxies().count()
                     || count > scenario.proxies().count()) {
--- a/src/main/java/mulleinfront/emulator/ScenarioReader.java
+++ b/src/main/java/mulleinfront/emulator/ScenarioReader.java
@@ -368,7 +368,7 @@
             long targetLatency = positiveTime(section, "aim", null);
             long deadline = positiveTime(section, "deadline", null);
             if (targetLatency > deadline) {
-                throw section.error("aim", "the range is turned round: the aim is later than the deadline");
+                throw section.error("aim", "must not be later than the deadline");
             }
             double share = section.share("share", null, 1);
             sum += share;
--- a/src/main/java/mulleinfront/settings/ControlFile.java
+++ b/src/main/java/mulleinfront/settings/ControlFile.java
@@ -58,10 +58,10 @@
                 throw section.error("name", "there is another machine " + name);
             }
             if (!seen.add(node.consensus())) {
-                throw section.error("consensus", "something else has this address");
+                throw section.error("consensus", "this address is already used in this file");
             }
             if (!seen.add(node.clientAddress())) {
-                throw section.error("door", "something else has this address");
+                throw section.error("door", "this address is already used in this file");
             }
             section.rejectUnknownKeys();
             nodes.add(node);
--- a/src/main/java/mulleinfront/settings/Section.java
+++ b/src/main/java/mulleinfront/settings/Section.java
@@ -211,11 +211,11 @@
             return strings;
         }
         if (!(value instanceof TomlArray array)) {
-            throw error(key, "must be a list of texts");
+            throw error(key, "must be an array of strings");
         }
         for (int i = 0; i < array.size(); i++) {
             if (!(array.get(i) instanceof String string)) {
-                throw error(key, "must be a list of texts");
+                throw error(key, "must be an array of strings");
             }
             strings.add(string);
         }
@@ -275,7 +275,8 @@
         }
         Long factor = MICROS_PER_UNIT.get(text.substring(unitStart));
         if (factor == null) {
-            throw error(key, "'" + text + "' is no time: a number with us, ms, s, m or h, as \"250ms\"");
+            throw error(
+                    key, "'" + text + "' is not a time: it must be a number with us, ms, s, m or h, such as \"250ms\"");
         }
         return parseNumber(key, text, text.substring(0, unitStart)) * factor;
     }
@@ -344,7 +345,7 @@
         }
         Range range = new Range(parser.parse(array.get(0)), parser.parse(array.get(1)));
         if (range.low() > range.high()) {
-            throw error(key, "the range is turned round: " + array.get(0) + " is more than " + array.get(1));
+            throw error(key, "the lower bound " + array.get(0) + " exceeds the upper bound " + array.get(1));
         }
         return range;
     }
