--- a/src/main/java/mulleinfront/bench/AddedTime.java
+++ b/src/main/java/mulleinfront/bench/AddedTime.java
@@ -67,10 +67,10 @@
                 new Load(part.ports, rates[rates.length - 1]).run(WARM_UP_MS, null);
             }
             for (int rate : rates) {
-                long ms = Math.max(5_000, requests * 1_000L / rate);
-                Histogram direct = measureRoute("direct", rate, servers, ms, results, null);
-                measureRoute("relay", rate, relay, ms, results, direct);
-                measureRoute("proxy", rate, proxy, ms, results, direct);
+                long durationMs = Math.max(5_000, requests * 1_000L / rate);
+                Histogram direct = measureRoute("direct", rate, servers, durationMs, results, null);
+                measureRoute("relay", rate, relay, durationMs, results, direct);
+                measureRoute("proxy", rate, proxy, durationMs, results, direct);
             }
         }
         return results.slopes();
@@ -90,9 +90,9 @@
                 route,
                 rate,
                 times.getTotalCount(),
-                ms(times, 50),
-                ms(times, 99),
-                ms(times, 99.9),
+                percentileMs(times, 50),
+                percentileMs(times, 99),
+                percentileMs(times, 99.9),
                 direct == null ? 0 : cpuMicrosPerRequest,
                 load.failures.get());
         out.flush();
@@ -104,19 +104,19 @@
                     name + ".p50",
                     "added by " + subject + " to half of the calls, at most",
                     "s",
-                    (ms(times, 50) - ms(direct, 50)) / 1e3);
+                    (percentileMs(times, 50) - percentileMs(direct, 50)) / 1e3);
             results.add(
                     rate,
                     name + ".p99",
                     "added by " + subject + " to 99 in 100 calls, at most",
                     "s",
-                    (ms(times, 99) - ms(direct, 50)) / 1e3);
+                    (percentileMs(times, 99) - percentileMs(direct, 50)) / 1e3);
             results.add(
                     rate,
                     name + ".p999",
                     "added by " + subject + " to 999 in 1,000 calls, at most",
                     "s",
-                    (ms(times, 99.9) - ms(direct, 50)) / 1e3);
+                    (percentileMs(times, 99.9) - percentileMs(direct, 50)) / 1e3);
             results.add(
                     rate,
                     name + ".processor",
@@ -129,25 +129,25 @@
                     "data.direct.p50",
                     "outside the hosts with nothing between, half of the calls",
                     "s",
-                    ms(times, 50) / 1e3);
+                    percentileMs(times, 50) / 1e3);
             results.add(
                     rate,
                     "data.direct.p99",
                     "outside the hosts with nothing between, 99 in 100 calls",
                     "s",
-                    ms(times, 99) / 1e3);
+                    percentileMs(times, 99) / 1e3);
         }
         return times;
     }
 
-    private static double ms(Histogram histogram, double percentile) {
+    private static double percentileMs(Histogram histogram, double percentile) {
         return histogram.getValueAtPercentile(percentile) / 1e6;
     }
 
     /** The processing time that a server reports, nanoseconds; -1 if the response does not contain one. */
-    static long reportedNanos(String answer) {
-        String body = answer.substring(answer.indexOf("\r\n\r\n") + 4);
-        return answer.startsWith("HTTP/1.1 200") && body.matches("[0-9]{" + TimedServer.BODY_DIGITS + "}")
+    static long reportedNanos(String response) {
+        String body = response.substring(response.indexOf("\r\n\r\n") + 4);
+        return response.startsWith("HTTP/1.1 200") && body.matches("[0-9]{" + TimedServer.BODY_DIGITS + "}")
                 ? Long.parseLong(body)
                 : -1;
     }
@@ -169,27 +169,27 @@
             this.intervalNanos = (long) (1e9 * CONNECTIONS / perSecond);
         }
 
-        Histogram run(long ms, Runnable atBegin) throws InterruptedException, IOException {
-            List<Thread> all = new ArrayList<>();
+        Histogram run(long durationMs, Runnable atBegin) throws InterruptedException, IOException {
+            List<Thread> clients = new ArrayList<>();
             long begin = System.nanoTime();
             for (int i = 0; i < CONNECTIONS; i++) {
                 Socket socket = new Socket(InetAddress.getLoopbackAddress(), ports.get(i % ports.size()));
                 socket.setTcpNoDelay(true);
                 long first = begin + intervalNanos * i / CONNECTIONS;
-                Thread one = new Thread(() -> send(socket, first), "client " + i);
-                one.start();
-                all.add(one);
+                Thread client = new Thread(() -> send(socket, first), "client " + i);
+                client.start();
+                clients.add(client);
             }
             if (atBegin != null) {
                 Thread.sleep(WARM_UP_MS);
                 atBegin.run();
             }
             measuring = true;
-            Thread.sleep(ms);
+            Thread.sleep(durationMs);
             measuring = false;
             stopped = true;
-            for (Thread t : all) {
-                t.join();
+            for (Thread thread : clients) {
+                thread.join();
             }
             return times;
         }
@@ -209,16 +209,16 @@
                             .getBytes(StandardCharsets.US_ASCII);
                     long from = late ? due : System.nanoTime();
                     socket.getOutputStream().write(request);
-                    String head = readResponse(socket, buffer);
+                    String response = readResponse(socket, buffer);
                     long waited = System.nanoTime() - from;
                     if (!measuring) {
                         continue;
                     }
-                    long served = reportedNanos(head);
-                    if (served < 0) {
+                    long serverNanos = reportedNanos(response);
+                    if (serverNanos < 0) {
                         failures.incrementAndGet();
                     } else {
-                        times.recordValue(Math.min(MAX_LATENCY_NANOS, Math.max(0, waited - served)));
+                        times.recordValue(Math.min(MAX_LATENCY_NANOS, Math.max(0, waited - serverNanos)));
                     }
                 }
             } catch (IOException e) {
@@ -232,7 +232,7 @@
             while (true) {
                 int more = socket.getInputStream().read(buffer, length, buffer.length - length);
                 if (more <= 0) {
-                    throw new IOException("a connection ended in the middle");
+                    throw new IOException("a connection closed in the middle of a response");
                 }
                 length += more;
                 String text = new String(buffer, 0, length, StandardCharsets.ISO_8859_1);
--- a/src/main/java/mulleinfront/bench/CapacityFile.java
+++ b/src/main/java/mulleinfront/bench/CapacityFile.java
@@ -46,7 +46,7 @@
         try (JsonParser in = JSON.createParser(Files.readAllBytes(file))) {
             in.nextToken();
             if (!(value(in) instanceof JsonObject entry) || in.nextToken() != null) {
-                throw new BadFileException(file + ": must be one object");
+                throw new BadFileException(file + ": must contain exactly one JSON object");
             }
             root = entry;
         } catch (JsonProcessingException e) {
@@ -63,12 +63,12 @@
         List<Slope> slopes = new ArrayList<>();
         for (JsonObject entry : root.objects("slopes")) {
             List<Fit.Point> points = new ArrayList<>();
-            for (Object p : entry.list("points")) {
-                if (!(p instanceof List<?> two
-                        && two.size() == 2
-                        && two.get(0) instanceof Double x
-                        && two.get(1) instanceof Double y)) {
-                    throw entry.error("points must be pairs of size and figure");
+            for (Object element : entry.list("points")) {
+                if (!(element instanceof List<?> pair
+                        && pair.size() == 2
+                        && pair.get(0) instanceof Double x
+                        && pair.get(1) instanceof Double y)) {
+                    throw entry.error("points must be pairs of a size and a value");
                 }
                 points.add(new Fit.Point(x, y));
             }
@@ -115,30 +115,30 @@
                 cellEntry.has("source") ? cellEntry.text("source") : null,
                 cellEntry.has("given") ? cellEntry.number("given") : Double.NaN));
         if (!Double.isNaN(cell.given()) && (cell.source() == null)) {
-            throw cellEntry.error("a given figure needs its source");
+            throw cellEntry.error("a given value needs a source");
         }
         cellEntry.rejectUnknownKeys();
         return cell;
     }
 
     /** Writes the whole file, including the values computed from the rows. */
-    public static void write(Path file, Capacity all) throws IOException {
-        Files.writeString(file, text(all));
+    public static void write(Path file, Capacity capacity) throws IOException {
+        Files.writeString(file, text(capacity));
     }
 
-    static String text(Capacity all) throws IOException {
+    static String text(Capacity capacity) throws IOException {
         List<String> slopes = new ArrayList<>();
-        for (Slope slope : all.slopes()) {
+        for (Slope slope : capacity.slopes()) {
             slopes.add(object(out -> {
                 out.writeStringField("id", slope.id());
                 out.writeStringField("what", slope.what());
                 out.writeStringField("unit", slope.unit());
                 out.writeStringField("per", slope.per());
                 out.writeArrayFieldStart("points");
-                for (Fit.Point p : slope.points()) {
+                for (Fit.Point point : slope.points()) {
                     out.writeStartArray();
-                    number(out, p.x());
-                    number(out, p.y());
+                    number(out, point.x());
+                    number(out, point.y());
                     out.writeEndArray();
                 }
                 out.writeEndArray();
@@ -146,7 +146,7 @@
             }));
         }
         List<String> rows = new ArrayList<>();
-        for (Row row : all.rows()) {
+        for (Row row : capacity.rows()) {
             rows.add(object(out -> {
                 out.writeStringField("role", row.role());
                 out.writeStringField("part", row.part());
@@ -160,7 +160,7 @@
             }));
         }
         List<String> needs = new ArrayList<>();
-        for (Requirement need : all.requirements()) {
+        for (Requirement need : capacity.requirements()) {
             needs.add(object(out -> {
                 out.writeStringField("name", need.name());
                 out.writeStringField("rows", need.rows());
@@ -169,7 +169,7 @@
             }));
         }
         List<String> figures = new ArrayList<>();
-        for (Estimate figure : all.estimates()) {
+        for (Estimate figure : capacity.estimates()) {
             figures.add(object(out -> {
                 out.writeStringField(
                         "row",
@@ -187,9 +187,9 @@
         }
         return "{\n\"size\": "
                 + object(out -> {
-                    for (var e : all.size().given().entrySet()) {
-                        out.writeFieldName(e.getKey());
-                        number(out, e.getValue());
+                    for (var size : capacity.size().given().entrySet()) {
+                        out.writeFieldName(size.getKey());
+                        number(out, size.getValue());
                     }
                 })
                 + ",\n" + array("slopes", slopes) + ",\n" + array("rows", rows) + ",\n" + array("needs", needs)
@@ -202,12 +202,12 @@
         out.writeStringField("measure", cell.measure().outputName());
         if (!cell.terms().isEmpty()) {
             out.writeArrayFieldStart("terms");
-            for (Row.Term t : cell.terms()) {
+            for (Row.Term term : cell.terms()) {
                 out.writeStartObject();
-                out.writeStringField("slope", t.slope());
-                out.writeStringField("at", t.at());
-                if (!t.times().isEmpty()) {
-                    texts(out, "times", t.times());
+                out.writeStringField("slope", term.slope());
+                out.writeStringField("at", term.at());
+                if (!term.times().isEmpty()) {
+                    texts(out, "times", term.times());
                 }
                 out.writeEndObject();
             }
@@ -228,8 +228,8 @@
 
     private static void texts(JsonGenerator out, String name, List<String> all) throws IOException {
         out.writeArrayFieldStart(name);
-        for (String s : all) {
-            out.writeString(s);
+        for (String text : all) {
+            out.writeString(text);
         }
         out.writeEndArray();
     }
@@ -311,13 +311,13 @@
             this.line = line;
         }
 
-        BadFileException error(String what) {
-            return new BadFileException(file + ":" + line + ": " + what);
+        BadFileException error(String message) {
+            return new BadFileException(file + ":" + line + ": " + message);
         }
 
-        <T> T build(Builder<T> maker) throws BadFileException {
+        <T> T build(Builder<T> builder) throws BadFileException {
             try {
-                return maker.build();
+                return builder.build();
             } catch (IllegalArgumentException e) {
                 throw error(e.getMessage());
             }
@@ -333,15 +333,15 @@
         }
 
         String text(String name) throws BadFileException {
-            if (has(name) && fields.get(name) instanceof String s) {
-                return s;
+            if (has(name) && fields.get(name) instanceof String text) {
+                return text;
             }
-            throw error(name + " must be a text");
+            throw error(name + " must be a string");
         }
 
         double number(String name) throws BadFileException {
-            if (has(name) && fields.get(name) instanceof Double d) {
-                return d;
+            if (has(name) && fields.get(name) instanceof Double number) {
+                return number;
             }
             throw error(name + " must be a number");
         }
@@ -354,17 +354,17 @@
         }
 
         List<?> list(String name) throws BadFileException {
-            if (has(name) && fields.get(name) instanceof List<?> l) {
-                return l;
+            if (has(name) && fields.get(name) instanceof List<?> list) {
+                return list;
             }
-            throw error(name + " must be a list");
+            throw error(name + " must be an array");
         }
 
         List<JsonObject> objects(String name) throws BadFileException {
             List<JsonObject> all = new ArrayList<>();
-            for (Object o : list(name)) {
-                if (!(o instanceof JsonObject entry)) {
-                    throw error(name + " must hold objects");
+            for (Object element : list(name)) {
+                if (!(element instanceof JsonObject entry)) {
+                    throw error(name + " must contain only objects");
                 }
                 all.add(entry);
             }
@@ -373,11 +373,11 @@
 
         List<String> texts(String name) throws BadFileException {
             List<String> all = new ArrayList<>();
-            for (Object o : list(name)) {
-                if (!(o instanceof String s)) {
-                    throw error(name + " must hold texts");
+            for (Object element : list(name)) {
+                if (!(element instanceof String text)) {
+                    throw error(name + " must contain only strings");
                 }
-                all.add(s);
+                all.add(text);
             }
             return all;
         }
--- a/src/main/java/mulleinfront/bench/Child.java
+++ b/src/main/java/mulleinfront/bench/Child.java
@@ -113,7 +113,7 @@
                 line = out.readLine(); // Skips output of the JVM itself, such as a profiler's.
             }
             if (line == null) {
-                throw new IOException("the " + args[0] + " did not start");
+                throw new IOException("child process " + args[0] + " did not start");
             }
             for (String port : line.split(",")) {
                 ports.add(Integer.parseInt(port));
--- a/src/main/java/mulleinfront/bench/Decisions.java
+++ b/src/main/java/mulleinfront/bench/Decisions.java
@@ -43,24 +43,31 @@
 
     /** Measures with the given number of endpoints. */
     public void measure(int endpoints) {
-        Driver driver = new Driver(endpoints);
+        BalancerDriver driver = new BalancerDriver(endpoints);
         driver.sendRequests(requests / 2);
         driver.replaceEndpoints(changes / 2);
         long from = System.nanoTime();
-        long allocated = allocated();
+        long allocatedBefore = allocated();
         driver.sendRequests(requests);
-        double request = (System.nanoTime() - from) / 1e3 / requests;
-        double bytes = (double) (allocated() - allocated) / requests;
+        double requestMicros = (System.nanoTime() - from) / 1e3 / requests;
+        double bytesPerRequest = (double) (allocated() - allocatedBefore) / requests;
         from = System.nanoTime();
         driver.replaceEndpoints(changes);
-        double change = (System.nanoTime() - from) / 1e3 / changes;
+        double changeMicros = (System.nanoTime() - from) / 1e3 / changes;
         from = System.nanoTime();
         int lists = Math.max(3, 100_000 / endpoints);
         for (int i = 0; i < lists; i++) {
             driver.applyFullList();
         }
-        double fullList = (System.nanoTime() - from) / 1e3 / lists;
-        out.printf(Locale.ROOT, "%8d %12.2f %12.0f %14.1f %14.1f%n", endpoints, request, bytes, change, fullList);
+        double fullListMicros = (System.nanoTime() - from) / 1e3 / lists;
+        out.printf(
+                Locale.ROOT,
+                "%8d %12.2f %12.0f %14.1f %14.1f%n",
+                endpoints,
+                requestMicros,
+                bytesPerRequest,
+                changeMicros,
+                fullListMicros);
         out.flush();
     }
 
@@ -70,7 +77,7 @@
     }
 
     /** Drives a balancer and ends each attempt after some later ones have started. */
-    private static final class Driver extends NoOpActions {
+    private static final class BalancerDriver extends NoOpActions {
         private final ArrayDeque<AttemptEnd> openAttempts = new ArrayDeque<>();
         private final List<Endpoint> list = new ArrayList<>();
         private final Balancer balancer;
@@ -79,7 +86,7 @@
         private int createdEndpoints;
         private int changeNumber;
 
-        Driver(int endpoints) {
+        BalancerDriver(int endpoints) {
             RequestClass lookup = new RequestClass("lookup", Effect.RETRYABLE, null, 0, 1, 0, 500_000, 0, 2_000_000);
             balancer = Balancer.create(
                     new Settings(
--- a/src/main/java/mulleinfront/bench/Driver.java
+++ b/src/main/java/mulleinfront/bench/Driver.java
@@ -38,7 +38,7 @@
 
     /** Responses per second, their latencies, and the number of responses with a status other than 200. */
     record Result(double perSecond, Histogram times, long failures) {
-        double ms(double percentile) {
+        double latencyMs(double percentile) {
             return times.getValueAtPercentile(percentile) / 1e6;
         }
     }
@@ -50,16 +50,16 @@
     /** Opens the connections, round robin over the ports. */
     Driver(int count, List<Integer> ports) throws InterruptedException {
         for (int i = 0; i < count; i++) {
-            Connection c = new Connection(i);
-            connections.add(c);
-            c.channel = new Bootstrap()
+            Connection connection = new Connection(i);
+            connections.add(connection);
+            connection.channel = new Bootstrap()
                     .group(group)
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel ch) {
-                            ch.pipeline().addLast(c);
+                        protected void initChannel(SocketChannel channel) {
+                            channel.pipeline().addLast(connection);
                         }
                     })
                     .connect(InetAddress.getLoopbackAddress(), ports.get(i % ports.size()))
@@ -102,9 +102,11 @@
         private final int number;
         private Channel channel;
         private volatile boolean running;
-        private boolean open;
+        /** Whether a request is in flight on this connection. */
+        private boolean inFlight;
+
         private long measuredFromNanos;
-        private long nextDue;
+        private long nextDueNanos;
         /** Due times of requests that wait for the previous response. */
         private final ArrayDeque<Long> dueTimes = new ArrayDeque<>();
 
@@ -119,11 +121,11 @@
         void begin() {
             running = true;
             if (intervalNanos == 0) {
-                if (!open) {
+                if (!inFlight) {
                     send(System.nanoTime());
                 }
             } else {
-                nextDue = System.nanoTime() + intervalNanos * number / connections.size();
+                nextDueNanos = System.nanoTime() + intervalNanos * number / connections.size();
                 tick();
             }
         }
@@ -133,22 +135,22 @@
                 return;
             }
             long now = System.nanoTime();
-            for (; nextDue <= now; nextDue += intervalNanos) {
-                dueTimes.add(nextDue);
+            for (; nextDueNanos <= now; nextDueNanos += intervalNanos) {
+                dueTimes.add(nextDueNanos);
             }
             sendNextDue();
-            channel.eventLoop().schedule(this::tick, nextDue - now, TimeUnit.NANOSECONDS);
+            channel.eventLoop().schedule(this::tick, nextDueNanos - now, TimeUnit.NANOSECONDS);
         }
 
         private void sendNextDue() {
-            if (!open && !dueTimes.isEmpty()) {
+            if (!inFlight && !dueTimes.isEmpty()) {
                 send(dueTimes.poll());
             }
         }
 
-        private void send(long at) {
-            open = true;
-            measuredFromNanos = at;
+        private void send(long fromNanos) {
+            inFlight = true;
+            measuredFromNanos = fromNanos;
             long id = IDS.incrementAndGet();
             channel.writeAndFlush(Unpooled.copiedBuffer(
                     "GET /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: b"
@@ -193,7 +195,7 @@
             if (!succeeded) {
                 failures.incrementAndGet();
             }
-            open = false;
+            inFlight = false;
             if (running && intervalNanos == 0) {
                 send(now);
             } else {
--- a/src/main/java/mulleinfront/bench/IdleCost.java
+++ b/src/main/java/mulleinfront/bench/IdleCost.java
@@ -21,7 +21,9 @@
     private static final int SETTLE_MS = 8_000;
     private static final int MEASURED_MS = 12_000;
     private static final int HEARTBEAT_MS = 2_000;
+    /** Unit of the CPU times in {@code /proc/PID/stat}. */
     private static final int TICK_MS = 10;
+
     /** The JVM flags of the deployed command line that affect memory and CPU time. */
     private static final List<String> DEPLOYED_JVM_FLAGS = List.of(
             "-Djava.net.preferIPv4Stack=true",
@@ -63,7 +65,7 @@
             try {
                 Thread.sleep(SETTLE_MS);
                 if (!process.isAlive() || discovery.calls.get() == 0) {
-                    throw new IOException("the client proxy did not come up and ask for its list");
+                    throw new IOException("the client proxy did not start and request its list");
                 }
                 long bytes = discovery.bytes.get();
                 long messages = discovery.messages.get();
@@ -151,9 +153,9 @@
             while (!server.isClosed()) {
                 try {
                     Socket socket = server.accept();
-                    Thread one = new Thread(() -> serve(socket), "watch");
-                    one.setDaemon(true);
-                    one.start();
+                    Thread watchThread = new Thread(() -> serve(socket), "watch");
+                    watchThread.setDaemon(true);
+                    watchThread.start();
                 } catch (IOException e) {
                     return; // The server socket was closed: the measurement is over.
                 }
--- a/src/main/java/mulleinfront/bench/ListCost.java
+++ b/src/main/java/mulleinfront/bench/ListCost.java
@@ -26,10 +26,11 @@
     private ListCost() {}
 
     /** One list entry as discovery writes it, with names of a realistic length. */
-    private static String entry(int i, int incarnation, String state) {
-        return "{\"id\":\"server-" + i + "-" + incarnation + "\",\"addr\":\"10." + i / 60000 + "." + i / 250 % 240
+    private static String entry(int server, int incarnation, String state) {
+        return "{\"id\":\"server-" + server + "-" + incarnation + "\",\"addr\":\"10." + server / 60000 + "."
+                + server / 250 % 240
                 + "."
-                + (1 + i % 250) + ":9001\",\"zone\":\"zone-a\",\"kind\":\"new\",\"cell\":" + i % 8
+                + (1 + server % 250) + ":9001\",\"zone\":\"zone-a\",\"kind\":\"new\",\"cell\":" + server % 8
                 + ",\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":1796083200000}";
     }
 
@@ -74,7 +75,7 @@
         int rounds = Math.max(MIN_ROUNDS, ENTRIES_READ / servers);
         long from = 0;
         for (int i = -rounds / 4; i < rounds; i++) {
-            from = i == 0 ? cpu() : from;
+            from = i == 0 ? threadCpuNanos() : from;
             now += 1_000;
             balancer.onEndpoints(now, Source.FULL, endpoints(EndpointList.parse(full)));
         }
@@ -83,12 +84,12 @@
                 "lists.full.processor",
                 "processor time to read and take a whole list",
                 "s",
-                (cpu() - from) / 1e9 / rounds);
+                (threadCpuNanos() - from) / 1e9 / rounds);
         byte[][] changes = new byte[rounds][];
         for (int i = 0; i < rounds; i++) {
             changes[i] = replacement(2 + i, i % servers, 1 + i / servers);
         }
-        from = cpu();
+        from = threadCpuNanos();
         for (int i = 0; i < rounds; i++) {
             now += 1_000;
             balancer.onEndpoints(now, Source.DELTA, endpoints(EndpointList.parse(changes[i])));
@@ -98,7 +99,7 @@
                 "lists.change.processor",
                 "processor time to read and take one host replaced",
                 "s",
-                (cpu() - from) / 1e9 / rounds);
+                (threadCpuNanos() - from) / 1e9 / rounds);
         double within = secondsUntilLastCall(servers);
         out.add(servers, "lists.asked", "until all have asked discovery once, a list at hand", "s", within);
         out.add(servers, "lists.calls", "calls to discovery by all at once, a list at hand", "/s", servers / within);
@@ -138,8 +139,9 @@
 
     private static List<Endpoint> endpoints(EndpointList listing) {
         List<Endpoint> all = new ArrayList<>();
-        for (EndpointList.Entry e : listing.entries()) {
-            all.add(new Endpoint(e.id(), 0, e.cell(), 0, e.availability(), e.weight(), e.startedMs() * 1000));
+        for (EndpointList.Entry entry : listing.entries()) {
+            all.add(new Endpoint(
+                    entry.id(), 0, entry.cell(), 0, entry.availability(), entry.weight(), entry.startedMs() * 1000));
         }
         return all;
     }
@@ -167,7 +169,7 @@
                 actions);
     }
 
-    private static long cpu() {
+    private static long threadCpuNanos() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 }
--- a/src/main/java/mulleinfront/bench/MembershipCost.java
+++ b/src/main/java/mulleinfront/bench/MembershipCost.java
@@ -73,17 +73,17 @@
      * Measures fleets of the given sizes with one seed.
      *
      * @param progress receives a line for each size
-     * @param rack share of the fleet in one rack
+     * @param rackShare share of the fleet in one rack
      */
     public static List<Slope> measure(
-            PrintWriter progress, int[] sizes, long seed, double rack, int zones, String command) {
+            PrintWriter progress, int[] sizes, long seed, double rackShare, int zones, String command) {
         SlopeCollector out = new SlopeCollector("client proxies", command);
-        new MembershipCost(sizes[0], seed, rack, zones, new SlopeCollector("", "")).runAll();
-        for (int n : sizes) {
+        new MembershipCost(sizes[0], seed, rackShare, zones, new SlopeCollector("", "")).runAll();
+        for (int size : sizes) {
             long from = threadCpuNanos();
-            new MembershipCost(n, seed, rack, zones, out).runAll();
+            new MembershipCost(size, seed, rackShare, zones, out).runAll();
             progress.printf(
-                    Locale.ROOT, "membership of %d: %.0f s of processor time%n", n, (threadCpuNanos() - from) / 1e9);
+                    Locale.ROOT, "membership of %d: %.0f s of processor time%n", size, (threadCpuNanos() - from) / 1e9);
             progress.flush();
         }
         return out.slopes();
@@ -105,13 +105,13 @@
         measureKill("rack", "after a rack's end, all at once", 0, Math.max(1, (int) Math.round(rackShare * count)));
         measureKill("zone", "after a zone's end, all at once", 0, count / zones);
         measurePhase("restarts", "while a day's restarts come at once", 20, () -> {
-            int many = Math.max(1, (int) Math.round(DAILY_RESTART_SHARE * count));
-            for (int i = 0; i < many; i++) {
-                run.kill(i * count / many);
+            int memberCount = Math.max(1, (int) Math.round(DAILY_RESTART_SHARE * count));
+            for (int i = 0; i < memberCount; i++) {
+                run.kill(i * count / memberCount);
             }
             run.after(1_500_000, () -> {
-                for (int i = 0; i < many; i++) {
-                    run.start(i * count / many);
+                for (int i = 0; i < memberCount; i++) {
+                    run.start(i * count / memberCount);
                 }
             });
         });
@@ -125,29 +125,29 @@
         });
     }
 
-    private void scheduleStarts(int from, int many, long withinUs) {
-        for (int i = 0; i < many; i++) {
+    private void scheduleStarts(int from, int memberCount, long withinUs) {
+        for (int i = 0; i < memberCount; i++) {
             int member = from + i;
-            run.after(1 + withinUs * i / many, () -> run.start(member));
+            run.after(1 + withinUs * i / memberCount, () -> run.start(member));
         }
     }
 
     /** Kills some members at once and starts them again after the others have detected it. */
-    private void measureKill(String id, String description, int from, int many) {
+    private void measureKill(String id, String description, int from, int memberCount) {
         Arrays.fill(killedAt, 0);
         Arrays.fill(firstSuspected, 0);
         Arrays.fill(lastFailed, 0);
         measurePhase(id, description, 30, () -> {
-            for (int i = from; i < from + many; i++) {
+            for (int i = from; i < from + memberCount; i++) {
                 killedAt[i] = run.now();
                 run.kill(i);
             }
         });
         double suspected = 0;
         double maxDetectionSeconds = 0;
-        for (int i = from; i < from + many; i++) {
+        for (int i = from; i < from + memberCount; i++) {
             // If not all live members have recorded the failure by now, the elapsed time is a lower bound.
-            int alive = count - many;
+            int alive = count - memberCount;
             long last = run.countRecording(i, MemberState.FAILED) < alive ? run.now() : lastFailed[i];
             maxDetectionSeconds = Math.max(maxDetectionSeconds, (last - killedAt[i]) / 1e6);
             suspected = Math.max(suspected, (firstSuspected[i] - killedAt[i]) / 1e6);
@@ -169,7 +169,7 @@
                 id + "-return",
                 description + " and its return within a second",
                 20,
-                () -> scheduleStarts(from, many, SECOND));
+                () -> scheduleStarts(from, memberCount, SECOND));
     }
 
     private void measurePartition() {
@@ -233,10 +233,10 @@
             sent[i] = lastSeen[i] == null ? 0 : lastSeen[i].sentBytes();
         }
         FleetRun.TrafficCounts before = run.trafficCounts();
-        long cpu = threadCpuNanos();
+        long cpuBefore = threadCpuNanos();
         begin.run();
         long maxBytesPerSecond = 0;
-        for (int s = 0; s < seconds; s++) {
+        for (int second = 0; second < seconds; second++) {
             run.run(SECOND);
             for (int i = 0; i < count; i++) {
                 Fleet now = run.member(i);
@@ -254,7 +254,7 @@
                 name + ".processor",
                 "processor time of each " + description,
                 "of a core",
-                (threadCpuNanos() - cpu) / 1e9 / memberSeconds);
+                (threadCpuNanos() - cpuBefore) / 1e9 / memberSeconds);
         out.add(
                 count,
                 name + ".messages",
--- a/src/main/java/mulleinfront/bench/SlopeCollector.java
+++ b/src/main/java/mulleinfront/bench/SlopeCollector.java
@@ -36,7 +36,7 @@
 
     List<Slope> slopes() {
         List<Slope> all = new ArrayList<>();
-        labels.forEach((id, w) -> all.add(new Slope(id, w[0], w[1], per, points.get(id), command)));
+        labels.forEach((id, label) -> all.add(new Slope(id, label[0], label[1], per, points.get(id), command)));
         return all;
     }
 }
--- a/src/main/java/mulleinfront/bench/SnapshotCost.java
+++ b/src/main/java/mulleinfront/bench/SnapshotCost.java
@@ -82,18 +82,18 @@
         int rounds = Math.max(10, ROUNDS / services);
         long from = 0;
         for (int i = -rounds / 2; i < rounds; i++) {
-            from = i == 0 ? cpu() : from;
-            for (int s = 0; s < services; s++) {
+            from = i == 0 ? threadCpuNanos() : from;
+            for (int j = 0; j < services; j++) {
                 try (JsonParser in = EndpointList.JSON.createParser(service)) {
                     in.nextToken();
                     SettingsReader.read(in).toSettings();
                 }
             }
         }
-        return (cpu() - from) / 1e9 / rounds;
+        return (threadCpuNanos() - from) / 1e9 / rounds;
     }
 
-    private static long cpu() {
+    private static long threadCpuNanos() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 }
--- a/src/main/java/mulleinfront/bench/StandIn.java
+++ b/src/main/java/mulleinfront/bench/StandIn.java
@@ -44,8 +44,8 @@
     private static ChannelInitializer<SocketChannel> initializer(java.util.function.Supplier<ChannelHandler> handler) {
         return new ChannelInitializer<>() {
             @Override
-            protected void initChannel(SocketChannel ch) {
-                ch.pipeline().addLast(handler.get());
+            protected void initChannel(SocketChannel channel) {
+                channel.pipeline().addLast(handler.get());
             }
         };
     }
@@ -59,29 +59,29 @@
     static int server(EventLoopGroup group, long micros) throws InterruptedException {
         SplittableRandom random = new SplittableRandom(1);
         return listen(group, initializer(() -> new SimpleChannelInboundHandler<ByteBuf>() {
-            private final SplittableRandom own = split(random);
-            private int seen;
+            private final SplittableRandom connectionRandom = split(random);
+            private int lineEnds;
 
             /** Counts requests; they have no body, so each ends with a blank line. */
             @Override
             protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) {
-                int answers = 0;
+                int responses = 0;
                 while (in.isReadable()) {
-                    byte b = in.readByte();
-                    seen = b == '\n' ? seen + 1 : b == '\r' ? seen : 0;
-                    if (seen == 2) {
-                        answers++;
-                        seen = 0;
+                    byte next = in.readByte();
+                    lineEnds = next == '\n' ? lineEnds + 1 : next == '\r' ? lineEnds : 0;
+                    if (lineEnds == 2) {
+                        responses++;
+                        lineEnds = 0;
                     }
                 }
-                for (; answers > 0; answers--) {
+                for (; responses > 0; responses--) {
                     if (micros == 0) {
                         ctx.write(Unpooled.wrappedBuffer(RESPONSE));
                     } else {
                         ctx.executor()
                                 .schedule(
                                         () -> ctx.writeAndFlush(Unpooled.wrappedBuffer(RESPONSE)),
-                                        (long) (micros * (0.5 + own.nextDouble())),
+                                        (long) (micros * (0.5 + connectionRandom.nextDouble())),
                                         TimeUnit.MICROSECONDS);
                     }
                 }
@@ -99,7 +99,7 @@
     }
 
     /** Starts a byte relay to a port, with one onward connection for each accepted one; returns the relay's port. */
-    static int relay(EventLoopGroup group, int to) throws InterruptedException {
+    static int relay(EventLoopGroup group, int targetPort) throws InterruptedException {
         return listen(group, initializer(() -> new ForwardingHandler() {
             @Override
             public void channelActive(ChannelHandlerContext ctx) {
@@ -111,7 +111,7 @@
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
                         .handler(back)
-                        .connect(InetAddress.getLoopbackAddress(), to)
+                        .connect(InetAddress.getLoopbackAddress(), targetPort)
                         .addListener(f -> ctx.channel().config().setAutoRead(true))
                         .channel();
             }
--- a/src/main/java/mulleinfront/bench/Throughput.java
+++ b/src/main/java/mulleinfront/bench/Throughput.java
@@ -64,17 +64,17 @@
                         "bytes");
                 Row direct = measureRow("direct", count, servers.ports, null, 0);
                 Row relayed = measureRow("relay", count, relay.ports, relay, 0);
-                Row through = measureRow("client proxy", count, proxy.ports, proxy, 0);
+                Row proxied = measureRow("client proxy", count, proxy.ports, proxy, 0);
                 out.printf(
                         Locale.ROOT,
                         "client proxy: %.0f%% of direct, %.0f%% of the relay, p99 %+.1f ms over direct,"
                                 + " cpu %.1f times the relay's%n",
-                        100 * through.result.perSecond() / direct.result.perSecond(),
-                        100 * through.result.perSecond() / relayed.result.perSecond(),
-                        through.result.ms(99) - direct.result.ms(99),
-                        through.cpuMicros / relayed.cpuMicros);
+                        100 * proxied.result.perSecond() / direct.result.perSecond(),
+                        100 * proxied.result.perSecond() / relayed.result.perSecond(),
+                        proxied.result.latencyMs(99) - direct.result.latencyMs(99),
+                        proxied.cpuMicros / relayed.cpuMicros);
                 if (openLoopShare > 0) {
-                    double rate = openLoopShare * Math.min(relayed.result.perSecond(), through.result.perSecond());
+                    double rate = openLoopShare * Math.min(relayed.result.perSecond(), proxied.result.perSecond());
                     measureRow("direct, open loop", count, servers.ports, null, rate);
                     measureRow("relay, open loop", count, relay.ports, relay, rate);
                     measureRow("proxy, open loop", count, proxy.ports, proxy, rate);
@@ -123,16 +123,16 @@
 
     private Row measureRow(String name, int connections, List<Integer> ports, Child.Handle measured, double perSecond)
             throws InterruptedException {
-        ResourceUsage[] at = new ResourceUsage[1];
+        ResourceUsage[] before = new ResourceUsage[1];
         try (Driver driver = new Driver(connections, ports)) {
             Driver.Result result = driver.run(warmMs, measuredMs, perSecond, () -> {
                 if (measured != null) {
-                    at[0] = measured.resourceUsage();
+                    before[0] = measured.resourceUsage();
                 }
             });
             ResourceUsage used = measured == null
                     ? new ResourceUsage(0, 0)
-                    : measured.resourceUsage().since(at[0]);
+                    : measured.resourceUsage().since(before[0]);
             double requests = Math.max(1, result.times().getTotalCount());
             Row row = new Row(name, result, used.cpuNanos() / 1e3 / requests, used.allocatedBytes() / requests);
             out.printf(
@@ -140,9 +140,9 @@
                     "%-22s %11.0f %9.2f %9.2f %9.2f %9d %9.1f %9.0f%n",
                     name,
                     result.perSecond(),
-                    result.ms(50),
-                    result.ms(99),
-                    result.ms(99.9),
+                    result.latencyMs(50),
+                    result.latencyMs(99),
+                    result.latencyMs(99.9),
                     result.failures(),
                     row.cpuMicros,
                     row.allocatedBytes);
--- a/src/main/java/mulleinfront/bench/TimedServer.java
+++ b/src/main/java/mulleinfront/bench/TimedServer.java
@@ -51,8 +51,8 @@
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         .childHandler(new ChannelInitializer<SocketChannel>() {
                             @Override
-                            protected void initChannel(SocketChannel ch) {
-                                ch.pipeline().addLast(new TimedServer(micros));
+                            protected void initChannel(SocketChannel channel) {
+                                channel.pipeline().addLast(new TimedServer(micros));
                             }
                         })
                         .bind(InetAddress.getLoopbackAddress(), 0)
@@ -67,8 +67,8 @@
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) {
         long now = System.nanoTime();
         while (in.isReadable()) {
-            byte b = in.readByte();
-            lineEnds = b == '\n' ? lineEnds + 1 : b == '\r' ? lineEnds : 0;
+            byte next = in.readByte();
+            lineEnds = next == '\n' ? lineEnds + 1 : next == '\r' ? lineEnds : 0;
             if (lineEnds == 2) {
                 lineEnds = 0;
                 ctx.executor()
--- a/src/main/java/mulleinfront/bench/package-info.java
+++ b/src/main/java/mulleinfront/bench/package-info.java
@@ -5,6 +5,8 @@
  *
  * <p>Data flow: {@code Throughput} starts {@code Child} processes (servers, relay, client proxy), {@code Driver} sends
  * to one after the other, and the children report their own CPU time and allocation on request.
+ * The measurements for capacity planning collect their values in a {@code SlopeCollector}; {@code CapacityFile} reads
+ * and writes the file that holds them.
  *
  * <p>May import {@code proxy}, Netty and HdrHistogram. Only the command line uses it; nothing that serves depends on
  * it.
--- a/src/test/java/mulleinfront/bench/CapacityMeasuresTest.java
+++ b/src/test/java/mulleinfront/bench/CapacityMeasuresTest.java
@@ -29,35 +29,37 @@
     }
 
     /** Asserts that a measurement gives all slopes of its kind in the capacity file. */
-    private static Map<String, Slope> all(String kind, List<Slope> measured) throws BadFileException {
+    private static Map<String, Slope> assertAllSlopes(String kind, List<Slope> measured) throws BadFileException {
         Set<String> held = new TreeSet<>();
         CapacityFile.read(Path.of("docs/capacity.json")).slopes().stream()
                 .map(Slope::id)
                 .filter(id -> id.startsWith(kind + "."))
                 .forEach(held::add);
-        Map<String, Slope> by = byId(measured);
-        assertTrue(by.keySet().containsAll(held), held + " of " + by.keySet());
-        by.values().forEach(s -> assertEquals(SIZES.length, s.points().size(), s.id()));
-        return by;
+        Map<String, Slope> slopes = byId(measured);
+        assertTrue(slopes.keySet().containsAll(held), held + " of " + slopes.keySet());
+        slopes.values().forEach(s -> assertEquals(SIZES.length, s.points().size(), s.id()));
+        return slopes;
     }
 
-    private static double at(Map<String, Slope> by, String id, int point) {
-        return by.get(id).points().get(point).y();
+    private static double valueAt(Map<String, Slope> slopes, String id, int point) {
+        return slopes.get(id).points().get(point).y();
     }
 
     @Test
     void fullListsGrowWithServersAndDeltasDoNot() throws IOException, BadFileException {
-        Map<String, Slope> by = all("lists", ListCost.measure(SIZES, "bench capacity"));
-        assertTrue(at(by, "lists.full.bytes", 3) > 2 * at(by, "lists.full.bytes", 0));
-        assertEquals(at(by, "lists.change.bytes", 0), at(by, "lists.change.bytes", 3), 4);
+        Map<String, Slope> slopes = assertAllSlopes("lists", ListCost.measure(SIZES, "bench capacity"));
+        assertTrue(valueAt(slopes, "lists.full.bytes", 3) > 2 * valueAt(slopes, "lists.full.bytes", 0));
+        assertEquals(valueAt(slopes, "lists.change.bytes", 0), valueAt(slopes, "lists.change.bytes", 3), 4);
     }
 
     @Test
     void configurationGrowsWithServices() throws IOException, BadFileException {
-        Map<String, Slope> by = all(
+        Map<String, Slope> slopes = assertAllSlopes(
                 "configuration", SnapshotCost.measure(SIZES, Path.of("deploy/sample-config.json"), "bench capacity"));
-        assertTrue(at(by, "configuration.whole.bytes", 3) > 2 * at(by, "configuration.whole.bytes", 0));
-        assertEquals(at(by, "configuration.change.bytes", 0), at(by, "configuration.change.bytes", 3), 2);
+        assertTrue(
+                valueAt(slopes, "configuration.whole.bytes", 3) > 2 * valueAt(slopes, "configuration.whole.bytes", 0));
+        assertEquals(
+                valueAt(slopes, "configuration.change.bytes", 0), valueAt(slopes, "configuration.change.bytes", 3), 2);
     }
 
     @Test
@@ -69,15 +71,16 @@
 
     @Test
     void everyFleetFaultIsDetectedAndMeasured() throws BadFileException {
-        PrintWriter nobody = new PrintWriter(Writer.nullWriter());
-        Map<String, Slope> by = all("membership", MembershipCost.measure(nobody, SIZES, 1, 0.1, 5, "bench capacity"));
+        PrintWriter noOutput = new PrintWriter(Writer.nullWriter());
+        Map<String, Slope> slopes =
+                assertAllSlopes("membership", MembershipCost.measure(noOutput, SIZES, 1, 0.1, 5, "bench capacity"));
         for (String fault : List.of("host", "rack", "zone")) {
-            double suspected = at(by, "membership." + fault + ".suspected", 3);
-            double known = at(by, "membership." + fault + ".known", 3);
+            double suspected = valueAt(slopes, "membership." + fault + ".suspected", 3);
+            double known = valueAt(slopes, "membership." + fault + ".known", 3);
             assertTrue(0 < suspected && suspected < known && known < 30, fault + ": " + suspected + ", " + known);
         }
-        assertTrue(at(by, "membership.rest.bytes", 3) < at(by, "membership.start.bytes", 3));
-        assertTrue(at(by, "membership.together.known", 3) < 40);
-        assertTrue(at(by, "membership.start.worst", 3) >= at(by, "membership.start.bytes", 3));
+        assertTrue(valueAt(slopes, "membership.rest.bytes", 3) < valueAt(slopes, "membership.start.bytes", 3));
+        assertTrue(valueAt(slopes, "membership.together.known", 3) < 40);
+        assertTrue(valueAt(slopes, "membership.start.worst", 3) >= valueAt(slopes, "membership.start.bytes", 3));
     }
 }
--- a/src/test/java/mulleinfront/bench/CapacityPageTest.java
+++ b/src/test/java/mulleinfront/bench/CapacityPageTest.java
@@ -27,7 +27,7 @@
     private static final Path FILE = Path.of("docs/capacity.json");
 
     /** Points used for a slope without measurements. */
-    private static final List<Fit.Point> FOUR =
+    private static final List<Fit.Point> FOUR_POINTS =
             List.of(new Fit.Point(1, 1), new Fit.Point(2, 2), new Fit.Point(3, 3), new Fit.Point(4, 4));
 
     @TempDir
@@ -56,31 +56,33 @@
                 .map(Row.Term::slope)
                 .collect(Collectors.toSet());
         assertTrue(held.slopes().size() > 10, "slopes: " + held.slopes().size());
-        for (Slope s : held.slopes()) {
-            assertTrue(used.contains(s.id()) || page.contains("`" + s.id() + "`"), s.id() + " is nowhere on the page");
-            List<Fit.Point> points = s.points().isEmpty() ? FOUR : s.points();
+        for (Slope slope : held.slopes()) {
+            assertTrue(
+                    used.contains(slope.id()) || page.contains("`" + slope.id() + "`"),
+                    slope.id() + " is nowhere on the page");
+            List<Fit.Point> points = slope.points().isEmpty() ? FOUR_POINTS : slope.points();
             List<Fit.Point> other = points.stream()
                     .map(p -> new Fit.Point(p.x(), 1 + 1.5 * p.y()))
                     .toList();
-            Capacity changed =
-                    held.withSlopes(List.of(new Slope(s.id(), s.what(), s.unit(), s.per(), other, s.command())));
-            assertNotEquals(page, new Page(changed).fill(page), s.id());
+            Capacity changed = held.withSlopes(
+                    List.of(new Slope(slope.id(), slope.what(), slope.unit(), slope.per(), other, slope.command())));
+            assertNotEquals(page, new Page(changed).fill(page), slope.id());
         }
     }
 
     @Test
     void everySlopeNamesItsCommand() throws IOException, BadFileException {
-        for (Slope s : CapacityFile.read(FILE).slopes()) {
+        for (Slope slope : CapacityFile.read(FILE).slopes()) {
             assertTrue(
-                    s.command().startsWith("bench capacity")
-                            || s.command().startsWith("emulate")
-                            || s.command().startsWith("kit "),
-                    s.id() + ": " + s.command());
+                    slope.command().startsWith("bench capacity")
+                            || slope.command().startsWith("emulate")
+                            || slope.command().startsWith("kit "),
+                    slope.id() + ": " + slope.command());
             assertTrue(
-                    s.points().isEmpty()
+                    slope.points().isEmpty()
                             ? Files.readString(PAGE).contains("| not measured | - | - |")
-                            : s.points().size() >= Fit.MIN_SIZES,
-                    s.id());
+                            : slope.points().size() >= Fit.MIN_SIZES,
+                    slope.id());
         }
     }
 
@@ -108,17 +110,19 @@
         String good = Files.readString(FILE);
         String[][] cases = {
             {"\"hosts\":670", "\"hosts\":0", "hosts must be above 0"},
-            {"\"rows\": [", "\"rows\": [\n{\"role\": 5, \"cells\": []},", "role must be a text"},
-            {"\"rows\": [", "\"row\": [", "rows must be a list"},
+            {"\"rows\": [", "\"rows\": [\n{\"role\": 5, \"cells\": []},", "role must be a string"},
+            {"\"rows\": [", "\"row\": [", "rows must be an array"},
             {"\"id\":\"lists.full.bytes\"", "\"id\":\"lists.full.other\"", "there is no slope lists.full.bytes"},
             {"\"slopes\": [", "\"slopes\": {", "expect"}
         };
-        for (String[] c : cases) {
-            assertTrue(good.contains(c[0]), c[0]);
-            Path file = Files.writeString(folder.resolve("bad.json"), good.replace(c[0], c[1]));
-            String said = assertThrows(BadFileException.class, () -> CapacityFile.read(file))
+        for (String[] badCase : cases) {
+            assertTrue(good.contains(badCase[0]), badCase[0]);
+            Path file = Files.writeString(folder.resolve("bad.json"), good.replace(badCase[0], badCase[1]));
+            String message = assertThrows(BadFileException.class, () -> CapacityFile.read(file))
                     .getMessage();
-            assertTrue(said.startsWith(file.toString()) && said.contains(c[2]) && !said.contains("\n"), said);
+            assertTrue(
+                    message.startsWith(file.toString()) && message.contains(badCase[2]) && !message.contains("\n"),
+                    message);
         }
         assertThrows(BadFileException.class, () -> CapacityFile.read(folder.resolve("none.json")));
     }
