--- a/src/main/java/mulleinfront/kit/BlackHole.java
+++ b/src/main/java/mulleinfront/kit/BlackHole.java
@@ -42,7 +42,7 @@
                 filler.close();
             }
         } catch (IOException e) {
-            throw new IllegalStateException("can't close a socket: " + e.getMessage(), e);
+            throw new IllegalStateException("failed to close a socket: " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/mulleinfront/kit/ClientDriver.java
+++ b/src/main/java/mulleinfront/kit/ClientDriver.java
@@ -39,7 +39,9 @@
     private final AddressPlan addresses;
     private final Scenario scenario;
     private final Bootstrap bootstrap;
+    /** Idle connections by client proxy. */
     private final Map<Integer, ArrayDeque<Connection>> idle = new HashMap<>();
+    /** Connections by the identifier of the request in flight on them. */
     private final Map<String, Connection> open = new HashMap<>();
 
     ClientDriver(SimulationClock clock, HybridSimulation simulation, AddressPlan addresses, Scenario scenario) {
@@ -96,8 +98,8 @@
                 .clone()
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline()
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline()
                                 .addLast(
                                         new HttpResponseDecoder(),
                                         new HttpObjectAggregator(MAX_BODY_BYTES),
@@ -105,13 +107,13 @@
                     }
                 })
                 .connect(addresses.daemon(request.proxy()))
-                .addListener((ChannelFuture f) -> {
-                    connection.channel = f.channel();
-                    if (!f.isSuccess()) {
+                .addListener((ChannelFuture future) -> {
+                    connection.channel = future.channel();
+                    if (!future.isSuccess()) {
                         open.remove(request.id());
                         clock.run(() -> simulation.unanswered(request.id(), false));
                     } else if (open.get(request.id()) != connection) {
-                        f.channel().close();
+                        future.channel().close();
                     } else {
                         connection.write(request, false);
                     }
@@ -173,8 +175,8 @@
             reused = reusing;
             open.put(request.id(), this);
             channel.writeAndFlush(Unpooled.copiedBuffer(encode(request), StandardCharsets.US_ASCII))
-                    .addListener(f -> {
-                        if (f.isSuccess()) {
+                    .addListener(future -> {
+                        if (future.isSuccess()) {
                             clock.run(() -> simulation.tryWritten(request.id()));
                         }
                     });
--- a/src/main/java/mulleinfront/kit/DaemonProcess.java
+++ b/src/main/java/mulleinfront/kit/DaemonProcess.java
@@ -88,9 +88,9 @@
 
     /** Calls the consumer with the exit code when the process has exited, on another thread. */
     void onExit(IntConsumer listener) {
-        process.onExit().thenAccept(p -> {
+        process.onExit().thenAccept(exited -> {
             closeGuard();
-            listener.accept(p.exitValue());
+            listener.accept(exited.exitValue());
         });
     }
 
@@ -179,6 +179,7 @@
             }
             long kb = Long.parseLong(status.substring(rssIndex + 6, status.indexOf("kB", rssIndex))
                     .strip());
+            // CPU times are in clock ticks of 10 ms.
             return new Sample(
                     descriptors.length, kb, 10 * (Long.parseLong(statFields[11]) + Long.parseLong(statFields[12])));
         } catch (IOException e) {
@@ -194,7 +195,7 @@
             InetSocketAddress listen,
             InetSocketAddress discovery,
             String known,
-            FleetMembership peering)
+            FleetMembership membership)
             throws IOException {
         Settings settings = scenario.settings();
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -209,15 +210,15 @@
             out.writeNumberField("memory_mb", MEMORY_MB);
             out.writeNumberField("sockets", DESCRIPTOR_LIMIT);
             out.writeEndObject();
-            if (peering != null) {
-                out.writeStringField("peer_listen", NetUtil.toSocketAddressString(peering.listen()));
+            if (membership != null) {
+                out.writeStringField("peer_listen", NetUtil.toSocketAddressString(membership.listen()));
                 out.writeArrayFieldStart("peers");
-                for (InetSocketAddress peer : peering.peers()) {
+                for (InetSocketAddress peer : membership.peers()) {
                     out.writeString(NetUtil.toSocketAddressString(peer));
                 }
                 out.writeEndArray();
                 out.writeStringField(
-                        "fleet", peering.fleetFile().toAbsolutePath().toString());
+                        "fleet", membership.fleetFile().toAbsolutePath().toString());
             }
             out.writeFieldName("known");
             out.writeRawValue(known);
@@ -232,16 +233,16 @@
             out.writeStringField("membershipMode", settings.subscribe() ? "subscribe" : "automatic");
             out.writeNumberField("overShareWorth", settings.overShareWorth());
             out.writeArrayFieldStart("customers");
-            for (Scenario.Tenant t : scenario.tenants()) {
+            for (Scenario.Tenant tenant : scenario.tenants()) {
                 out.writeStartObject();
-                out.writeStringField("name", t.name());
-                out.writeNumberField("share", t.share());
+                out.writeStringField("name", tenant.name());
+                out.writeNumberField("share", tenant.share());
                 out.writeEndObject();
             }
             out.writeEndArray();
             out.writeArrayFieldStart("classes");
-            for (RequestClass c : settings.classes()) {
-                writeRequestClass(out, c);
+            for (RequestClass requestClass : settings.classes()) {
+                writeRequestClass(out, requestClass);
             }
             out.writeEndArray();
             out.writeObjectFieldStart("prices");
--- a/src/main/java/mulleinfront/kit/KitResult.java
+++ b/src/main/java/mulleinfront/kit/KitResult.java
@@ -38,8 +38,8 @@
     public record Quarter(int descriptors, long residentKb, double cpuShare) {}
 
     /** Adds the result of the run on virtual time. */
-    public KitResult withVirtualRun(World.Result virtualDay) {
-        return new KitResult(sockets, virtualDay, failures, quarters, latenessMs, daemonVersion, kitVersion);
+    public KitResult withVirtualRun(World.Result virtualRun) {
+        return new KitResult(sockets, virtualRun, failures, quarters, latenessMs, daemonVersion, kitVersion);
     }
 
     /** The first verdict that applies. On a machine that was too busy, rule violations do not count. */
--- a/src/main/java/mulleinfront/kit/PartitionRelay.java
+++ b/src/main/java/mulleinfront/kit/PartitionRelay.java
@@ -38,12 +38,14 @@
     private final ScaleAddressPlan addresses;
     private final int members;
     private final IntUnaryOperator sideOf;
+    /** By side and member: the channel that receives datagrams from that side to that member. */
     private final Channel[][] routes;
+
     private final Map<InetSocketAddress, Integer> memberByAddress = new HashMap<>();
     private final AtomicLongArray datagrams;
     private final AtomicLongArray datagramBytes;
     private final AtomicLongArray nodeBytes;
-    private final Queue<RelayedConnection> links = new ConcurrentLinkedQueue<>();
+    private final Queue<RelayedConnection> connections = new ConcurrentLinkedQueue<>();
     private final Queue<Channel> listeners = new ConcurrentLinkedQueue<>();
     private volatile boolean partitioned;
     private volatile boolean closed;
@@ -65,24 +67,24 @@
 
     /** Listens for datagrams on all addresses; blocks, so it must not be called on an event loop. */
     void open() throws IOException, InterruptedException {
-        for (int m = 0; m < members; m++) {
-            memberByAddress.put(addresses.peer(m), m);
+        for (int member = 0; member < members; member++) {
+            memberByAddress.put(addresses.peer(member), member);
         }
         for (int side = 0; side < ScaleAddressPlan.SIDES; side++) {
-            for (int m = 0; m < members; m++) {
-                routes[side][m] = awaitBound(new Bootstrap()
+            for (int member = 0; member < members; member++) {
+                routes[side][member] = awaitBound(new Bootstrap()
                         .group(group)
                         .channel(NioDatagramChannel.class)
-                        .handler(new Route(side, m))
-                        .bind(addresses.peerFrom(side, m)));
+                        .handler(new Route(side, member))
+                        .bind(addresses.peerFrom(side, member)));
             }
         }
     }
 
     private Channel awaitBound(ChannelFuture bound) throws IOException, InterruptedException {
         if (!bound.await().isSuccess()) {
-            throw new IOException(
-                    "can't listen between members: " + bound.cause().getMessage());
+            throw new IOException("failed to listen on a relay address between members: "
+                    + bound.cause().getMessage());
         }
         return bound.channel();
     }
@@ -101,8 +103,8 @@
                 .childOption(ChannelOption.AUTO_READ, false)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        new RelayedConnection(ch, fromSide != toSide, target, node).open();
+                    protected void initChannel(SocketChannel channel) {
+                        new RelayedConnection(channel, fromSide != toSide, target, node).open();
                     }
                 })
                 .bind(listen)));
@@ -111,7 +113,7 @@
     /** Starts or heals the network partition. */
     void setPartitioned(boolean on) {
         partitioned = on;
-        links.forEach(l -> l.accepted.eventLoop().execute(l::updateReading));
+        connections.forEach(l -> l.accepted.eventLoop().execute(l::updateReading));
     }
 
     void close() {
@@ -124,7 +126,7 @@
             }
         }
         listeners.forEach(Channel::close);
-        links.forEach(l -> l.accepted.close());
+        connections.forEach(l -> l.accepted.close());
     }
 
     /** Number of datagrams that all members have sent. */
@@ -192,7 +194,9 @@
     /** An accepted connection and the connection to the target. */
     private final class RelayedConnection {
         private final Channel accepted;
+        /** Whether the two ends are on different sides of the network partition. */
         private final boolean crosses;
+
         private final InetSocketAddress target;
         private final int node;
         private Channel onward;
@@ -206,8 +210,8 @@
 
         /** Connects to the target; across a partition {@link #updateReading} does so once it heals. */
         void open() {
-            links.add(this);
-            accepted.closeFuture().addListener(f -> links.remove(this));
+            connections.add(this);
+            accepted.closeFuture().addListener(f -> connections.remove(this));
             accepted.pipeline().addLast(new ForwardingHandler());
             if (!(partitioned && crosses)) {
                 connect();
@@ -223,11 +227,11 @@
                     .handler(new ForwardingHandler())
                     .connect(target);
             onward = connecting.channel();
-            connecting.addListener((ChannelFutureListener) f -> {
-                if (f.isSuccess() && accepted.isActive()) {
+            connecting.addListener((ChannelFutureListener) future -> {
+                if (future.isSuccess() && accepted.isActive()) {
                     updateReading();
                 } else {
-                    f.channel().close();
+                    future.channel().close();
                     accepted.close();
                 }
             });
--- a/src/main/java/mulleinfront/kit/PeerRelay.java
+++ b/src/main/java/mulleinfront/kit/PeerRelay.java
@@ -29,8 +29,11 @@
 
     private final EventLoop loop;
     private final AddressPlan addresses;
+    /** By sender and receiver: the channel that receives datagrams from one proxy to the other. */
     private final Channel[][] routes;
+    /** Sends datagrams from an address that no client proxy knows. */
     private Channel unknownSender;
+
     private final DatagramFaults faults;
     private final Listener listener;
     private boolean closed;
@@ -63,8 +66,8 @@
                 .bind(address)
                 .await();
         if (!bound.isSuccess()) {
-            throw new IOException(
-                    "can't listen between client proxies: " + bound.cause().getMessage());
+            throw new IOException("failed to listen on a relay address between client proxies: "
+                    + bound.cause().getMessage());
         }
         return bound.channel();
     }
@@ -124,9 +127,15 @@
 
     @Override
     public ActiveFault beginFault(
-            BitSet from, BitSet to, double lose, double twice, double overtaken, double change, Range late) {
-        DatagramFaults.DatagramFault fault =
-                new DatagramFaults.DatagramFault(from, to, lose, twice, overtaken, change, late);
+            BitSet from,
+            BitSet to,
+            double lossShare,
+            double duplicateShare,
+            double overtakenShare,
+            double corruptedShare,
+            Range extraDelayUs) {
+        DatagramFaults.DatagramFault fault = new DatagramFaults.DatagramFault(
+                from, to, lossShare, duplicateShare, overtakenShare, corruptedShare, extraDelayUs);
         faults.begin(fault);
         listener.faultChanged(fault, true);
         return () -> {
@@ -136,27 +145,27 @@
     }
 
     @Override
-    public void repeatDatagrams(long rememberUs, double perSecond, long us) {
+    public void repeatDatagrams(long recordUs, double perSecond, long durationUs) {
         faults.setRecording(true);
         loop.schedule(
                 () -> {
                     faults.setRecording(false);
-                    scheduleRepeatedly(perSecond, us, () -> {
+                    scheduleRepeatedly(perSecond, durationUs, () -> {
                         DatagramFaults.RecordedDatagram past = faults.recorded();
                         if (past != null) {
                             deliver(past.from(), past.to(), past.bytes());
                         }
                     });
                 },
-                rememberUs,
+                recordUs,
                 TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void sendFromUnknownSenders(double perSecond, long us) {
+    public void sendFromUnknownSenders(double perSecond, long durationUs) {
         scheduleRepeatedly(
                 perSecond,
-                us,
+                durationUs,
                 () -> unknownSender.writeAndFlush(new DatagramPacket(
                         Unpooled.wrappedBuffer(faults.randomBytes()),
                         addresses.peerListen(faults.randomMember(routes.length)))));
--- a/src/main/java/mulleinfront/kit/RealRun.java
+++ b/src/main/java/mulleinfront/kit/RealRun.java
@@ -161,24 +161,25 @@
         long availableKb = availableKb();
         if (proxies > AddressPlan.MAX_PROXIES) {
             throw new BadFileException(scenario.name() + ": needs " + proxies
-                    + " client proxies as processes, and a run" + " on sockets has " + AddressPlan.MAX_PROXIES
-                    + " at most; emulate plays it on virtual time");
+                    + " client proxies as processes; a run" + " on sockets supports at most " + AddressPlan.MAX_PROXIES
+                    + "; use emulate to run it on virtual time");
         }
         if (proxies * PROXY_KB > availableKb) {
             throw new BadFileException(scenario.name() + ": needs " + proxies * PROXY_KB / 1024 + " MB for " + proxies
-                    + " client proxies, and this machine has " + availableKb / 1024 + " MB left");
+                    + " client proxies; this machine has only " + availableKb / 1024 + " MB available");
         }
         if (scenario.faults().stream().anyMatch(f -> f.kind() == Scenario.Kind.CLOCK)) {
             throw new BadFileException(scenario.name()
-                    + ": clocks of processes can't be made to jump; emulate plays it on" + " virtual time");
+                    + ": the clock of a process can't be changed; use emulate to run it on" + " virtual time");
         }
         if (scenario.peers() != null && scenario.peers().withoutSuspicion()) {
-            throw new BadFileException(scenario.name() + ": peers.detector: processes have the full one alone");
+            throw new BadFileException(scenario.name() + ": peers.detector: processes support only the full detector");
         }
         if (scenario.serverCount() * proxies > AddressPlan.MAX_SERVERS / 4) {
             throw new BadFileException(scenario.name() + ": needs " + scenario.serverCount() * proxies
-                    + " listeners, an" + " address of each server for each client proxy; " + AddressPlan.MAX_SERVERS / 4
-                    + " at most");
+                    + " listeners, one" + " for each pair of server and client proxy; at most "
+                    + AddressPlan.MAX_SERVERS / 4
+                    + " are supported");
         }
     }
 
@@ -216,10 +217,10 @@
                 monitor();
                 auditUntilMs = System.currentTimeMillis();
                 result = onLoop(() -> {
-                    World.Result r = simulation.finish();
+                    World.Result finished = simulation.finish();
                     clock.stop();
                     ending = true;
-                    return r;
+                    return finished;
                 });
                 RuntimeException defect = onLoop(clock::unexpectedException);
                 if (defect != null) {
@@ -266,7 +267,7 @@
         }
         FleetAuditor auditor = timeline.audit(auditUntilMs);
         if (timeline.changes() == 0) {
-            failures.add("client proxies kept no event log: is the command that starts them one that knows fleets?");
+            failures.add("client proxies wrote no event log: does the command that starts them support fleets?");
         }
         return new FleetReport(
                 auditor.breaches(), auditor.breachCount(), null, daemons.length, simulation.endsAt(), true);
@@ -310,14 +311,14 @@
                 bound.add(discovery.listen(i, addresses.secondDiscovery(i)));
             }
             for (int server = 0; server < scenario.serverCount(); server++) {
-                servers.changed(server);
+                servers.applyBehaviour(server);
             }
             return null;
         });
         for (ChannelFuture binding : bound) {
             if (!binding.await().isSuccess()) {
                 throw new IOException(
-                        "discovery can't listen: " + binding.cause().getMessage());
+                        "discovery failed to listen: " + binding.cause().getMessage());
             }
         }
         for (int i = 0; i < daemons.length; i++) {
@@ -378,10 +379,10 @@
                     samples.subList(quarter * samplesPerQuarter, (quarter + 1) * samplesPerQuarter);
             int descriptors = 0;
             long kb = 0;
-            for (List<DaemonProcess.Sample> at : quarterSamples) {
-                for (DaemonProcess.Sample s : at) {
-                    descriptors = s == null ? descriptors : Math.max(descriptors, s.descriptors());
-                    kb = s == null ? kb : Math.max(kb, s.residentKb());
+            for (List<DaemonProcess.Sample> sampled : quarterSamples) {
+                for (DaemonProcess.Sample sample : sampled) {
+                    descriptors = sample == null ? descriptors : Math.max(descriptors, sample.descriptors());
+                    kb = sample == null ? kb : Math.max(kb, sample.residentKb());
                 }
             }
             double cpu = 0;
@@ -430,23 +431,23 @@
 
     // ---- callbacks of the simulation; on the event loop --------------------------------------------------------
 
-    private void launch(int proxy, HybridSimulation.ListUpdate known) throws IOException {
-        known.servers().forEach(s -> servers.changed(s.address()));
+    private void launch(int proxy, HybridSimulation.ListUpdate knownList) throws IOException {
+        knownList.servers().forEach(s -> servers.applyBehaviour(s.address()));
         DaemonProcess daemon =
-                new DaemonProcess(proxy, command, root, folder, config(proxy, known), addresses.daemon(proxy));
+                new DaemonProcess(proxy, command, root, folder, config(proxy, knownList), addresses.daemon(proxy));
         daemons[proxy] = daemon;
         openOnly[proxy] = false;
         daemon.onExit(code -> clock.loop.execute(() -> exited(daemon, code)));
     }
 
-    private String config(int proxy, HybridSimulation.ListUpdate known) throws IOException {
+    private String config(int proxy, HybridSimulation.ListUpdate knownList) throws IOException {
         return DaemonProcess.config(
                 scenario,
                 proxy,
                 seed * 1_000_003 + proxy,
                 addresses.daemon(proxy),
                 discoveryMoved[proxy] ? addresses.secondDiscovery(proxy) : addresses.discovery(proxy),
-                discovery.line(proxy, known),
+                discovery.line(proxy, knownList),
                 relay == null
                         ? null
                         : new DaemonProcess.FleetMembership(
@@ -518,10 +519,10 @@
     }
 
     @Override
-    public void pause(int proxy, long us) {
+    public void pause(int proxy, long durationUs) {
         DaemonProcess daemon = daemons[proxy];
         setPaused(daemon, true);
-        clock.loop.schedule(() -> setPaused(daemon, false), us, TimeUnit.MICROSECONDS);
+        clock.loop.schedule(() -> setPaused(daemon, false), durationUs, TimeUnit.MICROSECONDS);
     }
 
     private void setPaused(DaemonProcess daemon, boolean paused) {
@@ -534,8 +535,7 @@
             }
             daemon.setPaused(paused);
         } catch (IOException e) {
-            failures.add(
-                    "client proxy " + daemon.number() + " could not be stopped or set going again: " + e.getMessage());
+            failures.add("client proxy " + daemon.number() + " could not be paused or resumed: " + e.getMessage());
         }
     }
 
@@ -560,7 +560,7 @@
         clock.loop.schedule(
                 () -> {
                     if (daemons[proxy] == daemon && daemon.alive() && !ending) {
-                        failures.add("client proxy " + proxy + " was still there "
+                        failures.add("client proxy " + proxy + " was still running "
                                 + scenario.proxies().killAfterUs() / 1000 + " ms after SIGTERM");
                         daemon.kill();
                     }
@@ -584,7 +584,7 @@
                 daemons[proxy].reload(config(proxy, new HybridSimulation.ListUpdate(0, true, List.of())));
             }
         } catch (IOException e) {
-            failures.add("client proxy " + proxy + " could not be told of its configuration: " + e.getMessage());
+            failures.add("client proxy " + proxy + " could not be sent its new configuration: " + e.getMessage());
         }
     }
 
@@ -600,7 +600,7 @@
 
     @Override
     public void addressChanged(int address) {
-        servers.changed(address);
+        servers.applyBehaviour(address);
     }
 
     @Override
--- a/src/main/java/mulleinfront/kit/Report.java
+++ b/src/main/java/mulleinfront/kit/Report.java
@@ -37,15 +37,15 @@
                     result.latenessMs()[0],
                     result.latenessMs()[1],
                     result.latenessMs()[2]);
-            int quarter = 1;
-            for (KitResult.Quarter q : result.quarters()) {
+            int number = 1;
+            for (KitResult.Quarter quarter : result.quarters()) {
                 line(
                         out,
                         "quarter %d: at most %d descriptors and %.1f MB in a client proxy, %.0f%% of a core each",
-                        quarter++,
-                        q.descriptors(),
-                        q.residentKb() / 1024.0,
-                        100 * q.cpuShare());
+                        number++,
+                        quarter.descriptors(),
+                        quarter.residentKb() / 1024.0,
+                        100 * quarter.cpuShare());
             }
         }
         result.failures().forEach(f -> line(out, "failed: %s", f));
@@ -75,11 +75,11 @@
             }
             out.writeEndArray();
             out.writeArrayFieldStart("quarters");
-            for (KitResult.Quarter q : result.quarters()) {
+            for (KitResult.Quarter quarter : result.quarters()) {
                 out.writeStartObject();
-                out.writeNumberField("descriptors", q.descriptors());
-                out.writeNumberField("resident_kb", q.residentKb());
-                out.writeNumberField("cpu_part", q.cpuShare());
+                out.writeNumberField("descriptors", quarter.descriptors());
+                out.writeNumberField("resident_kb", quarter.residentKb());
+                out.writeNumberField("cpu_part", quarter.cpuShare());
                 out.writeEndObject();
             }
             out.writeEndArray();
--- a/src/main/java/mulleinfront/kit/ScaleControlPlane.java
+++ b/src/main/java/mulleinfront/kit/ScaleControlPlane.java
@@ -49,7 +49,9 @@
 
     private final List<Map<String, String>> newEvents = new ArrayList<>();
     private boolean delayedReports;
+    /** For each subscriber, the newest version that its current process has reported. */
     private final Map<String, Long> newestVersions = new HashMap<>();
+
     private long proposals;
 
     /** @param keepCommand the shell command that runs the program's {@code keep} command */
@@ -58,9 +60,9 @@
         this.root = root;
         this.folder = folder;
         this.keepCommand = keepCommand;
-        for (int m = 0; m < COUNT; m++) {
-            logs[m] = new TailedLog(folder.resolve("control-m" + m + ".json"), newEvents::add);
-            Files.writeString(nodeFile(m), controlFile(m, side(m), true));
+        for (int node = 0; node < COUNT; node++) {
+            logs[node] = new TailedLog(folder.resolve("control-m" + node + ".json"), newEvents::add);
+            Files.writeString(nodeFile(node), controlFile(node, side(node), true));
         }
         for (int side = 0; side < ScaleAddressPlan.SIDES; side++) {
             Files.writeString(subscriberFile(side), controlFile(-1, side, false));
@@ -81,20 +83,21 @@
         return folder.resolve("control-m" + node + ".toml");
     }
 
-    private String controlFile(int own, int side, boolean events) {
+    private String controlFile(int ownNode, int side, boolean events) {
         StringBuilder text = new StringBuilder();
         if (events) {
             text.append("events = \"")
                     .append(folder.toAbsolutePath().resolve("control-%n.json"))
                     .append("\"\n");
         }
-        for (int m = 0; m < COUNT; m++) {
+        for (int node = 0; node < COUNT; node++) {
             text.append("[[machine]]\nname = \"m")
-                    .append(m)
+                    .append(node)
                     .append("\"\nconsensus = \"")
-                    .append(hostAndPort(m == own ? addresses.nodePeer(m) : addresses.nodePeerFrom(side, m)))
+                    .append(hostAndPort(
+                            node == ownNode ? addresses.nodePeer(node) : addresses.nodePeerFrom(side, node)))
                     .append("\"\ndoor = \"")
-                    .append(hostAndPort(m == own ? addresses.node(m) : addresses.nodeFrom(side, m)))
+                    .append(hostAndPort(node == ownNode ? addresses.node(node) : addresses.nodeFrom(side, node)))
                     .append("\"\n");
         }
         return text.toString();
@@ -107,9 +110,9 @@
     /** Opens the relayed addresses of the nodes, for client proxies and for other nodes. */
     void open(PartitionRelay relay) throws IOException, InterruptedException {
         for (int side = 0; side < ScaleAddressPlan.SIDES; side++) {
-            for (int m = 0; m < COUNT; m++) {
-                relay.relay(side, addresses.nodeFrom(side, m), side(m), addresses.node(m), m);
-                relay.relay(side, addresses.nodePeerFrom(side, m), side(m), addresses.nodePeer(m), -1);
+            for (int node = 0; node < COUNT; node++) {
+                relay.relay(side, addresses.nodeFrom(side, node), side(node), addresses.node(node), node);
+                relay.relay(side, addresses.nodePeerFrom(side, node), side(node), addresses.nodePeer(node), -1);
             }
         }
     }
@@ -140,7 +143,8 @@
             }
             for (DaemonProcess process : processes) {
                 if (!process.alive() || System.nanoTime() > untilNanos) {
-                    throw new IOException("the control machines decide nothing: " + process.lastLogLines());
+                    throw new IOException(
+                            "the control-plane nodes committed no first version: " + process.lastLogLines());
                 }
             }
         }
@@ -165,9 +169,9 @@
             int node = turn % COUNT;
             if (processes[node].alive()) {
                 try {
-                    Map<String, String> answer = post(addresses.node(node), "/config/propose", body);
-                    if ("decided".equals(answer.get("what"))) {
-                        return Long.parseLong(answer.get("version"));
+                    Map<String, String> response = post(addresses.node(node), "/config/propose", body);
+                    if ("decided".equals(response.get("what"))) {
+                        return Long.parseLong(response.get("version"));
                     }
                 } catch (IOException e) {
                     // Try the next node.
@@ -178,7 +182,7 @@
                 return 0;
             }
         }
-        throw new IOException("proposal " + number + " was not decided within " + COMMIT_TIMEOUT_MS / 1000 + " s");
+        throw new IOException("proposal " + number + " was not committed within " + COMMIT_TIMEOUT_MS / 1000 + " s");
     }
 
     private static Map<String, String> post(InetSocketAddress address, String path, byte[] body) throws IOException {
--- a/src/main/java/mulleinfront/kit/ScaleDiscovery.java
+++ b/src/main/java/mulleinfront/kit/ScaleDiscovery.java
@@ -55,7 +55,9 @@
 
     private final String[] states;
     private long version = 1;
+    /** For each version, the number of the server that it changed. */
     private final TreeMap<Long, Integer> changes = new TreeMap<>();
+
     private final List<Watch> watches = new ArrayList<>();
     private final List<Channel> listeners = new ArrayList<>();
     private final AtomicLong bytes = new AtomicLong();
@@ -79,15 +81,16 @@
 
     /** Starts listening; blocks, so it must not be called on an event loop. */
     void open() throws IOException, InterruptedException {
-        for (int s = 0; s < services; s++) {
-            int service = s;
-            listen(addresses.discovery(s), () -> new Watch(service));
+        for (int i = 0; i < services; i++) {
+            int service = i;
+            listen(addresses.discovery(i), () -> new Watch(service));
         }
         listen(new InetSocketAddress(addresses.serverPort()), ServerHandler::new);
     }
 
     private void listen(
-            InetSocketAddress at, java.util.function.Supplier<SimpleChannelInboundHandler<FullHttpRequest>> handler)
+            InetSocketAddress address,
+            java.util.function.Supplier<SimpleChannelInboundHandler<FullHttpRequest>> handler)
             throws IOException, InterruptedException {
         // All connections are on one event loop, which owns the lists.
         ChannelFuture bound = new ServerBootstrap()
@@ -96,18 +99,18 @@
                 .option(ChannelOption.SO_BACKLOG, 1024)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline()
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline()
                                 .addLast(
                                         new HttpRequestDecoder(),
                                         new HttpObjectAggregator(MAX_REQUEST_BYTES),
                                         handler.get());
                     }
                 })
-                .bind(at)
+                .bind(address)
                 .await();
         if (!bound.isSuccess()) {
-            throw new IOException("discovery can't listen: " + bound.cause().getMessage());
+            throw new IOException("discovery failed to listen: " + bound.cause().getMessage());
         }
         listeners.add(bound.channel());
     }
@@ -197,14 +200,14 @@
             List<String> after = query.parameters().getOrDefault("after", List.of());
             TreeSet<Integer> wanted = new TreeSet<>();
             if (after.isEmpty()) {
-                for (int h = 0; h < servers; h++) {
-                    if (isCallerOf(service, serviceOf(h))) {
-                        wanted.add(h);
+                for (int server = 0; server < servers; server++) {
+                    if (isCallerOf(service, serviceOf(server))) {
+                        wanted.add(server);
                     }
                 }
             } else {
                 changes.tailMap(Long.parseLong(after.get(0)), false).values().stream()
-                        .filter(h -> isCallerOf(service, serviceOf(h)))
+                        .filter(server -> isCallerOf(service, serviceOf(server)))
                         .forEach(wanted::add);
             }
             chunk(toListLine(after.isEmpty(), wanted) + "\n");
@@ -242,9 +245,9 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest in) {
-            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            answer.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 0);
-            ctx.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
+            DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 0);
+            ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
         }
 
         @Override
--- a/src/main/java/mulleinfront/kit/ScaleRun.java
+++ b/src/main/java/mulleinfront/kit/ScaleRun.java
@@ -91,10 +91,14 @@
             Set<Fault> faults) {
         /** Rejects parameters out of range. */
         public Plan {
-            require(real >= 1 && real <= 64, "--real: 1 to 64, since they are who tells what all see");
-            require(simulated >= 0 && real + simulated <= 5_000, "--hollow: 0 to " + (5_000 - real));
-            require(perProcess >= 1 && perProcess <= 150, "--per-process: 1 to 150, for want of descriptors");
-            require(restS >= 1 && partitionS >= 1, "--rest, --cut: 1 second at least");
+            require(
+                    real >= 1 && real <= 64,
+                    "--real: must be from 1 to 64; at least one real client proxy has to observe the fleet");
+            require(simulated >= 0 && real + simulated <= 5_000, "--hollow: must be from 0 to " + (5_000 - real));
+            require(
+                    perProcess >= 1 && perProcess <= 150,
+                    "--per-process: must be from 1 to 150, to stay within the limit on file descriptors");
+            require(restS >= 1 && partitionS >= 1, "--rest, --cut: must be at least 1 second");
             faults = faults.isEmpty() ? EnumSet.noneOf(Fault.class) : EnumSet.copyOf(faults);
             if (!controlPlane) {
                 faults.removeAll(EnumSet.of(Fault.MACHINE, Fault.RELEASE));
@@ -157,8 +161,8 @@
                 return;
             }
             StringBuilder list = new StringBuilder();
-            for (int m : members) {
-                list.append(Files.writeString(folder.resolve("hollow-" + m + ".json"), config(m))
+            for (int member : members) {
+                list.append(Files.writeString(folder.resolve("hollow-" + member + ".json"), config(member))
                                 .toAbsolutePath())
                         .append('\n');
             }
@@ -188,8 +192,8 @@
         }
 
         DaemonProcess.Sample sample() {
-            DaemonProcess.Sample s = process.sample();
-            return s == null ? new DaemonProcess.Sample(0, 0, 0) : s;
+            DaemonProcess.Sample sample = process.sample();
+            return sample == null ? new DaemonProcess.Sample(0, 0, 0) : sample;
         }
     }
 
@@ -216,6 +220,7 @@
     private final long convergenceBoundMs;
 
     /**
+     * @param baseScenario scenario file with the settings of the client proxies
      * @param daemon the shell command that starts one client proxy
      * @param program the shell command of this program, to which command and arguments are added
      * @param root working directory of the processes
@@ -223,7 +228,13 @@
      * @throws BadFileException if the run needs more processes or memory than is available
      */
     public ScaleRun(
-            Plan plan, Path world, String daemon, String program, Path root, Path folder, Consumer<String> progress)
+            Plan plan,
+            Path baseScenario,
+            String daemon,
+            String program,
+            Path root,
+            Path folder,
+            Consumer<String> progress)
             throws BadFileException, IOException {
         this.plan = plan;
         this.daemonCommand = daemon;
@@ -234,15 +245,15 @@
         checkResources(plan);
         this.scenario = ScenarioReader.read(Files.writeString(
                 folder.resolve("world.toml"),
-                "[scenario]\ntitle = \"a fleet at its size\"\nworld = \"" + world.toAbsolutePath()
+                "[scenario]\ntitle = \"a fleet at its size\"\nworld = \"" + baseScenario.toAbsolutePath()
                         + "\"\n[proxies]\ncount = " + plan.members() + "\n"));
         this.controlPlane =
                 plan.controlPlane() ? new ScaleControlPlane(addresses, root, folder, program + " keep") : null;
-        for (int p = 0; p < plan.real() + plan.simulatedProcesses(); p++) {
-            int first = p < plan.real() ? p : plan.real() + (p - plan.real()) * plan.perProcess();
-            int end = p < plan.real() ? p + 1 : Math.min(plan.members(), first + plan.perProcess());
-            memberProcesses.add(
-                    new MemberProcess(p, IntStream.range(first, end).boxed().toList()));
+        for (int number = 0; number < plan.real() + plan.simulatedProcesses(); number++) {
+            int first = number < plan.real() ? number : plan.real() + (number - plan.real()) * plan.perProcess();
+            int end = number < plan.real() ? number + 1 : Math.min(plan.members(), first + plan.perProcess());
+            memberProcesses.add(new MemberProcess(
+                    number, IntStream.range(first, end).boxed().toList()));
         }
         this.processByMember = new MemberProcess[plan.members()];
         memberProcesses.forEach(
@@ -255,15 +266,15 @@
         for (int r = 0; r < plan.real(); r++) {
             views.add(new MemberView(folder.resolve("fleet-n" + r + ".json"), plan.members()));
         }
-        String file = String.format(
+        String fleetText = String.format(
                 Locale.ROOT,
                 "fleet = \"scale-%x\"%nperiod = \"%dms\"%ngone-after = \"10m\"%n",
                 plan.seed(),
                 plan.periodMs());
-        this.fleetFile = Files.writeString(folder.resolve("fleet.toml"), file);
+        this.fleetFile = Files.writeString(folder.resolve("fleet.toml"), fleetText);
         this.loggingFleetFile = Files.writeString(
                 folder.resolve("fleet-events.toml"),
-                file + "events = \"" + folder.toAbsolutePath().resolve("fleet-%n.json") + "\"\n");
+                fleetText + "events = \"" + folder.toAbsolutePath().resolve("fleet-%n.json") + "\"\n");
         this.convergenceBoundMs =
                 FleetSettings.defaults("scale", "n", 0, plan.members(), plan.periodMs() * 1000L, 600_000_000L)
                                 .convergenceBoundUs(plan.members())
@@ -273,14 +284,15 @@
     private static void checkResources(Plan plan) throws BadFileException {
         if (plan.processes() > MAX_PROCESSES) {
             throw new BadFileException(
-                    "kit scale: needs " + plan.processes() + " processes, and a run has " + MAX_PROCESSES + " at most");
+                    "kit scale: needs " + plan.processes() + " processes; the maximum is " + MAX_PROCESSES);
         }
         long half = RealRun.memoryKb("MemTotal:") / 2;
         if (plan.needsKb() > half || plan.needsKb() > RealRun.memoryKb("MemAvailable:")) {
             throw new BadFileException(
-                    "kit scale: may need " + plan.needsKb() / 1024 + " MB, and half of this machine's"
-                            + " memory is " + half / 1024 + " MB, of which " + RealRun.memoryKb("MemAvailable:") / 1024
-                            + " MB is free");
+                    "kit scale: may need " + plan.needsKb() / 1024 + " MB, which exceeds half of this machine's"
+                            + " memory, " + half / 1024 + " MB, or its available memory, "
+                            + RealRun.memoryKb("MemAvailable:") / 1024
+                            + " MB");
         }
     }
 
@@ -316,9 +328,9 @@
                 progress.accept("versions");
                 proposeVersions("versions at rest", VERSIONS_PER_PHASE, 1_000, Set.of());
             }
-            for (Fault f : plan.faults()) {
-                progress.accept(f.name().toLowerCase(Locale.ROOT));
-                switch (f) {
+            for (Fault fault : plan.faults()) {
+                progress.accept(fault.name().toLowerCase(Locale.ROOT));
+                switch (fault) {
                     case KILL -> killFifth();
                     case CUT -> partition();
                     case RESTART -> rollingRestart();
@@ -356,8 +368,8 @@
         long version = 0;
         if (controlPlane != null) {
             controlPlane.open(relay);
-            for (int m = 0; m < ScaleControlPlane.COUNT; m++) {
-                controlPlane.start(m);
+            for (int node = 0; node < ScaleControlPlane.COUNT; node++) {
+                controlPlane.start(node);
             }
             version =
                     controlPlane.awaitFirstVersion(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS));
@@ -370,9 +382,9 @@
             memberProcess.awaitReady();
         }
         report.add("start", "until all are ready", (System.currentTimeMillis() - began) / 1e3, "s");
-        awaitViews("start", "until all know all", all(), "alive", began, Set.of());
+        awaitViews("start", "until all know all", allMembers(), "alive", began, Set.of());
         if (controlPlane != null) {
-            awaitActive("start", "until all have the version", version, began, all(), Double.NaN);
+            awaitActive("start", "until all have the version", version, began, allMembers(), Double.NaN);
         }
     }
 
@@ -382,7 +394,7 @@
      * @param budgetS upper limit of the duration; NaN if there is none
      */
     private void awaitActive(
-            String phase, String what, long version, long sinceMs, Collection<Integer> members, double budgetS)
+            String phase, String metric, long version, long sinceMs, Collection<Integer> members, double budgetS)
             throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ACTIVATION_TIMEOUT_MS);
         for (; ; ) {
@@ -394,7 +406,7 @@
                 break;
             }
             if (System.nanoTime() > until) {
-                report.addFailure(phase + ": " + what + ": after " + ACTIVATION_TIMEOUT_MS / 1000 + " s version "
+                report.addFailure(phase + ": " + metric + ": after " + ACTIVATION_TIMEOUT_MS / 1000 + " s version "
                         + version + " is not in force at " + missing + " of " + members.size());
                 return;
             }
@@ -402,23 +414,23 @@
         }
         addDurations(
                 phase,
-                what,
+                metric,
                 members.stream()
                         .map(m -> Math.max(0, controlPlane.activeAtMs("n" + m, version, sinceMs) - sinceMs))
                         .toList(),
                 budgetS);
     }
 
-    private void addDurations(String phase, String what, List<Long> durationsMs, double budgetS) {
+    private void addDurations(String phase, String metric, List<Long> durationsMs, double budgetS) {
         List<Long> sorted = durationsMs.stream().sorted().toList();
         if (!sorted.isEmpty()) {
             report.add(
                     phase,
-                    what + ", mean",
+                    metric + ", mean",
                     sorted.stream().mapToLong(t -> t).average().orElse(0) / 1e3,
                     "s");
-            report.add(phase, what + ", p99", sorted.get((int) (0.99 * (sorted.size() - 1))) / 1e3, "s");
-            report.add(phase, what + ", worst", sorted.get(sorted.size() - 1) / 1e3, "s", budgetS);
+            report.add(phase, metric + ", p99", sorted.get((int) (0.99 * (sorted.size() - 1))) / 1e3, "s");
+            report.add(phase, metric + ", worst", sorted.get(sorted.size() - 1) / 1e3, "s", budgetS);
         }
     }
 
@@ -431,7 +443,7 @@
                 .boxed()
                 .toList();
         List<long[]> proposed = new ArrayList<>();
-        for (int v = 0; v < count; v++) {
+        for (int i = 0; i < count; i++) {
             long began = System.currentTimeMillis();
             proposed.add(new long[] {controlPlane.propose(phase, true), began});
             Thread.sleep(Math.max(0, everyMs - (System.currentTimeMillis() - began)));
@@ -444,13 +456,13 @@
             controlPlane.catchUp();
         } while (System.nanoTime() < until
                 && !members.stream().allMatch(m -> controlPlane.hasVersion("n" + m, newest[0])));
-        for (long[] p : proposed) {
-            for (int m : members) {
-                long activeAtMs = controlPlane.activeAtMs("n" + m, p[0], p[1]);
+        for (long[] proposal : proposed) {
+            for (int member : members) {
+                long activeAtMs = controlPlane.activeAtMs("n" + member, proposal[0], proposal[1]);
                 if (activeAtMs < 0) {
-                    report.addFailure(phase + ": version " + p[0] + " never was in force at n" + m);
+                    report.addFailure(phase + ": version " + proposal[0] + " was never in force at n" + member);
                 } else {
-                    durationsMs.add(activeAtMs - p[1]);
+                    durationsMs.add(activeAtMs - proposal[1]);
                 }
             }
         }
@@ -469,7 +481,7 @@
         proposeVersions("a release: a version a second", RELEASE_VERSIONS, 1_000, Set.of());
     }
 
-    private Set<Integer> all() {
+    private Set<Integer> allMembers() {
         return IntStream.range(0, plan.members()).boxed().collect(java.util.stream.Collectors.toSet());
     }
 
@@ -480,37 +492,38 @@
      * @param away members without a view to check
      */
     private void awaitViews(
-            String phase, String what, Collection<Integer> members, String state, long sinceMs, Set<Integer> away)
+            String phase, String metric, Collection<Integer> members, String state, long sinceMs, Set<Integer> away)
             throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(convergenceBoundMs);
         List<Integer> observers = IntStream.range(0, plan.real())
-                .filter(r -> !away.contains(r))
+                .filter(observer -> !away.contains(observer))
                 .boxed()
                 .toList();
         for (; ; ) {
             int missing = 0;
-            for (int r : observers) {
-                MemberView view = views.get(r);
+            for (int observer : observers) {
+                MemberView view = views.get(observer);
                 view.catchUp();
                 missing += (int) members.stream()
-                        .filter(m -> m != r && !view.state(m).equals(state))
+                        .filter(m -> m != observer && !view.state(m).equals(state))
                         .count();
             }
             if (missing == 0 || observers.isEmpty()) {
                 break;
             }
             if (System.nanoTime() > until) {
-                report.addFailure(phase + ": " + what + ": after " + convergenceBoundMs / 1000 + " s, the bound, still "
-                        + missing + " of " + observers.size() * members.size() + " views are otherwise");
+                report.addFailure(
+                        phase + ": " + metric + ": after " + convergenceBoundMs / 1000 + " s, the convergence bound, "
+                                + missing + " of " + observers.size() * members.size() + " views still differ");
                 return;
             }
             Thread.sleep(POLL_INTERVAL_MS);
         }
         List<Long> durationsMs = new ArrayList<>();
-        for (int r : observers) {
-            for (int m : members) {
-                if (m != r) {
-                    durationsMs.add(Math.max(0, views.get(r).sinceMs(m) - sinceMs));
+        for (int observer : observers) {
+            for (int member : members) {
+                if (member != observer) {
+                    durationsMs.add(Math.max(0, views.get(observer).sinceMs(member) - sinceMs));
                 }
             }
         }
@@ -518,10 +531,10 @@
             Collections.sort(durationsMs);
             report.add(
                     phase,
-                    what + ", mean over views",
+                    metric + ", mean over views",
                     durationsMs.stream().mapToLong(t -> t).average().orElse(0) / 1e3,
                     "s");
-            report.add(phase, what + ", worst", durationsMs.get(durationsMs.size() - 1) / 1e3, "s");
+            report.add(phase, metric + ", worst", durationsMs.get(durationsMs.size() - 1) / 1e3, "s");
         }
     }
 
@@ -557,8 +570,8 @@
 
     private long controlBytes() {
         long all = relay.datagramBytes() + discovery.bytes();
-        for (int m = 0; m < (controlPlane == null ? 0 : ScaleControlPlane.COUNT); m++) {
-            all += relay.nodeBytes(m);
+        for (int node = 0; node < (controlPlane == null ? 0 : ScaleControlPlane.COUNT); node++) {
+            all += relay.nodeBytes(node);
         }
         return all;
     }
@@ -567,7 +580,7 @@
         Counts before = counts();
         double worst = 0;
         long bytes = controlBytes();
-        for (int s = 0; s < seconds; s++) {
+        for (int second = 0; second < seconds; second++) {
             Thread.sleep(1_000);
             long now = controlBytes();
             worst = Math.max(worst, (now - bytes) / (double) plan.members());
@@ -637,8 +650,8 @@
         report.add(
                 phase, "bytes of lists to a member", (after.listBytes - before.listBytes) / members / seconds, "B/s");
         double control = 0;
-        for (int m = 0; m < after.nodeBytes.length; m++) {
-            control += after.nodeBytes[m] - before.nodeBytes[m];
+        for (int node = 0; node < after.nodeBytes.length; node++) {
+            control += after.nodeBytes[node] - before.nodeBytes[node];
         }
         if (controlPlane != null) {
             report.add(phase, "bytes of the configuration to and from a member", control / members / seconds, "B/s");
@@ -651,16 +664,16 @@
                         / seconds,
                 "B/s",
                 MAX_BYTES_PER_S);
-        for (int m = 0; m < after.nodeCpuMs.length; m++) {
+        for (int node = 0; node < after.nodeCpuMs.length; node++) {
             report.add(
                     phase,
-                    "processor of control machine " + m,
-                    (after.nodeCpuMs[m] - before.nodeCpuMs[m]) / seconds / 10,
+                    "processor of control machine " + node,
+                    (after.nodeCpuMs[node] - before.nodeCpuMs[node]) / seconds / 10,
                     "% of a core");
             report.add(
                     phase,
                     "bytes to and from client proxies at it",
-                    (after.nodeBytes[m] - before.nodeBytes[m]) / seconds,
+                    (after.nodeBytes[node] - before.nodeBytes[node]) / seconds,
                     "B/s");
         }
         if (controlPlane != null) {
@@ -753,7 +766,12 @@
         long restartedAtMs = System.currentTimeMillis();
         restartProcesses(killed);
         awaitViews(
-                "a fifth back", "until known to be alive, from their start", all(), "alive", restartedAtMs, Set.of());
+                "a fifth back",
+                "until known to be alive, from their start",
+                allMembers(),
+                "alive",
+                restartedAtMs,
+                Set.of());
         if (controlPlane != null) {
             proposeVersions("versions after a fifth is back", 2, 1_000, Set.of());
         }
@@ -768,7 +786,7 @@
         }
         long newest = 0;
         long end = sinceMs + plan.partitionS() * 1000L;
-        for (int v = 0; controlPlane != null && v < PARTITION_VERSIONS; v++) {
+        for (int i = 0; controlPlane != null && i < PARTITION_VERSIONS; i++) {
             // The nodes on the majority side keep committing versions.
             newest = controlPlane.propose("during the cut", true);
             Thread.sleep(Math.max(0, Math.min(1_000, end - System.currentTimeMillis())));
@@ -791,7 +809,7 @@
                     otherSide,
                     MAX_ACTIVATION_S);
         }
-        awaitViews("the cut heals", "until all know all again", all(), "alive", sinceMs, Set.of());
+        awaitViews("the cut heals", "until all know all again", allMembers(), "alive", sinceMs, Set.of());
         addCosts("the cut heals", before);
         if (controlPlane != null) {
             controlPlane.setDelayedReports(false);
@@ -804,18 +822,18 @@
         long newest = 0;
         long proposed = began;
         for (int tenth = 0; tenth < 10; tenth++) {
-            List<MemberProcess> tenthUnits = selectProcesses(10, tenth);
-            for (MemberProcess memberProcess : tenthUnits) {
+            List<MemberProcess> tenthProcesses = selectProcesses(10, tenth);
+            for (MemberProcess memberProcess : tenthProcesses) {
                 recordCpu(memberProcess);
                 memberProcess.members.forEach(m -> discovery.setServerState(m, "terminating", false));
                 memberProcess.process.terminate();
             }
-            for (MemberProcess memberProcess : tenthUnits) {
+            for (MemberProcess memberProcess : tenthProcesses) {
                 if (!memberProcess.process.awaitExit(EXIT_TIMEOUT_MS)) {
                     throw new IOException("process " + memberProcess.number + " did not end on SIGTERM");
                 }
             }
-            restartProcesses(tenthUnits);
+            restartProcesses(tenthProcesses);
             if (controlPlane != null) {
                 newest = controlPlane.propose("restarted in tenths", true);
                 proposed = System.currentTimeMillis();
@@ -827,11 +845,11 @@
                     "the last version, from proposed to in force",
                     newest,
                     proposed,
-                    all(),
+                    allMembers(),
                     MAX_ACTIVATION_S);
         }
         report.add("restarted in tenths", "until the last is ready", (System.currentTimeMillis() - began) / 1e3, "s");
-        awaitViews("restarted in tenths", "until all know all, from the begin", all(), "alive", began, Set.of());
+        awaitViews("restarted in tenths", "until all know all, from the begin", allMembers(), "alive", began, Set.of());
         addCosts("restarted in tenths", before, memberProcesses.subList(1, memberProcesses.size()));
         int[] exited = Arrays.stream(memberProcesses.stream()
                         .mapToInt(memberProcess -> memberProcess.process.alive() ? 0 : 1)
--- a/src/main/java/mulleinfront/kit/StandInDiscovery.java
+++ b/src/main/java/mulleinfront/kit/StandInDiscovery.java
@@ -62,8 +62,8 @@
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline()
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline()
                                 .addLast(new HttpRequestDecoder(), new HttpObjectAggregator(8192), new Call(proxy));
                     }
                 })
--- a/src/main/java/mulleinfront/kit/StandInServers.java
+++ b/src/main/java/mulleinfront/kit/StandInServers.java
@@ -98,7 +98,7 @@
         private void retry(ConnectBehaviour wanted, int tries, Throwable cause) {
             if (tries == 0) {
                 recordFailure(new IOException(
-                        "can't listen on " + addresses.server(proxy, address) + ": " + cause.getMessage()));
+                        "failed to listen on " + addresses.server(proxy, address) + ": " + cause.getMessage()));
             } else {
                 clock.loop.schedule(
                         () -> {
@@ -130,8 +130,8 @@
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel ch) {
-                            ch.pipeline()
+                        protected void initChannel(SocketChannel channel) {
+                            channel.pipeline()
                                     .addLast(
                                             new ArrivalRecorder(ServerAddress.this),
                                             new HttpRequestDecoder(),
@@ -141,17 +141,17 @@
                     })
                     .bind(addresses.server(proxy, address));
             listener = bound.channel();
-            bound.addListener(f -> {
-                if (!f.isSuccess() && listener == bound.channel()) {
+            bound.addListener(future -> {
+                if (!future.isSuccess() && listener == bound.channel()) {
                     listener = null;
-                    retry(ConnectBehaviour.OPEN, tries, f.cause());
+                    retry(ConnectBehaviour.OPEN, tries, future.cause());
                 }
             });
         }
 
         void reset() {
-            for (Channel c : List.copyOf(connections)) {
-                StandInServers.reset(c);
+            for (Channel connection : List.copyOf(connections)) {
+                StandInServers.reset(connection);
             }
         }
 
@@ -160,42 +160,42 @@
         }
     }
 
-    private void recordFailure(IOException e) {
-        bindFailure = bindFailure == null ? e : bindFailure;
+    private void recordFailure(IOException failure) {
+        bindFailure = bindFailure == null ? failure : bindFailure;
     }
 
-    private static void reset(Channel c) {
+    private static void reset(Channel connection) {
         try {
-            c.config().setOption(ChannelOption.SO_LINGER, 0);
+            connection.config().setOption(ChannelOption.SO_LINGER, 0);
         } catch (ChannelException e) {
             // The peer has already closed the connection.
         }
-        c.close();
+        connection.close();
     }
 
     /**
      * Applies the simulation's current connection behaviour to a server's addresses. They are set up when a list first
      * names the server.
      */
-    void changed(int address) {
-        ServerAddress[] pairs = byAddress.computeIfAbsent(address, a -> {
-            ServerAddress[] made = new ServerAddress[proxies];
+    void applyBehaviour(int address) {
+        ServerAddress[] serverAddresses = byAddress.computeIfAbsent(address, server -> {
+            ServerAddress[] created = new ServerAddress[proxies];
             for (int i = 0; i < proxies; i++) {
-                made[i] = new ServerAddress(i, a);
+                created[i] = new ServerAddress(i, server);
             }
-            return made;
+            return created;
         });
-        for (ServerAddress p : pairs) {
-            p.apply(simulation.connectBehaviour(p.proxy, address));
+        for (ServerAddress serverAddress : serverAddresses) {
+            serverAddress.apply(simulation.connectBehaviour(serverAddress.proxy, address));
         }
     }
 
     void reset(int address) {
-        ServerAddress[] pairs = byAddress.get(address);
-        if (pairs != null) {
-            for (ServerAddress p : pairs) {
-                if (!p.silent()) {
-                    p.reset();
+        ServerAddress[] serverAddresses = byAddress.get(address);
+        if (serverAddresses != null) {
+            for (ServerAddress serverAddress : serverAddresses) {
+                if (!serverAddress.silent()) {
+                    serverAddress.reset();
                 }
             }
         }
@@ -207,26 +207,26 @@
     }
 
     void close() {
-        for (ServerAddress[] pairs : byAddress.values()) {
-            for (ServerAddress p : pairs) {
-                p.unbind();
-                p.reset();
+        for (ServerAddress[] serverAddresses : byAddress.values()) {
+            for (ServerAddress serverAddress : serverAddresses) {
+                serverAddress.unbind();
+                serverAddress.reset();
             }
         }
     }
 
     /** Records when a request's first byte arrived, and discards input to a server that does not respond. */
     private final class ArrivalRecorder extends ChannelInboundHandlerAdapter {
-        private final ServerAddress pair;
+        private final ServerAddress serverAddress;
         private long firstByteAt = -1;
 
-        ArrivalRecorder(ServerAddress pair) {
-            this.pair = pair;
+        ArrivalRecorder(ServerAddress serverAddress) {
+            this.serverAddress = serverAddress;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object in) {
-            if (pair.silent()) {
+            if (serverAddress.silent()) {
                 ReferenceCountUtil.release(in);
                 return;
             }
@@ -237,20 +237,20 @@
 
     /** Handles the requests of one connection to a server. */
     private final class ServerConnection extends ChannelInboundHandlerAdapter {
-        private final ServerAddress pair;
+        private final ServerAddress serverAddress;
         private final List<FullHttpRequest> pipelined = new ArrayList<>();
         private HybridSimulation.Connection connection;
         private boolean busy;
 
-        ServerConnection(ServerAddress pair) {
-            this.pair = pair;
+        ServerConnection(ServerAddress serverAddress) {
+            this.serverAddress = serverAddress;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            pair.connections.add(ctx.channel());
+            serverAddress.connections.add(ctx.channel());
             clock.run(() -> {
-                connection = simulation.connect(pair.proxy, pair.address);
+                connection = simulation.connect(serverAddress.proxy, serverAddress.address);
                 if (connection == null) {
                     reset(ctx.channel());
                 }
@@ -302,7 +302,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            pair.connections.remove(ctx.channel());
+            serverAddress.connections.remove(ctx.channel());
             pipelined.forEach(FullHttpRequest::release);
             pipelined.clear();
             if (connection != null) {
