--- a/src/test/java/mulleinfront/kit/BrokenDaemon.java
+++ b/src/test/java/mulleinfront/kit/BrokenDaemon.java
@@ -47,10 +47,10 @@
     private static InetSocketAddress read(Path config) throws IOException {
         InetSocketAddress listen = null;
         try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(config))) {
-            for (JsonToken t; (t = in.nextToken()) != null; ) {
-                if (t == JsonToken.VALUE_STRING && "listen".equals(in.currentName())) {
+            for (JsonToken token; (token = in.nextToken()) != null; ) {
+                if (token == JsonToken.VALUE_STRING && "listen".equals(in.currentName())) {
                     listen = address(in.getText());
-                } else if (t == JsonToken.VALUE_STRING && "addr".equals(in.currentName())) {
+                } else if (token == JsonToken.VALUE_STRING && "addr".equals(in.currentName())) {
                     SERVERS.add(address(in.getText()));
                 }
             }
@@ -96,18 +96,20 @@
         String status = "502";
         for (int tries = fault.equals("resends") ? 3 : 1; tries > 0; tries--) {
             // Scenarios inject their fault into the first server of the list.
-            int at = fault.equals("floods") ? 0 : ThreadLocalRandom.current().nextInt(SERVERS.size());
-            try (Socket host = new Socket()) {
-                host.connect(SERVERS.get(at), 250);
-                host.setSoTimeout(900);
-                write(host, head);
-                InputStream in = new BufferedInputStream(host.getInputStream());
+            int server =
+                    fault.equals("floods") ? 0 : ThreadLocalRandom.current().nextInt(SERVERS.size());
+            try (Socket socket = new Socket()) {
+                socket.connect(SERVERS.get(server), 250);
+                socket.setSoTimeout(900);
+                write(socket, head);
+                InputStream in = new BufferedInputStream(socket.getInputStream());
                 String answer = head(in);
                 String body = new String(in.readNBytes(length(answer)), StandardCharsets.ISO_8859_1);
                 if (fault.equals("leaks")) {
                     synchronized (LEAKED) {
                         LEAKED.add(new Socket(
-                                SERVERS.get(at).getAddress(), SERVERS.get(at).getPort()));
+                                SERVERS.get(server).getAddress(),
+                                SERVERS.get(server).getPort()));
                     }
                 }
                 if (answer.contains(" 200 ")) {
@@ -133,9 +135,9 @@
     private static String head(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         int ends = 0;
-        for (int b; ends < 2 && (b = in.read()) >= 0; ) {
-            head.write(b);
-            ends = b == '\n' ? ends + 1 : b == '\r' ? ends : 0;
+        for (int next; ends < 2 && (next = in.read()) >= 0; ) {
+            head.write(next);
+            ends = next == '\n' ? ends + 1 : next == '\r' ? ends : 0;
         }
         return head.toString(StandardCharsets.ISO_8859_1);
     }
--- a/src/test/java/mulleinfront/kit/FleetProcessesTest.java
+++ b/src/test/java/mulleinfront/kit/FleetProcessesTest.java
@@ -26,7 +26,7 @@
     @TempDir
     Path folder;
 
-    private KitResult play(String lines) throws Exception {
+    private KitResult run(String lines) throws Exception {
         Path file = Files.writeString(
                 folder.resolve("day.toml"),
                 "[scenario]\ntitle = \"a test\"\nworld = \""
@@ -43,7 +43,7 @@
 
     @Test
     void viewsConvergeAfterThreeKillsAndAHealedPartition() throws Exception {
-        KitResult result = play("""
+        KitResult result = run("""
                 length = "42s"
                 settle = "3s"
                 [load]
@@ -75,15 +75,17 @@
         assertEquals(List.of(), result.sockets().breaches());
         assertEquals(List.of(), result.sockets().fleet().breaches());
         // The run exercised the auditor: crashes and a partition seen from both sides.
-        assertTrue(logLines(0, "\"to\":\"failed\"").size() >= 4, "n0 saw the other side fail");
-        assertTrue(logLines(7, "\"to\":\"failed\"").size() >= 5, "n7 saw the other side fail");
+        assertTrue(
+                logLines(0, "\"to\":\"failed\"").size() >= 4, "n0 must record the members of the other side as failed");
+        assertTrue(
+                logLines(7, "\"to\":\"failed\"").size() >= 5, "n7 must record the members of the other side as failed");
         assertTrue(logLines(0, "\"reach\":\"majority\"").size() >= 1);
         assertTrue(logLines(7, "\"reach\":\"minority\"").size() >= 1);
     }
 
     @Test
     void auditorFindsAFalsifiedLogLine() throws Exception {
-        KitResult result = play("""
+        KitResult result = run("""
                 length = "16s"
                 settle = "1s"
                 [proxies]
@@ -97,11 +99,11 @@
         eventsAfterTheEndAreNotChecked();
         // The same logs with one falsified line must fail the audit.
         FleetTimeline timeline = new FleetTimeline(3, 1_000_000);
-        Path lie = folder.resolve("lie.json");
+        Path falsified = folder.resolve("falsified.json");
         List<String> lines = Files.readAllLines(folder.resolve("fleet-n0.json"));
         lines.replaceAll(l -> l.contains("\"member\":1,") ? l.replace("\"to\":\"alive\"", "\"to\":\"failed\"") : l);
-        Files.write(lie, lines);
-        timeline.read(0, lie);
+        Files.write(falsified, lines);
+        timeline.read(0, falsified);
         timeline.read(1, folder.resolve("fleet-n1.json"));
         timeline.read(2, folder.resolve("fleet-n2.json"));
         FleetAuditor auditor = timeline.audit(System.currentTimeMillis());
@@ -133,6 +135,6 @@
         assertTrue(
                 timeline.audit(end).breaches().stream()
                         .noneMatch(b -> b.toString().contains(" left")),
-                "what came after the end");
+                "events after the end of the run must not be checked");
     }
 }
--- a/src/test/java/mulleinfront/kit/RealRunTest.java
+++ b/src/test/java/mulleinfront/kit/RealRunTest.java
@@ -141,9 +141,9 @@
             t.join();
         }
         assertEquals(2, ended.size());
-        for (Object r : ended) {
-            assertTrue(r instanceof KitResult, r.toString());
-            assertRulesKept((KitResult) r);
+        for (Object result : ended) {
+            assertTrue(result instanceof KitResult, result.toString());
+            assertRulesKept((KitResult) result);
         }
     }
 
@@ -183,8 +183,8 @@
         Report.json(result, false, json);
         List<String> names = new ArrayList<>();
         try (JsonParser in = new JsonFactory().createParser(json.toByteArray())) {
-            for (JsonToken t; (t = in.nextToken()) != null; ) {
-                if (t == JsonToken.FIELD_NAME
+            for (JsonToken token; (token = in.nextToken()) != null; ) {
+                if (token == JsonToken.FIELD_NAME
                         && in.getParsingContext().getParent().inRoot()) {
                     names.add(in.currentName());
                 }
@@ -232,7 +232,8 @@
                 servers = ["new-0"]
                 """).run();
         assertTrue(
-                result.sockets().service().servers().stream().anyMatch(s -> s.statistics().crashed), "new-0 fell over");
+                result.sockets().service().servers().stream().anyMatch(s -> s.statistics().crashed),
+                "new-0 must crash");
     }
 
     @Test
@@ -278,7 +279,10 @@
         assertEquals(KitResult.Verdict.WRONG_VERSION, rejected.verdict(false));
         ByteArrayOutputStream xml = new ByteArrayOutputStream();
         Report.junit("day", rejected, false, xml);
-        assertEquals(4, xml.toString(StandardCharsets.UTF_8).split("<skipped", -1).length - 1, "no rule is judged");
+        assertEquals(
+                4,
+                xml.toString(StandardCharsets.UTF_8).split("<skipped", -1).length - 1,
+                "all four rules must be skipped");
         assertTrue(xml.toString(StandardCharsets.UTF_8).contains("name=\"the run says something\"><failure"));
         String text = Report.text(rejected, false);
         assertTrue(text.contains("the daemon says 9.9.9, this kit is " + rejected.kitVersion()), text);
--- a/src/test/java/mulleinfront/kit/ScaleRunTest.java
+++ b/src/test/java/mulleinfront/kit/ScaleRunTest.java
@@ -56,7 +56,8 @@
         assertTrue(events.lines().anyMatch(l -> l.contains("\"member\":1,") && l.contains("\"to\":\"failed\"")));
         // Simulated members are full members: they are recorded as failed when their process is killed.
         assertTrue(
-                events.lines().filter(l -> l.contains("\"to\":\"failed\"")).count() >= 15, "hollow ones were missed");
+                events.lines().filter(l -> l.contains("\"to\":\"failed\"")).count() >= 15,
+                "killed simulated members must be recorded as failed");
     }
 
     @Test
--- a/src/test/java/mulleinfront/kit/SoakTest.java
+++ b/src/test/java/mulleinfront/kit/SoakTest.java
@@ -25,24 +25,25 @@
     @TempDir
     Path folder;
 
-    private Soak.SeedResult play(String daemon, long seed) throws Exception {
-        return play(new Soak.Plan(4, 14, 1_000), daemon, seed);
+    private Soak.SeedResult run(String daemon, long seed) throws Exception {
+        return run(new Soak.Plan(4, 14, 1_000), daemon, seed);
     }
 
-    private Soak.SeedResult play(Soak.Plan plan, String daemon, long seed) throws Exception {
+    private Soak.SeedResult run(Soak.Plan plan, String daemon, long seed) throws Exception {
         return new Soak(plan, JAVA + daemon, Path.of("").toAbsolutePath(), line -> {}).run(seed, folder);
     }
 
     @Test
     void fourProcessesKeepTheRules() throws Exception {
-        Soak.SeedResult result = play("mulleinfront.Main serve", 2);
+        Soak.SeedResult result = run("mulleinfront.Main serve", 2);
         assertEquals(List.of(), result.failures());
-        assertTrue(result.result().sockets().service().tries().get("served") > 100, "it was served");
+        assertTrue(
+                result.result().sockets().service().tries().get("served") > 100, "more than 100 tries must be served");
     }
 
     @Test
     void failsADaemonThatBreaksARule() throws Exception {
-        Soak.SeedResult result = play(BrokenDaemon.class.getName() + " answers-twice", 2);
+        Soak.SeedResult result = run(BrokenDaemon.class.getName() + " answers-twice", 2);
         assertFalse(result.failures().isEmpty());
     }
 
@@ -51,7 +52,7 @@
      */
     @Test
     void failsADaemonThatIgnoresTheEndOfItsWatch() throws Exception {
-        Soak.SeedResult result = play(new Soak.Plan(6, 20, 0), IgnoresWatchEndsDaemon.class.getName(), 11);
+        Soak.SeedResult result = run(new Soak.Plan(6, 20, 0), IgnoresWatchEndsDaemon.class.getName(), 11);
         assertTrue(result.failures().stream().anyMatch(f -> f.contains("drains are kept")), "" + result.failures());
     }
 
--- a/src/test/java/mulleinfront/kit/StaleListTest.java
+++ b/src/test/java/mulleinfront/kit/StaleListTest.java
@@ -57,7 +57,7 @@
                 List.of(),
                 result.sockets().breaches().stream().limit(3).toList(),
                 result.sockets().breachCount() + " in all");
-        assertTrue(result.sockets().service().tries().get("served") > 1_000, "it was served on");
+        assertTrue(result.sockets().service().tries().get("served") > 1_000, "more than 1,000 tries must be served");
     }
 
     /**
