--- a/src/main/java/mulleinfront/kit/DaemonProcess.java
+++ b/src/main/java/mulleinfront/kit/DaemonProcess.java
@@ -43,7 +43,8 @@
     /**
      * Membership addresses of a client proxy in a fleet.
      *
-     * @param fleetFile the fleet file
+     * @param peers addresses of all members by number, including its own
+     * @param fleetFile file with the fleet settings
      */
     record FleetMembership(InetSocketAddress listen, List<InetSocketAddress> peers, Path fleetFile) {}
 
--- a/src/main/java/mulleinfront/kit/RealRun.java
+++ b/src/main/java/mulleinfront/kit/RealRun.java
@@ -224,7 +224,7 @@
                 });
                 RuntimeException defect = onLoop(clock::unexpectedException);
                 if (defect != null) {
-                    failures.add("the kit: " + defect + " at " + defect.getStackTrace()[0]);
+                    failures.add("unexpected exception in the kit: " + defect + " at " + defect.getStackTrace()[0]);
                 }
                 if (servers.bindFailure() != null) {
                     failures.add("the kit: " + servers.bindFailure().getMessage());
--- a/src/main/java/mulleinfront/kit/ScaleRun.java
+++ b/src/main/java/mulleinfront/kit/ScaleRun.java
@@ -286,11 +286,11 @@
             throw new BadFileException(
                     "kit scale: needs " + plan.processes() + " processes; the maximum is " + MAX_PROCESSES);
         }
-        long half = RealRun.memoryKb("MemTotal:") / 2;
-        if (plan.needsKb() > half || plan.needsKb() > RealRun.memoryKb("MemAvailable:")) {
+        long halfMemoryKb = RealRun.memoryKb("MemTotal:") / 2;
+        if (plan.needsKb() > halfMemoryKb || plan.needsKb() > RealRun.memoryKb("MemAvailable:")) {
             throw new BadFileException(
                     "kit scale: may need " + plan.needsKb() / 1024 + " MB, which exceeds half of this machine's"
-                            + " memory, " + half / 1024 + " MB, or its available memory, "
+                            + " memory, " + halfMemoryKb / 1024 + " MB, or its available memory, "
                             + RealRun.memoryKb("MemAvailable:") / 1024
                             + " MB");
         }
