--- a/src/main/java/mulleinfront/settings/ControlFile.java
+++ b/src/main/java/mulleinfront/settings/ControlFile.java
@@ -55,7 +55,7 @@
             }
             Node node = new Node(name, readAddress(section, "consensus"), readAddress(section, "door"));
             if (!seen.add(name)) {
-                throw section.error("name", "there is another machine " + name);
+                throw section.error("name", "the name " + name + " is already used in this file");
             }
             if (!seen.add(node.consensus())) {
                 throw section.error("consensus", "this address is already used in this file");
@@ -67,7 +67,7 @@
             nodes.add(node);
         }
         if (nodes.size() != 3) {
-            throw root.error("machine", "there must be three [[machine]], not " + nodes.size());
+            throw root.error("machine", "there must be three [[machine]] tables, not " + nodes.size());
         }
         PublisherSettings publisher = readPublisherSettings(root.table("handout"));
         SubscriberSettings subscriber =
--- a/src/main/java/mulleinfront/settings/DifferenceLine.java
+++ b/src/main/java/mulleinfront/settings/DifferenceLine.java
@@ -112,7 +112,7 @@
     public static Difference read(byte[] line) throws IOException {
         try (JsonParser in = EndpointList.JSON.createParser(line)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException("not an object");
+                throw new IOException("a delta must be an object");
             }
             in.nextToken();
             Difference delta = read(in);
--- a/src/main/java/mulleinfront/settings/EndpointList.java
+++ b/src/main/java/mulleinfront/settings/EndpointList.java
@@ -74,7 +74,7 @@
         while (in.nextToken() == JsonToken.START_OBJECT) {
             entries.add(readEntry(in));
         }
-        require(in.currentToken() == JsonToken.END_ARRAY, "servers must hold objects");
+        require(in.currentToken() == JsonToken.END_ARRAY, "servers must be an array of objects");
         return entries;
     }
 
@@ -102,7 +102,7 @@
                 default -> in.skipChildren();
             }
         }
-        require(id != null && address != null && availability != null, "a host without id, addr or state");
+        require(id != null && address != null && availability != null, "a host must have id, addr and state");
         return new Entry(id, address, zone, kind, cell, availability, weight, startedMs);
     }
 
--- a/src/main/java/mulleinfront/settings/FleetFile.java
+++ b/src/main/java/mulleinfront/settings/FleetFile.java
@@ -175,12 +175,12 @@
         }
         require(
                 name != null && NAME_PATTERN.matcher(name).matches(),
-                "name must have 1 to 32 printable characters without blanks, which a fleet needs");
-        require(listen != null, "peer_listen is missing, which a fleet needs");
-        require(!peers.isEmpty(), "peers is missing, which a fleet needs");
+                "name must have 1 to 32 printable characters without blanks; fleet membership requires it");
+        require(listen != null, "peer_listen is missing; fleet membership requires it");
+        require(!peers.isEmpty(), "peers is missing; fleet membership requires it");
         require(
                 memberNumber >= 0 && memberNumber < peers.size(),
-                "settings.me is " + memberNumber + ", and peers has the numbers 0 to " + (peers.size() - 1));
+                "settings.me is " + memberNumber + ", but peers has only the members 0 to " + (peers.size() - 1));
         return new LocalMember(name, memberNumber, listen, List.copyOf(peers));
     }
 
@@ -209,9 +209,9 @@
         List<InetSocketAddress> addresses = new ArrayList<>();
         Set<InetSocketAddress> seen = new HashSet<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
-            require(in.currentToken() == JsonToken.VALUE_STRING, "peers must hold addresses");
+            require(in.currentToken() == JsonToken.VALUE_STRING, "peers must be an array of addresses");
             InetSocketAddress address = EndpointList.parseAddress(in.getText());
-            require(seen.add(address), "peers names " + in.getText() + " twice: each member has an address of its own");
+            require(seen.add(address), "peers contains " + in.getText() + " twice; each member needs its own address");
             addresses.add(address);
         }
         return addresses;
--- a/src/main/java/mulleinfront/settings/LoadReport.java
+++ b/src/main/java/mulleinfront/settings/LoadReport.java
@@ -63,7 +63,7 @@
             }
         }
         if (in.currentToken() != JsonToken.END_OBJECT) {
-            throw new IOException("malformed input: a load report breaks off");
+            throw new IOException("malformed input: the load report ends early");
         }
         return inFlight >= 0 && inFlight < Double.POSITIVE_INFINITY ? inFlight : Double.NaN;
     }
--- a/src/main/java/mulleinfront/settings/ProcessSettings.java
+++ b/src/main/java/mulleinfront/settings/ProcessSettings.java
@@ -74,7 +74,7 @@
         int socketsPerLoop = (totalSockets - ownSockets - loopSockets * (loops - 1)) / loops;
         if (socketsPerLoop < 2) {
             throw new BadFileException("loops: " + loops + " event loops need more than the " + totalSockets
-                    + " descriptors that limits and memory (" + HEAP_BYTES_PER_SOCKET / 1024 + " KB each) allow");
+                    + " descriptors that its limits and heap (" + HEAP_BYTES_PER_SOCKET / 1024 + " KB each) allow");
         }
         return IntStream.range(0, loops)
                 .mapToObj(i -> config.forLoop(i, loops, socketsPerLoop + ownSockets))
--- a/src/main/java/mulleinfront/settings/Section.java
+++ b/src/main/java/mulleinfront/settings/Section.java
@@ -174,8 +174,8 @@
         if (value == null) {
             return defaultValue;
         }
-        if (value instanceof Boolean b) {
-            return b;
+        if (value instanceof Boolean flag) {
+            return flag;
         }
         throw error(key, "must be true or false");
     }
@@ -195,7 +195,7 @@
         for (E constant : type.getEnumConstants()) {
             names.add(outputName(constant));
         }
-        throw error(key, "'" + text + "' is none of " + String.join(", ", names));
+        throw error(key, "'" + text + "' is not one of " + String.join(", ", names));
     }
 
     /** Returns the output name of an enum constant: lower case, with hyphens. */
@@ -231,8 +231,8 @@
         if (value == null) {
             return defaultValue;
         }
-        if (value instanceof Long l && l >= min && l <= 10_000_000) {
-            return (int) (long) l;
+        if (value instanceof Long whole && whole >= min && whole <= 10_000_000) {
+            return (int) (long) whole;
         }
         throw error(key, "must be a whole number, " + min + " or more");
     }
@@ -247,7 +247,7 @@
     }
 
     private double plainNumber(String key, Object value, double min) throws BadFileException {
-        double number = value instanceof Long l ? l : value instanceof Double f ? f : Double.NaN;
+        double number = value instanceof Long whole ? whole : value instanceof Double decimal ? decimal : Double.NaN;
         if (!(number >= min) || Double.isInfinite(number)) {
             throw error(
                     key,
@@ -268,7 +268,7 @@
     }
 
     private double time(String key, Object value) throws BadFileException {
-        String text = value instanceof String s ? s.strip() : String.valueOf(value);
+        String text = value instanceof String string ? string.strip() : String.valueOf(value);
         int unitStart = text.length();
         while (unitStart > 0 && Character.isLetter(text.charAt(unitStart - 1))) {
             unitStart--;
@@ -292,9 +292,9 @@
     }
 
     private double share(String key, Object value, double max) throws BadFileException {
-        String text = value instanceof String s ? s.strip() : String.valueOf(value);
+        String text = value instanceof String string ? string.strip() : String.valueOf(value);
         if (!text.endsWith("%")) {
-            throw error(key, "'" + text + "' is no share: a percentage, as \"17%\"");
+            throw error(key, "'" + text + "' is not a share: it must be a percentage, such as \"17%\"");
         }
         double fraction = parseNumber(key, text, text.substring(0, text.length() - 1)) / 100;
         if (fraction > max) {
@@ -309,10 +309,10 @@
         if (value == null) {
             return defaultValue;
         }
-        if (value instanceof String s && s.strip().endsWith("/s")) {
-            return parseNumber(key, s, s.strip().substring(0, s.strip().length() - 2));
+        if (value instanceof String text && text.strip().endsWith("/s")) {
+            return parseNumber(key, text, text.strip().substring(0, text.strip().length() - 2));
         }
-        throw error(key, "'" + value + "' is no rate: a number for each second, as \"240/s\"");
+        throw error(key, "'" + value + "' is not a rate: it must be a number per second, such as \"240/s\"");
     }
 
     private double parseNumber(String key, String original, String number) throws BadFileException {
@@ -341,7 +341,7 @@
             return Range.of(parser.parse(value));
         }
         if (array.size() != 2) {
-            throw error(key, "a range has two ends, as [\"1ms\", \"2ms\"]");
+            throw error(key, "a range must have two bounds, such as [\"1ms\", \"2ms\"]");
         }
         Range range = new Range(parser.parse(array.get(0)), parser.parse(array.get(1)));
         if (range.low() > range.high()) {
