--- a/src/main/java/mulleinfront/benchlink/Adapter.java
+++ b/src/main/java/mulleinfront/benchlink/Adapter.java
@@ -86,7 +86,7 @@
             throw new ProtocolException("a batch ends early");
         }
         if (!hasTime) {
-            throw new ProtocolException("a batch without wallUs");
+            throw new ProtocolException("a batch must have wallUs");
         }
         for (int group = 0; group < events.groups(); group++) {
             dispatch(events.instance(group), events.firstEvent(group), events.endEvent(group), now);
@@ -102,7 +102,7 @@
         for (int i = firstEvent; i < endEvent; i++) {
             EventReader.Event event = events.event(i);
             if (event.type == null) {
-                throw new ProtocolException("an event without m");
+                throw new ProtocolException("an event must have m");
             }
             if (event.type.equals("CATALOG")) {
                 if (event.tableIndex < 0 || event.tableIndex >= TABLE_COUNT) {
@@ -233,7 +233,7 @@
                 case "full" -> Source.FULL;
                 case "delta" -> Source.DELTA;
                 case "failed" -> null;
-                default -> throw new ProtocolException("DISCOVERY: unknown how " + event.updateKind);
+                default -> throw new ProtocolException("DISCOVERY: unknown value of how: " + event.updateKind);
             };
             if (source == null) {
                 balancer.onDiscoveryFailed(now);
--- a/src/main/java/mulleinfront/benchlink/EventReader.java
+++ b/src/main/java/mulleinfront/benchlink/EventReader.java
@@ -90,7 +90,7 @@
         while (in.nextToken() == JsonToken.START_OBJECT) {
             readGroup();
         }
-        expect(JsonToken.END_ARRAY, "proxys must hold objects");
+        expect(JsonToken.END_ARRAY, "proxys must be an array of objects");
     }
 
     private void readGroup() throws IOException {
@@ -108,13 +108,13 @@
                 while (in.nextToken() == JsonToken.START_OBJECT) {
                     readEvent();
                 }
-                expect(JsonToken.END_ARRAY, "in must hold objects");
+                expect(JsonToken.END_ARRAY, "in must be an array of objects");
             } else {
                 in.skipChildren();
             }
         }
         if (!hasNumber) {
-            throw new ProtocolException("an instance without i");
+            throw new ProtocolException("an instance must have i");
         }
         if (3 * groupCount + 3 > groups.length) {
             groups = java.util.Arrays.copyOf(groups, 2 * groups.length);
@@ -189,11 +189,11 @@
                 }
             }
             if (id == null) {
-                throw new ProtocolException("CATALOG: a row without host");
+                throw new ProtocolException("CATALOG: a row must have host");
             }
             endpoints.add(new Endpoint(id, zone, cell, kind, availability, weight, startedAtUs));
         }
-        expect(JsonToken.END_ARRAY, "rowsIn must hold objects");
+        expect(JsonToken.END_ARRAY, "rowsIn must be an array of objects");
         return List.copyOf(endpoints);
     }
 
--- a/src/main/java/mulleinfront/capacity/Capacity.java
+++ b/src/main/java/mulleinfront/capacity/Capacity.java
@@ -50,7 +50,7 @@
             }
         }
         estimates();
-        requirements.forEach(n -> n.faults().forEach(size::of));
+        requirements.forEach(r -> r.faults().forEach(size::of));
     }
 
     public Size size() {
@@ -107,7 +107,7 @@
             Fit fit = isCount ? null : fits.get(term.slope());
             if (!isCount && !slopes.containsKey(term.slope())) {
                 throw new IllegalArgumentException("row " + row.role() + ", " + row.part() + ", " + row.when()
-                        + ": there is no slope " + term.slope());
+                        + ": unknown slope " + term.slope());
             }
             double summand =
                     !isCount && fit == null ? Double.NaN : isCount ? size.of(term.at()) : fit.at(size.of(term.at()));
@@ -139,7 +139,7 @@
             cells.stream()
                     .map(c -> estimate(row, c))
                     .max(Comparator.comparingDouble(Estimate::budgetShare))
-                    .filter(f -> f.budgetShare() > 0)
+                    .filter(e -> e.budgetShare() > 0)
                     .ifPresent(worst::add);
         }
         worst.sort(Comparator.comparingDouble(Estimate::budgetShare).reversed());
@@ -166,7 +166,7 @@
     /** Returns the largest share of a budget among the rows that the mechanism serves or would serve. */
     public double maxBudgetShare(Requirement requirement) {
         return byBudgetShare().stream()
-                .filter(f -> f.row().part().equals(requirement.rows()))
+                .filter(e -> e.row().part().equals(requirement.rows()))
                 .mapToDouble(Estimate::budgetShare)
                 .findFirst()
                 .orElse(0);
@@ -178,9 +178,9 @@
      */
     public List<Requirement> requirementsByUrgency() {
         List<Requirement> sorted = new ArrayList<>(requirements);
-        sorted.sort(Comparator.<Requirement>comparingDouble(n -> -maxBudgetShare(n))
-                .thenComparingInt(n -> -faultTypes(n))
-                .thenComparingDouble(n -> -occurrencesPerDay(n)));
+        sorted.sort(Comparator.<Requirement>comparingDouble(r -> -maxBudgetShare(r))
+                .thenComparingInt(r -> -faultTypes(r))
+                .thenComparingDouble(r -> -occurrencesPerDay(r)));
         return sorted;
     }
 }
--- a/src/main/java/mulleinfront/capacity/Fit.java
+++ b/src/main/java/mulleinfront/capacity/Fit.java
@@ -47,13 +47,13 @@
             return outputName;
         }
 
-        private double growth(double x) {
+        private double growth(double size) {
             return switch (this) {
                 case CONSTANT -> 0;
-                case AFFINE, BOUNDED -> x;
-                case LOG -> StrictMath.log(Math.max(1, x)) / StrictMath.log(2);
-                case N_LOG_N -> x * StrictMath.log(Math.max(1, x)) / StrictMath.log(2);
-                case SQUARE -> x * x;
+                case AFFINE, BOUNDED -> size;
+                case LOG -> StrictMath.log(Math.max(1, size)) / StrictMath.log(2);
+                case N_LOG_N -> size * StrictMath.log(Math.max(1, size)) / StrictMath.log(2);
+                case SQUARE -> size * size;
             };
         }
     }
@@ -123,33 +123,33 @@
 
     /** Fits one form by least squares. */
     static Fit leastSquares(List<Point> points, Form form) {
-        double n = points.size();
+        double count = points.size();
         double sumX = 0;
         double sumY = 0;
         double sumXX = 0;
         double sumXY = 0;
         double maxValue = 0;
-        for (Point p : points) {
-            double g = form.growth(p.x);
-            sumX += g;
-            sumY += p.y;
-            sumXX += g * g;
-            sumXY += g * p.y;
-            maxValue = Math.max(maxValue, Math.abs(p.y));
+        for (Point point : points) {
+            double x = form.growth(point.x);
+            sumX += x;
+            sumY += point.y;
+            sumXX += x * x;
+            sumXY += x * point.y;
+            maxValue = Math.max(maxValue, Math.abs(point.y));
         }
-        double spread = n * sumXX - sumX * sumX;
-        double slope = spread == 0 ? 0 : (n * sumXY - sumX * sumY) / spread;
-        double base = (sumY - slope * sumX) / n;
+        double spread = count * sumXX - sumX * sumX;
+        double slope = spread == 0 ? 0 : (count * sumXY - sumX * sumY) / spread;
+        double base = (sumY - slope * sumX) / count;
         double residual = 0;
-        for (Point p : points) {
-            residual = Math.max(residual, Math.abs(base + slope * form.growth(p.x) - p.y));
+        for (Point point : points) {
+            residual = Math.max(residual, Math.abs(base + slope * form.growth(point.x) - point.y));
         }
         return new Fit(form, base, slope, maxValue == 0 ? 0 : residual / maxValue);
     }
 
     /** Returns the fitted value at a size; never negative. */
-    public double at(double x) {
-        return form == Form.BOUNDED ? Math.min(base, slope * x) : Math.max(0, base + slope * form.growth(x));
+    public double at(double size) {
+        return form == Form.BOUNDED ? Math.min(base, slope * size) : Math.max(0, base + slope * form.growth(size));
     }
 
     /** Returns a one-line description: the form, its coefficients and the largest residual. */
--- a/src/main/java/mulleinfront/capacity/Page.java
+++ b/src/main/java/mulleinfront/capacity/Page.java
@@ -97,7 +97,7 @@
                 .filter(r -> r.role().equals(role) && r.part().equals(part))
                 .toList();
         if (rows.isEmpty()) {
-            throw new IllegalArgumentException("there are no rows of " + role + ", " + part);
+            throw new IllegalArgumentException("there are no rows for " + role + ", " + part);
         }
         StringBuilder out = new StringBuilder("| when |");
         for (Measure measure : Measure.values()) {
--- a/src/main/java/mulleinfront/capacity/Size.java
+++ b/src/main/java/mulleinfront/capacity/Size.java
@@ -65,7 +65,7 @@
             default -> {
                 Double value = given.get(name);
                 if (value == null) {
-                    throw new IllegalArgumentException("size: there is no " + name);
+                    throw new IllegalArgumentException("size: unknown name " + name);
                 }
                 yield value;
             }
--- a/src/main/java/mulleinfront/manage/ManagementServer.java
+++ b/src/main/java/mulleinfront/manage/ManagementServer.java
@@ -32,7 +32,7 @@
     /** Time after which a connection without a streamed reply is closed. */
     static final long CONNECTION_TIMEOUT_MS = 5_000;
     /** Set on a connection with a streamed reply. */
-    private static final AttributeKey<Boolean> STREAMING = AttributeKey.valueOf(ManagementServer.class, "reads on");
+    private static final AttributeKey<Boolean> STREAMING = AttributeKey.valueOf(ManagementServer.class, "streaming");
 
     private final ArrayDeque<Channel> connections = new ArrayDeque<>();
     private final EventLoop loop;
--- a/src/test/java/mulleinfront/bench/CapacityPageTest.java
+++ b/src/test/java/mulleinfront/bench/CapacityPageTest.java
@@ -110,7 +110,7 @@
             {"\"hosts\":670", "\"hosts\":0", "hosts must be above 0"},
             {"\"rows\": [", "\"rows\": [\n{\"role\": 5, \"cells\": []},", "role must be a text"},
             {"\"rows\": [", "\"row\": [", "rows must be a list"},
-            {"\"id\":\"lists.full.bytes\"", "\"id\":\"lists.full.other\"", "there is no slope lists.full.bytes"},
+            {"\"id\":\"lists.full.bytes\"", "\"id\":\"lists.full.other\"", "unknown slope lists.full.bytes"},
             {"\"slopes\": [", "\"slopes\": {", "expect"}
         };
         for (String[] c : cases) {
--- a/src/test/java/mulleinfront/benchlink/AdapterTest.java
+++ b/src/test/java/mulleinfront/benchlink/AdapterTest.java
@@ -79,8 +79,7 @@
     @Test
     void unusualButValidBatchesAreAccepted() throws IOException {
         // Fields in another order, two groups of one instance, a table that is replaced within a batch, and events for
-        // an
-        // instance that has not been started.
+        // an instance that has not been started.
         String batch = "{\"proxys\":[{\"in\":[" + BOOT + "," + LIST + "],\"i\":1},{\"i\":9,\"in\":["
                 + requestEvent("00") + "]},"
                 + "{\"i\":1,\"in\":[" + LIST.replace("10.0.0.1", "10.0.0.2").replace("cached", "full") + ","
--- a/src/test/java/mulleinfront/capacity/CapacityTest.java
+++ b/src/test/java/mulleinfront/capacity/CapacityTest.java
@@ -106,7 +106,7 @@
                 List.of());
         assertEquals(
                 List.of("missing", "far over", "over", "within"),
-                capacity.byBudgetShare().stream().map(f -> f.row().when()).toList());
+                capacity.byBudgetShare().stream().map(e -> e.row().when()).toList());
     }
 
     @Test
