--- a/src/main/java/mulleinfront/cli/Bench.java
+++ b/src/main/java/mulleinfront/cli/BenchCommand.java
@@ -25,13 +25,13 @@
         name = "bench",
         mixinStandardHelpOptions = true,
         subcommands = {
-            Bench.EmulatorBench.class,
-            Bench.BalancerBench.class,
-            Bench.ThroughputBench.class,
+            BenchCommand.EmulatorBench.class,
+            BenchCommand.BalancerBench.class,
+            BenchCommand.ThroughputBench.class,
             CapacityCommand.class
         },
         description = "Measures this program on this machine.")
-final class Bench implements Runnable {
+final class BenchCommand implements Runnable {
     @Spec
     private CommandSpec spec;
 
--- a/src/main/java/mulleinfront/cli/CapacityCommand.java
+++ b/src/main/java/mulleinfront/cli/CapacityCommand.java
@@ -173,7 +173,7 @@
         if (rows.isEmpty()) {
             throw new ParameterException(
                     spec.commandLine(),
-                    "there is no role " + role + "; there are "
+                    "unknown role '" + role + "'; there are "
                             + capacity.rows().stream().map(Row::role).distinct().collect(Collectors.joining(", ")));
         }
         return rows;
@@ -254,7 +254,7 @@
                     estimate.isOverBudget() ? "  over" : "");
         }
         boolean over = estimates.stream().anyMatch(Estimate::isOverBudget);
-        out.println(over ? "over budget, or carried by nothing" : "all within budget");
+        out.println(over ? "over budget, or without a mechanism" : "all within budget");
         return over ? CommandLine.VIOLATION : CommandLine.SUCCESS;
     }
 }
--- a/src/main/java/mulleinfront/cli/CommandLine.java
+++ b/src/main/java/mulleinfront/cli/CommandLine.java
@@ -12,16 +12,16 @@
 @Command(
         name = "mulleinfront",
         subcommands = {
-            Emulate.class,
-            Kit.class,
-            Bench.class,
+            EmulateCommand.class,
+            KitCommand.class,
+            BenchCommand.class,
             FleetCommand.class,
             KeepCommand.class,
             ConfigCommand.class,
             HollowCommand.class
         },
         mixinStandardHelpOptions = true,
-        versionProvider = CommandLine.OwnVersion.class,
+        versionProvider = CommandLine.ProgramVersion.class,
         description = "A client-side load-balancing proxy, with an emulator and a test kit.",
         footer = {
             "",
@@ -40,7 +40,7 @@
     public static final int VIOLATION = 3;
 
     /** Prints the version for {@code --version}. */
-    static final class OwnVersion implements picocli.CommandLine.IVersionProvider {
+    static final class ProgramVersion implements picocli.CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
             return new String[] {"mulleinfront " + Version.CURRENT};
--- a/src/main/java/mulleinfront/cli/ConfigCommand.java
+++ b/src/main/java/mulleinfront/cli/ConfigCommand.java
@@ -142,7 +142,7 @@
 
         private static Map<String, Object> readObject(JsonParser in) throws IOException {
             if (in.currentToken() != JsonToken.START_OBJECT) {
-                throw new IOException("the response is not that of a control-plane node");
+                throw new IOException("the response is not from a control-plane node");
             }
             Map<String, Object> map = new HashMap<>();
             while (in.nextToken() == JsonToken.FIELD_NAME) {
@@ -160,7 +160,7 @@
             return map;
         }
 
-        @SuppressWarnings("unchecked") // object() stores a JSON array only as a list of such maps
+        @SuppressWarnings("unchecked") // readObject() stores a JSON array only as a list of such maps
         static List<Map<String, Object>> list(Map<String, Object> map, String name) {
             return (List<Map<String, Object>>) map.getOrDefault(name, List.of());
         }
@@ -195,7 +195,7 @@
                 names = "--based-on",
                 paramLabel = "N",
                 defaultValue = "-1",
-                description = "refused unless this is the newest version")
+                description = "number of the version that the file is based on; refused unless it is the newest")
         private long basedOn;
 
         @Option(
@@ -359,7 +359,7 @@
             name = "history",
             mixinStandardHelpOptions = true,
             description = "Lists the versions that the control plane still stores.",
-            footer = {"", "Exit codes: 0; 1 no control-plane node answers; 2 bad input."})
+            footer = {"", "Exit codes: 0 listed; 1 no control-plane node answers; 2 bad input."})
     static final class History extends NodeCommand {
         private static final int TIMEOUT_MS = 2_000;
 
--- a/src/main/java/mulleinfront/cli/DrawCommand.java
+++ b/src/main/java/mulleinfront/cli/DrawCommand.java
@@ -45,7 +45,7 @@
         if (parsed == null) {
             throw new ParameterException(
                     spec.commandLine(),
-                    "there is no family '" + name + "'; there are "
+                    "unknown family '" + name + "'; there are "
                             + Arrays.stream(GeneratedScenario.Family.values())
                                     .map(GeneratedScenario.Family::outputName)
                                     .collect(Collectors.joining(", ")));
@@ -55,7 +55,7 @@
 
     static int requirePositive(CommandSpec spec, int instances) {
         if (instances < 1) {
-            throw new ParameterException(spec.commandLine(), "--instances: at least 1");
+            throw new ParameterException(spec.commandLine(), "--instances must be 1 or more");
         }
         return instances;
     }
--- a/src/main/java/mulleinfront/cli/Emulate.java
+++ b/src/main/java/mulleinfront/cli/EmulateCommand.java
@@ -36,7 +36,7 @@
             "",
             "Exit codes: 0 all rules kept, 2 bad input (one line on standard error)," + " 3 a rule was broken."
         })
-final class Emulate implements Callable<Integer> {
+final class EmulateCommand implements Callable<Integer> {
     private static final int WORST_SEEDS_PRINTED = 5;
 
     @Spec
@@ -281,6 +281,6 @@
         }
         throw new ParameterException(
                 spec.commandLine(),
-                "--seeds: '" + seeds + "' is no range of seeds: A..B with A at most B, such as 1..500");
+                "--seeds: '" + seeds + "' is not a range of seeds: it must be A..B with A at most B, such as 1..500");
     }
 }
--- a/src/main/java/mulleinfront/cli/FleetCommand.java
+++ b/src/main/java/mulleinfront/cli/FleetCommand.java
@@ -82,7 +82,7 @@
                 return socket;
             } catch (IOException e) {
                 socket.close();
-                throw new IOException("no connection to " + address + ": " + e.getMessage(), e);
+                throw new IOException("failed to connect to " + address + ": " + e.getMessage(), e);
             }
         }
 
@@ -142,13 +142,7 @@
 
         private static void parse(String reply, Map<String, String> summary, StringBuilder table) throws IOException {
             table.append(String.format(
-                    Locale.ROOT,
-                    "%n%-8s %-20s %-10s %10s  %s%n",
-                    "member",
-                    "name",
-                    "state",
-                    "since",
-                    "by the word of"));
+                    Locale.ROOT, "%n%-8s %-20s %-10s %10s  %s%n", "member", "name", "state", "since", "reported by"));
             try (JsonParser in = new JsonFactory().createParser(reply)) {
                 in.nextToken();
                 while (in.nextToken() == JsonToken.FIELD_NAME) {
--- a/src/main/java/mulleinfront/cli/GraphCommand.java
+++ b/src/main/java/mulleinfront/cli/GraphCommand.java
@@ -108,7 +108,7 @@
         out.print(report.text());
         out.printf(
                 Locale.ROOT,
-                "played in %.1f s, %.1f s of processor: %.2f virtual seconds of load a CPU second%n",
+                "run time %.1f s, CPU time %.1f s: %.2f virtual seconds of load per CPU second%n",
                 (System.nanoTime() - startNs) / 1e9,
                 cpuSeconds,
                 report.lengthUs() / 1e6 / Math.max(1e-3, cpuSeconds));
--- a/src/main/java/mulleinfront/cli/Kit.java
+++ b/src/main/java/mulleinfront/cli/KitCommand.java
@@ -35,9 +35,15 @@
 @Command(
         name = "kit",
         mixinStandardHelpOptions = true,
-        subcommands = {Kit.Run.class, Kit.Suite.class, Kit.ListScenarios.class, ScaleCommand.class, SoakCommand.class},
+        subcommands = {
+            KitCommand.Run.class,
+            KitCommand.Suite.class,
+            KitCommand.ListScenarios.class,
+            ScaleCommand.class,
+            SoakCommand.class
+        },
         description = "Fault-injection tests on real loopback sockets, against client proxies that run as processes.")
-final class Kit implements Runnable {
+final class KitCommand implements Runnable {
     /** The versions of test kit and client proxy differ. */
     static final int WRONG_VERSION = 4;
     /** The machine was too busy for a verdict. */
@@ -61,9 +67,9 @@
         @Option(
                 names = "--daemon",
                 paramLabel = "CMD",
-                description =
-                        "the shell command that starts one client proxy"
-                                + " (default: the run line of deploy/balancer.toml, if there is one here, else this program's serve)")
+                description = "the shell command that starts one client proxy"
+                        + " (default: the run line of deploy/balancer.toml in the working directory, if it exists,"
+                        + " else this program's serve)")
         private String daemon;
 
         @Option(
@@ -125,7 +131,7 @@
                 Report.json(result, anyVersion, json);
                 Report.junit(scenario.name(), result, anyVersion, junit);
             } catch (IOException e) {
-                err.println("mulleinfront: the report can't be written (" + e.getMessage() + "); it is above");
+                err.println("mulleinfront: the report can't be written (" + e.getMessage() + "); it is printed above");
             }
             reported.countDown();
             try {
@@ -175,8 +181,8 @@
             description = "Runs a scenario on sockets, and on virtual time for comparison, and checks the four rules.",
             footer = {
                 "",
-                "Exit codes: 0 all rules kept, 2 bad input, 3 a rule broken or a client proxy failed, 4 daemon"
-                        + " and kit of different versions, 5 the machine was too busy."
+                "Exit codes: 0 all rules kept, 2 bad input, 3 a rule was broken or a client proxy failed, 4 client"
+                        + " proxy and test kit have different versions, 5 the machine was too busy."
             })
     static final class Run extends ScenarioCommand {
         @Parameters(paramLabel = "SCENARIO", description = "a scenario file, such as scenarios/calm.toml")
@@ -199,7 +205,7 @@
     @Command(
             name = "suite",
             mixinStandardHelpOptions = true,
-            description = "Runs every scenario of a directory, some concurrently; exits with the worst exit code.")
+            description = "Runs every scenario of a directory, some concurrently; exits with the highest exit code.")
     static final class Suite extends ScenarioCommand {
         @Parameters(paramLabel = "DIR", defaultValue = "scenarios", description = "default ${DEFAULT-VALUE}")
         private Path directory;
@@ -264,8 +270,8 @@
         @Override
         public Integer call() throws BadFileException, IOException {
             for (Path file : scenarios(directory)) {
-                Scenario s = ScenarioReader.read(file);
-                spec.commandLine().getOut().printf("%-32s %s%n", file, s.title());
+                Scenario scenario = ScenarioReader.read(file);
+                spec.commandLine().getOut().printf("%-32s %s%n", file, scenario.title());
             }
             spec.commandLine().getOut().flush();
             return CommandLine.SUCCESS;
--- a/src/main/java/mulleinfront/cli/ScaleCommand.java
+++ b/src/main/java/mulleinfront/cli/ScaleCommand.java
@@ -103,7 +103,8 @@
             names = "--daemon",
             paramLabel = "CMD",
             description = "the shell command that starts one client proxy (default:"
-                    + " the run line of deploy/balancer.toml, if there is one here, else this program's serve)")
+                    + " the run line of deploy/balancer.toml in the working directory, if it exists,"
+                    + " else this program's serve)")
     private String daemon;
 
     @Option(
@@ -144,8 +145,8 @@
         ScaleReport report = new ScaleRun(
                         plan,
                         scenario,
-                        Kit.daemonCommand(daemon),
-                        Kit.javaCommand("-Xmx256m"),
+                        KitCommand.daemonCommand(daemon),
+                        KitCommand.javaCommand("-Xmx256m"),
                         Path.of("").toAbsolutePath(),
                         directory,
                         line -> spec.commandLine().getErr().println("kit scale: " + line))
--- a/src/main/java/mulleinfront/cli/SoakCommand.java
+++ b/src/main/java/mulleinfront/cli/SoakCommand.java
@@ -25,7 +25,8 @@
                 "Runs random, overlapping faults on sockets against client proxies as processes, seed after seed.",
         footer = {
             "",
-            "Exit codes: 0 all rules kept, 2 bad input, 3 a rule broken or a client proxy failed, 5 the machine was too busy."
+            "Exit codes: 0 all rules kept, 2 bad input, 3 a rule was broken or a client proxy failed, 5 the machine was"
+                    + " too busy."
         })
 final class SoakCommand implements Callable<Integer> {
     /** Limit on the failures printed for one seed. */
@@ -67,7 +68,8 @@
             names = "--daemon",
             paramLabel = "CMD",
             description = "the shell command that starts one client proxy (default:"
-                    + " the run line of deploy/balancer.toml, if there is one here, else this program's serve)")
+                    + " the run line of deploy/balancer.toml in the working directory, if it exists,"
+                    + " else this program's serve)")
     private String daemon;
 
     @Option(
@@ -82,7 +84,7 @@
         try {
             soak = new Soak(
                     new Soak.Plan(instances, lengthS, alsoListed),
-                    Kit.daemonCommand(daemon),
+                    KitCommand.daemonCommand(daemon),
                     Path.of("").toAbsolutePath(),
                     line -> {});
         } catch (IllegalArgumentException e) {
@@ -111,7 +113,7 @@
                     directory);
             out.flush();
         }
-        return !failed.isEmpty() ? CommandLine.VIOLATION : busy ? Kit.TOO_BUSY : CommandLine.SUCCESS;
+        return !failed.isEmpty() ? CommandLine.VIOLATION : busy ? KitCommand.TOO_BUSY : CommandLine.SUCCESS;
     }
 
     private void print(Soak.SeedResult result) {
--- a/src/test/java/mulleinfront/cli/CapacityCommandTest.java
+++ b/src/test/java/mulleinfront/cli/CapacityCommandTest.java
@@ -57,7 +57,7 @@
     void badInputIsOneLineAndChangesNothing() throws IOException {
         Path bad = Files.writeString(folder.resolve("bad.json"), "{\"size\": {}\n, nonsense");
         assertRejected("bad.json:2", "--as-held", "--from", bad.toString());
-        assertRejected("there is no role nobody", "--as-held", "--role", "nobody");
+        assertRejected("unknown role 'nobody'; there are ", "--as-held", "--role", "nobody");
         assertRejected("sizes or more", "--role", "lists", "--at", "50,100");
         assertRejected("--size", "--as-held", "--size", "0");
         assertRejected(
--- a/src/test/java/mulleinfront/cli/EmulateTest.java
+++ b/src/test/java/mulleinfront/cli/EmulateTest.java
@@ -16,6 +16,9 @@
 
 /** {@code emulate}: exit codes, output streams, and one-line error messages. */
 class EmulateTest {
+    private static final String NOT_A_RANGE =
+            " is not a range of seeds: it must be A..B with A at most B, such as 1..500";
+
     @TempDir
     Path folder;
 
@@ -109,9 +112,9 @@
         assertRejected("Missing required parameter", "emulate");
         assertRejected("'--sed'", "emulate", scenario, "--sed", 1);
         assertRejected("'x' is not a long", "emulate", scenario, "--seed", "x");
-        assertRejected("is no range of seeds", "emulate", scenario, "--seeds", "9..1");
-        assertRejected("is no range of seeds", "emulate", scenario, "--seeds", "9");
-        assertRejected("is no range of seeds", "emulate", scenario, "--seeds", "..");
+        assertRejected("--seeds: '9..1'" + NOT_A_RANGE, "emulate", scenario, "--seeds", "9..1");
+        assertRejected("--seeds: '9'" + NOT_A_RANGE, "emulate", scenario, "--seeds", "9");
+        assertRejected("--seeds: '..'" + NOT_A_RANGE, "emulate", scenario, "--seeds", "..");
         assertRejected("--jobs must be 1 or more", "emulate", scenario, "--seeds", "1..2", "--jobs", 0);
         assertRejected("are for one seed", "emulate", scenario, "--seeds", "1..2", "--json", folder.resolve("j"));
         assertRejected("can't be written", "emulate", scenario, "--trace", folder.resolve("no/such/folder"));
--- a/src/test/java/mulleinfront/cli/KitTest.java
+++ b/src/test/java/mulleinfront/cli/KitTest.java
@@ -55,7 +55,7 @@
         assertTrue(err.toString().contains("the report can't be written ("), err.toString());
         assertTrue(out.toString().contains("rules: all four kept"), out.toString());
         // On a busy machine there is no verdict, but the report is still printed.
-        assertTrue(code == CommandLine.SUCCESS || code == Kit.TOO_BUSY, "exit code " + code);
+        assertTrue(code == CommandLine.SUCCESS || code == KitCommand.TOO_BUSY, "exit code " + code);
     }
 
     @Test
@@ -68,7 +68,7 @@
                 DAEMON + "mulleinfront.kit.BrokenDaemon other-version",
                 "--report",
                 folder.resolve("r").toString());
-        assertEquals(Kit.WRONG_VERSION, code, out + " " + err);
+        assertEquals(KitCommand.WRONG_VERSION, code, out + " " + err);
         for (String name : new String[] {"report.txt", "report.json", "junit.xml", "daemon-0.json"}) {
             assertTrue(Files.size(folder.resolve("r/day").resolve(name)) > 0, name);
         }
