--- a/src/test/java/mulleinfront/CallScheduleTest.java
+++ b/src/test/java/mulleinfront/CallScheduleTest.java
@@ -139,7 +139,7 @@
         assertTrue(schedule.callTimeoutUs() > 3 * SECOND_US, "" + schedule.callTimeoutUs());
         schedule.called(now);
         schedule.answered(now + SECOND_US);
-        assertTrue(schedule.callTimeoutUs() < SECOND_US, "given up within the time for asking again");
+        assertTrue(schedule.callTimeoutUs() < SECOND_US, "given up within the poll interval limit");
     }
 
     @Test
--- a/src/test/java/mulleinfront/LogicTest.java
+++ b/src/test/java/mulleinfront/LogicTest.java
@@ -268,7 +268,7 @@
         for (int k = 0; k < 60; k++) {
             sent += rig.endpointOf(rig.request(0, "k" + k, 1_000_000)) == null ? 0 : 1;
         }
-        assertTrue(sent < 12, "out " + sent);
+        assertTrue(sent < 12, "sent " + sent);
     }
 
     /** Serves requests, then starts the endpoint and counts the requests that it serves while cold. */
--- a/src/test/java/mulleinfront/OuterNamesTest.java
+++ b/src/test/java/mulleinfront/OuterNamesTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Names that users and other programs rely on must still stand in the program: settings, options, report keys. */
+/** Names that users and other programs rely on must still occur in the program: settings, options, report keys. */
 class OuterNamesTest {
     private static final Path NAMES = Path.of("docs/outer-names.txt");
     private static final Path CLASSES = Path.of("target/classes");
@@ -176,8 +176,8 @@
     }
 
     /**
-     * Whether a name stands in a string. A name that starts and ends with a letter, digit or underscore must have no
-     * letter or digit on either side; any other may stand anywhere.
+     * Whether a name occurs in a string. A name that starts and ends with a letter, digit or underscore must have no
+     * letter or digit on either side; any other may occur anywhere.
      */
     private static boolean containsWord(String string, String name) {
         boolean isWord = isWordCharacter(name.charAt(0)) && isWordCharacter(name.charAt(name.length() - 1));
@@ -192,12 +192,12 @@
         return false;
     }
 
-    private static boolean isWordCharacter(char c) {
-        return Character.isLetterOrDigit(c) || c == '_';
+    private static boolean isWordCharacter(char character) {
+        return Character.isLetterOrDigit(character) || character == '_';
     }
 
     @Test
-    void everyOuterNameStandsInTheProgram() throws Exception {
+    void everyOuterNameOccursInTheProgram() throws Exception {
         List<String> names = listedNames();
         assertTrue(names.size() > 1_000, names.size() + " names are read");
         assertEquals(List.of(), missing(names, programStrings()));
--- a/src/test/java/mulleinfront/OwnNamesTest.java
+++ b/src/test/java/mulleinfront/OwnNamesTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Several customers run the program: their names occur only in their settings, not in the program. */
+/** Several customers run the program. The names of their sites occur only in their settings, not in the program. */
 class OwnNamesTest {
     /** Classes, tenants, zones and server types of sites that are not in the repository. */
     private static final List<String> EXTERNAL_SITE_NAMES = List.of(
@@ -49,7 +49,7 @@
             "maly");
     /** Line of a site file with a name or zones. */
     private static final Pattern NAME_OR_ZONES = Pattern.compile("^(?:name|zones) = (.*)$", Pattern.MULTILINE);
-    /** Names of troubles are chosen by the bench, not by customers. */
+    /** A fault in a site file ({@code [[trouble]]}); its name is chosen by the bench, not by the customer. */
     private static final Pattern TROUBLE = Pattern.compile("\\[\\[trouble\\]\\]\\nname = .*");
 
     private static final Pattern QUOTED = Pattern.compile("\"([^\"]+)\"");
--- a/src/test/java/mulleinfront/Rig.java
+++ b/src/test/java/mulleinfront/Rig.java
@@ -43,7 +43,7 @@
         return settings(3, false, subscribe, classes);
     }
 
-    /** Settings of one of 500 instances, with free probes. */
+    /** Settings of one of 500 instances, with probes that cost nothing. */
     static Settings oneOfMany(boolean mayProbe, RequestClass... classes) {
         return settings(500, mayProbe, false, classes);
     }
@@ -167,8 +167,8 @@
     }
 
     @Override
-    public void onListExpired(Balancer.ListExpiryReason bound) {
-        log.add("list-overdue " + bound);
+    public void onListExpired(Balancer.ListExpiryReason reason) {
+        log.add("list-overdue " + reason);
     }
 
     @Override
--- a/src/test/java/mulleinfront/RulesTest.java
+++ b/src/test/java/mulleinfront/RulesTest.java
@@ -69,7 +69,7 @@
                     "sent to a drained " + endpointId);
             assertTrue(request.attempts.size() < 3, "too many attempts");
             for (AttemptRecord attempt : request.attempts) {
-                assertTrue(attempt.outcome != null, "two attempts out at once");
+                assertTrue(attempt.outcome != null, "two attempts in flight at once");
                 boolean mayHaveRun = attempt.outcome == null || !attempt.outcome.neverRan();
                 if (mayHaveRun && request.requestClass.effect() == Effect.FRAGILE) {
                     throw new AssertionError("fragile request sent twice");
@@ -301,7 +301,7 @@
         openRequest(checker, "a", Rig.RETRYABLE);
         assertThrows(AssertionError.class, () -> checker.send("a", "drained", 0));
         checker.send("a", "up", 0);
-        assertThrows(AssertionError.class, () -> checker.send("a", "far", 0), "two attempts out");
+        assertThrows(AssertionError.class, () -> checker.send("a", "far", 0), "two attempts in flight");
         checker.fail("a");
         assertThrows(AssertionError.class, () -> checker.fail("a"), "two answers");
         openRequest(checker, "b", Rig.FRAGILE);
--- a/src/test/java/mulleinfront/ShapeTest.java
+++ b/src/test/java/mulleinfront/ShapeTest.java
@@ -33,16 +33,16 @@
 import javax.tools.ToolProvider;
 import org.junit.jupiter.api.Test;
 
-/** The decision code's dependencies, the lengths of its methods and lines, and its ignorance of any deployment. */
+/** The decision code's dependencies, the lengths of its methods and lines, and that it names no deployment. */
 class ShapeTest {
     private static final Path SOURCES = Path.of("src/main/java/mulleinfront");
     private static final Path MODULE = SOURCES.resolve("Logic.java");
     /** Source files of the root package that are not decision code: the command line's entry and the package's doc. */
     private static final Set<String> NOT_DECISIONS = Set.of("Main.java", "package-info.java");
-    /** Columns to which the formatter wraps. */
-    private static final int MOST_COLUMNS = 120;
-    /** Lines of a method or constructor in formatted source; none is longer, so there are no exceptions. */
-    private static final int MOST_LINES = 80;
+    /** Line length at which the formatter wraps. */
+    private static final int MAX_COLUMNS = 120;
+    /** Maximum number of lines of a method or constructor in formatted source; there are no exceptions. */
+    private static final int MAX_LINES = 80;
 
     private static final JavaClasses MAIN = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -126,7 +126,7 @@
 
     /** Methods over the limit, each with its length. */
     private static List<MethodLength> tooLong(List<MethodLength> lengths) {
-        return lengths.stream().filter(m -> m.lines() > MOST_LINES).toList();
+        return lengths.stream().filter(m -> m.lines() > MAX_LINES).toList();
     }
 
     @Test
@@ -151,30 +151,30 @@
 
     @Test
     void aLongMethodIsFound() throws Exception {
-        String filler = "\n".repeat(MOST_LINES - 3);
+        String filler = "\n".repeat(MAX_LINES - 3);
         String source = "class A {\n  class B {\n    @Deprecated\n    void atLimit() {" + filler + "\n    }\n"
                 + "    /** Not counted. */\n    @Deprecated\n    B() {" + filler + "\n\n    }\n  }\n}\n";
         assertEquals(
-                List.of(new MethodLength("A.B.atLimit", MOST_LINES), new MethodLength("A.B.<init>", MOST_LINES + 1)),
+                List.of(new MethodLength("A.B.atLimit", MAX_LINES), new MethodLength("A.B.<init>", MAX_LINES + 1)),
                 methodLengths(source));
-        assertEquals(List.of(new MethodLength("A.B.<init>", MOST_LINES + 1)), tooLong(methodLengths(source)));
+        assertEquals(List.of(new MethodLength("A.B.<init>", MAX_LINES + 1)), tooLong(methodLengths(source)));
     }
 
     @Test
     void linesAreNarrow() throws Exception {
-        List<String> wide = new ArrayList<>();
+        List<String> tooWide = new ArrayList<>();
         for (Path file : decisionFiles()) {
             for (String line : Files.readAllLines(file)) {
-                if (line.length() > MOST_COLUMNS) {
-                    wide.add(file.getFileName() + ": " + line);
+                if (line.length() > MAX_COLUMNS) {
+                    tooWide.add(file.getFileName() + ": " + line);
                 }
             }
         }
-        assertEquals(List.of(), wide);
+        assertEquals(List.of(), tooWide);
     }
 
     @Test
-    void moduleKnowsNoDeployment() throws Exception {
+    void decisionsNameNoDeployment() throws Exception {
         for (Path file : List.of(MODULE, Path.of("src/main/java/mulleinfront/Balancer.java"))) {
             String text = Files.readString(file).toLowerCase();
             for (String name : List.of(
--- a/src/test/java/mulleinfront/UnservedReasonTest.java
+++ b/src/test/java/mulleinfront/UnservedReasonTest.java
@@ -16,9 +16,9 @@
 class UnservedReasonTest {
     private final List<UnservedReason> reasons = new ArrayList<>();
 
-    private Rig rig(boolean many) {
+    private Rig rig(boolean manyInstances) {
         Rig rig = new Rig(
-                many
+                manyInstances
                         ? Rig.oneOfMany(false, Rig.RETRYABLE, Rig.DEDUP, Rig.FRAGILE)
                         : Rig.settings(false, Rig.RETRYABLE, Rig.DEDUP, Rig.FRAGILE),
                 5);
