--- a/src/main/java/mulleinfront/cli/CapacityCommand.java
+++ b/src/main/java/mulleinfront/cli/CapacityCommand.java
@@ -136,13 +136,13 @@
             if (Arrays.stream(points).distinct().count() < Fit.MIN_SIZES
                     || Arrays.stream(points).anyMatch(n -> n < 10)) {
                 throw new ParameterException(
-                        spec.commandLine(), "a slope needs " + Fit.MIN_SIZES + " sizes or more, each of 10 at least");
+                        spec.commandLine(), "a slope needs " + Fit.MIN_SIZES + " sizes or more, each at least 10");
             }
         }
         if (requests < 1 || hosts != null && hosts < 10) {
             throw new ParameterException(
                     spec.commandLine(),
-                    hosts != null && hosts < 10 ? "--size must be 10 at least" : "--requests must be 1 at least");
+                    hosts != null && hosts < 10 ? "--size must be at least 10" : "--requests must be at least 1");
         }
         Capacity capacity = CapacityFile.read(input);
         List<Row> rows = rows(capacity);
