--- a/src/main/java/mulleinfront/emulator/Auditor.java
+++ b/src/main/java/mulleinfront/emulator/Auditor.java
@@ -195,8 +195,8 @@
      * Sets how long a proxy may take to notice that a client has disconnected: on sockets the close may cross data
      * that the proxy sends.
      */
-    void setDisconnectSlack(long us) {
-        disconnectSlackUs = us;
+    void setDisconnectSlack(long slackUs) {
+        disconnectSlackUs = slackUs;
     }
 
     /** Forgets a request that was never accepted: its connection closed before the proxy read it. */
@@ -290,7 +290,7 @@
         if (request.ended && now >= request.endedAt) {
             addBreach(Rule.LOST, now, proxy, id, "sent to " + host + " after its end");
         }
-        SentAttempt pinned = null;
+        SentAttempt possiblyRun = null;
         for (SentAttempt attempt : request.attempts) {
             if (attempt.number == number) {
                 continue;
@@ -298,31 +298,31 @@
             if (attempt.outcome == null) {
                 addBreach(Rule.TWICE, now, proxy, id, "attempt " + number + " while " + attempt.number + " is out");
             }
-            pinned = pinned == null && attempt.mayHaveRun() ? attempt : pinned;
+            possiblyRun = possiblyRun == null && attempt.mayHaveRun() ? attempt : possiblyRun;
         }
-        if (pinned != null && request.type.effect() == Effect.FRAGILE) {
+        if (possiblyRun != null && request.type.effect() == Effect.FRAGILE) {
             addBreach(
                     Rule.TWICE,
                     now,
                     proxy,
                     id,
-                    "sent again though attempt " + pinned.number + " at " + pinned.host + " may have run");
-        } else if (pinned != null && request.type.effect() == Effect.DEDUP) {
-            if (!sameGroup(request.type.scope(), pinned.host, host)) {
+                    "sent again though attempt " + possiblyRun.number + " at " + possiblyRun.host + " may have run");
+        } else if (possiblyRun != null && request.type.effect() == Effect.DEDUP) {
+            if (!sameGroup(request.type.scope(), possiblyRun.host, host)) {
                 addBreach(
                         Rule.TWICE,
                         now,
                         proxy,
                         id,
-                        "sent again to " + host + ", outside the group of " + pinned.host + ", which may have run it");
+                        "sent again to " + host + ", outside the group of " + possiblyRun.host + ", which may have run it");
             }
-            if (now > pinned.at + request.type.dedupWindowUs()) {
+            if (now > possiblyRun.at + request.type.dedupWindowUs()) {
                 addBreach(
                         Rule.TWICE,
                         now,
                         proxy,
                         id,
-                        "sent again " + (now - pinned.at) + " us after an attempt that may have run");
+                        "sent again " + (now - possiblyRun.at) + " us after an attempt that may have run");
             }
         }
         if (request.attempts.isEmpty() || request.attempts.get(request.attempts.size() - 1).number != number) {
--- a/src/main/java/mulleinfront/emulator/CallGraph.java
+++ b/src/main/java/mulleinfront/emulator/CallGraph.java
@@ -73,8 +73,8 @@
      */
     static CallGraph generate(GraphSpec spec, long seed) {
         if (spec.services() < spec.fronts() + spec.depth()) {
-            throw new IllegalArgumentException("fewer services than fronts and levels: " + spec.services() + " for "
-                    + spec.fronts() + " and " + spec.depth());
+            throw new IllegalArgumentException("fewer services than front services and levels: " + spec.services()
+                    + " services, " + spec.fronts() + " front services and " + spec.depth() + " levels");
         }
         CallGraph graph = new CallGraph(spec, RandomStream.of(seed, "graph"));
         graph.assignLevels();
@@ -92,9 +92,9 @@
         level[hub] = 1;
         chain[1] = hub;
         int next = hub + 1;
-        for (int l = 2; l <= spec.depth(); l++, next++) {
-            level[next] = l;
-            chain[l] = next;
+        for (int depth = 2; depth <= spec.depth(); depth++, next++) {
+            level[next] = depth;
+            chain[depth] = next;
         }
         for (; next < spec.services(); next++) {
             level[next] = spec.depth() < 2 ? 1 : 2 + chance.uniformBelow(spec.depth() - 1);
@@ -102,51 +102,51 @@
     }
 
     private void drawEdges() {
-        int n = spec.services();
+        int services = spec.services();
         for (int i = 0; i < spec.fronts(); i++) {
             drawEdges.add(new UnscaledEdge(i, chain[1], 1, true, false, false));
         }
-        for (int l = 1; l < spec.depth(); l++) {
-            drawEdges.add(new UnscaledEdge(chain[l], chain[l + 1], spec.chain(), true, false, false));
+        for (int depth = 1; depth < spec.depth(); depth++) {
+            drawEdges.add(new UnscaledEdge(chain[depth], chain[depth + 1], spec.chain(), true, false, false));
         }
-        boolean[][] called = new boolean[n][n];
+        boolean[][] called = new boolean[services][services];
         drawEdges.forEach(d -> called[d.from][d.to] = true);
         // Every other service is called by a service of a level between the front and its own.
-        for (int t = spec.fronts() + spec.depth(); t < n; t++) {
-            List<Integer> above = above(level[t]);
-            add(called, above.get(chance.uniformBelow(above.size())), t);
+        for (int service = spec.fronts() + spec.depth(); service < services; service++) {
+            List<Integer> above = above(level[service]);
+            add(called, above.get(chance.uniformBelow(above.size())), service);
         }
-        double[] popularity = RandomStream.zipfWeights(n, spec.skew());
-        int[] ranks = new int[n];
-        for (int i = 0; i < n; i++) {
+        double[] popularity = RandomStream.zipfWeights(services, spec.skew());
+        int[] ranks = new int[services];
+        for (int i = 0; i < services; i++) {
             ranks[i] = i;
         }
-        for (int i = n - 1; i > 0; i--) {
+        for (int i = services - 1; i > 0; i--) {
             int j = chance.uniformBelow(i + 1);
             int swapped = ranks[i];
             ranks[i] = ranks[j];
             ranks[j] = swapped;
         }
-        for (int s = spec.fronts(); s < n; s++) {
-            double[] weights = new double[n];
+        for (int caller = spec.fronts(); caller < services; caller++) {
+            double[] weights = new double[services];
             double sum = 0;
-            for (int t = 0; t < n; t++) {
-                weights[t] = level[t] > level[s] ? popularity[ranks[t]] : 0;
-                sum += weights[t];
+            for (int callee = 0; callee < services; callee++) {
+                weights[callee] = level[callee] > level[caller] ? popularity[ranks[callee]] : 0;
+                sum += weights[callee];
             }
             int furtherCalls = chance.uniformBelow(spec.fanOut() + 1);
             double[] summed = RandomStream.cumulative(weights);
             for (int i = 0; i < furtherCalls && sum > 0; i++) {
-                add(called, s, chance.weightedIndex(summed));
+                add(called, caller, chance.weightedIndex(summed));
             }
         }
     }
 
     private List<Integer> above(int below) {
         List<Integer> all = new ArrayList<>();
-        for (int s = spec.fronts(); s < level.length; s++) {
-            if (level[s] < below) {
-                all.add(s);
+        for (int service = spec.fronts(); service < level.length; service++) {
+            if (level[service] < below) {
+                all.add(service);
             }
         }
         return all;
@@ -189,8 +189,8 @@
     private double calls(double factor) {
         double sum = 0;
         double[] visits = visits(factor);
-        for (int s = spec.fronts(); s < visits.length; s++) {
-            sum += visits[s];
+        for (int service = spec.fronts(); service < visits.length; service++) {
+            sum += visits[service];
         }
         return sum;
     }
@@ -199,7 +199,7 @@
         if (calls(0) > spec.callsPerRequest()) {
             throw new IllegalArgumentException(String.format(
                     Locale.ROOT,
-                    "calls-per-request: the chain alone makes" + " %.2f calls, more than %.2f",
+                    "calls-per-request: the chain alone makes %.2f calls, more than %.2f",
                     calls(0),
                     spec.callsPerRequest()));
         }
@@ -215,27 +215,27 @@
         }
         double[] visits = visits(low);
         double[] work = new double[visits.length];
-        for (int s = 0; s < work.length; s++) {
-            work[s] = spec.workFactor().draw(chance::uniformBetween);
+        for (int service = 0; service < work.length; service++) {
+            work[service] = spec.workFactor().draw(chance::uniformBetween);
         }
         int[] hosts = hosts(visits, work);
         TreeMap<Integer, List<Edge>> edges = new TreeMap<>();
         int number = 0;
-        for (UnscaledEdge d : drawEdges) {
-            edges.computeIfAbsent(d.from, f -> new ArrayList<>())
-                    .add(new Edge(number++, d.from, d.to, probability(d, low), d.optional, d.reads));
+        for (UnscaledEdge edge : drawEdges) {
+            edges.computeIfAbsent(edge.from, f -> new ArrayList<>())
+                    .add(new Edge(number++, edge.from, edge.to, probability(edge, low), edge.optional, edge.reads));
         }
-        for (int s = 0; s < work.length; s++) {
-            String name = level[s] == 0 ? "front" + s : level[s] == 1 && s == chain[1] ? "hub" : "s" + s;
+        for (int service = 0; service < work.length; service++) {
+            String name = level[service] == 0 ? "front" + service : level[service] == 1 && service == chain[1] ? "hub" : "s" + service;
             nodes.add(new Node(
-                    s,
+                    service,
                     name,
-                    level[s],
+                    level[service],
                     chance.happens(spec.sequentialShare()),
-                    work[s],
-                    visits[s],
-                    hosts[s],
-                    List.copyOf(edges.getOrDefault(s, List.of()))));
+                    work[service],
+                    visits[service],
+                    hosts[service],
+                    List.copyOf(edges.getOrDefault(service, List.of()))));
         }
     }
 
@@ -244,26 +244,27 @@
         int[] hosts = new int[work.length];
         int atFront =
                 (int) Math.max(spec.fronts() * (long) spec.minHosts(), Math.round(spec.frontShare() * spec.hosts()));
-        for (int s = 0; s < spec.fronts(); s++) {
-            hosts[s] = atFront * (s + 1) / spec.fronts() - atFront * s / spec.fronts();
+        for (int service = 0; service < spec.fronts(); service++) {
+            hosts[service] = atFront * (service + 1) / spec.fronts() - atFront * service / spec.fronts();
         }
         int free = spec.hosts() - atFront;
         double all = 0;
-        for (int s = spec.fronts(); s < hosts.length; s++) {
-            hosts[s] = spec.minHosts();
+        for (int service = spec.fronts(); service < hosts.length; service++) {
+            hosts[service] = spec.minHosts();
             free -= spec.minHosts();
-            all += visits[s] * work[s];
+            all += visits[service] * work[service];
         }
         if (free < 0) {
-            throw new IllegalArgumentException("too few machines: " + spec.services() + " services of "
-                    + spec.minHosts() + " and " + atFront + " at the front need more than " + spec.hosts());
+            throw new IllegalArgumentException("too few machines: " + spec.services() + " services with at least "
+                    + spec.minHosts() + " machines each, and " + atFront + " for the front services, need more than "
+                    + spec.hosts());
         }
         double exactShare = 0;
         int assigned = 0;
-        for (int s = spec.fronts(); s < hosts.length; s++) {
-            exactShare += free * visits[s] * work[s] / all;
+        for (int service = spec.fronts(); service < hosts.length; service++) {
+            exactShare += free * visits[service] * work[service] / all;
             int more = (int) Math.round(exactShare) - assigned;
-            hosts[s] += more;
+            hosts[service] += more;
             assigned += more;
         }
         hosts[chain[1]] += free - assigned;
--- a/src/main/java/mulleinfront/emulator/Clients.java
+++ b/src/main/java/mulleinfront/emulator/Clients.java
@@ -167,11 +167,11 @@
         updateTenantWeights();
     }
 
-    void begin(long at) {
+    void begin(long delayUs) {
         if (scenario.load().shape() == Scenario.LoadShape.BURSTY) {
-            world.queue.after(at, this::toggleBurst);
+            world.queue.after(delayUs, this::toggleBurst);
         }
-        world.queue.after(at, this::scheduleArrival);
+        world.queue.after(delayUs, this::scheduleArrival);
     }
 
     /** Switches between burst and lull after a drawn time. */
--- a/src/main/java/mulleinfront/emulator/EmulatedWire.java
+++ b/src/main/java/mulleinfront/emulator/EmulatedWire.java
@@ -291,11 +291,11 @@
         }
 
         private long roundTripsUs(Host host, int trips) {
-            long us = 0;
+            long totalUs = 0;
             for (int i = 0; i < 2 * trips; i++) {
-                us += world.network.delay(zone, host.zone);
+                totalUs += world.network.delay(zone, host.zone);
             }
-            return us;
+            return totalUs;
         }
 
         private void accept(Host host) {
@@ -322,15 +322,15 @@
         /**
          * Sends the request, unless the core no longer wants the attempt. No other method sends a request.
          */
-        private void write(Link to) {
+        private void write(Link connection) {
             cancel(dial);
-            link = to;
-            to.current = this;
+            link = connection;
+            connection.current = this;
             if (!wanted.getAsBoolean()) {
                 finish(Outcome.IGNORED, null);
                 return;
             }
-            Host host = to.host;
+            Host host = connection.host;
             if (requestId != null) {
                 world.auditor.attemptSent(proxy, requestId, number, host.id, time.now());
                 world.lossAttribution.attemptSent(requestId, number, host);
@@ -342,7 +342,7 @@
             if (host.chance.happens(host.resetBeforeProbability)) {
                 // The server accepted the connection and reset it before the whole request arrived, so the request
                 // did not run.
-                close(to);
+                close(connection);
                 link = null;
                 if (newConnections < MAX_NEW_CONNECTIONS) {
                     connect();
@@ -353,26 +353,26 @@
             }
             written = true;
             if (world.network.delivers(proxy, zone, host)) {
-                world.queue.after(world.network.delay(zone, host.zone), () -> arrive(to));
+                world.queue.after(world.network.delay(zone, host.zone), () -> arrive(connection));
             }
         }
 
         /** Delivers the request to the server, if its process still has the connection. */
-        private void arrive(Link to) {
-            Host host = to.host;
-            if (!world.network.delivers(proxy, zone, host) || to.process.stopped() || !to.accepted) {
+        private void arrive(Link connection) {
+            Host host = connection.host;
+            if (!world.network.delivers(proxy, zone, host) || connection.process.stopped() || !connection.accepted) {
                 return;
             }
-            if (time.now() - to.lastResponseAt > to.process.spec().idleCloseUs()) {
-                world.reset(to);
+            if (time.now() - connection.lastResponseAt > connection.process.spec().idleCloseUs()) {
+                world.reset(connection);
                 return;
             }
             if (requestId == null) {
-                to.process.probe((result, inflight) -> respond(to, result, inflight));
+                connection.process.probe((result, inflight) -> respond(connection, result, inflight));
                 return;
             }
-            double work = call.work() + (to.unused ? to.process.handshakeWork() : 0);
-            to.unused = false;
+            double work = call.work() + (connection.unused ? connection.process.handshakeWork() : 0);
+            connection.unused = false;
             ServerModel.Job made = new ServerModel.Job(
                     requestId,
                     work,
@@ -380,7 +380,7 @@
                     call.effect(),
                     call.windowUs(),
                     endsAt,
-                    (result, inflight) -> ownWorkDone(to, result, inflight));
+                    (result, inflight) -> ownWorkDone(connection, result, inflight));
             if (graphCall != null) {
                 graphCall.attemptArrived(number, world.queue.now());
             }
@@ -388,23 +388,23 @@
                 job = made;
             }
             world.workArrived(host, proxy, requestId, work);
-            if (to.process.stopped()) {
+            if (connection.process.stopped()) {
                 return;
             }
-            to.process.offer(made);
+            connection.process.offer(made);
             if (over) {
-                to.process.cancel(made);
+                connection.process.cancel(made);
             }
         }
 
         /**
          * Continues when the server's own work is done: in a call graph its further calls come before its response.
          */
-        private void ownWorkDone(Link to, ServerModel.End result, int inflight) {
+        private void ownWorkDone(Link connection, ServerModel.End result, int inflight) {
             if (graphCall == null || result != ServerModel.End.SERVED) {
-                respond(to, result, inflight);
+                respond(connection, result, inflight);
             } else if (!callerStoppedWaiting) {
-                handling = graphCall.serve(to.host, endsAt, end -> respond(to, end, inflight));
+                handling = graphCall.serve(connection.host, endsAt, end -> respond(connection, end, inflight));
                 handling.begin();
             }
         }
@@ -418,14 +418,14 @@
         }
 
         /** Sends the server's response. */
-        private void respond(Link to, ServerModel.End result, int inflight) {
-            Host host = to.host;
-            to.lastResponseAt = world.queue.now();
+        private void respond(Link connection, ServerModel.End result, int inflight) {
+            Host host = connection.host;
+            connection.lastResponseAt = world.queue.now();
             if (graphCall != null) {
                 graphCall.responseSent(number, world.queue.now());
             }
             if (requestId != null && host.chance.happens(host.resetAfterProbability)) {
-                world.reset(to);
+                world.reset(connection);
                 return;
             }
             if (!world.network.delivers(proxy, zone, host)) {
@@ -434,27 +434,27 @@
             world.queue.after(world.network.delay(zone, host.zone), () -> {
                 if (world.network.delivers(proxy, zone, host)) {
                     process.runOrDefer(() -> {
-                        if (to.open && to.current == this) {
-                            answered(to, result, inflight);
+                        if (connection.open && connection.current == this) {
+                            answered(connection, result, inflight);
                         }
                     });
                 }
             });
         }
 
-        private void answered(Link to, ServerModel.End result, int inflight) {
+        private void answered(Link connection, ServerModel.End result, int inflight) {
             link = null;
-            if (to.host.chance.happens(world.scenario.limits().reports())) {
+            if (connection.host.chance.happens(world.scenario.limits().reports())) {
                 end.loadReported(inflight);
             }
-            if (to.host.address == address && to.host.process == to.process && !to.process.draining()) {
-                addIdle(to);
+            if (connection.host.address == address && connection.host.process == connection.process && !connection.process.draining()) {
+                addIdle(connection);
             } else {
-                to.current = null;
-                close(to);
+                connection.current = null;
+                close(connection);
             }
             switch (result) {
-                case SERVED -> finish(Outcome.OK, new Answer(requestId, to.host.id));
+                case SERVED -> finish(Outcome.OK, new Answer(requestId, connection.host.id));
                 case ERROR -> finish(Outcome.FAILED, null);
                 case NOT_RUN -> finish(Outcome.QUEUE_FULL, null);
             }
--- a/src/main/java/mulleinfront/emulator/FaultReader.java
+++ b/src/main/java/mulleinfront/emulator/FaultReader.java
@@ -39,7 +39,7 @@
         Kind kind = section.enumValue("do", null, Kind.class);
         long at = section.time("at", null);
         if (at > scenario.lengthUs()) {
-            throw section.error("at", "the scenario is over by then");
+            throw section.error("at", "must not be after the end of the scenario");
         }
         long forUs = hasDuration(kind) ? section.time("for", 0L) : 0;
         double factor = 1;
@@ -87,7 +87,7 @@
             case ROLL_PROXIES -> {
                 share = section.share("batch", null, 1);
                 if (share <= 0 || forUs <= 0) {
-                    throw section.error("a roll needs a batch of more than zero, and a duration (for)");
+                    throw section.error("roll-proxies needs a batch of more than zero, and a duration (for)");
                 }
             }
             case PAUSE_PROXY -> forUs = positiveTime(section, "for");
@@ -119,7 +119,7 @@
             named = section.strings("servers");
             for (String name : named) {
                 if (!servers.contains(name)) {
-                    throw section.error("servers", "there is no server " + name);
+                    throw section.error("servers", "unknown server \"" + name + "\"");
                 }
             }
             zone = section.has("zone") ? indexOfName(section, "zone", scenario.zones()) : -1;
@@ -133,7 +133,7 @@
                 throw section.error("names no target: it needs servers, count, part or zone");
             }
             if (!named.isEmpty() && (zone >= 0 || count >= 0)) {
-                throw section.error("servers", "names all targets: count, part and zone don't go with it");
+                throw section.error("servers", "cannot be combined with count, part or zone");
             }
         } else if (targetsProxies(kind)) {
             proxy = section.has("proxy") ? section.count("proxy", null, 0) : -1;
@@ -149,13 +149,14 @@
                     || count > scenario.proxies().count()) {
                 throw section.error(
                         proxy >= 0 ? "proxy" : "count",
-                        "there are only " + scenario.proxies().count() + " client proxies, from 0 on");
+                        "there are only " + scenario.proxies().count() + " client proxies, numbered from 0");
             }
             if (kind == Kind.CUT_PROXY && section.has("zone")) {
                 zone = indexOfName(section, "zone", scenario.zones());
             }
             if (kind == Kind.CUT_PROXY && zone < 0 && !moved) {
-                throw section.error("names nothing to cut it from: it needs discovery = true, a zone, or both");
+                throw section.error(
+                        "does not say what to partition the client proxy from: it needs discovery = true, a zone, or both");
             }
         } else if (kind == Kind.BURST) {
             count = section.count("requests", null, 1);
@@ -166,7 +167,7 @@
                     scenario.tenants().stream().map(Scenario.Tenant::name).toList());
         }
         if (targetsPeerNetwork(kind) && scenario.peers() == null) {
-            throw section.error("do", "client proxies do not speak to each other here: there is no [peers]");
+            throw section.error("do", "this fault needs [peers]: without it, client proxies do not exchange datagrams");
         }
         return new Fault(
                 kind,
@@ -194,7 +195,7 @@
         List<Integer> from = numbers(section, "from");
         List<Integer> to = numbers(section, "to");
         if (cut && from.isEmpty()) {
-            throw section.error("from", "a partition needs the numbers of one side, as \"0-4, 7\"");
+            throw section.error("from", "a partition needs the client proxies of one side, such as \"0-4, 7\"");
         }
         return new Scenario.DatagramEffects(
                 from,
@@ -219,14 +220,14 @@
                 if (low > high || high >= scenario.proxies().count()) {
                     throw section.error(
                             key,
-                            "'" + part.strip() + "' is no range of the "
-                                    + scenario.proxies().count() + " client proxies, from 0 on");
+                            "'" + part.strip() + "' is not a range of the "
+                                    + scenario.proxies().count() + " client proxies, which are numbered from 0");
                 }
                 for (int i = low; i <= high; i++) {
                     all.add(i);
                 }
             } catch (NumberFormatException e) {
-                throw section.error(key, "'" + part.strip() + "' is no number or range, as \"0-4, 7\"");
+                throw section.error(key, "'" + part.strip() + "' is not a number or range, such as \"0-4, 7\"");
             }
         }
         return all;
@@ -248,7 +249,7 @@
         String name = section.string(key, null);
         int at = names.indexOf(name);
         if (at < 0) {
-            throw section.error(key, "there is no " + key + " " + name);
+            throw section.error(key, "unknown " + key + " \"" + name + "\"");
         }
         return at;
     }
--- a/src/main/java/mulleinfront/emulator/FleetAuditor.java
+++ b/src/main/java/mulleinfront/emulator/FleetAuditor.java
@@ -237,51 +237,51 @@
         }
         int[] first = new int[members + 1];
         Arrays.fill(first, -1);
-        for (int m = 0; m < members; m++) {
-            if (!running[m] || paused[m] || leaving[m]) {
+        for (int member = 0; member < members; member++) {
+            if (!running[member] || paused[member] || leaving[member]) {
                 continue;
             }
-            int g = groupOf[m];
-            if (first[g] < 0) {
-                first[g] = m;
-            } else if (views[m].digest != views[first[g]].digest) {
+            int group = groupOf[member];
+            if (first[group] < 0) {
+                first[group] = member;
+            } else if (views[member].digest != views[first[group]].digest) {
                 addBreach(
                         Rule.VIEWS_DIFFER,
                         now,
-                        first[g],
-                        m,
-                        "members " + first[g] + " and " + m + " hold different views");
+                        first[group],
+                        member,
+                        "members " + first[group] + " and " + member + " hold different views");
             }
         }
     }
 
     /** Group number of each member; members of one group reach each other, directly or through other members. */
     private int[] reachabilityGroups() {
-        int[] of = new int[members];
+        int[] groups = new int[members];
         if (links.fullyConnected()) {
             // All running members are in one group, whose number is no member's number.
-            Arrays.setAll(of, m -> running[m] && !paused[m] ? members : m);
-            return of;
+            Arrays.setAll(groups, m -> running[m] && !paused[m] ? members : m);
+            return groups;
         }
         boolean[][] reach = new boolean[2][];
-        Arrays.fill(of, -1);
-        for (int m = 0; m < members; m++) {
-            if (of[m] >= 0) {
+        Arrays.fill(groups, -1);
+        for (int member = 0; member < members; member++) {
+            if (groups[member] >= 0) {
                 continue;
             }
-            of[m] = m;
-            if (!running[m] || paused[m]) {
+            groups[member] = member;
+            if (!running[member] || paused[member]) {
                 continue;
             }
-            reach[0] = reachableFrom(m, true);
-            reach[1] = reachableFrom(m, false);
-            for (int k = m + 1; k < members; k++) {
-                if (of[k] < 0 && reach[0][k] && reach[1][k]) {
-                    of[k] = m;
+            reach[0] = reachableFrom(member, true);
+            reach[1] = reachableFrom(member, false);
+            for (int other = member + 1; other < members; other++) {
+                if (groups[other] < 0 && reach[0][other] && reach[1][other]) {
+                    groups[other] = member;
                 }
             }
         }
-        return of;
+        return groups;
     }
 
     private boolean[] reachableFrom(int start, boolean forward) {
--- a/src/main/java/mulleinfront/emulator/FleetRun.java
+++ b/src/main/java/mulleinfront/emulator/FleetRun.java
@@ -53,15 +53,15 @@
 
     /** Counts of datagrams and bytes that members sent, and of datagrams that they read, dropped or rate-limited. */
     public record TrafficCounts(long datagrams, long bytes, long read, long dropped, long rateLimited) {
-        private TrafficCounts plus(Fleet f) {
+        private TrafficCounts plus(Fleet fleet) {
             long lost =
-                    f.dropCounts().values().stream().mapToLong(Long::longValue).sum();
+                    fleet.dropCounts().values().stream().mapToLong(Long::longValue).sum();
             return new TrafficCounts(
-                    datagrams + f.sentDatagrams(),
-                    bytes + f.sentBytes(),
-                    read + f.receivedDatagrams(),
+                    datagrams + fleet.sentDatagrams(),
+                    bytes + fleet.sentBytes(),
+                    read + fleet.receivedDatagrams(),
                     dropped + lost,
-                    rateLimited + f.rateLimitedDatagrams());
+                    rateLimited + fleet.rateLimitedDatagrams());
         }
     }
 
@@ -130,13 +130,13 @@
     }
 
     /** Advances the simulation by a duration. */
-    public void run(long us) {
-        queue.runUntil(queue.now() + us);
+    public void run(long durationUs) {
+        queue.runUntil(queue.now() + durationUs);
     }
 
     /** Runs a task after a delay. */
-    public void after(long us, Runnable task) {
-        queue.after(us, task);
+    public void after(long delayUs, Runnable task) {
+        queue.after(delayUs, task);
     }
 
     public int members() {
@@ -209,10 +209,10 @@
     }
 
     /** Pauses a process for a duration, as SIGSTOP does. */
-    public void pause(int number, long us) {
+    public void pause(int number, long durationUs) {
         pause(number);
         Peer stopped = peers[number];
-        queue.after(us, () -> {
+        queue.after(durationUs, () -> {
             if (peers[number] == stopped) {
                 resume(number);
             }
@@ -316,8 +316,8 @@
     /** Counts of all members so far, including processes that ended. */
     public TrafficCounts trafficCounts() {
         TrafficCounts sum = endedMemberCounts;
-        for (Peer p : peers) {
-            sum = p == null ? sum : sum.plus(p.fleet());
+        for (Peer peer : peers) {
+            sum = peer == null ? sum : sum.plus(peer.fleet());
         }
         return sum;
     }
@@ -325,8 +325,8 @@
     /** Datagrams that members did not read, by reason. */
     public long dropped(DropReason reason) {
         long sum = 0;
-        for (Peer p : peers) {
-            sum += p == null ? 0 : p.fleet().dropCounts().getOrDefault(reason, 0L);
+        for (Peer peer : peers) {
+            sum += peer == null ? 0 : peer.fleet().dropCounts().getOrDefault(reason, 0L);
         }
         return sum;
     }
@@ -341,12 +341,12 @@
     public boolean viewsAgree() {
         long digest = 0;
         boolean any = false;
-        for (Peer p : peers) {
-            if (p != null && p.alive() && !p.paused()) {
-                if (any && p.fleet().digest() != digest) {
+        for (Peer peer : peers) {
+            if (peer != null && peer.alive() && !peer.paused()) {
+                if (any && peer.fleet().digest() != digest) {
                     return false;
                 }
-                digest = p.fleet().digest();
+                digest = peer.fleet().digest();
                 any = true;
             }
         }
@@ -356,8 +356,8 @@
     /** Number of running members that record a member in this state. */
     public int countRecording(int member, MemberState state) {
         int count = 0;
-        for (Peer p : peers) {
-            count += p != null && p.alive() && p.fleet().state(member) == state ? 1 : 0;
+        for (Peer peer : peers) {
+            count += peer != null && peer.alive() && peer.fleet().state(member) == state ? 1 : 0;
         }
         return count;
     }
--- a/src/main/java/mulleinfront/emulator/GeneratedScenario.java
+++ b/src/main/java/mulleinfront/emulator/GeneratedScenario.java
@@ -115,8 +115,9 @@
 
     public static final int MIN_SOAK_S = 12;
     /**
-     * Least and most time in microseconds in which discovery processes one call of every client proxy. Known
-     * deployments state 2 to 8 s.
+     * Least and most time in which discovery processes one call of every client proxy in a soak: 0.2 to 8 s, in
+     * microseconds. Known deployments state 2 to 8 s; the range begins lower so that it extends below
+     * {@link PropagationDeadlines#WATCH_ENDED_US}.
      */
     static final double[] CALLS_OF_ALL_PROXIES_US = {2e5, 8e6};
     /** Least and most timeout of a discovery call, microseconds. */
--- a/src/main/java/mulleinfront/emulator/GraphApplication.java
+++ b/src/main/java/mulleinfront/emulator/GraphApplication.java
@@ -23,12 +23,12 @@
     }
 
     /** The class of a call: the class for reads, or that of the request. */
-    default int classOf(int reading, int ofRequest, boolean reads) {
-        return reads ? reading : ofRequest;
+    default int classOf(int readClass, int requestClass, boolean reads) {
+        return reads ? readClass : requestClass;
     }
 
     /** The id of a call's effect; it is the same when the request is repeated. */
-    default String effectId(char kind, String ofRequest, int edge) {
-        return kind + ofRequest.substring(1) + "." + edge;
+    default String effectId(char kind, String requestEffect, int edge) {
+        return kind + requestEffect.substring(1) + "." + edge;
     }
 }
--- a/src/main/java/mulleinfront/emulator/GraphAuditor.java
+++ b/src/main/java/mulleinfront/emulator/GraphAuditor.java
@@ -54,7 +54,7 @@
     private final GraphWorld graph;
     private final List<Breach> breaches = new ArrayList<>();
     private int breachCount;
-    private Map<String, Integer> ran = new HashMap<>();
+    private Map<String, Integer> recentExecutions = new HashMap<>();
     private Map<String, Integer> previousExecutions = new HashMap<>();
     private long executionsSince;
     /** Keyed effects that ran again in another deduplication group, because of a repeat further up the path. */
@@ -138,11 +138,11 @@
         }
         long now = graph.queue.now();
         if (now - executionsSince > EFFECT_RETENTION_US) {
-            previousExecutions = ran;
-            ran = new HashMap<>();
+            previousExecutions = recentExecutions;
+            recentExecutions = new HashMap<>();
             executionsSince = now;
         }
-        int times = ran.merge(effect, 1, Integer::sum) + previousExecutions.getOrDefault(effect, 0);
+        int times = recentExecutions.merge(effect, 1, Integer::sum) + previousExecutions.getOrDefault(effect, 0);
         if (times < 2) {
             return;
         }
--- a/src/main/java/mulleinfront/emulator/GraphContext.java
+++ b/src/main/java/mulleinfront/emulator/GraphContext.java
@@ -11,7 +11,7 @@
     EventQueue queue();
 
     /** One-way delay from each zone to each zone, microseconds. */
-    long[][] oneWay();
+    long[][] oneWayDelayUs();
 
     /** The zone of a server by its number within this service. */
     int zoneOfHost(int number);
--- a/src/main/java/mulleinfront/emulator/GraphMachine.java
+++ b/src/main/java/mulleinfront/emulator/GraphMachine.java
@@ -39,12 +39,12 @@
     }
 
     Upstream upstream(int service) {
-        for (Upstream u : upstreams) {
-            if (u.service() == service) {
-                return u;
+        for (Upstream upstream : upstreams) {
+            if (upstream.service() == service) {
+                return upstream;
             }
         }
-        throw new IllegalStateException("machine " + number + " of " + node.name() + " does not call " + service);
+        throw new IllegalStateException("machine " + number + " of " + node.name() + " does not call service " + service);
     }
 
     /** The application's process ends, and the requests that it handled are cancelled. */
--- a/src/main/java/mulleinfront/emulator/GraphReader.java
+++ b/src/main/java/mulleinfront/emulator/GraphReader.java
@@ -40,7 +40,7 @@
             Path baseFile = file.resolveSibling(world);
             base = Section.root(baseFile.toString(), ScenarioReader.text(baseFile), null);
             if (base.table("scenario").statesOwn("world")) {
-                throw new BadFileException(baseFile + ":1: scenario.world: stands on another world itself");
+                throw new BadFileException(baseFile + ":1: scenario.world: a base scenario must not have a base scenario itself");
             }
         }
         return read(file.toString(), Section.root(file.toString(), text, base));
@@ -120,24 +120,24 @@
         for (Section section : regions) {
             String name = section.string("name", null);
             if (!seen.add(name)) {
-                throw section.error("name", "there is another region called " + name);
+                throw section.error("name", "duplicate region name \"" + name + "\"");
             }
             for (String zone : section.strings("zones")) {
-                int z = zones.indexOf(zone);
-                if (z < 0) {
-                    throw section.error("zones", "there is no zone '" + zone + "'");
+                int zoneIndex = zones.indexOf(zone);
+                if (zoneIndex < 0) {
+                    throw section.error("zones", "unknown zone \"" + zone + "\"");
                 }
-                if (regionOf[z] >= 0) {
-                    throw section.error("zones", zone + " is in another region too");
+                if (regionOf[zoneIndex] >= 0) {
+                    throw section.error("zones", "zone \"" + zone + "\" is already in a region");
                 }
-                regionOf[z] = names.size();
+                regionOf[zoneIndex] = names.size();
             }
             names.add(name);
             section.rejectUnknownKeys();
         }
-        for (int z = 0; z < regionOf.length; z++) {
-            if (regionOf[z] < 0) {
-                throw root.error("region", "no [[region]] has the zone " + zones.get(z));
+        for (int zone = 0; zone < regionOf.length; zone++) {
+            if (regionOf[zone] < 0) {
+                throw root.error("region", "no [[region]] has the zone " + zones.get(zone));
             }
         }
         return names;
@@ -147,7 +147,7 @@
         Kind kind = section.enumValue("do", null, Kind.class);
         long at = section.time("at", null);
         if (at > world.lengthUs()) {
-            throw section.error("at", "the scenario is over by then");
+            throw section.error("at", "must not be after the end of the scenario");
         }
         if (kind == Kind.CUT) {
             return new Failure(kind, at, section.time("for", null), 0, -1, -1, false, 0, 0, false);
@@ -162,7 +162,7 @@
         double batch = section.share("batch", 0.0, 1);
         long within = section.time("within", 0L);
         if (batch > 0 && within <= 0) {
-            throw section.error("batch", "batches need the time within which all of them begin");
+            throw section.error("batch", "needs within: the time in which all batches begin");
         }
         boolean restart = kind == Kind.RESTART;
         return new Failure(
--- a/src/main/java/mulleinfront/emulator/GraphReport.java
+++ b/src/main/java/mulleinfront/emulator/GraphReport.java
@@ -62,8 +62,8 @@
     /** Number of all violations. */
     public int violationCount() {
         int sum = graph.auditor.breachCount();
-        for (World.Result r : results) {
-            sum += r == null ? 0 : r.breachCount();
+        for (World.Result result : results) {
+            sum += result == null ? 0 : result.breachCount();
         }
         return sum;
     }
@@ -86,8 +86,8 @@
     /** Number of cold servers that crashed from overload. */
     public int crashedServers() {
         int sum = 0;
-        for (World.Result r : results) {
-            sum += r == null ? 0 : r.crashedServers();
+        for (World.Result result : results) {
+            sum += result == null ? 0 : result.crashedServers();
         }
         return sum;
     }
@@ -113,24 +113,24 @@
 
     private long sumOfCounts(String name) {
         long sum = 0;
-        for (World.Result r : results) {
-            sum += r == null ? 0 : r.service().counts().getOrDefault(name, 0L);
+        for (World.Result result : results) {
+            sum += result == null ? 0 : result.service().counts().getOrDefault(name, 0L);
         }
         return sum;
     }
 
     private double maxColdLoad() {
         double max = 0;
-        for (GraphMachine m : graph.machines) {
-            max = Math.max(max, m.host == null ? 0 : m.host.coldLoad.highestUse());
+        for (GraphMachine machine : graph.machines) {
+            max = Math.max(max, machine.host == null ? 0 : machine.host.coldLoad.highestUse());
         }
         return max;
     }
 
     private long listEntriesSent() {
         long sum = 0;
-        for (CallGraph.Node n : graph.nodes()) {
-            sum += n.level() == 0 ? 0 : graph.serviceWorld(n.number()).auditor.entriesSent;
+        for (CallGraph.Node node : graph.nodes()) {
+            sum += node.level() == 0 ? 0 : graph.serviceWorld(node.number()).auditor.entriesSent;
         }
         return sum;
     }
@@ -146,31 +146,31 @@
     private SecondStatistics sumSeconds(int from, int to) {
         SecondStatistics all = new SecondStatistics();
         for (int i = from; i < Math.min(to, statistics.seconds.size()); i++) {
-            SecondStatistics s = statistics.seconds.get(i);
-            all.offeredValue += s.offeredValue;
-            all.earnedValue += s.earnedValue;
-            all.requests += s.requests;
-            all.calls += s.calls;
-            all.refused += s.refused;
-            all.notServed += s.notServed;
-            for (int c = 0; c < all.unservedByCause.length; c++) {
-                all.unservedByCause[c] += s.unservedByCause[c];
-                all.unservedAfterStartByCause[c] += s.unservedAfterStartByCause[c];
+            SecondStatistics second = statistics.seconds.get(i);
+            all.offeredValue += second.offeredValue;
+            all.earnedValue += second.earnedValue;
+            all.requests += second.requests;
+            all.calls += second.calls;
+            all.refused += second.refused;
+            all.notServed += second.notServed;
+            for (int cause = 0; cause < all.unservedByCause.length; cause++) {
+                all.unservedByCause[cause] += second.unservedByCause[cause];
+                all.unservedAfterStartByCause[cause] += second.unservedAfterStartByCause[cause];
             }
         }
         return all;
     }
 
-    private static String causes(SecondStatistics s) {
+    private static String causes(SecondStatistics second) {
         StringBuilder out = new StringBuilder();
-        for (Cause c : Cause.values()) {
-            if (s.unservedByCause[c.ordinal()] > 0) {
+        for (Cause cause : Cause.values()) {
+            if (second.unservedByCause[cause.ordinal()] > 0) {
                 out.append(out.length() == 0 ? "" : ", ")
-                        .append(c.outputName())
+                        .append(cause.outputName())
                         .append(' ')
-                        .append(s.unservedByCause[c.ordinal()])
+                        .append(second.unservedByCause[cause.ordinal()])
                         .append(" (young ")
-                        .append(s.unservedAfterStartByCause[c.ordinal()])
+                        .append(second.unservedAfterStartByCause[cause.ordinal()])
                         .append(')');
             }
         }
@@ -229,12 +229,12 @@
                 earnedShare(START_PHASE_SECONDS, Integer.MAX_VALUE),
                 statistics.requestTimes.quantile(0.5) / 1e3,
                 statistics.requestTimes.quantile(0.99) / 1e3);
-        for (int c = 0; c < statistics.offeredValueByClass.length; c++) {
+        for (int classIndex = 0; classIndex < statistics.offeredValueByClass.length; classIndex++) {
             line(
                     out,
                     "  %-16s %.4f",
-                    scenario.classes().get(c).type().name(),
-                    statistics.earnedValueByClass[c] / Math.max(1e-9, statistics.offeredValueByClass[c]));
+                    scenario.classes().get(classIndex).type().name(),
+                    statistics.earnedValueByClass[classIndex] / Math.max(1e-9, statistics.offeredValueByClass[classIndex]));
         }
         depths(out);
         spans(out);
@@ -297,8 +297,8 @@
                 "noproxy",
                 "left",
                 "added p50/p99/p99.9 ms");
-        for (int d = 1; d <= spec.depth(); d++) {
-            row(out, String.valueOf(d), statistics.callsByDepth[d]);
+        for (int depth = 1; depth <= spec.depth(); depth++) {
+            row(out, String.valueOf(depth), statistics.callsByDepth[depth]);
         }
         row(out, "all", statistics.all);
         if (statistics.afterStartPhase.calls > 0) {
@@ -307,7 +307,7 @@
     }
 
     private static void row(StringBuilder out, String name, CallStatistics group) {
-        Histogram h = group.histogram(Span.ADDED);
+        Histogram added = group.histogram(Span.ADDED);
         line(
                 out,
                 "%5s %9d %8.4f %8d %8d %8d %8d %8d %8d  %.3f / %.3f / %.3f",
@@ -320,9 +320,9 @@
                 group.ended(Clients.TryResult.TIMED_OUT),
                 group.ended(Clients.TryResult.UNREACHABLE) + group.ended(Clients.TryResult.BROKEN),
                 group.ended(Clients.TryResult.LEFT),
-                h.quantile(0.5) / 1e3,
-                h.quantile(0.99) / 1e3,
-                h.quantile(0.999) / 1e3);
+                added.quantile(0.5) / 1e3,
+                added.quantile(0.99) / 1e3,
+                added.quantile(0.999) / 1e3);
     }
 
     private void spans(StringBuilder out) {
@@ -349,16 +349,16 @@
                 100 * group.histogram(Span.ADDED).fractionAbove(spec.addedTimeBudgetUs()),
                 100.0 * group.newConnections / Math.max(1, group.attempts));
         for (Span span : Span.values()) {
-            Histogram h = group.histogram(span);
+            Histogram times = group.histogram(span);
             line(
                     out,
                     "%-11s %9.3f %9.3f %9.3f %9.3f %9.3f",
                     Section.outputName(span),
-                    h.mean() / 1e3,
-                    h.quantile(0.5) / 1e3,
-                    h.quantile(0.99) / 1e3,
-                    h.quantile(0.999) / 1e3,
-                    h.max() / 1e3);
+                    times.mean() / 1e3,
+                    times.quantile(0.5) / 1e3,
+                    times.quantile(0.99) / 1e3,
+                    times.quantile(0.999) / 1e3,
+                    times.max() / 1e3);
         }
     }
 
@@ -369,15 +369,15 @@
                 "requests by their deepest call, and those with a call of more than %.2f ms added:",
                 spec.addedTimeBudgetUs() / 1e3);
         StringBuilder row = new StringBuilder();
-        for (int d = 1; d <= spec.depth(); d++) {
-            DepthStatistics g = statistics.requestsByDepth[d];
+        for (int depth = 1; depth <= spec.depth(); depth++) {
+            DepthStatistics depthStatistics = statistics.requestsByDepth[depth];
             row.append(String.format(
                     Locale.ROOT,
                     "%s %d: %d (%.1f%%)",
-                    d == 1 ? " " : ",",
-                    d,
-                    g.requests,
-                    100.0 * g.withCallOverBudget / Math.max(1, g.requests)));
+                    depth == 1 ? " " : ",",
+                    depth,
+                    depthStatistics.requests,
+                    100.0 * depthStatistics.withCallOverBudget / Math.max(1, depthStatistics.requests)));
         }
         line(out, "%s", row);
     }
@@ -419,18 +419,18 @@
         line(out, "after:     %s", causes(sumSeconds(START_PHASE_SECONDS, Integer.MAX_VALUE)));
     }
 
-    private static void row(StringBuilder out, String name, SecondStatistics s, double busy) {
+    private static void row(StringBuilder out, String name, SecondStatistics second, double busy) {
         line(
                 out,
                 "%6s %8d %8.4f %8d %8d %8d %5.1f%%  %s",
                 name,
-                s.requests,
-                s.earnedShare(),
-                s.notServed,
-                s.calls,
-                s.refused,
+                second.requests,
+                second.earnedShare(),
+                second.notServed,
+                second.calls,
+                second.refused,
                 100 * busy,
-                causes(s));
+                causes(second));
     }
 
     // ---- as JSON -------------------------------------------------------------------------------------
@@ -470,13 +470,13 @@
                     statistics.afterStartPhase.histogram(Span.ADDED).fractionAbove(spec.addedTimeBudgetUs()));
             out.writeEndObject();
             out.writeArrayFieldStart("depths");
-            for (int d = 1; d <= spec.depth(); d++) {
+            for (int depth = 1; depth <= spec.depth(); depth++) {
                 out.writeStartObject();
-                out.writeNumberField("depth", d);
-                group(out, statistics.callsByDepth[d]);
-                out.writeNumberField("requests_this_deep", statistics.requestsByDepth[d].requests);
+                out.writeNumberField("depth", depth);
+                group(out, statistics.callsByDepth[depth]);
+                out.writeNumberField("requests_this_deep", statistics.requestsByDepth[depth].requests);
                 out.writeNumberField(
-                        "requests_with_a_call_over_budget", statistics.requestsByDepth[d].withCallOverBudget);
+                        "requests_with_a_call_over_budget", statistics.requestsByDepth[depth].withCallOverBudget);
                 out.writeEndObject();
             }
             out.writeEndArray();
@@ -493,8 +493,8 @@
             out.writeNumberField("keyed_effects_again", graph.auditor.repeatedKeyedEffects());
             out.writeNumberField("rules_broken", violationCount());
             out.writeArrayFieldStart("broken");
-            for (String b : violations) {
-                out.writeString(b);
+            for (String violation : violations) {
+                out.writeString(violation);
             }
             out.writeEndArray();
             out.writeEndObject();
@@ -515,13 +515,13 @@
         out.writeNumberField("attempts_on_new_connections", group.newConnections);
         out.writeObjectFieldStart("times_us");
         for (Span span : Span.values()) {
-            Histogram h = group.histogram(span);
+            Histogram times = group.histogram(span);
             out.writeObjectFieldStart(Section.outputName(span));
-            out.writeNumberField("mean", h.mean());
+            out.writeNumberField("mean", times.mean());
             for (int i = 0; i < QUANTILES.length; i++) {
-                out.writeNumberField(QUANTILE_NAMES[i], h.quantile(QUANTILES[i]));
+                out.writeNumberField(QUANTILE_NAMES[i], times.quantile(QUANTILES[i]));
             }
-            out.writeNumberField("most", h.max());
+            out.writeNumberField("most", times.max());
             out.writeEndObject();
         }
         out.writeEndObject();
@@ -529,16 +529,16 @@
 
     private void services(JsonGenerator out) throws IOException {
         out.writeArrayFieldStart("service_list");
-        for (CallGraph.Node n : graph.nodes()) {
-            CallStatistics group = statistics.callsByService[n.number()];
+        for (CallGraph.Node node : graph.nodes()) {
+            CallStatistics group = statistics.callsByService[node.number()];
             out.writeStartObject();
-            out.writeStringField("name", n.name());
-            out.writeNumberField("level", n.level());
-            out.writeNumberField("hosts", n.hosts());
+            out.writeStringField("name", node.name());
+            out.writeNumberField("level", node.level());
+            out.writeNumberField("hosts", node.hosts());
             out.writeNumberField(
                     "callers",
-                    n.level() == 0 ? 0 : graph.serviceWorld(n.number()).proxies.size());
-            out.writeNumberField("visits", n.visits());
+                    node.level() == 0 ? 0 : graph.serviceWorld(node.number()).proxies.size());
+            out.writeNumberField("visits", node.visits());
             out.writeNumberField("calls", group.calls);
             out.writeNumberField("served", group.ended(Clients.TryResult.SERVED));
             out.writeNumberField("refused", group.ended(Clients.TryResult.REFUSED));
@@ -552,19 +552,19 @@
     private void seconds(JsonGenerator out) throws IOException {
         out.writeArrayFieldStart("seconds");
         List<SecondStatistics> all = new ArrayList<>(statistics.seconds);
-        for (SecondStatistics s : all) {
+        for (SecondStatistics second : all) {
             out.writeStartObject();
-            out.writeNumberField("requests", s.requests);
-            out.writeNumberField("not_served", s.notServed);
-            out.writeNumberField("service", s.earnedShare());
-            out.writeNumberField("calls", s.calls);
-            out.writeNumberField("refused", s.refused);
-            out.writeNumberField("busy", s.busy);
+            out.writeNumberField("requests", second.requests);
+            out.writeNumberField("not_served", second.notServed);
+            out.writeNumberField("service", second.earnedShare());
+            out.writeNumberField("calls", second.calls);
+            out.writeNumberField("refused", second.refused);
+            out.writeNumberField("busy", second.busy);
             out.writeObjectFieldStart("given_up");
-            for (Cause c : Cause.values()) {
-                if (s.unservedByCause[c.ordinal()] > 0) {
-                    out.writeNumberField(c.outputName(), s.unservedByCause[c.ordinal()]);
-                    out.writeNumberField(c.outputName() + "-young", s.unservedAfterStartByCause[c.ordinal()]);
+            for (Cause cause : Cause.values()) {
+                if (second.unservedByCause[cause.ordinal()] > 0) {
+                    out.writeNumberField(cause.outputName(), second.unservedByCause[cause.ordinal()]);
+                    out.writeNumberField(cause.outputName() + "-young", second.unservedAfterStartByCause[cause.ordinal()]);
                 }
             }
             out.writeEndObject();
--- a/src/main/java/mulleinfront/emulator/GraphScript.java
+++ b/src/main/java/mulleinfront/emulator/GraphScript.java
@@ -80,10 +80,10 @@
         machine.down = true;
         machine.cancelHandlings();
         if (machine.host != null) {
-            World part = graph.serviceWorld(machine.node.number());
+            World serviceWorld = graph.serviceWorld(machine.node.number());
             machine.host.disconnected = true;
-            part.stopServer(machine.host);
-            part.registry.serverChanged(machine.host, Availability.GONE, true);
+            serviceWorld.stopServer(machine.host);
+            serviceWorld.registry.serverChanged(machine.host, Availability.GONE, true);
         }
         machine.upstreams.forEach(u -> u.instance().kill(failure.forUs()));
         // The client proxy starts before the server: an application without it can't call other services.
@@ -94,33 +94,33 @@
         machine.down = false;
         if (machine.host != null) {
             machine.host.disconnected = false;
-            World part = graph.serviceWorld(machine.node.number());
-            part.resetAll(machine.host);
-            part.startServer(machine.host, false);
+            World serviceWorld = graph.serviceWorld(machine.node.number());
+            serviceWorld.resetAll(machine.host);
+            serviceWorld.startServer(machine.host, false);
         }
     }
 
     /** A server drains, ends and starts again cold; requests from outside go to other machines in the meantime. */
     private void restart(Failure failure, GraphMachine machine) {
         machine.down = true;
-        World part = machine.host == null ? null : graph.serviceWorld(machine.node.number());
-        if (part != null) {
-            part.drainServer(machine.host);
+        World serviceWorld = machine.host == null ? null : graph.serviceWorld(machine.node.number());
+        if (serviceWorld != null) {
+            serviceWorld.drainServer(machine.host);
         }
         graph.queue.after(failure.drainUs(), () -> {
             machine.cancelHandlings();
-            if (part != null) {
-                part.stopServer(machine.host);
+            if (serviceWorld != null) {
+                serviceWorld.stopServer(machine.host);
             }
-            long up = startUs() + 1;
+            long startDelayUs = startUs() + 1;
             if (failure.proxies()) {
                 machine.upstreams.forEach(u -> u.instance().terminate());
-                up += graph.spec.world().proxies().lateRequestsUs() + startUs();
+                startDelayUs += graph.spec.world().proxies().lateRequestsUs() + startUs();
             }
-            graph.queue.after(up, () -> {
+            graph.queue.after(startDelayUs, () -> {
                 machine.down = false;
-                if (part != null) {
-                    part.startServer(machine.host, false);
+                if (serviceWorld != null) {
+                    serviceWorld.startServer(machine.host, false);
                 }
             });
         });
@@ -131,16 +131,16 @@
         setDisconnected(machine, true);
         boolean noticed = failure.forUs()
                 > graph.spec.world().discovery().silentNoticeDelay().high();
-        World part = machine.host == null ? null : graph.serviceWorld(machine.node.number());
-        if (part != null && noticed) {
-            part.registry.serverChanged(machine.host, Availability.GONE, true);
+        World serviceWorld = machine.host == null ? null : graph.serviceWorld(machine.node.number());
+        if (serviceWorld != null && noticed) {
+            serviceWorld.registry.serverChanged(machine.host, Availability.GONE, true);
         }
         graph.queue.after(failure.forUs(), () -> {
             setDisconnected(machine, false);
-            if (part != null) {
-                part.resetAll(machine.host);
+            if (serviceWorld != null) {
+                serviceWorld.resetAll(machine.host);
                 if (noticed) {
-                    part.registry.serverChanged(machine.host, Availability.READY, false);
+                    serviceWorld.registry.serverChanged(machine.host, Availability.READY, false);
                 }
             }
             machine.upstreams.forEach(
@@ -168,19 +168,19 @@
     private void partitionRegions(boolean on) {
         int[] region = graph.spec.regionOf();
         for (CallGraph.Node node : graph.nodes()) {
-            World part = graph.serviceWorld(node.number());
-            if (part == null) {
+            World serviceWorld = graph.serviceWorld(node.number());
+            if (serviceWorld == null) {
                 continue;
             }
-            for (int a = 0; a < region.length; a++) {
-                for (int b = a + 1; b < region.length; b++) {
-                    if (region[a] != region[b]) {
-                        part.network.partitionZones(a, b, on);
+            for (int zone = 0; zone < region.length; zone++) {
+                for (int otherZone = zone + 1; otherZone < region.length; otherZone++) {
+                    if (region[zone] != region[otherZone]) {
+                        serviceWorld.network.partitionZones(zone, otherZone, on);
                     }
                 }
             }
             if (!on) {
-                resetCrossedConnections(part, link -> region[link.owner.zone()] != region[link.host.zone]);
+                resetCrossedConnections(serviceWorld, link -> region[link.owner.zone()] != region[link.host.zone]);
             }
         }
         for (GraphMachine machine : graph.machines) {
@@ -191,11 +191,11 @@
     }
 
     /** Resets the connections that crossed a network partition when it ends. */
-    private static void resetCrossedConnections(World part, java.util.function.Predicate<Link> crossed) {
-        for (Host h : part.hosts) {
-            for (Link link : List.copyOf(h.links)) {
+    private static void resetCrossedConnections(World serviceWorld, java.util.function.Predicate<Link> crossed) {
+        for (Host host : serviceWorld.hosts) {
+            for (Link link : List.copyOf(host.links)) {
                 if (crossed.test(link)) {
-                    part.reset(link);
+                    serviceWorld.reset(link);
                 }
             }
         }
--- a/src/main/java/mulleinfront/emulator/GraphSpec.java
+++ b/src/main/java/mulleinfront/emulator/GraphSpec.java
@@ -179,18 +179,18 @@
                 group,
                 scenario.classes());
         List<Failure> scaled = new ArrayList<>();
-        for (Failure f : failures) {
+        for (Failure failure : failures) {
             scaled.add(new Failure(
-                    f.kind(),
-                    (long) (f.at() * scale),
-                    (long) (f.forUs() * scale),
-                    (long) (f.withinUs() * scale),
-                    hosts > 0 && f.count() > 0 ? Math.max(1, f.count() * hosts / hosts()) : f.count(),
-                    f.zone(),
-                    f.rack(),
-                    f.batch(),
-                    (long) (f.drainUs() * scale),
-                    f.proxies()));
+                    failure.kind(),
+                    (long) (failure.at() * scale),
+                    (long) (failure.forUs() * scale),
+                    (long) (failure.withinUs() * scale),
+                    hosts > 0 && failure.count() > 0 ? Math.max(1, failure.count() * hosts / hosts()) : failure.count(),
+                    failure.zone(),
+                    failure.rack(),
+                    failure.batch(),
+                    (long) (failure.drainUs() * scale),
+                    failure.proxies()));
         }
         int smallRack = hosts > 0 ? Math.max(1, hostsPerRack * hosts / hosts()) : hostsPerRack;
         return new GraphSpec(
--- a/src/main/java/mulleinfront/emulator/GraphWorld.java
+++ b/src/main/java/mulleinfront/emulator/GraphWorld.java
@@ -38,7 +38,7 @@
     private final CallGraph graph;
     private final Trace trace;
     private final long seed;
-    private final long[][] oneWay;
+    private final long[][] oneWayDelayUs;
     /** Simulation of each service by its number; null for front services. */
     private final World[] serviceWorlds;
 
@@ -51,11 +51,11 @@
     private final ServerModel[] countedProcesses;
     private final double[] countedBusyUs;
     private final int readClass;
-    private long ids;
+    private long nextRequestId;
 
     /**
      * @param balancerFactory creates each balancer; tests may create deliberately broken ones
-     * @param fitting connects each core with its parts
+     * @param wiring connects each core with its parts
      * @param application how applications make their calls
      */
     GraphWorld(
@@ -63,7 +63,7 @@
             long seed,
             Trace trace,
             Core.BalancerFactory balancerFactory,
-            CoreWiring fitting,
+            CoreWiring wiring,
             GraphApplication application) {
         this.spec = spec;
         this.seed = seed;
@@ -74,7 +74,7 @@
         this.auditor = new GraphAuditor(this);
         this.arrivalChance = RandomStream.of(seed, "arrivals");
         this.workChance = RandomStream.of(seed, "works");
-        this.oneWay = zoneDelays();
+        this.oneWayDelayUs = zoneDelays();
         this.serviceWorlds = new World[spec.services()];
         this.firstMachine = new int[spec.services()];
         Scenario scenario = spec.world();
@@ -93,13 +93,13 @@
         this.readClass = firstSafeClass();
         buildMachines();
         this.fronts = new double[spec.fronts()][];
-        for (int f = 0; f < fronts.length; f++) {
-            fronts[f] = RandomStream.cumulative(RandomStream.zipfWeights(
-                    nodes().get(f).hosts(), scenario.proxies().spread()));
+        for (int front = 0; front < fronts.length; front++) {
+            fronts[front] = RandomStream.cumulative(RandomStream.zipfWeights(
+                    nodes().get(front).hosts(), scenario.proxies().spread()));
         }
         for (CallGraph.Node node : nodes()) {
             if (node.level() > 0) {
-                buildService(node, balancerFactory, fitting);
+                buildService(node, balancerFactory, wiring);
             }
         }
         this.countedProcesses = new ServerModel[machines.size()];
@@ -123,24 +123,24 @@
                 return i;
             }
         }
-        throw new IllegalArgumentException("no class is safe");
+        throw new IllegalArgumentException("no request class is safe to repeat");
     }
 
     private long[][] zoneDelays() {
         RandomStream chance = RandomStream.of(seed, "ways");
         int zones = spec.regionOf().length;
-        long[][] ways = new long[zones][zones];
+        long[][] delays = new long[zones][zones];
         Scenario.Network network = spec.world().network();
-        for (int a = 0; a < zones; a++) {
-            for (int b = a; b < zones; b++) {
-                boolean far = spec.regionOf()[a] != spec.regionOf()[b];
-                ways[a][b] =
-                        Math.max(1, (long) (a == b ? network.same() : far ? spec.betweenRegions() : network.cross())
+        for (int zone = 0; zone < zones; zone++) {
+            for (int otherZone = zone; otherZone < zones; otherZone++) {
+                boolean far = spec.regionOf()[zone] != spec.regionOf()[otherZone];
+                delays[zone][otherZone] =
+                        Math.max(1, (long) (zone == otherZone ? network.same() : far ? spec.betweenRegions() : network.cross())
                                 .draw(chance::uniformBetween));
-                ways[b][a] = ways[a][b];
+                delays[otherZone][zone] = delays[zone][otherZone];
             }
         }
-        return ways;
+        return delays;
     }
 
     private void buildMachines() {
@@ -157,11 +157,11 @@
         }
     }
 
-    private void buildService(CallGraph.Node node, Core.BalancerFactory balancerFactory, CoreWiring fitting) {
+    private void buildService(CallGraph.Node node, Core.BalancerFactory balancerFactory, CoreWiring wiring) {
         List<GraphMachine> callers = new ArrayList<>();
-        for (GraphMachine m : machines) {
-            if (m.node.calls().stream().anyMatch(e -> e.to() == node.number())) {
-                callers.add(m);
+        for (GraphMachine machine : machines) {
+            if (machine.node.calls().stream().anyMatch(e -> e.to() == node.number())) {
+                callers.add(machine);
             }
         }
         Scenario scenarioBase = spec.world();
@@ -174,8 +174,8 @@
                 mulleinfront.settings.Range.of(1),
                 0);
         List<Scenario.ClassSpec> types = new ArrayList<>();
-        for (Scenario.ClassSpec t : scenarioBase.classes()) {
-            types.add(new Scenario.ClassSpec(t.type(), t.share(), t.workUs() * node.work(), t.dist(), t.cv()));
+        for (Scenario.ClassSpec classSpec : scenarioBase.classes()) {
+            types.add(new Scenario.ClassSpec(classSpec.type(), classSpec.share(), classSpec.workUs() * node.work(), classSpec.dist(), classSpec.cv()));
         }
         Scenario.Load load = new Scenario.Load(
                 spec.requestsPerSecond() * node.visits(),
@@ -194,22 +194,22 @@
                 scenarioBase.servers().get(0).withNameAndCount(node.name(), node.hosts()),
                 types);
         int first = firstMachine[node.number()];
-        World part = new World(
+        World serviceWorld = new World(
                 scenario,
                 RandomStream.of(seed, "service " + node.number()).nextLong(),
                 trace,
                 (world, zone) -> balancerFactory,
-                fitting,
+                wiring,
                 null,
                 new Service(node, first, callers));
-        serviceWorlds[node.number()] = part;
+        serviceWorlds[node.number()] = serviceWorld;
         for (int i = 0; i < node.hosts(); i++) {
-            GraphMachine m = machines.get(first + i);
-            m.host = part.hosts.get(i);
-            byHost.put(m.host, m);
+            GraphMachine machine = machines.get(first + i);
+            machine.host = serviceWorld.hosts.get(i);
+            byHost.put(machine.host, machine);
         }
         for (int i = 0; i < callers.size(); i++) {
-            callers.get(i).upstreams.add(new GraphMachine.Upstream(part, node.number(), i));
+            callers.get(i).upstreams.add(new GraphMachine.Upstream(serviceWorld, node.number(), i));
         }
     }
 
@@ -231,8 +231,8 @@
         }
 
         @Override
-        public long[][] oneWay() {
-            return oneWay;
+        public long[][] oneWayDelayUs() {
+            return oneWayDelayUs;
         }
 
         @Override
@@ -257,9 +257,9 @@
 
         @Override
         public void hostChanged(Host host) {
-            GraphMachine m = byHost.get(host);
+            GraphMachine machine = byHost.get(host);
             if (!host.alive()) {
-                m.cancelHandlings();
+                machine.cancelHandlings();
             }
         }
 
@@ -321,7 +321,7 @@
         }
         Balancer.RequestClass type = spec.world().classes().get(classIndex).type();
         GraphRequest request = new GraphRequest(
-                effectLetter(classIndex) + Long.toString(ids++),
+                effectLetter(classIndex) + Long.toString(nextRequestId++),
                 classIndex,
                 tenant,
                 key,
@@ -334,14 +334,14 @@
             endRequest(request, false, false);
             return;
         }
-        GraphMachine at = machine;
+        GraphMachine chosenMachine = machine;
         Handling handling = new Handling(
                 this,
                 request,
                 null,
                 machine,
                 request.deadlineAt,
-                end -> endRequest(request, end == ServerModel.End.SERVED && !at.disconnected, false));
+                end -> endRequest(request, end == ServerModel.End.SERVED && !chosenMachine.disconnected, false));
         handling.begin();
         if (!request.ended) {
             Time.Timer timeout = queue.after(request.deadlineAt - now, () -> giveUp(request, handling, false));
@@ -388,9 +388,9 @@
         List<CallGraph.Edge> chosen = new ArrayList<>(4);
         if (!node.calls().isEmpty()) {
             RandomStream chance = RandomStream.of(seed, effect.substring(1));
-            for (CallGraph.Edge e : node.calls()) {
-                if (chance.happens(e.probability())) {
-                    chosen.add(e);
+            for (CallGraph.Edge edge : node.calls()) {
+                if (chance.happens(edge.probability())) {
+                    chosen.add(edge);
                 }
             }
         }
@@ -398,20 +398,20 @@
     }
 
     /** Creates a call on behalf of a request. */
-    GraphCall createCall(Handling above, CallGraph.Edge edge) {
-        int ofRequest = above.incoming == null ? above.request.classIndex : above.incoming.classIndex;
+    GraphCall createCall(Handling caller, CallGraph.Edge edge) {
+        int requestClass = caller.incoming == null ? caller.request.classIndex : caller.incoming.classIndex;
         int classIndex =
-                application.classOf(effectLetter(ofRequest) == SAFE ? ofRequest : readClass, ofRequest, edge.reads());
+                application.classOf(effectLetter(requestClass) == SAFE ? requestClass : readClass, requestClass, edge.reads());
         String effect = application.effectId(
                 effectLetter(classIndex),
-                above.incoming == null ? above.request.id : above.incoming.effect,
+                caller.incoming == null ? caller.request.id : caller.incoming.effect,
                 edge.number());
-        long endAt = application.callDeadline(
-                above.endsAt,
+        long deadlineAt = application.callDeadline(
+                caller.endsAt,
                 queue.now(),
                 spec.world().classes().get(classIndex).type().deadlineUs(),
                 spec.reserveUs());
-        GraphCall graphCall = new GraphCall(this, edge, above, classIndex, effect, endAt);
+        GraphCall graphCall = new GraphCall(this, edge, caller, classIndex, effect, deadlineAt);
         auditor.callMade(graphCall);
         statistics.callStarted(graphCall, queue.now());
         return graphCall;
@@ -453,8 +453,8 @@
                 cores += machine.host.spec.cores();
             }
             int connections = 0;
-            for (GraphMachine.Upstream u : machine.upstreams) {
-                connections += ((Proxy) u.instance()).connections();
+            for (GraphMachine.Upstream upstream : machine.upstreams) {
+                connections += ((Proxy) upstream.instance()).connections();
             }
             maxConnections = Math.max(maxConnections, connections);
             openConnections += connections;
@@ -483,11 +483,11 @@
     static List<String> violations(GraphWorld graph, List<World.Result> results) {
         List<String> all = new ArrayList<>();
         graph.auditor.breaches().forEach(b -> all.add(b.toString()));
-        for (World.Result r : results) {
-            if (r != null) {
-                r.breaches()
+        for (World.Result result : results) {
+            if (result != null) {
+                result.breaches()
                         .forEach(b -> all.add(String.format(
-                                Locale.ROOT, "%s: %s", r.scenario().name(), b)));
+                                Locale.ROOT, "%s: %s", result.scenario().name(), b)));
             }
         }
         return all;
--- a/src/main/java/mulleinfront/emulator/HybridSimulation.java
+++ b/src/main/java/mulleinfront/emulator/HybridSimulation.java
@@ -15,8 +15,8 @@
  * and out. A single thread calls it and first advances it with {@link #runUntil}. Messages have the delays of the
  * scenario in addition to those of the real network.
  *
- * <p>It sees what the stand-ins see: an attempt counts once its last byte has arrived. The result of an attempt that
- * the client proxy gave up is unknown, so the attempt counts as possibly executed.
+ * <p>It sees only what servers and discovery can see: an attempt counts once its last byte has arrived. The result of an
+ * attempt that the client proxy gave up is unknown, so the attempt counts as possibly executed.
  */
 public final class HybridSimulation {
     /**
@@ -35,7 +35,7 @@
         void kill(int proxy, long awayUs);
 
         /** Sends SIGSTOP, and SIGCONT after a delay. */
-        void pause(int proxy, long us);
+        void pause(int proxy, long durationUs);
 
         /** Injects faults between client proxies; null: not supported. */
         PeerFaults peerFaults();
@@ -206,10 +206,10 @@
             }
 
             @Override
-            void pause(long us) {
+            void pause(long durationUs) {
                 world.auditor.proxyPaused(number, true, world.queue.now());
-                externalProxies.pause(number, us);
-                world.queue.after(us, () -> world.auditor.proxyPaused(number, false, world.queue.now()));
+                externalProxies.pause(number, durationUs);
+                world.queue.after(durationUs, () -> world.auditor.proxyPaused(number, false, world.queue.now()));
             }
 
             @Override
@@ -423,12 +423,12 @@
             }
             Attempt attempt = new Attempt(this, pending, pending.attempts++, reply);
             world.lossAttribution.attemptSent(id, attempt.number, host);
-            Attempt before = pending.lastAttempt;
+            Attempt previous = pending.lastAttempt;
             pending.lastAttempt = attempt;
             current = attempt;
             // Attempts are checked in order: an attempt is checked after an earlier one that is still to be checked.
-            long closing = before == null || before.ended ? 0 : CHECK_DELAY_US;
-            attempt.checkedAt = Math.max(world.queue.now() + closing, before == null ? 0 : before.checkedAt);
+            long checkDelayUs = previous == null || previous.ended ? 0 : CHECK_DELAY_US;
+            attempt.checkedAt = Math.max(world.queue.now() + checkDelayUs, previous == null ? 0 : previous.checkedAt);
             runAt(attempt.checkedAt, () -> world.auditor.attemptSent(proxy, id, attempt.number, host.id, firstByteAt));
             world.statistics.attemptSent(world.zoneOf(proxy) == host.zone);
             if (world.queue.now() - lastResponseAt > process.spec().idleCloseUs()) {
@@ -436,12 +436,12 @@
                 return;
             }
             // A new connection first has its handshake, as in the emulated network.
-            int ways = unused ? 2 * EmulatedWire.HANDSHAKE_ROUND_TRIPS + 1 : 1;
-            long us = 0;
-            for (int i = 0; i < ways; i++) {
-                us += delay();
+            int oneWayTrips = unused ? 2 * EmulatedWire.HANDSHAKE_ROUND_TRIPS + 1 : 1;
+            long delayUs = 0;
+            for (int i = 0; i < oneWayTrips; i++) {
+                delayUs += delay();
             }
-            world.queue.after(us, attempt::arrive);
+            world.queue.after(delayUs, attempt::arrive);
         }
     }
 
@@ -465,21 +465,21 @@
         /** When the auditor is notified that the attempt was sent. */
         private long checkedAt;
 
-        private Attempt(Connection connection, PendingTry sent, int number, Reply reply) {
+        private Attempt(Connection connection, PendingTry pending, int number, Reply reply) {
             this.connection = connection;
-            this.pending = sent;
+            this.pending = pending;
             this.number = number;
             this.reply = reply;
         }
 
         private void arrive() {
-            Connection c = connection;
-            if (!world.network.delivers(c.proxy, world.zoneOf(c.proxy), c.host) || c.process.stopped()) {
+            Connection connection = this.connection;
+            if (!world.network.delivers(connection.proxy, world.zoneOf(connection.proxy), connection.host) || connection.process.stopped()) {
                 return;
             }
             Call call = pending.clientTry.call;
-            double work = call.work() + (c.unused ? c.process.handshakeWork() : 0);
-            c.unused = false;
+            double work = call.work() + (connection.unused ? connection.process.handshakeWork() : 0);
+            connection.unused = false;
             job = new ServerModel.Job(
                     call.id(),
                     work,
@@ -488,26 +488,26 @@
                     call.windowUs(),
                     pending.clientTry.deadlineAt,
                     (end, inflight) -> done(end));
-            world.workArrived(c.host, c.proxy, call.id(), work);
-            if (c.process.stopped()) {
+            world.workArrived(connection.host, connection.proxy, call.id(), work);
+            if (connection.process.stopped()) {
                 return;
             }
-            c.process.offer(job);
+            connection.process.offer(job);
             if (ended) {
-                c.process.cancel(job);
+                connection.process.cancel(job);
             }
         }
 
         private void done(ServerModel.End end) {
-            Connection c = connection;
-            c.lastResponseAt = world.queue.now();
-            if (c.host.chance.happens(c.host.resetAfterProbability)) {
+            Connection connection = this.connection;
+            connection.lastResponseAt = world.queue.now();
+            if (connection.host.chance.happens(connection.host.resetAfterProbability)) {
                 reset();
                 return;
             }
-            world.queue.after(c.delay(), () -> {
-                if (!ended && c.passes()) {
-                    c.current = null;
+            world.queue.after(connection.delay(), () -> {
+                if (!ended && connection.passes()) {
+                    connection.current = null;
                     switch (end) {
                         case SERVED -> {
                             ended(Outcome.OK);
--- a/src/main/java/mulleinfront/emulator/Instance.java
+++ b/src/main/java/mulleinfront/emulator/Instance.java
@@ -23,7 +23,7 @@
     abstract void kill(long awayUs);
 
     /** SIGSTOP, and SIGCONT after the given time. */
-    abstract void pause(long us);
+    abstract void pause(long durationUs);
 
     /** SIGTERM. */
     abstract void terminate();
--- a/src/main/java/mulleinfront/emulator/LossAttribution.java
+++ b/src/main/java/mulleinfront/emulator/LossAttribution.java
@@ -28,7 +28,7 @@
     private final World world;
     private final Map<String, TryHistory> histories = new HashMap<>();
     private final Map<Cause, LossReport.Loss> byCause = new TreeMap<>();
-    private final List<Map<String, Map<Cause, Double>>> parts = new ArrayList<>();
+    private final List<Map<String, Map<Cause, Double>>> lossesByDimension = new ArrayList<>();
     /** Requests whose clients are still waiting. */
     private final Set<Clients.ClientRequest> open = new LinkedHashSet<>();
 
@@ -75,7 +75,7 @@
     LossAttribution(World world) {
         this.world = world;
         for (int i = 0; i < LossReport.Dimension.values().length; i++) {
-            parts.add(new TreeMap<>());
+            lossesByDimension.add(new TreeMap<>());
         }
     }
 
@@ -183,17 +183,17 @@
         if (lostWorth > 0) {
             lostValue += lostWorth;
             byCause.computeIfAbsent(cause, c -> new LossReport.Loss()).add(lostWorth);
-            for (LossReport.Dimension part : LossReport.Dimension.values()) {
-                parts.get(part.ordinal())
-                        .computeIfAbsent(name(part, request), n -> new TreeMap<>())
+            for (LossReport.Dimension dimension : LossReport.Dimension.values()) {
+                lossesByDimension.get(dimension.ordinal())
+                        .computeIfAbsent(name(dimension, request), n -> new TreeMap<>())
                         .merge(cause, lostWorth, Double::sum);
             }
         }
         request.tryIds.forEach(histories::remove);
     }
 
-    private String name(LossReport.Dimension part, Clients.ClientRequest request) {
-        return switch (part) {
+    private String name(LossReport.Dimension dimension, Clients.ClientRequest request) {
+        return switch (dimension) {
             case INSTANCE -> String.format(Locale.ROOT, "%5d", request.proxy);
             case ZONE -> world.scenario.zones().get(world.zoneOf(request.proxy));
             case CLASS -> request.type.name();
@@ -339,8 +339,8 @@
     LossReport report() {
         List.copyOf(open).forEach(request -> requestEnded(request, world.statistics.worth(request), world.queue.now()));
         Map<LossReport.Dimension, Map<String, Map<Cause, Double>>> named = new LinkedHashMap<>();
-        for (LossReport.Dimension part : LossReport.Dimension.values()) {
-            named.put(part, parts.get(part.ordinal()));
+        for (LossReport.Dimension dimension : LossReport.Dimension.values()) {
+            named.put(dimension, lossesByDimension.get(dimension.ordinal()));
         }
         return new LossReport(lostValue, byCause, named);
     }
--- a/src/main/java/mulleinfront/emulator/Network.java
+++ b/src/main/java/mulleinfront/emulator/Network.java
@@ -8,7 +8,7 @@
 
 /** Message delays between zones, and which messages are lost to partitions. */
 final class Network {
-    private final long[][] oneWay;
+    private final long[][] oneWayDelayUs;
     private final double jitter;
     private final RandomStream chance;
     private final int[] partitionedZones;
@@ -18,38 +18,38 @@
     /** Partitions between pairs of zones, as counts; null: none. */
     private int[][] partitionedPairs;
     /** Client proxies whose machine is disconnected from the network. */
-    private final BitSet disconnect = new BitSet();
+    private final BitSet disconnectedProxies = new BitSet();
 
     /**
      * The network of one service in a graph simulation, whose zones have the delays of the whole simulation.
      *
-     * @param oneWay delay from and to each zone, microseconds
+     * @param oneWayDelayUs delay from and to each zone, microseconds
      */
-    Network(long[][] oneWay, double jitter, RandomStream chance) {
+    Network(long[][] oneWayDelayUs, double jitter, RandomStream chance) {
         this.jitter = jitter;
         this.chance = chance;
-        this.oneWay = oneWay;
-        this.partitionedZones = new int[oneWay.length];
+        this.oneWayDelayUs = oneWayDelayUs;
+        this.partitionedZones = new int[oneWayDelayUs.length];
     }
 
     Network(Scenario.Network spec, int zones, RandomStream chance) {
         this.jitter = spec.jitter();
         this.chance = chance;
-        this.oneWay = new long[zones][zones];
+        this.oneWayDelayUs = new long[zones][zones];
         this.partitionedZones = new int[zones];
-        for (int a = 0; a < zones; a++) {
-            for (int b = a; b < zones; b++) {
-                long us = Math.max(1, (long) (a == b ? spec.same() : spec.cross()).draw(chance::uniformBetween));
-                oneWay[a][b] = us;
-                oneWay[b][a] = us;
+        for (int zone = 0; zone < zones; zone++) {
+            for (int otherZone = zone; otherZone < zones; otherZone++) {
+                long delayUs = Math.max(1, (long) (zone == otherZone ? spec.same() : spec.cross()).draw(chance::uniformBetween));
+                oneWayDelayUs[zone][otherZone] = delayUs;
+                oneWayDelayUs[otherZone][zone] = delayUs;
             }
         }
     }
 
     /** Delay of one message, microseconds, at least 1. */
     long delay(int from, int to) {
-        double us = oneWay[from][to] * (1 + jitter * chance.uniform());
-        return Math.max(1, (long) us);
+        double delayUs = oneWayDelayUs[from][to] * (1 + jitter * chance.uniform());
+        return Math.max(1, (long) delayUs);
     }
 
     /** Whether a message between a client proxy's zone and a server would arrive now. */
@@ -66,7 +66,7 @@
      */
     boolean delivers(int proxy, int zone, Host host) {
         return delivers(zone, host)
-                && !disconnect.get(proxy)
+                && !disconnectedProxies.get(proxy)
                 && (partitionedProxies == null
                         || !partitionedProxies.containsKey(proxy)
                         || partitionedProxies.get(proxy)[host.zone] == 0);
@@ -80,14 +80,14 @@
 
     /** Begins or ends a partition between two zones. */
     void partitionZones(int firstZone, int secondZone, boolean on) {
-        partitionedPairs = partitionedPairs == null ? new int[oneWay.length][oneWay.length] : partitionedPairs;
+        partitionedPairs = partitionedPairs == null ? new int[oneWayDelayUs.length][oneWayDelayUs.length] : partitionedPairs;
         partitionedPairs[firstZone][secondZone] += on ? 1 : -1;
         partitionedPairs[secondZone][firstZone] += on ? 1 : -1;
     }
 
     /** Disconnects a client proxy's machine from the network, or reconnects it. */
     void disconnect(int proxy, boolean on) {
-        disconnect.set(proxy, on);
+        disconnectedProxies.set(proxy, on);
     }
 
     void partition(int zone, boolean on) {
--- a/src/main/java/mulleinfront/emulator/PropagationDeadlines.java
+++ b/src/main/java/mulleinfront/emulator/PropagationDeadlines.java
@@ -103,15 +103,15 @@
     }
 
     /** Records whether discovery is reachable for any proxy from now on. */
-    void discoveryReachable(boolean can, long now) {
-        reachable = can;
+    void discoveryReachable(boolean nowReachable, long now) {
+        reachable = nowReachable;
         reachableSince = now;
     }
 
     /** Records whether one client proxy runs and is not partitioned from discovery from now on. */
-    void proxyConnected(int proxy, boolean can, long now) {
+    void proxyConnected(int proxy, boolean nowConnected, long now) {
         ProxyState state = stateOf(proxy);
-        state.connected = can;
+        state.connected = nowConnected;
         state.connectedSince = now;
     }
 
--- a/src/main/java/mulleinfront/emulator/Proxy.java
+++ b/src/main/java/mulleinfront/emulator/Proxy.java
@@ -99,7 +99,7 @@
 
     /** SIGSTOP: no input is read and no timer fires until the process resumes. */
     @Override
-    void pause(long us) {
+    void pause(long durationUs) {
         if (process == null || process.paused) {
             return;
         }
@@ -109,7 +109,7 @@
         if (world.fleet != null) {
             world.fleet.pause(number);
         }
-        world.queue.after(us, () -> {
+        world.queue.after(durationUs, () -> {
             if (process == stopped) {
                 stopped.resume();
                 if (world.fleet != null) {
--- a/src/main/java/mulleinfront/emulator/Registry.java
+++ b/src/main/java/mulleinfront/emulator/Registry.java
@@ -46,7 +46,7 @@
     private boolean down;
     private boolean unresponsive;
     /** Client proxies that are individually partitioned from discovery. */
-    private final Set<Integer> partition = new HashSet<>();
+    private final Set<Integer> partitionedProxies = new HashSet<>();
     /**
      * Remaining faults by client proxy: calls to refuse, lists to truncate, and watches to end instead of sending an
      * update.
@@ -55,12 +55,12 @@
 
     private final Map<Integer, Integer> remainingTruncations = new HashMap<>();
     private final Map<Integer, Integer> remainingEndings = new HashMap<>();
-    /** Remaining lists to stop halfway, by client proxy; {@code pause} is how long they stop. */
+    /** Remaining lists to stop halfway, by client proxy; {@link #pauseRange} is how long they stop. */
     private final Map<Integer, Integer> remainingPauses = new HashMap<>();
 
     private Range pauseRange = Range.of(0);
-    private Range delayUpdates = Range.of(0);
-    private int shuffleLists;
+    private Range extraUpdateDelay = Range.of(0);
+    private int shuffleBatchSize;
     private final List<Runnable> shuffledDeliveries = new ArrayList<>();
     long calls;
     long failedCalls;
@@ -145,7 +145,7 @@
         long from = watcher.sentVersion;
         if (down
                 || unresponsive
-                || partition.contains(watcher.proxy())
+                || partitionedProxies.contains(watcher.proxy())
                 || watcher.pausing
                 || from >= version() && from >= 0) {
             return;
@@ -173,9 +173,9 @@
             return;
         }
         Runnable delivery = () -> watcher.receive(update);
-        if (shuffleLists > 0) {
+        if (shuffleBatchSize > 0) {
             shuffledDeliveries.add(delivery);
-            if (shuffledDeliveries.size() >= shuffleLists) {
+            if (shuffledDeliveries.size() >= shuffleBatchSize) {
                 deliverShuffled();
             }
         } else {
@@ -193,7 +193,7 @@
     }
 
     private long delayTo(Watcher watcher) {
-        return world.network.delay(watcher.zone(), 0) + (long) delayUpdates.draw(chance::uniformBetween);
+        return world.network.delay(watcher.zone(), 0) + (long) extraUpdateDelay.draw(chance::uniformBetween);
     }
 
     private void deliverShuffled() {
@@ -233,7 +233,7 @@
             world.queue.after(world.network.delay(watcher.zone(), 0), watcher::fail);
             return;
         }
-        if (unresponsive || partition.contains(watcher.proxy())) {
+        if (unresponsive || partitionedProxies.contains(watcher.proxy())) {
             failedCalls++;
             return;
         }
@@ -254,7 +254,7 @@
         world.queue.after(busyUntil - now + delayTo(watcher), () -> {
             if (down) {
                 watcher.fail();
-            } else if (!unresponsive && !watcher.ended() && !partition.contains(watcher.proxy())) {
+            } else if (!unresponsive && !watcher.ended() && !partitionedProxies.contains(watcher.proxy())) {
                 watches.add(watcher);
                 watcher.begin();
                 if (watcher.sentVersion >= version()) {
@@ -354,7 +354,7 @@
 
     /** Partitions one client proxy from discovery: its watch gets no data and its calls get no response. */
     void partition(int proxy, boolean on) {
-        if (on ? partition.add(proxy) : partition.remove(proxy)) {
+        if (on ? partitionedProxies.add(proxy) : partitionedProxies.remove(proxy)) {
             world.auditor.deadlines().proxyConnected(proxy, !on, world.queue.now());
             watches.stream()
                     .filter(watcher -> watcher.proxy() == proxy)
@@ -365,12 +365,12 @@
 
     /** Delays list updates by an additional drawn time. */
     void delayUpdates(Range by) {
-        delayUpdates = by;
+        extraUpdateDelay = by;
     }
 
     /** Delivers list updates in random order, in batches of this size; 0 ends the fault. */
     void shuffleLists(int lists) {
-        shuffleLists = lists;
+        shuffleBatchSize = lists;
         if (lists == 0) {
             deliverShuffled();
         }
--- a/src/main/java/mulleinfront/emulator/ReportWriter.java
+++ b/src/main/java/mulleinfront/emulator/ReportWriter.java
@@ -44,13 +44,13 @@
         if (!report.faults().isEmpty()) {
             line(out, "");
             line(out, "what happened");
-            for (ServiceReport.FaultRecord h : report.faults()) {
+            for (ServiceReport.FaultRecord fault : report.faults()) {
                 line(
                         out,
                         "  %8.3f s  %s%s",
-                        h.atUs() / 1e6,
-                        h.description(),
-                        h.forUs() > 0 ? String.format(Locale.ROOT, " for %.3f s", h.forUs() / 1e6) : "");
+                        fault.atUs() / 1e6,
+                        fault.description(),
+                        fault.forUs() > 0 ? String.format(Locale.ROOT, " for %.3f s", fault.forUs() / 1e6) : "");
             }
         }
         table(out, "class", report.classes());
@@ -154,16 +154,16 @@
         }
         line(out, "");
         line(out, "%-30s %9s %9s  %s", "given up by client proxies", "requests", "young", "by window");
-        for (UnservedReason.Cause c : UnservedReason.Cause.values()) {
-            if (report.unserved().count(c) > 0) {
+        for (UnservedReason.Cause cause : UnservedReason.Cause.values()) {
+            if (report.unserved().count(cause) > 0) {
                 line(
                         out,
                         "%-30s %9d %9d  %s",
-                        c.description(),
-                        report.unserved().count(c),
-                        report.unserved().recentlyStarted(c),
+                        cause.description(),
+                        report.unserved().count(cause),
+                        report.unserved().recentlyStarted(cause),
                         report.unservedByWindow().stream()
-                                .map(w -> "" + w.count(c))
+                                .map(w -> "" + w.count(cause))
                                 .collect(Collectors.joining(" ")));
             }
         }
@@ -284,8 +284,8 @@
             counts(out, "tries", report.tries());
             counts(out, "attempts", report.outcomes());
             out.writeObjectFieldStart("given_up");
-            for (UnservedReason.Cause c : UnservedReason.Cause.values()) {
-                out.writeNumberField(c.outputName(), report.unserved().count(c));
+            for (UnservedReason.Cause cause : UnservedReason.Cause.values()) {
+                out.writeNumberField(cause.outputName(), report.unserved().count(cause));
             }
             out.writeEndObject();
             counts(out, "counts", report.counts());
@@ -295,23 +295,23 @@
             }
             out.writeEndArray();
             out.writeArrayFieldStart("faults");
-            for (ServiceReport.FaultRecord h : report.faults()) {
+            for (ServiceReport.FaultRecord fault : report.faults()) {
                 out.writeStartObject();
-                out.writeNumberField("at_us", h.atUs());
-                out.writeNumberField("for_us", h.forUs());
-                out.writeStringField("what", h.description());
+                out.writeNumberField("at_us", fault.atUs());
+                out.writeNumberField("for_us", fault.forUs());
+                out.writeStringField("what", fault.description());
                 out.writeEndObject();
             }
             out.writeEndArray();
             out.writeNumberField("breach_count", result.breachCount());
             out.writeArrayFieldStart("breaches");
-            for (Auditor.Breach b : result.breaches()) {
+            for (Auditor.Breach breach : result.breaches()) {
                 out.writeStartObject();
-                out.writeStringField("rule", b.rule().description());
-                out.writeNumberField("at_us", b.atUs());
-                out.writeNumberField("proxy", b.proxy());
-                out.writeStringField("request", b.request());
-                out.writeStringField("what", b.description());
+                out.writeStringField("rule", breach.rule().description());
+                out.writeNumberField("at_us", breach.atUs());
+                out.writeNumberField("proxy", breach.proxy());
+                out.writeStringField("request", breach.request());
+                out.writeStringField("what", breach.description());
                 out.writeEndObject();
             }
             out.writeEndArray();
--- a/src/main/java/mulleinfront/emulator/Scenario.java
+++ b/src/main/java/mulleinfront/emulator/Scenario.java
@@ -216,11 +216,11 @@
             long keyCacheUs,
             double keySaving,
             int maxCachedKeys) {
-        /** A group of {@code many} such servers under another name. */
-        Servers withNameAndCount(String newName, int many) {
+        /** A group of {@code newCount} such servers under another name. */
+        Servers withNameAndCount(String newName, int newCount) {
             return new Servers(
                     newName,
-                    many,
+                    newCount,
                     cell,
                     weight,
                     cores,
--- a/src/main/java/mulleinfront/emulator/ScenarioReader.java
+++ b/src/main/java/mulleinfront/emulator/ScenarioReader.java
@@ -110,7 +110,7 @@
         String[] found = worlds.find(world);
         Section base = Section.root(found[0], found[1], null);
         if (base.table("scenario").statesOwn("world")) {
-            throw own.table("scenario").error("world", found[0] + " stands on another world itself");
+            throw own.table("scenario").error("world", found[0] + " must not have a base scenario (world) itself");
         }
         return read(file, Section.root(file, text, base));
     }
@@ -129,7 +129,7 @@
         Section network = root.table("network");
         List<String> zones = network.strings("zones");
         if (zones.isEmpty() || new HashSet<>(zones).size() < zones.size()) {
-            throw network.error("zones must name one zone or more, each once");
+            throw network.error("zones must name at least one zone, and none of them twice");
         }
         Network delays = new Network(
                 network.timeRange("same", new Range(85, 320)),
@@ -217,10 +217,10 @@
                         section.count("warm-after", 200, 1)));
         if (proxies.cpu().coreShare() == 0
                 && proxies.cpu().coldUs() + proxies.cpu().warmUs() > 0) {
-            throw section.error("core", "requests that take CPU need a share of a core: core = 0.5");
+            throw section.error("core", "requests that take CPU time need a share of a core, such as core = 0.5");
         }
         if (proxies.unreachableListed() > 0 && proxies.initialList() != InitialList.STALE) {
-            throw section.error("ghosts", "only a stale list names servers that are gone: known = \"stale\"");
+            throw section.error("ghosts", "only a stale list names servers that are gone: it needs known = \"stale\"");
         }
         section.rejectUnknownKeys();
         return proxies;
@@ -259,7 +259,7 @@
         double full = Scenario.fullRate(servers, classes);
         boolean byShare = section.statesOwn("of-capacity") || !section.statesOwn("rate") && section.has("of-capacity");
         if (byShare && section.statesOwn("rate")) {
-            throw section.error("rate", "of-capacity says the rate already: give only one of the two");
+            throw section.error("rate", "of-capacity already sets the rate: give only one of the two");
         }
         section.markRead(byShare ? "rate" : "of-capacity");
         double rate = byShare ? full * section.share("of-capacity", null, 100) : section.rate("rate", null);
@@ -271,7 +271,7 @@
                         : section.rate("end-rate", rate);
         if (shape != LoadShape.RAMP && end != rate) {
             throw section.error(
-                    section.has("end-rate") ? "end-rate" : "end-of-capacity", "only a ramp has an end rate");
+                    section.has("end-rate") ? "end-rate" : "end-of-capacity", "only allowed with shape = \"ramp\"");
         }
         Load load = new Load(
                 rate,
@@ -289,7 +289,7 @@
         List<Servers> all = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (Section section : root.tables("servers")) {
-            String name = uniqueName(section, names, "group");
+            String name = uniqueName(section, names, "server group");
             int cores = section.count("cores", null, 1);
             Range coldFrom = section.shareRange("cold-from", Range.of(1), 1);
             boolean byWork = section.enumValue("warm-by", WarmBy.TIME, WarmBy.class) == WarmBy.WORK;
@@ -298,7 +298,8 @@
                 throw section.error("cold-from", "must be more than zero");
             }
             if (byWork != section.has("warm-work")) {
-                throw section.error(byWork ? "warm-by" : "warm-work", "warm-by = \"work\" and warm-work go together");
+                throw section.error(
+                        byWork ? "warm-by" : "warm-work", "warm-by = \"work\" and warm-work must be given together");
             }
             ServerModel.MetastableSlowdown linger = !section.has("linger-at")
                     ? null
@@ -344,7 +345,7 @@
             section.rejectUnknownKeys();
         }
         if (all.isEmpty()) {
-            throw root.error("servers", "there is no [[servers]]: a world needs one server or more");
+            throw root.error("servers", "there is no [[servers]]: a scenario needs at least one server");
         }
         return all;
     }
@@ -358,7 +359,7 @@
             Effects effect = section.enumValue("effect", null, Effects.class);
             boolean keyed = effect == Effects.KEYED;
             if (!keyed && (section.has("group") || section.has("window"))) {
-                throw section.error(section.has("group") ? "group" : "window", "only a keyed class has one");
+                throw section.error(section.has("group") ? "group" : "window", "only allowed with effect = \"keyed\"");
             }
             DedupScope scope = !keyed
                     ? null
@@ -395,7 +396,7 @@
             section.rejectUnknownKeys();
         }
         if (!sumToOne(sum)) {
-            throw root.error("class", "the shares of all [[class]] make " + percent(sum) + ", not 100%");
+            throw root.error("class", "the shares of all [[class]] tables add up to " + percent(sum) + ", not 100%");
         }
         return all;
     }
@@ -412,7 +413,7 @@
             section.rejectUnknownKeys();
         }
         if (!all.isEmpty() && !sumToOne(sum)) {
-            throw root.error("tenant", "the shares of all [[tenant]] make " + percent(sum) + ", not 100%");
+            throw root.error("tenant", "the shares of all [[tenant]] tables add up to " + percent(sum) + ", not 100%");
         }
         return all;
     }
@@ -421,7 +422,7 @@
     private static String uniqueName(Section section, Set<String> names, String kind) throws BadFileException {
         String name = section.string("name", null);
         if (!names.add(name)) {
-            throw section.error("name", "there is another " + kind + " called " + name);
+            throw section.error("name", "duplicate " + kind + " name \"" + name + "\"");
         }
         return name;
     }
@@ -484,7 +485,7 @@
                 + service.worstClassWeight()
                 + service.worstTenantWeight();
         if (!sumToOne(sum)) {
-            throw section.error("the weights make " + percent(sum) + ", not 100%");
+            throw section.error("the weights add up to " + percent(sum) + ", not 100%");
         }
         section.rejectUnknownKeys();
         return service;
--- a/src/main/java/mulleinfront/emulator/ServerModel.java
+++ b/src/main/java/mulleinfront/emulator/ServerModel.java
@@ -346,10 +346,10 @@
         if (!cold) {
             return 1;
         }
-        double part = spec.warmUpWork() > 0
+        double progress = spec.warmUpWork() > 0
                 ? workSinceStart / spec.warmUpWork()
                 : (double) (time.now() - startedAt) / spec.warmUpUs();
-        return Math.min(1, spec.coldFraction() + (1 - spec.coldFraction()) * part);
+        return Math.min(1, spec.coldFraction() + (1 - spec.coldFraction()) * progress);
     }
 
     /** Remaining work of the requests in flight, without the savings of the key cache. */
--- a/src/main/java/mulleinfront/emulator/ServiceStatistics.java
+++ b/src/main/java/mulleinfront/emulator/ServiceStatistics.java
@@ -24,13 +24,13 @@
     private final long[] triesByResult = new long[Clients.TryResult.values().length];
     private final long[] outcomes = new long[Outcome.values().length];
     private final Map<String, List<ServerModel>> processesByHost = new LinkedHashMap<>();
-    private final List<ServiceReport.FaultRecord> faultApplied = new ArrayList<>();
+    private final List<ServiceReport.FaultRecord> appliedFaults = new ArrayList<>();
     private double lateWorth;
     private double workOffered;
     private long attempts;
     private long crossZoneAttempts;
     private long tryCount;
-    private int mostConnections;
+    private int maxConnections;
     long probes;
     /**
      * Requests to restarted client proxies in their first seconds ({@code restarted}), and to the other proxies at
@@ -42,7 +42,7 @@
     private long restartsFrom = Long.MAX_VALUE;
     private long restartsTo;
     /** Why client proxies left requests unserved, in total and by window. */
-    private final UnservedCounts requestUnserved;
+    private final UnservedCounts unserved;
 
     private final List<UnservedCounts> unservedByWindow = new ArrayList<>();
 
@@ -65,11 +65,11 @@
             offeredWithinShare += overShare ? 0 : worth;
         }
 
-        private void served(double worth, boolean overShare, long us, boolean inTime) {
+        private void served(double worth, boolean overShare, long latencyUs, boolean inTime) {
             if (served == latenciesUs.length) {
                 latenciesUs = Arrays.copyOf(latenciesUs, 2 * latenciesUs.length);
             }
-            latenciesUs[(int) served++] = us;
+            latenciesUs[(int) served++] = latencyUs;
             onTime += inTime ? 1 : 0;
             earned += worth;
             earnedWithinShare += overShare ? 0 : worth;
@@ -100,7 +100,7 @@
         this.classes = new Sum[scenario.classes().size()];
         this.tenants = new Sum[scenario.tenants().size()];
         Arrays.setAll(classes, i -> new Sum());
-        this.requestUnserved = newUnservedCounts();
+        this.unserved = newUnservedCounts();
         Arrays.setAll(tenants, i -> new Sum());
     }
 
@@ -110,7 +110,7 @@
         String target = !fault.servers().isEmpty()
                 ? " " + String.join(", ", fault.servers())
                 : fault.proxy() >= 0 ? " " + fault.proxy() : fault.count() >= 0 ? " x" + fault.count() : "";
-        faultApplied.add(new ServiceReport.FaultRecord(now, fault.forUs(), Section.outputName(fault.kind()) + target));
+        appliedFaults.add(new ServiceReport.FaultRecord(now, fault.forUs(), Section.outputName(fault.kind()) + target));
     }
 
     /** Records the restart of a client proxy. */
@@ -178,15 +178,15 @@
         }
         boolean inTime = now <= request.targetAt();
         double worth = worth(request) * (inTime ? 1 : type.lateWorth());
-        long us = now - request.arrivedAt;
-        total.served(worth, request.overShare, us, inTime);
-        classes[request.classIndex].served(worth, request.overShare, us, inTime);
+        long latencyUs = now - request.arrivedAt;
+        total.served(worth, request.overShare, latencyUs, inTime);
+        classes[request.classIndex].served(worth, request.overShare, latencyUs, inTime);
         if (tenants.length > 0) {
-            tenants[request.tenant].served(worth, request.overShare, us, inTime);
+            tenants[request.tenant].served(worth, request.overShare, latencyUs, inTime);
         }
-        window(request.arrivedAt).served(worth, request.overShare, us, inTime);
+        window(request.arrivedAt).served(worth, request.overShare, latencyUs, inTime);
         if (request.restartStatistics != null) {
-            request.restartStatistics.served(worth, request.overShare, us, inTime);
+            request.restartStatistics.served(worth, request.overShare, latencyUs, inTime);
         }
         return inTime ? 0 : worth(request) - worth;
     }
@@ -201,7 +201,7 @@
     }
 
     void connectionOpened(int connections) {
-        mostConnections = Math.max(mostConnections, connections);
+        maxConnections = Math.max(maxConnections, connections);
     }
 
     void workArrived(double work) {
@@ -218,7 +218,7 @@
     }
 
     void requestUnserved(long now, UnservedReason reason) {
-        requestUnserved.requestUnserved(now, reason);
+        unserved.requestUnserved(now, reason);
         int index = (int) (now / WINDOW_US);
         while (unservedByWindow.size() <= index) {
             unservedByWindow.add(newUnservedCounts());
@@ -233,9 +233,9 @@
         List<ServiceReport.Server> servers = new ArrayList<>();
         double wasted = 0;
         int lingered = 0;
-        for (Map.Entry<String, List<ServerModel>> e : processesByHost.entrySet()) {
-            ServerModel.Statistics statistics = sum(e.getValue());
-            servers.add(new ServiceReport.Server(e.getKey(), e.getValue().size(), statistics));
+        for (Map.Entry<String, List<ServerModel>> entry : processesByHost.entrySet()) {
+            ServerModel.Statistics statistics = sum(entry.getValue());
+            servers.add(new ServiceReport.Server(entry.getKey(), entry.getValue().size(), statistics));
             wasted += statistics.workWasted;
             lingered += statistics.slowedDownUs > 0 ? 1 : 0;
         }
@@ -277,9 +277,9 @@
                 nonZeroByName(outcomes, i -> Section.outputName(Outcome.values()[i])),
                 counts(world),
                 servers,
-                List.copyOf(faultApplied),
+                List.copyOf(appliedFaults),
                 world.lossAttribution.report(),
-                requestUnserved,
+                unserved,
                 List.copyOf(unservedByWindow),
                 restarted.count == 0
                         ? List.of()
@@ -304,9 +304,9 @@
         for (int from = 0; from + windowCount <= windows.size(); from++) {
             double offered = 0;
             double earned = 0;
-            for (Sum w : windows.subList(from, from + windowCount)) {
-                offered += w.offered;
-                earned += w.earned;
+            for (Sum window : windows.subList(from, from + windowCount)) {
+                offered += window.offered;
+                earned += window.earned;
             }
             worst = offered > minOffered ? Math.min(worst, earned / offered) : worst;
         }
@@ -352,7 +352,7 @@
         counts.put("attempts", attempts);
         counts.put("attempts across zones", crossZoneAttempts);
         counts.put("probes", probes);
-        counts.put("most connections of a client proxy", (long) mostConnections);
+        counts.put("most connections of a client proxy", (long) maxConnections);
         counts.put("discovery calls", world.registry.calls);
         counts.put("discovery calls failed", world.registry.failedCalls);
         counts.put(
--- a/src/main/java/mulleinfront/emulator/Sweep.java
+++ b/src/main/java/mulleinfront/emulator/Sweep.java
@@ -85,8 +85,8 @@
                 runs.add(pool.submit(() -> run(source.of(runSeed), runSeed, balancer)));
             }
             List<SeedResult> all = new ArrayList<>();
-            for (Future<SeedResult> world : runs) {
-                SeedResult result = world.get();
+            for (Future<SeedResult> future : runs) {
+                SeedResult result = future.get();
                 all.add(result);
                 progress.accept(result);
             }
--- a/src/main/java/mulleinfront/emulator/Trace.java
+++ b/src/main/java/mulleinfront/emulator/Trace.java
@@ -136,33 +136,33 @@
         return this;
     }
 
-    private Trace appendWord(long n) {
+    private Trace appendWord(long number) {
         append(" ");
-        appendNumber(n);
+        appendNumber(number);
         return this;
     }
 
-    private Trace appendNumber(long n) {
-        if (n == Long.MIN_VALUE) {
-            return append(Long.toString(n));
+    private Trace appendNumber(long number) {
+        if (number == Long.MIN_VALUE) {
+            return append(Long.toString(number));
         }
         ensureSpace(21);
-        if (n < 0) {
+        if (number < 0) {
             buffer[used++] = '-';
-            n = -n;
+            number = -number;
         }
         int count = 0;
         do {
-            digits[count++] = (byte) ('0' + n % 10);
-            n /= 10;
-        } while (n > 0);
+            digits[count++] = (byte) ('0' + number % 10);
+            number /= 10;
+        } while (number > 0);
         while (count > 0) {
             buffer[used++] = digits[--count];
         }
         return this;
     }
 
-    /** Records why a request was left unserved, in the file only: it is no decision, so the digest leaves it out. */
+    /** Records why a request was left unserved, in the file only: it is not a decision, so the digest omits it. */
     void requestUnserved(long now, int proxy, UnservedReason reason) {
         if (file == null) {
             return;
@@ -207,12 +207,12 @@
         @Override
         public void onEndpoints(long now, Source source, List<Endpoint> endpoints) {
             beginLine(now, proxy, "list").appendWord(source.name());
-            for (Endpoint e : endpoints) {
-                appendWord(e.id())
+            for (Endpoint endpoint : endpoints) {
+                appendWord(endpoint.id())
                         .append("=")
-                        .append(e.availability().name())
+                        .append(endpoint.availability().name())
                         .append("@")
-                        .appendNumber(e.startedAtUs());
+                        .appendNumber(endpoint.startedAtUs());
             }
             end();
             balancer.onEndpoints(now, source, endpoints);
--- a/src/main/java/mulleinfront/emulator/TrueState.java
+++ b/src/main/java/mulleinfront/emulator/TrueState.java
@@ -17,7 +17,7 @@
     private final Map<String, Host> byId = new HashMap<>();
     private int indexedHosts;
     /**
-     * Recorded states, the oldest first; the first is the oldest that was at most {@code lateUs} old at the last
+     * Recorded states, the oldest first; the first is the oldest that was at most {@code delayUs} old at the last
      * recording.
      */
     private final ArrayDeque<Record> records = new ArrayDeque<>();
@@ -38,10 +38,10 @@
     /** The state of every server at one instant. */
     private record Record(long at, Map<Host, ServerState> servers) {}
 
-    TrueState(World world, long lateUs) {
+    TrueState(World world, long delayUs) {
         this.world = world;
-        this.delayUs = lateUs;
-        if (lateUs > 0) {
+        this.delayUs = delayUs;
+        if (delayUs > 0) {
             record();
         }
     }
--- a/src/main/java/mulleinfront/emulator/World.java
+++ b/src/main/java/mulleinfront/emulator/World.java
@@ -100,7 +100,7 @@
         this.trace = trace;
         this.network = graphContext == null
                 ? new Network(scenario.network(), scenario.zones().size(), chance("network"))
-                : new Network(graphContext.oneWay(), scenario.network().jitter(), chance("network"));
+                : new Network(graphContext.oneWayDelayUs(), scenario.network().jitter(), chance("network"));
         this.auditor = new Auditor(scenario);
         this.statistics = new ServiceStatistics(scenario);
         this.lossAttribution = new LossAttribution(this);
--- a/src/main/java/mulleinfront/emulator/reference/Reference.java
+++ b/src/main/java/mulleinfront/emulator/reference/Reference.java
@@ -203,9 +203,9 @@
             double soonest = left;
             for (int i = 0; i < RANDOM_CANDIDATES; i++) {
                 Endpoint endpoint = servers.get(random.nextInt(servers.size()));
-                double us = answerUs(request, endpoint);
-                if (us < soonest) {
-                    soonest = us;
+                double expectedUs = answerUs(request, endpoint);
+                if (expectedUs < soonest) {
+                    soonest = expectedUs;
                     best = endpoint;
                 }
             }
@@ -219,9 +219,9 @@
             int from = random.nextInt(servers.size());
             for (int i = 0; i < servers.size(); i++) {
                 Endpoint endpoint = servers.get((from + i) % servers.size());
-                double us = answerUs(request, endpoint);
-                if (us < soonest) {
-                    soonest = us;
+                double expectedUs = answerUs(request, endpoint);
+                if (expectedUs < soonest) {
+                    soonest = expectedUs;
                     best = endpoint;
                 }
             }
--- a/src/main/java/mulleinfront/emulator/reference/Servers.java
+++ b/src/main/java/mulleinfront/emulator/reference/Servers.java
@@ -65,7 +65,7 @@
         return ready.get(index);
     }
 
-    /** The first owners of a hash in ring order: at most {@code most}, each server once. */
+    /** The first owners of a hash in ring order: at most {@code limit}, each server once. */
     List<Endpoint> owners(long hash, int limit) {
         if (points == null) {
             build();
--- a/src/test/java/mulleinfront/emulator/AuditorTest.java
+++ b/src/test/java/mulleinfront/emulator/AuditorTest.java
@@ -48,8 +48,8 @@
             """;
 
     /** Runs the {@link #FAULTS_UNDER_LOAD} scenario with the given balancer and wrappers. */
-    private static World.Result play(Core.BalancerFactory factory, CoreWiring fitting) throws Exception {
-        return Worlds.world(Worlds.of(FAULTS_UNDER_LOAD), 1, factory, fitting).run();
+    private static World.Result play(Core.BalancerFactory factory, CoreWiring wiring) throws Exception {
+        return Worlds.world(Worlds.of(FAULTS_UNDER_LOAD), 1, factory, wiring).run();
     }
 
     static Stream<Arguments> broken() {
@@ -111,14 +111,14 @@
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("broken")
-    void detectsViolation(String name, Rule rule, String expectedText, Core.BalancerFactory factory, CoreWiring fitting)
+    void detectsViolation(String name, Rule rule, String expectedText, Core.BalancerFactory factory, CoreWiring wiring)
             throws Exception {
-        World.Result result = play(factory, fitting);
+        World.Result result = play(factory, wiring);
         List<Breach> breaches =
                 result.breaches().stream().filter(b -> b.rule() == rule).toList();
         assertFalse(
                 breaches.isEmpty(),
-                "not caught: " + result.breaches().stream().limit(5).toList());
+                "not detected: " + result.breaches().stream().limit(5).toList());
         assertTrue(breaches.stream().anyMatch(b -> b.description().contains(expectedText)), "" + breaches.get(0));
         Breach first = breaches.get(0);
         assertTrue(
@@ -135,7 +135,7 @@
         assertEquals(List.of(), result.breaches());
         assertTrue(
                 result.service().outcomes().getOrDefault("reset", 0L) > 20,
-                "it is rough: " + result.service().outcomes());
+                "too few resets: " + result.service().outcomes());
     }
 
     @Test
--- a/src/test/java/mulleinfront/emulator/ColdHostsTest.java
+++ b/src/test/java/mulleinfront/emulator/ColdHostsTest.java
@@ -34,7 +34,7 @@
         /** The largest ratio of work sent to its bound for any server; {@link #maxDescription} describes it. */
         private double maxBoundRatio;
 
-        private String maxDescription = "nothing was sent to any cold host";
+        private String maxDescription = "nothing was sent to any cold server";
         private long countedSends;
 
         Core.BalancerFactory factory(double instanceFactor) {
@@ -80,7 +80,7 @@
                 maxBoundRatio = totalRequests / bound;
                 maxDescription = String.format(
                         Locale.ROOT,
-                        "%s, %.2f s after its start: %.1f of %.1f (N %.1f), " + "%.0f%% by those who were told",
+                        "%s, %.2f s after its start: %.1f of %.1f (N %.1f), " + "%.0f%% by informed instances",
                         endpointId,
                         (now - host.startedAt) / 1e6,
                         totalRequests,
@@ -104,8 +104,8 @@
         @Override
         public void onEvent(long now, String event, Object[] args) {
             if (event.equals("onEndpoints")) {
-                for (Object e : (List<?>) args[2]) {
-                    startTimeByEndpoint.put(((Endpoint) e).id(), ((Endpoint) e).startedAtUs());
+                for (Object endpoint : (List<?>) args[2]) {
+                    startTimeByEndpoint.put(((Endpoint) endpoint).id(), ((Endpoint) endpoint).startedAtUs());
                 }
             } else if (event.equals("onRequest")) {
                 Request request = (Request) args[1];
@@ -237,7 +237,7 @@
         long seed = 11 + proxies + (small ? 1 : 0);
         meter.world = Worlds.world(scenario, seed, meter.factory(instanceFactor), CoreWiring.UNCHANGED);
         meter.world.run();
-        assertTrue(meter.countedSends > 100, "hosts were cold and served: " + meter.countedSends);
+        assertTrue(meter.countedSends > 100, "too few sends to cold servers: " + meter.countedSends);
         assertTrue(meter.maxBoundRatio < 1, "seed " + seed + ": " + meter.maxDescription);
     }
 }
--- a/src/test/java/mulleinfront/emulator/DigestTest.java
+++ b/src/test/java/mulleinfront/emulator/DigestTest.java
@@ -120,7 +120,7 @@
             }
             for (Run run : batch) {
                 try {
-                    assertTrue(run.process().waitFor(120, TimeUnit.SECONDS), "never ended");
+                    assertTrue(run.process().waitFor(120, TimeUnit.SECONDS), "did not end within 120 s");
                     List<String> out = Files.readAllLines(run.out(), StandardCharsets.UTF_8);
                     assertEquals(0, run.process().exitValue(), String.join("\n", out));
                     digestLines.add(out.get(out.size() - 1));
--- a/src/test/java/mulleinfront/emulator/DiscoveryBoundTest.java
+++ b/src/test/java/mulleinfront/emulator/DiscoveryBoundTest.java
@@ -111,7 +111,7 @@
         });
         World.Result result = world.run();
         assertEquals(List.of(), result.breaches());
-        assertEquals(instances, listedAtUs.size(), "all were told");
+        assertEquals(instances, listedAtUs.size(), "every instance got the change");
         long lastListedAtUs =
                 listedAtUs.values().stream().mapToLong(Long::longValue).max().orElseThrow();
         return new RunResult(
--- a/src/test/java/mulleinfront/emulator/EventQueueTest.java
+++ b/src/test/java/mulleinfront/emulator/EventQueueTest.java
@@ -17,8 +17,8 @@
     @Test
     void eventsAtOneInstantRunInSchedulingOrder() {
         for (int i = 0; i < 10_000; i++) {
-            int n = i;
-            queue.after(5, () -> executed.add(n));
+            int index = i;
+            queue.after(5, () -> executed.add(index));
         }
         queue.after(4, () -> executed.add("before"));
         queue.runUntil(5);
@@ -53,8 +53,8 @@
         List<Integer> expected = new ArrayList<>();
         RandomStream chance = RandomStream.of(1, "test");
         for (int i = 0; i < 50_000; i++) {
-            int n = i;
-            timers.add(queue.after(1 + chance.uniformBelow(1_000), () -> executed.add(n)));
+            int index = i;
+            timers.add(queue.after(1 + chance.uniformBelow(1_000), () -> executed.add(index)));
         }
         for (int i = 0; i < 50_000; i++) {
             if (i % 10 == 0) {
--- a/src/test/java/mulleinfront/emulator/GraphWorldTest.java
+++ b/src/test/java/mulleinfront/emulator/GraphWorldTest.java
@@ -44,8 +44,8 @@
     }
 
     private static GraphWorld world(
-            GraphSpec spec, long seed, Core.BalancerFactory factory, CoreWiring fitting, GraphApplication application) {
-        return new GraphWorld(spec, seed, new Trace(null), factory, fitting, application);
+            GraphSpec spec, long seed, Core.BalancerFactory factory, CoreWiring wiring, GraphApplication application) {
+        return new GraphWorld(spec, seed, new Trace(null), factory, wiring, application);
     }
 
     private static GraphWorld world(GraphSpec spec, long seed) {
@@ -63,7 +63,7 @@
         assertEquals(2, spec.regions().size());
         assertEquals(5, spec.world().zones().size());
         assertEquals(40_000, spec.world().load().perSecond());
-        assertEquals(5_000, spec.requestsPerSecond(), 1e-9, "of all calls, eight are one request's");
+        assertEquals(5_000, spec.requestsPerSecond(), 1e-9, "eight calls per request");
         assertEquals(40_000, GraphReader.read(SIZE.resolve("edge.toml")).requestsPerSecond(), 1e-9);
     }
 
@@ -78,12 +78,12 @@
             int hub = spec.fronts();
             for (CallGraph.Node node : nodes) {
                 for (CallGraph.Edge edge : node.calls()) {
-                    assertTrue(nodes.get(edge.to()).level() > node.level(), "a way round by " + edge);
+                    assertTrue(nodes.get(edge.to()).level() > node.level(), "a call to the same or a higher level: " + edge);
                     assertEquals(node.level() == 0, edge.to() == hub, "a path past the hub, or back to it: " + edge);
                     called.add(edge.to());
                 }
             }
-            assertEquals(77 - spec.fronts(), called.size(), "somebody is called by nobody");
+            assertEquals(77 - spec.fronts(), called.size(), "a service that no other calls");
             assertEquals(
                     10, nodes.stream().mapToInt(CallGraph.Node::level).max().orElseThrow());
             assertEquals(
@@ -130,8 +130,8 @@
                 calls.forEach(e -> callCounts[node.calls().indexOf(e)]++);
                 distinctCalls.add(calls);
             }
-            for (int e = 0; e < callCounts.length; e++) {
-                assertEquals(node.calls().get(e).probability(), callCounts[e] / 2_000.0, 0.05);
+            for (int edge = 0; edge < callCounts.length; edge++) {
+                assertEquals(node.calls().get(edge).probability(), callCounts[edge] / 2_000.0, 0.05);
             }
             assertTrue(node.level() == 0 || callCounts.length == 0 || distinctCalls.size() > 1, node.name());
         }
@@ -161,7 +161,7 @@
         GraphReport first = world(spec, 1).run();
         assertEquals(List.of(), first.violations());
         assertEquals(0, first.violationCount());
-        assertTrue(first.calls(8) > 0, "nobody came eight calls deep");
+        assertTrue(first.calls(8) > 0, "no call at depth 8");
         assertTrue(first.earnedShare() > 0.5, "service " + first.earnedShare());
         GraphReport again = world(spec, 1).run();
         assertEquals(first.sha256(), again.sha256());
@@ -253,7 +253,7 @@
     }
 
     private static void assertDetected(String expectedText, GraphReport report) {
-        assertTrue(report.violationCount() > 0, "nothing was found");
+        assertTrue(report.violationCount() > 0, "no violation was detected");
         assertTrue(
                 report.violations().stream().anyMatch(b -> b.contains(expectedText)),
                 expectedText + " is not among "
@@ -302,7 +302,7 @@
                 "rule broken: no call has more of an effect than its request",
                 world(few("world", 800, 2_500_000), 1, Balancer::create, CoreWiring.UNCHANGED, new GraphApplication() {
                             @Override
-                            public int classOf(int reading, int ofRequest, boolean reads) {
+                            public int classOf(int readClass, int requestClass, boolean reads) {
                                 return 1;
                             }
                         })
@@ -339,7 +339,7 @@
     @Test
     void badFilesAreRejectedWithOneLine() throws Exception {
         assertTrue(rejectionMessage("zones = [\"darkhan\", \"erdenet\"]", "zones = [\"darkhan\", \"hovd\"]")
-                .matches("size/world.toml:\\d+: region.zones: there is no zone 'hovd'"));
+                .matches("size/world.toml:\\d+: region.zones: unknown zone \"hovd\""));
         assertTrue(rejectionMessage("zones = [\"darkhan\", \"erdenet\"]", "zones = [\"darkhan\"]")
                 .matches("size/world.toml:\\d+: region: no \\[\\[region]] has the zone erdenet"));
         assertTrue(rejectionMessage("services = 77", "services = 9")
@@ -347,7 +347,7 @@
         assertTrue(rejectionMessage("calls-per-request = 8", "calls-per-request = 2")
                 .matches("size/world.toml:\\d+: graph: calls-per-request: the chain .* more than 2.00"));
         assertTrue(rejectionMessage("count = 670", "count = 100")
-                .matches("size/world.toml:\\d+: graph: too few machines: 77 services of 3 .* more than 100"));
+                .matches("size/world.toml:\\d+: graph: too few machines: 77 services with at least 3 .* more than 100"));
         assertTrue(rejectionMessage("fan-out = 4", "fan-in = 4")
                 .matches("size/world.toml:\\d+: graph.fan-in: unknown key"));
         assertTrue(rejectionMessage("effect = \"safe\"", "effect = \"unsafe\"")
--- a/src/test/java/mulleinfront/emulator/HistogramTest.java
+++ b/src/test/java/mulleinfront/emulator/HistogramTest.java
@@ -18,12 +18,12 @@
             histogram.add(exact[i]);
         }
         Arrays.sort(exact);
-        for (double q : new double[] {0.001, 0.1, 0.5, 0.9, 0.99, 0.999, 1}) {
-            long exactQuantile = exact[(int) Math.ceil(q * exact.length) - 1];
+        for (double rank : new double[] {0.001, 0.1, 0.5, 0.9, 0.99, 0.999, 1}) {
+            long exactQuantile = exact[(int) Math.ceil(rank * exact.length) - 1];
             assertTrue(
-                    histogram.quantile(q) >= exactQuantile
-                            && histogram.quantile(q) <= exactQuantile + exactQuantile / 128 + 1,
-                    q + ": " + histogram.quantile(q) + " for " + exactQuantile);
+                    histogram.quantile(rank) >= exactQuantile
+                            && histogram.quantile(rank) <= exactQuantile + exactQuantile / 128 + 1,
+                    rank + ": " + histogram.quantile(rank) + " for " + exactQuantile);
         }
         assertEquals(Arrays.stream(exact).average().orElseThrow(), histogram.mean(), 1e-6);
         long above = Arrays.stream(exact).filter(v -> v > 660).count();
--- a/src/test/java/mulleinfront/emulator/IdleProcessesTest.java
+++ b/src/test/java/mulleinfront/emulator/IdleProcessesTest.java
@@ -118,7 +118,7 @@
                 seed,
                 RecordingBalancer.factory(s -> s, () -> new IdleRecorder(idleInstances)),
                 CoreWiring.UNCHANGED);
-        assertTrue(world.run().service().requests() > 1_000, "something was asked");
+        assertTrue(world.run().service().requests() > 1_000, "too few requests");
         assertEquals(0, idleInstances.size(), "of " + proxies + ", seed " + seed);
     }
 }
--- a/src/test/java/mulleinfront/emulator/LargeFleetTest.java
+++ b/src/test/java/mulleinfront/emulator/LargeFleetTest.java
@@ -44,9 +44,9 @@
         World.Result result = world.finish();
         assertEquals(List.of(), result.breaches());
         for (Server server : result.service().servers()) {
-            assertTrue(!server.statistics().crashed, server.name() + " fell over");
+            assertTrue(!server.statistics().crashed, server.name() + " crashed");
             assertEquals(
-                    0, server.statistics().connectionsRefused, server.name() + " was asked for too many connections");
+                    0, server.statistics().connectionsRefused, server.name() + " refused connections");
         }
     }
 
@@ -108,8 +108,8 @@
                 result.service().overallShare() > 0.95,
                 "whole " + result.service().overallShare());
         for (Server server : result.service().servers()) {
-            assertTrue(server.statistics().served > 0, server.name() + " was left out");
-            assertTrue(!server.statistics().crashed, server.name() + " fell over");
+            assertTrue(server.statistics().served > 0, server.name() + " served nothing");
+            assertTrue(!server.statistics().crashed, server.name() + " crashed");
         }
     }
 
--- a/src/test/java/mulleinfront/emulator/ScenarioReaderTest.java
+++ b/src/test/java/mulleinfront/emulator/ScenarioReaderTest.java
@@ -38,53 +38,53 @@
             [netwrok]                                  | scenarios/test.toml:4: netwrok: unknown key
             [network]\\nsame = ["2ms", "1ms"]          | scenarios/test.toml:5: network.same: the lower bound 2ms exceeds the upper bound 1ms
             [network]\\nsame = ["2ms"]                 | scenarios/test.toml:5: network.same: a range has two ends
-            [network]\\nzones = []                     | scenarios/test.toml:4: network: zones must name
-            [network]\\nzones = ["a", "a"]             | scenarios/test.toml:4: network: zones must name
+            [network]\\nzones = []                     | scenarios/test.toml:4: network: zones must name at least one zone, and none of them twice
+            [network]\\nzones = ["a", "a"]             | scenarios/test.toml:4: network: zones must name at least one zone, and none of them twice
             [network]\\nzones = [1]                    | scenarios/test.toml:5: network.zones: must be an array of strings
             [network]\\njitter = 0.2                   | scenarios/test.toml:5: network.jitter: '0.2' is no share
             [discovery]\\nmode = "dns"                 | scenarios/test.toml:5: discovery.mode: 'dns' is none of ask, push
             [proxies]\\ncount = 0                      | scenarios/test.toml:5: proxies.count: must be a whole number, 1
             [proxies]\\ncount = 1.5                    | scenarios/test.toml:5: proxies.count: must be a whole number
-            [proxies]\\nghosts = 2                     | scenarios/test.toml:5: proxies.ghosts: only a stale list
+            [proxies]\\nghosts = 2                     | scenarios/test.toml:5: proxies.ghosts: only a stale list names servers that are gone: it needs known = "stale"
             [clients]\\nhonour = "120%"                | scenarios/test.toml:5: clients.honour: '120%' is more than 100%
             [clients]\\npatience = ["0%", "10%"]       | scenarios/test.toml:5: clients.patience: must be more than
             [clients]\\ndoubling = "yes"               | scenarios/test.toml:5: clients.doubling: must be true or false
             [load]\\nrate = 240                        | scenarios/test.toml:5: load.rate: '240' is no rate
-            [load]\\nrate = "24/s"\\nof-capacity = "5%" | scenarios/test.toml:5: load.rate: of-capacity says
-            [load]\\nend-rate = "24/s"                 | scenarios/test.toml:5: load.end-rate: only a ramp
+            [load]\\nrate = "24/s"\\nof-capacity = "5%" | scenarios/test.toml:5: load.rate: of-capacity already sets the rate: give only one of the two
+            [load]\\nend-rate = "24/s"                 | scenarios/test.toml:5: load.end-rate: only allowed with shape = "ramp"
             [load]\\nshape = "wave"                    | scenarios/test.toml:5: load.shape: 'wave' is none of
             [limits]\\nattempts = 0                    | scenarios/test.toml:5: limits.attempts: must be a whole
             [rules]\\ncold-multiple = 0.5              | scenarios/test.toml:5: rules.cold-multiple: must be a plain
-            [service]\\nwhole = "90%"                  | scenarios/test.toml:4: service: the weights make 150%
+            [service]\\nwhole = "90%"                  | scenarios/test.toml:4: service: the weights add up to 150%, not 100%
             [load]\\nx.y = 1                           | scenarios/test.toml:5: load.x: unknown key
             [[scenario]]                               | scenarios/test.toml:4:
             servers = 3                                | scenarios/test.toml:4: scenario.servers: unknown key
             [servers]                                  | scenarios/test.toml:4: servers: must be an array of tables
             [[servers]]\\nname = "a"\\ncount = 2       | scenarios/test.toml:4: servers: missing cores
-            [[servers]]\\nname = "a"\\ncores = 2\\ncount = 2\\nwarm-by = "work" | test.toml:8: servers.warm-by: warm-by
+            [[servers]]\\nname = "a"\\ncores = 2\\ncount = 2\\nwarm-by = "work" | test.toml:8: servers.warm-by: warm-by = "work" and warm-work must be given together
             [[servers]]\\nname = "a"\\ncores = 2\\ncount = 2\\nspeed = 0 | test.toml:8: servers.speed: must be more than
             [[servers]]\\nname = "a"\\ncores = 2\\ncount = 2\\nerrors = 0.1 | test.toml:8: servers.errors: '0.1' is no share
-            [[class]]\\nname = "a"\\nshare = "50%"\\nwork = "1ms"\\neffect = "safe"\\naim = "1s"\\ndeadline = "2s" | class: the shares of all [[class]] make 50%
+            [[class]]\\nname = "a"\\nshare = "50%"\\nwork = "1ms"\\neffect = "safe"\\naim = "1s"\\ndeadline = "2s" | class: the shares of all [[class]] tables add up to 50%, not 100%
             [[class]]\\nname = "a"\\nshare = "100%"\\nwork = "1ms"\\neffect = "safe"\\naim = "3s"\\ndeadline = "2s" | test.toml:9: class.aim: must not be later than the deadline
-            [[class]]\\nname = "a"\\nshare = "100%"\\nwork = "1ms"\\neffect = "safe"\\nwindow = "3s" | test.toml:9: class.window: only a keyed class
+            [[class]]\\nname = "a"\\nshare = "100%"\\nwork = "1ms"\\neffect = "safe"\\nwindow = "3s" | test.toml:9: class.window: only allowed with effect = "keyed"
             [[class]]\\nname = "a"\\nshare = "100%"\\nwork = "1ms"\\neffect = "twice" | test.toml:8: class.effect: 'twice' is none of safe, keyed, unsafe
-            [[tenant]]\\nname = "a"\\nshare = "50%"    | tenant: the shares of all [[tenant]] make 50%
-            [[tenant]]\\nname = "a"\\nshare = "50%"\\n[[tenant]]\\nname = "a" | test.toml:8: tenant.name: there is another
+            [[tenant]]\\nname = "a"\\nshare = "50%"    | tenant: the shares of all [[tenant]] tables add up to 50%, not 100%
+            [[tenant]]\\nname = "a"\\nshare = "50%"\\n[[tenant]]\\nname = "a" | test.toml:8: tenant.name: duplicate tenant name "a"
             [[fault]]\\ndo = "explode"\\nat = "1s"     | test.toml:5: fault.do: 'explode' is none of
             [[fault]]\\ndo = "hang"                    | test.toml:4: fault: missing at
             [[fault]]\\ndo = "hang"\\nat = "1s"        | test.toml:4: fault: names no target
-            [[fault]]\\ndo = "hang"\\nat = "2h"\\ncount = 1 | test.toml:6: fault.at: the scenario is over by then
-            [[fault]]\\ndo = "hang"\\nat = "1s"\\nservers = ["nobody"] | test.toml:7: fault.servers: there is no server nobody
+            [[fault]]\\ndo = "hang"\\nat = "2h"\\ncount = 1 | test.toml:6: fault.at: must not be after the end of the scenario
+            [[fault]]\\ndo = "hang"\\nat = "1s"\\nservers = ["nobody"] | test.toml:7: fault.servers: unknown server "nobody"
             [[fault]]\\ndo = "hang"\\nat = "1s"\\nservers = [] | test.toml:4: fault: names no target
             [[fault]]\\ndo = "hang"\\nat = "1s"\\ncount = 15 | test.toml:7: fault.count: there are only 14 servers
-            [[fault]]\\ndo = "hang"\\nat = "1s"\\nzone = "mars" | test.toml:7: fault.zone: there is no zone mars
-            [[fault]]\\ndo = "hang"\\nat = "1s"\\ncount = 1\\nservers = ["new-1"] | test.toml:8: fault.servers: names all
+            [[fault]]\\ndo = "hang"\\nat = "1s"\\nzone = "mars" | test.toml:7: fault.zone: unknown zone "mars"
+            [[fault]]\\ndo = "hang"\\nat = "1s"\\ncount = 1\\nservers = ["new-1"] | test.toml:8: fault.servers: cannot be combined with count, part or zone
             [[fault]]\\ndo = "slow"\\nat = "1s"\\ncount = 1 | test.toml:4: fault: missing factor
             [[fault]]\\ndo = "slow"\\nat = "1s"\\ncount = 1\\nfactor = 2\\nrate = "5%" | test.toml:9: fault.rate: unknown key
             [[fault]]\\ndo = "drain"\\nat = "1s"\\ncount = 1\\nfor = "2s" | test.toml:8: fault.for: unknown key
             [[fault]]\\ndo = "kill-proxy"\\nat = "1s"  | test.toml:4: fault: names no target
-            [[fault]]\\ndo = "kill-proxy"\\nat = "1s"\\nproxy = 5 | test.toml:7: fault.proxy: there are only 5
-            [[fault]]\\ndo = "surge"\\nat = "1s"\\nfactor = 2\\ntenant = "paris" | test.toml:8: fault.tenant: there is no
+            [[fault]]\\ndo = "kill-proxy"\\nat = "1s"\\nproxy = 5 | test.toml:7: fault.proxy: there are only 5 client proxies, numbered from 0
+            [[fault]]\\ndo = "surge"\\nat = "1s"\\nfactor = 2\\ntenant = "paris" | test.toml:8: fault.tenant: unknown tenant "paris"
             [[fault]]\\ndo = "deploy"\\nat = "1s"\\npart = "50%"\\nbatch = "10%" | test.toml:4: fault: a deploy needs
             """)
     void rejectsInvalidLines(String lines, String expected) {
@@ -113,7 +113,7 @@
                         () -> ScenarioReader.read("a.toml", "[scenario]\ntitle = \"t\"\nworld = \"b.toml\"\n", world ->
                                 new String[] {world, "[scenario]\nworld = \"c.toml\"\n"}))
                 .getMessage();
-        assertEquals("a.toml:3: scenario.world: b.toml stands on another world itself", chain);
+        assertEquals("a.toml:3: scenario.world: b.toml must not have a base scenario (world) itself", chain);
     }
 
     @Test
--- a/src/test/java/mulleinfront/emulator/ServerModelTest.java
+++ b/src/test/java/mulleinfront/emulator/ServerModelTest.java
@@ -306,12 +306,12 @@
             offer(server, 50);
         }
         runUntilMs(200);
-        assertTrue(server.inSlowdown(), "8 held, 2 bearable");
+        assertTrue(server.inSlowdown(), "8 in flight, slowdown above 2");
         runUntilMs(2_000);
         assertEquals(8, completions.size());
         assertTrue(Long.parseLong(completions.get(7).split(" ")[0]) > 900, "three times slower: " + completions);
         runUntilMs(10_000);
-        assertFalse(server.inSlowdown(), "it has rested");
+        assertFalse(server.inSlowdown(), "the slowdown has ended");
         assertTrue(server.statistics().slowedDownUs > 900 * MS);
         long before = queue.now() / MS;
         offer(server, 50);
@@ -349,7 +349,7 @@
         spec.coldWork = 100 * MS;
         ServerModel byWork = server(spec);
         runUntilMs(40_000);
-        assertEquals(0.2, byWork.warmth(), 1e-9, "it did nothing");
+        assertEquals(0.2, byWork.warmth(), 1e-9, "it did no work, so it is still cold");
         offer(byWork, 50);
         runUntilMs(60_000);
         assertEquals(0.6, byWork.warmth(), 1e-3);
@@ -403,7 +403,7 @@
                         "130 r4 SERVED",
                         "2010 r5 SERVED"),
                 completions,
-                "forgotten for room, then for age");
+                "evicted for space, then expired");
         assertEquals(1, server.statistics().keyHits);
     }
 
@@ -474,7 +474,7 @@
         shallow.probe((end, inflight) -> completions.add("probe " + inflight));
         offer(shallow, 10);
         runUntilMs(200);
-        assertEquals(List.of("probe 1", "110 r0 SERVED", "125 r1 SERVED"), completions, "its work delays the next");
+        assertEquals(List.of("probe 1", "110 r0 SERVED", "125 r1 SERVED"), completions, "the probe's work delays the next request");
         assertEquals(1, shallow.statistics().probes);
     }
 
--- a/src/test/java/mulleinfront/emulator/SoakRangesTest.java
+++ b/src/test/java/mulleinfront/emulator/SoakRangesTest.java
@@ -23,7 +23,7 @@
                 PropagationDeadlines.WATCH_ENDED_US,
                 GeneratedScenario.CALLS_OF_ALL_PROXIES_US[1]);
         assertWithin(
-                "6 s in which all is told",
+                "6 s propagation deadline",
                 GeneratedScenario.CALLS_OF_ALL_PROXIES_US[0],
                 PropagationDeadlines.REACHABLE_US,
                 GeneratedScenario.CALLS_OF_ALL_PROXIES_US[1]);
@@ -32,12 +32,12 @@
     @Test
     void responseTimesSpanTheCallTimeouts() {
         assertWithin(
-                "patience of a call",
+                "call timeout",
                 0,
                 Wire.CALL_TIMEOUT_US,
                 GeneratedScenario.CALL_TIMEOUT_US[1] + GeneratedScenario.MAX_EXTRA_DELAY_US);
         assertWithin(
-                "patience of a call after a move",
+                "call timeout after a move",
                 0,
                 Wire.MOVED_CALL_TIMEOUT_US,
                 GeneratedScenario.CALL_TIMEOUT_US[1] + GeneratedScenario.MAX_EXTRA_DELAY_US);
@@ -46,12 +46,12 @@
     @Test
     void listPausesSpanTheWatchTimeouts() {
         assertWithin(
-                "silence of a watch",
+                "watch timeout",
                 GeneratedScenario.LIST_PAUSE_US[0],
                 Wire.WATCH_TIMEOUT_US,
                 GeneratedScenario.LIST_PAUSE_US[1]);
         assertWithin(
-                "patience of a list",
+                "list timeout",
                 GeneratedScenario.LIST_PAUSE_US[0],
                 Wire.LIST_TIMEOUT_US,
                 GeneratedScenario.LIST_PAUSE_US[1]);
--- a/src/test/java/mulleinfront/emulator/WorldTest.java
+++ b/src/test/java/mulleinfront/emulator/WorldTest.java
@@ -22,7 +22,7 @@
     private static World.Result assertInvariants(World.Result result) {
         assertEquals(List.of(), result.breaches());
         Map<String, Long> tries = result.service().tries();
-        assertEquals(0, count(tries, "timed-out"), "everything taken has its answer in time");
+        assertEquals(0, count(tries, "timed-out"), "every accepted try is answered in time");
         long ended = tries.values().stream().mapToLong(Long::longValue).sum();
         assertEquals(result.service().counts().get("tries"), ended, "each try has one end");
         return result;
@@ -126,7 +126,7 @@
         assertTrue(count(result.service().tries(), "broken") > 0, "killed with requests open");
         assertTrue(count(result.service().tries(), "unreachable") > 0);
         assertEquals(15, result.service().counts().get("client proxy starts"));
-        assertTrue(count(result.service().outcomes(), "ok") > 3_000, "it went on");
+        assertTrue(count(result.service().outcomes(), "ok") > 3_000, "serving continued");
     }
 
     @Test
@@ -187,7 +187,7 @@
                 .run();
         assertTrue(
                 withoutCheck.breaches().stream().anyMatch(b -> b.rule() == Rule.DRAINS),
-                "it is the check before the first byte that keeps the rule");
+                "only the check before the first byte prevents the violation");
     }
 
     @Test
--- a/src/test/java/mulleinfront/emulator/Worlds.java
+++ b/src/test/java/mulleinfront/emulator/Worlds.java
@@ -39,8 +39,8 @@
         return world(scenario, seed, Balancer::create, CoreWiring.UNCHANGED);
     }
 
-    static World world(Scenario scenario, long seed, Core.BalancerFactory factory, CoreWiring fitting) {
-        return new World(scenario, seed, new Trace(null), factory, fitting);
+    static World world(Scenario scenario, long seed, Core.BalancerFactory factory, CoreWiring wiring) {
+        return new World(scenario, seed, new Trace(null), factory, wiring);
     }
 
     static World.Result play(String lines, long seed) throws BadFileException {
