--- a/src/main/java/mulleinfront/emulator/Auditor.java
+++ b/src/main/java/mulleinfront/emulator/Auditor.java
@@ -314,7 +314,8 @@
                         now,
                         proxy,
                         id,
-                        "sent again to " + host + ", outside the group of " + possiblyRun.host + ", which may have run it");
+                        "sent again to " + host + ", outside the group of " + possiblyRun.host
+                                + ", which may have run it");
             }
             if (now > possiblyRun.at + request.type.dedupWindowUs()) {
                 addBreach(
--- a/src/main/java/mulleinfront/emulator/CallGraph.java
+++ b/src/main/java/mulleinfront/emulator/CallGraph.java
@@ -226,7 +226,9 @@
                     .add(new Edge(number++, edge.from, edge.to, probability(edge, low), edge.optional, edge.reads));
         }
         for (int service = 0; service < work.length; service++) {
-            String name = level[service] == 0 ? "front" + service : level[service] == 1 && service == chain[1] ? "hub" : "s" + service;
+            String name = level[service] == 0
+                    ? "front" + service
+                    : level[service] == 1 && service == chain[1] ? "hub" : "s" + service;
             nodes.add(new Node(
                     service,
                     name,
--- a/src/main/java/mulleinfront/emulator/EmulatedWire.java
+++ b/src/main/java/mulleinfront/emulator/EmulatedWire.java
@@ -363,7 +363,8 @@
             if (!world.network.delivers(proxy, zone, host) || connection.process.stopped() || !connection.accepted) {
                 return;
             }
-            if (time.now() - connection.lastResponseAt > connection.process.spec().idleCloseUs()) {
+            if (time.now() - connection.lastResponseAt
+                    > connection.process.spec().idleCloseUs()) {
                 world.reset(connection);
                 return;
             }
@@ -447,7 +448,9 @@
             if (connection.host.chance.happens(world.scenario.limits().reports())) {
                 end.loadReported(inflight);
             }
-            if (connection.host.address == address && connection.host.process == connection.process && !connection.process.draining()) {
+            if (connection.host.address == address
+                    && connection.host.process == connection.process
+                    && !connection.process.draining()) {
                 addIdle(connection);
             } else {
                 connection.current = null;
--- a/src/main/java/mulleinfront/emulator/FleetRun.java
+++ b/src/main/java/mulleinfront/emulator/FleetRun.java
@@ -54,8 +54,9 @@
     /** Counts of datagrams and bytes that members sent, and of datagrams that they read, dropped or rate-limited. */
     public record TrafficCounts(long datagrams, long bytes, long read, long dropped, long rateLimited) {
         private TrafficCounts plus(Fleet fleet) {
-            long lost =
-                    fleet.dropCounts().values().stream().mapToLong(Long::longValue).sum();
+            long lost = fleet.dropCounts().values().stream()
+                    .mapToLong(Long::longValue)
+                    .sum();
             return new TrafficCounts(
                     datagrams + fleet.sentDatagrams(),
                     bytes + fleet.sentBytes(),
--- a/src/main/java/mulleinfront/emulator/GraphMachine.java
+++ b/src/main/java/mulleinfront/emulator/GraphMachine.java
@@ -44,7 +44,8 @@
                 return upstream;
             }
         }
-        throw new IllegalStateException("machine " + number + " of " + node.name() + " does not call service " + service);
+        throw new IllegalStateException(
+                "machine " + number + " of " + node.name() + " does not call service " + service);
     }
 
     /** The application's process ends, and the requests that it handled are cancelled. */
--- a/src/main/java/mulleinfront/emulator/GraphReader.java
+++ b/src/main/java/mulleinfront/emulator/GraphReader.java
@@ -40,7 +40,8 @@
             Path baseFile = file.resolveSibling(world);
             base = Section.root(baseFile.toString(), ScenarioReader.text(baseFile), null);
             if (base.table("scenario").statesOwn("world")) {
-                throw new BadFileException(baseFile + ":1: scenario.world: a base scenario must not have a base scenario itself");
+                throw new BadFileException(
+                        baseFile + ":1: scenario.world: a base scenario must not have a base scenario itself");
             }
         }
         return read(file.toString(), Section.root(file.toString(), text, base));
--- a/src/main/java/mulleinfront/emulator/GraphReport.java
+++ b/src/main/java/mulleinfront/emulator/GraphReport.java
@@ -234,7 +234,8 @@
                     out,
                     "  %-16s %.4f",
                     scenario.classes().get(classIndex).type().name(),
-                    statistics.earnedValueByClass[classIndex] / Math.max(1e-9, statistics.offeredValueByClass[classIndex]));
+                    statistics.earnedValueByClass[classIndex]
+                            / Math.max(1e-9, statistics.offeredValueByClass[classIndex]));
         }
         depths(out);
         spans(out);
@@ -537,7 +538,9 @@
             out.writeNumberField("hosts", node.hosts());
             out.writeNumberField(
                     "callers",
-                    node.level() == 0 ? 0 : graph.serviceWorld(node.number()).proxies.size());
+                    node.level() == 0
+                            ? 0
+                            : graph.serviceWorld(node.number()).proxies.size());
             out.writeNumberField("visits", node.visits());
             out.writeNumberField("calls", group.calls);
             out.writeNumberField("served", group.ended(Clients.TryResult.SERVED));
@@ -564,7 +567,8 @@
             for (Cause cause : Cause.values()) {
                 if (second.unservedByCause[cause.ordinal()] > 0) {
                     out.writeNumberField(cause.outputName(), second.unservedByCause[cause.ordinal()]);
-                    out.writeNumberField(cause.outputName() + "-young", second.unservedAfterStartByCause[cause.ordinal()]);
+                    out.writeNumberField(
+                            cause.outputName() + "-young", second.unservedAfterStartByCause[cause.ordinal()]);
                 }
             }
             out.writeEndObject();
--- a/src/main/java/mulleinfront/emulator/GraphWorld.java
+++ b/src/main/java/mulleinfront/emulator/GraphWorld.java
@@ -134,8 +134,8 @@
         for (int zone = 0; zone < zones; zone++) {
             for (int otherZone = zone; otherZone < zones; otherZone++) {
                 boolean far = spec.regionOf()[zone] != spec.regionOf()[otherZone];
-                delays[zone][otherZone] =
-                        Math.max(1, (long) (zone == otherZone ? network.same() : far ? spec.betweenRegions() : network.cross())
+                delays[zone][otherZone] = Math.max(
+                        1, (long) (zone == otherZone ? network.same() : far ? spec.betweenRegions() : network.cross())
                                 .draw(chance::uniformBetween));
                 delays[otherZone][zone] = delays[zone][otherZone];
             }
@@ -175,7 +175,12 @@
                 0);
         List<Scenario.ClassSpec> types = new ArrayList<>();
         for (Scenario.ClassSpec classSpec : scenarioBase.classes()) {
-            types.add(new Scenario.ClassSpec(classSpec.type(), classSpec.share(), classSpec.workUs() * node.work(), classSpec.dist(), classSpec.cv()));
+            types.add(new Scenario.ClassSpec(
+                    classSpec.type(),
+                    classSpec.share(),
+                    classSpec.workUs() * node.work(),
+                    classSpec.dist(),
+                    classSpec.cv()));
         }
         Scenario.Load load = new Scenario.Load(
                 spec.requestsPerSecond() * node.visits(),
@@ -400,8 +405,8 @@
     /** Creates a call on behalf of a request. */
     GraphCall createCall(Handling caller, CallGraph.Edge edge) {
         int requestClass = caller.incoming == null ? caller.request.classIndex : caller.incoming.classIndex;
-        int classIndex =
-                application.classOf(effectLetter(requestClass) == SAFE ? requestClass : readClass, requestClass, edge.reads());
+        int classIndex = application.classOf(
+                effectLetter(requestClass) == SAFE ? requestClass : readClass, requestClass, edge.reads());
         String effect = application.effectId(
                 effectLetter(classIndex),
                 caller.incoming == null ? caller.request.id : caller.incoming.effect,
--- a/src/main/java/mulleinfront/emulator/HybridSimulation.java
+++ b/src/main/java/mulleinfront/emulator/HybridSimulation.java
@@ -15,8 +15,8 @@
  * and out. A single thread calls it and first advances it with {@link #runUntil}. Messages have the delays of the
  * scenario in addition to those of the real network.
  *
- * <p>It sees only what servers and discovery can see: an attempt counts once its last byte has arrived. The result of an
- * attempt that the client proxy gave up is unknown, so the attempt counts as possibly executed.
+ * <p>It sees only what servers and discovery can see: an attempt counts once its last byte has arrived. The result of
+ * an attempt that the client proxy gave up is unknown, so the attempt counts as possibly executed.
  */
 public final class HybridSimulation {
     /**
@@ -474,7 +474,8 @@
 
         private void arrive() {
             Connection connection = this.connection;
-            if (!world.network.delivers(connection.proxy, world.zoneOf(connection.proxy), connection.host) || connection.process.stopped()) {
+            if (!world.network.delivers(connection.proxy, world.zoneOf(connection.proxy), connection.host)
+                    || connection.process.stopped()) {
                 return;
             }
             Call call = pending.clientTry.call;
--- a/src/main/java/mulleinfront/emulator/LossAttribution.java
+++ b/src/main/java/mulleinfront/emulator/LossAttribution.java
@@ -184,7 +184,8 @@
             lostValue += lostWorth;
             byCause.computeIfAbsent(cause, c -> new LossReport.Loss()).add(lostWorth);
             for (LossReport.Dimension dimension : LossReport.Dimension.values()) {
-                lossesByDimension.get(dimension.ordinal())
+                lossesByDimension
+                        .get(dimension.ordinal())
                         .computeIfAbsent(name(dimension, request), n -> new TreeMap<>())
                         .merge(cause, lostWorth, Double::sum);
             }
--- a/src/main/java/mulleinfront/emulator/Network.java
+++ b/src/main/java/mulleinfront/emulator/Network.java
@@ -39,7 +39,8 @@
         this.partitionedZones = new int[zones];
         for (int zone = 0; zone < zones; zone++) {
             for (int otherZone = zone; otherZone < zones; otherZone++) {
-                long delayUs = Math.max(1, (long) (zone == otherZone ? spec.same() : spec.cross()).draw(chance::uniformBetween));
+                long delayUs = Math.max(
+                        1, (long) (zone == otherZone ? spec.same() : spec.cross()).draw(chance::uniformBetween));
                 oneWayDelayUs[zone][otherZone] = delayUs;
                 oneWayDelayUs[otherZone][zone] = delayUs;
             }
@@ -80,7 +81,8 @@
 
     /** Begins or ends a partition between two zones. */
     void partitionZones(int firstZone, int secondZone, boolean on) {
-        partitionedPairs = partitionedPairs == null ? new int[oneWayDelayUs.length][oneWayDelayUs.length] : partitionedPairs;
+        partitionedPairs =
+                partitionedPairs == null ? new int[oneWayDelayUs.length][oneWayDelayUs.length] : partitionedPairs;
         partitionedPairs[firstZone][secondZone] += on ? 1 : -1;
         partitionedPairs[secondZone][firstZone] += on ? 1 : -1;
     }
--- a/src/main/java/mulleinfront/emulator/ServiceStatistics.java
+++ b/src/main/java/mulleinfront/emulator/ServiceStatistics.java
@@ -235,7 +235,8 @@
         int lingered = 0;
         for (Map.Entry<String, List<ServerModel>> entry : processesByHost.entrySet()) {
             ServerModel.Statistics statistics = sum(entry.getValue());
-            servers.add(new ServiceReport.Server(entry.getKey(), entry.getValue().size(), statistics));
+            servers.add(
+                    new ServiceReport.Server(entry.getKey(), entry.getValue().size(), statistics));
             wasted += statistics.workWasted;
             lingered += statistics.slowedDownUs > 0 ? 1 : 0;
         }
--- a/src/test/java/mulleinfront/emulator/GraphWorldTest.java
+++ b/src/test/java/mulleinfront/emulator/GraphWorldTest.java
@@ -78,7 +78,9 @@
             int hub = spec.fronts();
             for (CallGraph.Node node : nodes) {
                 for (CallGraph.Edge edge : node.calls()) {
-                    assertTrue(nodes.get(edge.to()).level() > node.level(), "a call to the same or a higher level: " + edge);
+                    assertTrue(
+                            nodes.get(edge.to()).level() > node.level(),
+                            "a call to the same or a higher level: " + edge);
                     assertEquals(node.level() == 0, edge.to() == hub, "a path past the hub, or back to it: " + edge);
                     called.add(edge.to());
                 }
@@ -347,7 +349,8 @@
         assertTrue(rejectionMessage("calls-per-request = 8", "calls-per-request = 2")
                 .matches("size/world.toml:\\d+: graph: calls-per-request: the chain .* more than 2.00"));
         assertTrue(rejectionMessage("count = 670", "count = 100")
-                .matches("size/world.toml:\\d+: graph: too few machines: 77 services with at least 3 .* more than 100"));
+                .matches(
+                        "size/world.toml:\\d+: graph: too few machines: 77 services with at least 3 .* more than 100"));
         assertTrue(rejectionMessage("fan-out = 4", "fan-in = 4")
                 .matches("size/world.toml:\\d+: graph.fan-in: unknown key"));
         assertTrue(rejectionMessage("effect = \"safe\"", "effect = \"unsafe\"")
--- a/src/test/java/mulleinfront/emulator/LargeFleetTest.java
+++ b/src/test/java/mulleinfront/emulator/LargeFleetTest.java
@@ -45,8 +45,7 @@
         assertEquals(List.of(), result.breaches());
         for (Server server : result.service().servers()) {
             assertTrue(!server.statistics().crashed, server.name() + " crashed");
-            assertEquals(
-                    0, server.statistics().connectionsRefused, server.name() + " refused connections");
+            assertEquals(0, server.statistics().connectionsRefused, server.name() + " refused connections");
         }
     }
 
--- a/src/test/java/mulleinfront/emulator/ServerModelTest.java
+++ b/src/test/java/mulleinfront/emulator/ServerModelTest.java
@@ -474,7 +474,10 @@
         shallow.probe((end, inflight) -> completions.add("probe " + inflight));
         offer(shallow, 10);
         runUntilMs(200);
-        assertEquals(List.of("probe 1", "110 r0 SERVED", "125 r1 SERVED"), completions, "the probe's work delays the next request");
+        assertEquals(
+                List.of("probe 1", "110 r0 SERVED", "125 r1 SERVED"),
+                completions,
+                "the probe's work delays the next request");
         assertEquals(1, shallow.statistics().probes);
     }
 
