--- a/src/main/java/mulleinfront/keep/Codec.java
+++ b/src/main/java/mulleinfront/keep/Codec.java
@@ -100,15 +100,15 @@
             DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
             int format = in.readUnsignedByte();
             if (format != FORMAT_VERSION) {
-                throw new IllegalArgumentException("format " + format + " is not known, " + FORMAT_VERSION + " is");
+                throw new IllegalArgumentException("unknown format version " + format + ", expected " + FORMAT_VERSION);
             }
             T value = reader.read(in);
             if (in.available() > 0) {
-                throw new IllegalArgumentException(in.available() + " bytes too many");
+                throw new IllegalArgumentException(in.available() + " extra bytes at the end");
             }
             return value;
         } catch (IOException e) {
-            throw new IllegalArgumentException("cut short", e);
+            throw new IllegalArgumentException("truncated", e);
         }
     }
 
@@ -116,63 +116,63 @@
 
     static byte[] message(RaftMessage message) {
         return encode(out -> {
-            if (message instanceof AppendEntriesRequest m) {
-                writeHeader(out, MessageType.APPEND, m);
-                out.writeInt(m.getPreviousLogTerm());
-                out.writeLong(m.getPreviousLogIndex());
-                out.writeLong(m.getCommitIndex());
-                out.writeInt(m.getLogEntries().size());
-                for (LogEntry entry : m.getLogEntries()) {
+            if (message instanceof AppendEntriesRequest request) {
+                writeHeader(out, MessageType.APPEND, request);
+                out.writeInt(request.getPreviousLogTerm());
+                out.writeLong(request.getPreviousLogIndex());
+                out.writeLong(request.getCommitIndex());
+                out.writeInt(request.getLogEntries().size());
+                for (LogEntry entry : request.getLogEntries()) {
                     entry(out, entry);
                 }
-                writeSequenceNumbers(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
-            } else if (message instanceof AppendEntriesSuccessResponse m) {
-                writeHeader(out, MessageType.APPEND_SUCCESS, m);
-                out.writeLong(m.getLastLogIndex());
-                writeSequenceNumbers(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
-            } else if (message instanceof AppendEntriesFailureResponse m) {
-                writeHeader(out, MessageType.APPEND_FAILURE, m);
-                out.writeLong(m.getExpectedNextIndex());
-                writeSequenceNumbers(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
-            } else if (message instanceof InstallSnapshotRequest m) {
-                writeHeader(out, MessageType.INSTALL, m);
-                out.writeBoolean(m.isSenderLeader());
-                out.writeInt(m.getSnapshotTerm());
-                out.writeLong(m.getSnapshotIndex());
-                out.writeInt(m.getTotalSnapshotChunkCount());
-                out.writeBoolean(m.getSnapshotChunk() != null);
-                if (m.getSnapshotChunk() != null) {
-                    chunk(out, m.getSnapshotChunk());
+                writeSequenceNumbers(out, request.getQuerySequenceNumber(), request.getFlowControlSequenceNumber());
+            } else if (message instanceof AppendEntriesSuccessResponse response) {
+                writeHeader(out, MessageType.APPEND_SUCCESS, response);
+                out.writeLong(response.getLastLogIndex());
+                writeSequenceNumbers(out, response.getQuerySequenceNumber(), response.getFlowControlSequenceNumber());
+            } else if (message instanceof AppendEntriesFailureResponse response) {
+                writeHeader(out, MessageType.APPEND_FAILURE, response);
+                out.writeLong(response.getExpectedNextIndex());
+                writeSequenceNumbers(out, response.getQuerySequenceNumber(), response.getFlowControlSequenceNumber());
+            } else if (message instanceof InstallSnapshotRequest request) {
+                writeHeader(out, MessageType.INSTALL, request);
+                out.writeBoolean(request.isSenderLeader());
+                out.writeInt(request.getSnapshotTerm());
+                out.writeLong(request.getSnapshotIndex());
+                out.writeInt(request.getTotalSnapshotChunkCount());
+                out.writeBoolean(request.getSnapshotChunk() != null);
+                if (request.getSnapshotChunk() != null) {
+                    chunk(out, request.getSnapshotChunk());
                 }
-                endpoints(out, m.getSnapshottedMembers());
-                members(out, m.getGroupMembersView());
-                writeSequenceNumbers(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
-            } else if (message instanceof InstallSnapshotResponse m) {
-                writeHeader(out, MessageType.INSTALL_RESPONSE, m);
-                out.writeLong(m.getSnapshotIndex());
-                out.writeInt(m.getRequestedSnapshotChunkIndex());
-                writeSequenceNumbers(out, m.getQuerySequenceNumber(), m.getFlowControlSequenceNumber());
-            } else if (message instanceof PreVoteRequest m) {
-                writeHeader(out, MessageType.PRE_VOTE, m);
-                out.writeInt(m.getLastLogTerm());
-                out.writeLong(m.getLastLogIndex());
-            } else if (message instanceof PreVoteResponse m) {
-                writeHeader(out, MessageType.PRE_VOTE_RESPONSE, m);
-                out.writeBoolean(m.isGranted());
-            } else if (message instanceof VoteRequest m) {
-                writeHeader(out, MessageType.VOTE, m);
-                out.writeInt(m.getLastLogTerm());
-                out.writeLong(m.getLastLogIndex());
-                out.writeBoolean(m.isSticky());
-            } else if (message instanceof VoteResponse m) {
-                writeHeader(out, MessageType.VOTE_RESPONSE, m);
-                out.writeBoolean(m.isGranted());
-            } else if (message instanceof TriggerLeaderElectionRequest m) {
-                writeHeader(out, MessageType.TRIGGER_ELECTION, m);
-                out.writeInt(m.getLastLogTerm());
-                out.writeLong(m.getLastLogIndex());
+                endpoints(out, request.getSnapshottedMembers());
+                members(out, request.getGroupMembersView());
+                writeSequenceNumbers(out, request.getQuerySequenceNumber(), request.getFlowControlSequenceNumber());
+            } else if (message instanceof InstallSnapshotResponse response) {
+                writeHeader(out, MessageType.INSTALL_RESPONSE, response);
+                out.writeLong(response.getSnapshotIndex());
+                out.writeInt(response.getRequestedSnapshotChunkIndex());
+                writeSequenceNumbers(out, response.getQuerySequenceNumber(), response.getFlowControlSequenceNumber());
+            } else if (message instanceof PreVoteRequest request) {
+                writeHeader(out, MessageType.PRE_VOTE, request);
+                out.writeInt(request.getLastLogTerm());
+                out.writeLong(request.getLastLogIndex());
+            } else if (message instanceof PreVoteResponse response) {
+                writeHeader(out, MessageType.PRE_VOTE_RESPONSE, response);
+                out.writeBoolean(response.isGranted());
+            } else if (message instanceof VoteRequest request) {
+                writeHeader(out, MessageType.VOTE, request);
+                out.writeInt(request.getLastLogTerm());
+                out.writeLong(request.getLastLogIndex());
+                out.writeBoolean(request.isSticky());
+            } else if (message instanceof VoteResponse response) {
+                writeHeader(out, MessageType.VOTE_RESPONSE, response);
+                out.writeBoolean(response.isGranted());
+            } else if (message instanceof TriggerLeaderElectionRequest request) {
+                writeHeader(out, MessageType.TRIGGER_ELECTION, request);
+                out.writeInt(request.getLastLogTerm());
+                out.writeLong(request.getLastLogIndex());
             } else {
-                throw new IllegalArgumentException("not a message: " + message);
+                throw new IllegalArgumentException("unsupported message: " + message);
             }
         });
     }
@@ -406,7 +406,7 @@
         } else {
             // The group's members are fixed by the settings, so the library never appends a membership change
             // or another operation of its own.
-            throw new IllegalArgumentException("not an operation: " + operation);
+            throw new IllegalArgumentException("unsupported operation: " + operation);
         }
     }
 
@@ -518,7 +518,7 @@
             Map<String, Long> versionNumbersById,
             Map<String, VersionLog.ProposalResult> refusedResultsById) {
         if (parts.isEmpty()) {
-            throw new IllegalArgumentException("a snapshot without parts");
+            throw new IllegalArgumentException("the snapshot has no parts");
         }
         int expectedVersions = decode(parts.get(0), in -> {
             int versions = nonNegative(in.readInt());
@@ -536,7 +536,7 @@
                 for (int i = readCount(in); i > 0; i--) {
                     Version version = version(in);
                     if (countAndLast[0] > 0 && version.number() != countAndLast[1] + 1) {
-                        throw new IllegalArgumentException("version " + version.number() + " after " + countAndLast[1]);
+                        throw new IllegalArgumentException("version " + version.number() + " follows version " + countAndLast[1]);
                     }
                     countAndLast[0]++;
                     countAndLast[1] = version.number();
@@ -546,7 +546,7 @@
             });
         }
         if (countAndLast[0] != expectedVersions) {
-            throw new IllegalArgumentException(countAndLast[0] + " versions of " + expectedVersions);
+            throw new IllegalArgumentException("the snapshot has " + countAndLast[0] + " versions, expected " + expectedVersions);
         }
     }
 
@@ -598,7 +598,7 @@
     private static int readCount(DataInputStream in) throws IOException {
         int count = in.readInt();
         if (count < 0 || count > in.available()) {
-            throw new IllegalArgumentException("a length of " + count + " with " + in.available() + " bytes left");
+            throw new IllegalArgumentException("invalid length " + count + ": " + in.available() + " bytes remain");
         }
         return count;
     }
@@ -609,14 +609,14 @@
 
     private static long nonNegative(long value) {
         if (value < 0) {
-            throw new IllegalArgumentException(value + " is below 0");
+            throw new IllegalArgumentException(value + " is negative");
         }
         return value;
     }
 
     private static <E> E constantAt(E[] values, int ordinal) {
         if (ordinal >= values.length) {
-            throw new IllegalArgumentException("kind " + ordinal + " is not known");
+            throw new IllegalArgumentException("unknown type number " + ordinal);
         }
         return values[ordinal];
     }
--- a/src/main/java/mulleinfront/keep/ConfigStateMachine.java
+++ b/src/main/java/mulleinfront/keep/ConfigStateMachine.java
@@ -55,8 +55,8 @@
     }
 
     /** Size in bytes: the text in UTF-16, plus a fixed overhead for the version and for each entry. */
-    private static long size(Map<String, String> entries, String why) {
-        long size = 64 + 2L * why.length();
+    private static long size(Map<String, String> entries, String description) {
+        long size = 64 + 2L * description.length();
         for (Map.Entry<String, String> e : entries.entrySet()) {
             size += 16 + 2L * (e.getKey().length() + e.getValue().length());
         }
@@ -130,9 +130,9 @@
         if (number < versions.getFirst().number() || number > newest().number()) {
             return null;
         }
-        for (Version v : versions) {
-            if (v.number() == number) {
-                return v;
+        for (Version version : versions) {
+            if (version.number() == number) {
+                return version;
             }
         }
         return null;
@@ -141,9 +141,9 @@
     /** The kept versions with a greater number, in order. */
     List<Version> versionsAfter(long number) {
         List<Version> newer = new ArrayList<>();
-        for (Version v : versions) {
-            if (v.number() > number) {
-                newer.add(v);
+        for (Version version : versions) {
+            if (version.number() > number) {
+                newer.add(version);
             }
         }
         return newer;
--- a/src/main/java/mulleinfront/keep/DiskLog.java
+++ b/src/main/java/mulleinfront/keep/DiskLog.java
@@ -99,8 +99,8 @@
             chunks = store.openMap("chunks", longKeyedMap());
             saveCount = longValue("saves");
             if (saveCount < counterFile.saveCount()) {
-                throw new IllegalArgumentException("is at save " + saveCount + ", its mark at "
-                        + counterFile.saveCount() + ": it was cut, or an older copy was put back");
+                throw new IllegalArgumentException("has save counter " + saveCount + ", but its counter file has "
+                        + counterFile.saveCount() + ": it was truncated or replaced by an older copy");
             }
             commitIndex = longValue("committed");
             restore();
@@ -139,7 +139,7 @@
         }
         String owner = new String(endpoint, StandardCharsets.UTF_8);
         if (!owner.equals(name)) {
-            throw new IllegalArgumentException("is keeper " + owner + "'s, not " + name + "'s");
+            throw new IllegalArgumentException("belongs to replica " + owner + ", not to " + name);
         }
         RaftGroupMembersView initialMembers = Codec.members(members);
         Set<String> storedNames = new HashSet<>();
--- a/src/main/java/mulleinfront/keep/ReplicaTransport.java
+++ b/src/main/java/mulleinfront/keep/ReplicaTransport.java
@@ -347,7 +347,7 @@
     }
 
     private void stopAsOutdated(String peer, FullHttpResponse response) {
-        replica.stop("keeper " + peer + ": "
+        replica.stop("replica " + peer + ": "
                 + response.content().toString(StandardCharsets.UTF_8).strip());
     }
 
@@ -397,7 +397,7 @@
             if (!request.decoderResult().isSuccess()
                     || !request.method().equals(HttpMethod.POST)
                     || !connections.containsKey(sender)) {
-                respondText(ctx, HttpResponseStatus.BAD_REQUEST, "this is for keepers among themselves\n");
+                respondText(ctx, HttpResponseStatus.BAD_REQUEST, "only replicas may send this request\n");
                 return;
             }
             try {
@@ -406,7 +406,7 @@
                 if (request.uri().equals(RAFT_PATH)) {
                     RaftMessage message = Codec.message(body);
                     if (!message.getSender().getId().equals(sender)) {
-                        throw new IllegalArgumentException("sent by " + sender + ", from " + message.getSender());
+                        throw new IllegalArgumentException("the sender header names " + sender + ", the message names " + message.getSender());
                     }
                     if (checkSaveCount(ctx, sender, saveCount)) {
                         replica.handle(message);
@@ -434,9 +434,9 @@
                 respondText(
                         ctx,
                         HttpResponseStatus.CONFLICT,
-                        "you are at save " + saveCount + ", and had told of "
+                        "your save counter is " + saveCount + ", but was "
                                 + highestSaveCount
-                                + ": your directory is an older copy\n");
+                                + " before: your directory is an older copy\n");
                 return false;
             }
             if (saveCount > highestSaveCount) {
--- a/src/test/java/mulleinfront/keep/CodecTest.java
+++ b/src/test/java/mulleinfront/keep/CodecTest.java
@@ -206,7 +206,7 @@
         byte[] unknownFormat = Codec.proposal(proposal);
         unknownFormat[0] = 2;
         assertEquals(
-                "format 2 is not known, 1 is",
+                "unknown format version 2, expected 1",
                 assertThrows(IllegalArgumentException.class, () -> Codec.proposal(unknownFormat))
                         .getMessage());
     }
--- a/src/test/java/mulleinfront/keep/DiskLogTest.java
+++ b/src/test/java/mulleinfront/keep/DiskLogTest.java
@@ -216,7 +216,8 @@
         Files.write(baseDirectory.resolve(DiskLog.STORE_FILE), older);
         String message =
                 assertThrows(IOException.class, () -> open(baseDirectory)).getMessage();
-        assertTrue(message.endsWith("is at save 3, its mark at 4: it was cut, or an older copy was put back"), message);
+        assertTrue(message.endsWith(
+                        "has save counter 3, but its counter file has 4: it was truncated or replaced by an older copy"), message);
         Files.delete(baseDirectory.resolve(DiskLog.COUNTER_FILE));
         message = assertThrows(IOException.class, () -> open(baseDirectory)).getMessage();
         assertTrue(message.contains("keeper.mark: is missing"), message);
--- a/src/test/java/mulleinfront/keep/ReplicaNodeTest.java
+++ b/src/test/java/mulleinfront/keep/ReplicaNodeTest.java
@@ -245,7 +245,7 @@
             IOException wrong = assertThrows(
                     IOException.class,
                     () -> new DiskLog(baseDirectory.resolve("elsewhere"), "k3", cluster.addresses.keySet()));
-            assertTrue(wrong.getMessage().endsWith("is keeper k2's, not k3's"), wrong.getMessage());
+            assertTrue(wrong.getMessage().endsWith("belongs to replica k2, not to k3"), wrong.getMessage());
         }
     }
 
