--- a/src/main/java/mulleinfront/fleet/AntiEntropy.java
+++ b/src/main/java/mulleinfront/fleet/AntiEntropy.java
@@ -16,7 +16,9 @@
     private final Members members;
     private final RandomGenerator random;
     private long nextComparisonAt;
+    /** Replies to send: a level and a node index each, or a leaf and a bit mask of its members. */
     private final List<int[]> pendingReplies = new ArrayList<>();
+
     private final List<Integer> differingLeaves = new ArrayList<>();
 
     AntiEntropy(Fleet fleet, Members members, RandomGenerator random) {
--- a/src/main/java/mulleinfront/fleet/Datagram.java
+++ b/src/main/java/mulleinfront/fleet/Datagram.java
@@ -122,7 +122,7 @@
         }
 
         /** @param name printable ASCII; null to send an empty name */
-        Writer name(String name) {
+        Writer putName(String name) {
             int length = name == null ? 0 : name.length();
             out.put((byte) length);
             for (int i = 0; i < length; i++) {
@@ -226,7 +226,7 @@
             switch (kind) {
                 case PING, ACK -> {
                     nonce = require(4) ? in.getInt() : 0;
-                    name();
+                    readName();
                     readUpdates();
                 }
                 case ASK, NACK, ACK_FOR -> {
@@ -249,7 +249,7 @@
             return !malformed;
         }
 
-        private void name() {
+        private void readName() {
             int length = require(1) ? in.get() & 0xff : 0;
             if (length == 0 || length > MAX_NAME_CHARACTERS || !require(length)) {
                 malformed |= length > MAX_NAME_CHARACTERS;
--- a/src/main/java/mulleinfront/fleet/Fleet.java
+++ b/src/main/java/mulleinfront/fleet/Fleet.java
@@ -502,7 +502,7 @@
     }
 
     private void sendPing(int to, int nonce, long now) {
-        beginDatagram(Kind.PING, to).putInt(nonce).name(nameReceivedBy.get(to) ? null : settings.name());
+        beginDatagram(Kind.PING, to).putInt(nonce).putName(nameReceivedBy.get(to) ? null : settings.name());
         sendDatagram(to, now, true);
     }
 
@@ -636,7 +636,9 @@
                 int nonce = reader.nonce;
                 applyUpdates(now);
                 if (tokenBucket.allows(Priority.PROBE, now)) {
-                    beginDatagram(Kind.ACK, from).putInt(nonce).name(nameReceivedBy.get(from) ? null : settings.name());
+                    beginDatagram(Kind.ACK, from)
+                            .putInt(nonce)
+                            .putName(nameReceivedBy.get(from) ? null : settings.name());
                     sendDatagram(from, now, true);
                 }
             }
--- a/src/main/java/mulleinfront/keep/Codec.java
+++ b/src/main/java/mulleinfront/keep/Codec.java
@@ -114,7 +114,7 @@
 
     // ---- messages
 
-    static byte[] message(RaftMessage message) {
+    static byte[] encodeMessage(RaftMessage message) {
         return encode(out -> {
             if (message instanceof AppendEntriesRequest request) {
                 writeHeader(out, MessageType.APPEND, request);
@@ -123,7 +123,7 @@
                 out.writeLong(request.getCommitIndex());
                 out.writeInt(request.getLogEntries().size());
                 for (LogEntry entry : request.getLogEntries()) {
-                    entry(out, entry);
+                    writeEntry(out, entry);
                 }
                 writeSequenceNumbers(out, request.getQuerySequenceNumber(), request.getFlowControlSequenceNumber());
             } else if (message instanceof AppendEntriesSuccessResponse response) {
@@ -142,10 +142,10 @@
                 out.writeInt(request.getTotalSnapshotChunkCount());
                 out.writeBoolean(request.getSnapshotChunk() != null);
                 if (request.getSnapshotChunk() != null) {
-                    chunk(out, request.getSnapshotChunk());
+                    writeChunk(out, request.getSnapshotChunk());
                 }
-                endpoints(out, request.getSnapshottedMembers());
-                members(out, request.getGroupMembersView());
+                writeEndpoints(out, request.getSnapshottedMembers());
+                writeMembers(out, request.getGroupMembersView());
                 writeSequenceNumbers(out, request.getQuerySequenceNumber(), request.getFlowControlSequenceNumber());
             } else if (message instanceof InstallSnapshotResponse response) {
                 writeHeader(out, MessageType.INSTALL_RESPONSE, response);
@@ -190,7 +190,7 @@
     }
 
     /** @throws IllegalArgumentException if the bytes are not exactly one valid message */
-    static RaftMessage message(byte[] bytes) {
+    static RaftMessage decodeMessage(byte[] bytes) {
         return decode(bytes, in -> {
             MessageType type = constantAt(MessageType.values(), in.readUnsignedByte());
             RaftEndpoint sender = new ReplicaEndpoint(readText(in));
@@ -204,7 +204,7 @@
                             .setPreviousLogTerm(nonNegative(in.readInt()))
                             .setPreviousLogIndex(nonNegative(in.readLong()))
                             .setCommitIndex(nonNegative(in.readLong()))
-                            .setLogEntries(entries(in))
+                            .setLogEntries(readEntries(in))
                             .setQuerySequenceNumber(nonNegative(in.readLong()))
                             .setFlowControlSequenceNumber(nonNegative(in.readLong()))
                             .build();
@@ -235,9 +235,9 @@
                             .setSnapshotTerm(nonNegative(in.readInt()))
                             .setSnapshotIndex(nonNegative(in.readLong()))
                             .setTotalSnapshotChunkCount(nonNegative(in.readInt()))
-                            .setSnapshotChunk(in.readBoolean() ? chunk(in) : null)
-                            .setSnapshottedMembers(endpoints(in))
-                            .setGroupMembersView(members(in))
+                            .setSnapshotChunk(in.readBoolean() ? readChunk(in) : null)
+                            .setSnapshottedMembers(readEndpoints(in))
+                            .setGroupMembersView(readMembers(in))
                             .setQuerySequenceNumber(nonNegative(in.readLong()))
                             .setFlowControlSequenceNumber(nonNegative(in.readLong()))
                             .build();
@@ -296,95 +296,95 @@
 
     // ---- log entries, snapshots, members
 
-    static byte[] entry(LogEntry entry) {
-        return encode(out -> entry(out, entry));
+    static byte[] encodeEntry(LogEntry entry) {
+        return encode(out -> writeEntry(out, entry));
     }
 
-    static LogEntry entry(byte[] bytes) {
-        return decode(bytes, Codec::entry);
+    static LogEntry decodeEntry(byte[] bytes) {
+        return decode(bytes, Codec::readEntry);
     }
 
-    static byte[] chunk(SnapshotChunk chunk) {
-        return encode(out -> chunk(out, chunk));
+    static byte[] encodeChunk(SnapshotChunk chunk) {
+        return encode(out -> writeChunk(out, chunk));
     }
 
-    static SnapshotChunk chunk(byte[] bytes) {
-        return decode(bytes, Codec::chunk);
+    static SnapshotChunk decodeChunk(byte[] bytes) {
+        return decode(bytes, Codec::readChunk);
     }
 
-    static byte[] members(RaftGroupMembersView members) {
-        return encode(out -> members(out, members));
+    static byte[] encodeMembers(RaftGroupMembersView members) {
+        return encode(out -> writeMembers(out, members));
     }
 
-    static RaftGroupMembersView members(byte[] bytes) {
-        return decode(bytes, Codec::members);
+    static RaftGroupMembersView decodeMembers(byte[] bytes) {
+        return decode(bytes, Codec::readMembers);
     }
 
-    private static void entry(DataOutputStream out, LogEntry entry) throws IOException {
+    private static void writeEntry(DataOutputStream out, LogEntry entry) throws IOException {
         out.writeLong(entry.getIndex());
         out.writeInt(entry.getTerm());
-        operation(out, entry.getOperation());
+        writeOperation(out, entry.getOperation());
     }
 
-    private static LogEntry entry(DataInputStream in) throws IOException {
+    private static LogEntry readEntry(DataInputStream in) throws IOException {
         return MODEL.createLogEntryBuilder()
                 .setIndex(nonNegative(in.readLong()))
                 .setTerm(nonNegative(in.readInt()))
-                .setOperation(operation(in))
+                .setOperation(readOperation(in))
                 .build();
     }
 
-    private static List<LogEntry> entries(DataInputStream in) throws IOException {
+    private static List<LogEntry> readEntries(DataInputStream in) throws IOException {
         int count = readCount(in);
         List<LogEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            entries.add(entry(in));
+            entries.add(readEntry(in));
         }
         return entries;
     }
 
-    private static void chunk(DataOutputStream out, SnapshotChunk chunk) throws IOException {
+    private static void writeChunk(DataOutputStream out, SnapshotChunk chunk) throws IOException {
         out.writeLong(chunk.getIndex());
         out.writeInt(chunk.getTerm());
         out.writeInt(chunk.getSnapshotChunkIndex());
         out.writeInt(chunk.getSnapshotChunkCount());
-        members(out, chunk.getGroupMembersView());
-        operation(out, chunk.getOperation());
+        writeMembers(out, chunk.getGroupMembersView());
+        writeOperation(out, chunk.getOperation());
     }
 
-    private static SnapshotChunk chunk(DataInputStream in) throws IOException {
+    private static SnapshotChunk readChunk(DataInputStream in) throws IOException {
         return MODEL.createSnapshotChunkBuilder()
                 .setIndex(nonNegative(in.readLong()))
                 .setTerm(nonNegative(in.readInt()))
                 .setSnapshotChunkIndex(nonNegative(in.readInt()))
                 .setSnapshotChunkCount(nonNegative(in.readInt()))
-                .setGroupMembersView(members(in))
-                .setOperation(operation(in))
+                .setGroupMembersView(readMembers(in))
+                .setOperation(readOperation(in))
                 .build();
     }
 
-    private static void members(DataOutputStream out, RaftGroupMembersView view) throws IOException {
+    private static void writeMembers(DataOutputStream out, RaftGroupMembersView view) throws IOException {
         out.writeLong(view.getLogIndex());
-        endpoints(out, view.getMembers());
-        endpoints(out, view.getVotingMembers());
+        writeEndpoints(out, view.getMembers());
+        writeEndpoints(out, view.getVotingMembers());
     }
 
-    private static RaftGroupMembersView members(DataInputStream in) throws IOException {
+    private static RaftGroupMembersView readMembers(DataInputStream in) throws IOException {
         return MODEL.createRaftGroupMembersViewBuilder()
                 .setLogIndex(nonNegative(in.readLong()))
-                .setMembers(endpoints(in))
-                .setVotingMembers(endpoints(in))
+                .setMembers(readEndpoints(in))
+                .setVotingMembers(readEndpoints(in))
                 .build();
     }
 
-    private static void endpoints(DataOutputStream out, Collection<RaftEndpoint> members) throws IOException {
+    private static void writeEndpoints(DataOutputStream out, Collection<RaftEndpoint> members) throws IOException {
         out.writeInt(members.size());
         for (RaftEndpoint member : members) {
             writeText(out, (String) member.getId());
         }
     }
 
-    private static Collection<RaftEndpoint> endpoints(DataInputStream in) throws IOException {
+    private static Collection<RaftEndpoint> readEndpoints(DataInputStream in) throws IOException {
         int count = readCount(in);
         Collection<RaftEndpoint> members = new LinkedHashSet<>();
         for (int i = 0; i < count; i++) {
@@ -393,12 +393,12 @@
         return members;
     }
 
-    private static void operation(DataOutputStream out, Object operation) throws IOException {
+    private static void writeOperation(DataOutputStream out, Object operation) throws IOException {
         if (operation instanceof Operation.TermStart) {
             out.writeByte(OperationType.TERM_START.ordinal());
         } else if (operation instanceof Operation.Change change) {
             out.writeByte(OperationType.CHANGE.ordinal());
-            proposal(out, change.proposal());
+            writeProposal(out, change.proposal());
         } else if (operation instanceof Operation.SnapshotPart part) {
             out.writeByte(OperationType.PART.ordinal());
             out.writeInt(part.bytes().length);
@@ -410,10 +410,10 @@
         }
     }
 
-    private static Operation operation(DataInputStream in) throws IOException {
+    private static Operation readOperation(DataInputStream in) throws IOException {
         return switch (constantAt(OperationType.values(), in.readUnsignedByte())) {
             case TERM_START -> new Operation.TermStart();
-            case CHANGE -> new Operation.Change(proposal(in));
+            case CHANGE -> new Operation.Change(readProposal(in));
             case PART -> {
                 byte[] part = new byte[readCount(in)];
                 in.readFully(part);
@@ -424,41 +424,41 @@
 
     // ---- proposals and their results, between replicas
 
-    static byte[] proposal(Proposal proposal) {
-        return encode(out -> proposal(out, proposal));
+    static byte[] encodeProposal(Proposal proposal) {
+        return encode(out -> writeProposal(out, proposal));
     }
 
-    static Proposal proposal(byte[] bytes) {
-        return decode(bytes, Codec::proposal);
+    static Proposal decodeProposal(byte[] bytes) {
+        return decode(bytes, Codec::readProposal);
     }
 
-    static byte[] proposalResult(VersionLog.ProposalResult result) {
-        return encode(out -> proposalResult(out, result));
+    static byte[] encodeProposalResult(VersionLog.ProposalResult result) {
+        return encode(out -> writeProposalResult(out, result));
     }
 
-    static VersionLog.ProposalResult proposalResult(byte[] bytes) {
-        return decode(bytes, Codec::proposalResult);
+    static VersionLog.ProposalResult decodeProposalResult(byte[] bytes) {
+        return decode(bytes, Codec::readProposalResult);
     }
 
-    private static void proposal(DataOutputStream out, Proposal proposal) throws IOException {
+    private static void writeProposal(DataOutputStream out, Proposal proposal) throws IOException {
         writeText(out, proposal.id());
         out.writeLong(proposal.baseVersion());
-        entries(out, proposal.entries());
+        writeTextMap(out, proposal.entries());
         writeText(out, proposal.description());
         out.writeLong(proposal.proposedAtMs());
     }
 
-    private static Proposal proposal(DataInputStream in) throws IOException {
+    private static Proposal readProposal(DataInputStream in) throws IOException {
         return new Proposal(readText(in), in.readLong(), readTextMap(in), readText(in), in.readLong());
     }
 
-    private static void proposalResult(DataOutputStream out, VersionLog.ProposalResult result) throws IOException {
+    private static void writeProposalResult(DataOutputStream out, VersionLog.ProposalResult result) throws IOException {
         out.writeByte(result.outcome().ordinal());
         out.writeLong(result.version());
         writeText(out, result.reason());
     }
 
-    private static VersionLog.ProposalResult proposalResult(DataInputStream in) throws IOException {
+    private static VersionLog.ProposalResult readProposalResult(DataInputStream in) throws IOException {
         return new VersionLog.ProposalResult(
                 constantAt(VersionLog.ProposalOutcome.values(), in.readUnsignedByte()),
                 nonNegative(in.readLong()),
@@ -483,31 +483,31 @@
             out.writeInt(refusedResultsById.size());
             for (Map.Entry<String, VersionLog.ProposalResult> e : refusedResultsById.entrySet()) {
                 writeText(out, e.getKey());
-                proposalResult(out, e.getValue());
+                writeProposalResult(out, e.getValue());
             }
         }));
         List<Version> partVersions = new ArrayList<>();
         long partBytes = 0;
         for (Version version : versions) {
             partVersions.add(version);
-            partBytes += encode(out -> version(out, version)).length;
+            partBytes += encode(out -> writeVersion(out, version)).length;
             if (partBytes >= SNAPSHOT_PART_BYTES) {
-                parts.add(versions(partVersions));
+                parts.add(encodeVersions(partVersions));
                 partVersions.clear();
                 partBytes = 0;
             }
         }
         if (!partVersions.isEmpty()) {
-            parts.add(versions(partVersions));
+            parts.add(encodeVersions(partVersions));
         }
         return parts;
     }
 
-    private static byte[] versions(List<Version> versions) {
+    private static byte[] encodeVersions(List<Version> versions) {
         return encode(out -> {
             out.writeInt(versions.size());
             for (Version version : versions) {
-                version(out, version);
+                writeVersion(out, version);
             }
         });
     }
@@ -526,7 +526,7 @@
                 versionNumbersById.put(readText(in), nonNegative(in.readLong()));
             }
             for (int i = readCount(in); i > 0; i--) {
-                refusedResultsById.put(readText(in), proposalResult(in));
+                refusedResultsById.put(readText(in), readProposalResult(in));
             }
             return versions;
         });
@@ -534,9 +534,10 @@
         for (byte[] part : parts.subList(1, parts.size())) {
             decode(part, in -> {
                 for (int i = readCount(in); i > 0; i--) {
-                    Version version = version(in);
+                    Version version = readVersion(in);
                     if (countAndLast[0] > 0 && version.number() != countAndLast[1] + 1) {
-                        throw new IllegalArgumentException("version " + version.number() + " follows version " + countAndLast[1]);
+                        throw new IllegalArgumentException(
+                                "version " + version.number() + " follows version " + countAndLast[1]);
                     }
                     countAndLast[0]++;
                     countAndLast[1] = version.number();
@@ -546,24 +547,25 @@
             });
         }
         if (countAndLast[0] != expectedVersions) {
-            throw new IllegalArgumentException("the snapshot has " + countAndLast[0] + " versions, expected " + expectedVersions);
+            throw new IllegalArgumentException(
+                    "the snapshot has " + countAndLast[0] + " versions, expected " + expectedVersions);
         }
     }
 
-    private static void version(DataOutputStream out, Version version) throws IOException {
+    private static void writeVersion(DataOutputStream out, Version version) throws IOException {
         out.writeLong(version.number());
-        entries(out, version.entries());
+        writeTextMap(out, version.entries());
         writeText(out, version.description());
         out.writeLong(version.proposedAtMs());
     }
 
-    private static Version version(DataInputStream in) throws IOException {
+    private static Version readVersion(DataInputStream in) throws IOException {
         return new Version(nonNegative(in.readLong()), readTextMap(in), readText(in), in.readLong());
     }
 
     // ---- text and numbers
 
-    private static void entries(DataOutputStream out, Map<String, String> entries) throws IOException {
+    private static void writeTextMap(DataOutputStream out, Map<String, String> entries) throws IOException {
         out.writeInt(entries.size());
         for (Map.Entry<String, String> entry : entries.entrySet()) {
             writeText(out, entry.getKey());
--- a/src/main/java/mulleinfront/keep/DiskLog.java
+++ b/src/main/java/mulleinfront/keep/DiskLog.java
@@ -141,7 +141,7 @@
         if (!owner.equals(name)) {
             throw new IllegalArgumentException("belongs to replica " + owner + ", not to " + name);
         }
-        RaftGroupMembersView initialMembers = Codec.members(members);
+        RaftGroupMembersView initialMembers = Codec.decodeMembers(members);
         Set<String> storedNames = new HashSet<>();
         initialMembers.getMembers().forEach(member -> storedNames.add((String) member.getId()));
         if (!storedNames.equals(replicaNames)) {
@@ -151,7 +151,7 @@
         byte[] vote = verifiedValue(state, "vote");
         TreeMap<Long, LogEntry> entries = new TreeMap<>();
         for (Long index : log.keySet()) {
-            entries.put(index, Codec.entry(verifiedValue(log, index)));
+            entries.put(index, Codec.decodeEntry(verifiedValue(log, index)));
         }
         return Recovery.restore(
                 name,
@@ -167,7 +167,9 @@
     private TreeMap<Long, List<SnapshotChunk>> snapshots() {
         TreeMap<Long, List<SnapshotChunk>> snapshots = new TreeMap<>();
         for (Long key : chunks.keySet()) {
-            snapshots.computeIfAbsent(key >> 16, i -> new ArrayList<>()).add(Codec.chunk(verifiedValue(chunks, key)));
+            snapshots
+                    .computeIfAbsent(key >> 16, i -> new ArrayList<>())
+                    .add(Codec.decodeChunk(verifiedValue(chunks, key)));
         }
         return snapshots;
     }
@@ -287,7 +289,7 @@
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-        update(() -> put(state, "members", Codec.members(members)));
+        update(() -> put(state, "members", Codec.encodeMembers(members)));
         save();
     }
 
@@ -306,12 +308,12 @@
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        update(() -> entries.forEach(e -> put(log, e.getIndex(), Codec.entry(e))));
+        update(() -> entries.forEach(e -> put(log, e.getIndex(), Codec.encodeEntry(e))));
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        update(() -> put(chunks, chunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex()), Codec.chunk(chunk)));
+        update(() -> put(chunks, chunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex()), Codec.encodeChunk(chunk)));
     }
 
     private static long chunkKey(long index, int chunk) {
--- a/src/main/java/mulleinfront/keep/Replica.java
+++ b/src/main/java/mulleinfront/keep/Replica.java
@@ -341,7 +341,7 @@
             return;
         }
         // Encoded and decoded, so that this replica applies exactly what the others receive.
-        proposal = Codec.proposal(Codec.proposal(requested));
+        proposal = Codec.decodeProposal(Codec.encodeProposal(requested));
         if (openProposals >= MAX_OPEN_PROPOSALS) {
             scheduler.execute(() -> onResult.accept(unknown("too many proposals wait")));
             return;
--- a/src/main/java/mulleinfront/keep/ReplicaTransport.java
+++ b/src/main/java/mulleinfront/keep/ReplicaTransport.java
@@ -168,7 +168,7 @@
     public void send(String peer, RaftMessage message) {
         PeerConnection connection = connections.get(peer);
         if (connection != null && !closed) {
-            connection.send(Codec.message(message));
+            connection.send(Codec.encodeMessage(message));
         }
     }
 
@@ -194,7 +194,7 @@
         loop.schedule(() -> connectFuture.channel().close(), RESPONSE_TIMEOUT_NS, TimeUnit.NANOSECONDS);
         connectFuture.addListener(f -> {
             if (f.isSuccess()) {
-                post(connectFuture.channel(), peer, PROPOSE_PATH, Codec.proposal(proposal));
+                post(connectFuture.channel(), peer, PROPOSE_PATH, Codec.encodeProposal(proposal));
             } else {
                 responseHandler.finish(null);
             }
@@ -372,7 +372,7 @@
             VersionLog.ProposalResult result = null;
             if (response.status().equals(HttpResponseStatus.OK)) {
                 try {
-                    result = Codec.proposalResult(ByteBufUtil.getBytes(response.content()));
+                    result = Codec.decodeProposalResult(ByteBufUtil.getBytes(response.content()));
                 } catch (IllegalArgumentException e) {
                     // An invalid body counts as no response.
                 }
@@ -404,9 +404,10 @@
                 long saveCount = Long.parseLong(request.headers().get(SAVE_COUNT_HEADER, ""));
                 byte[] body = ByteBufUtil.getBytes(request.content());
                 if (request.uri().equals(RAFT_PATH)) {
-                    RaftMessage message = Codec.message(body);
+                    RaftMessage message = Codec.decodeMessage(body);
                     if (!message.getSender().getId().equals(sender)) {
-                        throw new IllegalArgumentException("the sender header names " + sender + ", the message names " + message.getSender());
+                        throw new IllegalArgumentException(
+                                "the sender header names " + sender + ", the message names " + message.getSender());
                     }
                     if (checkSaveCount(ctx, sender, saveCount)) {
                         replica.handle(message);
@@ -416,9 +417,9 @@
                     // The save counter is not checked: a proposal has its own connection, so later messages with
                     // a higher counter may overtake it, and it doesn't depend on the sender's Raft state.
                     replica.proposeLocally(
-                            Codec.proposal(body),
+                            Codec.decodeProposal(body),
                             result -> loop.execute(
-                                    () -> respond(ctx, HttpResponseStatus.OK, Codec.proposalResult(result))));
+                                    () -> respond(ctx, HttpResponseStatus.OK, Codec.encodeProposalResult(result))));
                 } else {
                     respondText(ctx, HttpResponseStatus.NOT_FOUND, "no such path\n");
                 }
--- a/src/test/java/mulleinfront/fleet/DatagramTest.java
+++ b/src/test/java/mulleinfront/fleet/DatagramTest.java
@@ -40,7 +40,7 @@
         for (Kind kind : Kind.values()) {
             Writer writer = writer().begin(kind, 5, INCARNATION, false, 0x12345678);
             switch (kind) {
-                case PING, ACK -> writer.putInt(77).name("n3");
+                case PING, ACK -> writer.putInt(77).putName("n3");
                 case ASK -> writer.putInt(77).putShort(9);
                 case ACK_FOR -> writer.putInt(77).putShort(9).putLong(INCARNATION + 4);
                 case NACK -> writer.putInt(77).putShort(9);
@@ -119,7 +119,7 @@
         assertEquals(DropReason.OTHER_VERSION, new Reader(Datagram.VERSION + 1, FLEET).read(valid, valid.length));
         Writer forgedWriter = writer().begin(Kind.PING, 5, Incarnation.MAX + 1, false, 0)
                 .putInt(1)
-                .name(null);
+                .putName(null);
         byte[] forged = bytes(forgedWriter);
         assertEquals(
                 DropReason.MALFORMED, reader().read(forged, forged.length), "the incarnation is above the valid range");
--- a/src/test/java/mulleinfront/keep/CodecTest.java
+++ b/src/test/java/mulleinfront/keep/CodecTest.java
@@ -151,11 +151,11 @@
     @Test
     void messagesSurviveEncodingAndDecoding() {
         for (RaftMessage message : allMessages()) {
-            byte[] bytes = Codec.message(message);
-            RaftMessage decoded = Codec.message(bytes);
+            byte[] bytes = Codec.encodeMessage(message);
+            RaftMessage decoded = Codec.decodeMessage(bytes);
             assertEquals(message.getClass(), decoded.getClass());
             assertEquals(REPLICA_1, decoded.getSender());
-            assertArrayEquals(bytes, Codec.message(decoded), message.toString());
+            assertArrayEquals(bytes, Codec.encodeMessage(decoded), message.toString());
             if (!(message instanceof io.microraft.model.message.InstallSnapshotRequest)) {
                 // toString shows a snapshot part's bytes by identity.
                 assertEquals(message.toString(), decoded.toString());
@@ -166,13 +166,13 @@
     @Test
     void truncatedOrExtendedMessagesAreRejected() {
         for (RaftMessage message : allMessages()) {
-            byte[] bytes = Codec.message(message);
+            byte[] bytes = Codec.encodeMessage(message);
             for (int length = 0; length < bytes.length; length++) {
                 byte[] truncated = Arrays.copyOf(bytes, length);
-                assertThrows(IllegalArgumentException.class, () -> Codec.message(truncated));
+                assertThrows(IllegalArgumentException.class, () -> Codec.decodeMessage(truncated));
             }
             byte[] longer = Arrays.copyOf(bytes, bytes.length + 1);
-            assertThrows(IllegalArgumentException.class, () -> Codec.message(longer));
+            assertThrows(IllegalArgumentException.class, () -> Codec.decodeMessage(longer));
         }
     }
 
@@ -182,12 +182,12 @@
         int rejected = 0;
         for (int i = 0; i < 20_000; i++) {
             List<RaftMessage> all = allMessages();
-            byte[] bytes = Codec.message(all.get(i % all.size()));
+            byte[] bytes = Codec.encodeMessage(all.get(i % all.size()));
             for (int changes = 1 + random.nextInt(3); changes > 0; changes--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
             }
             try {
-                Codec.message(bytes);
+                Codec.decodeMessage(bytes);
             } catch (IllegalArgumentException e) {
                 rejected++;
             }
@@ -198,16 +198,16 @@
     @Test
     void proposalsAndResultsSurviveEncodingAndDecoding() {
         Proposal proposal = TestCluster.proposal("p", -1, "ż\u0000\ud83d\ude00");
-        assertEquals(proposal, Codec.proposal(Codec.proposal(proposal)));
+        assertEquals(proposal, Codec.decodeProposal(Codec.encodeProposal(proposal)));
         for (VersionLog.ProposalOutcome outcome : VersionLog.ProposalOutcome.values()) {
             VersionLog.ProposalResult result = new VersionLog.ProposalResult(outcome, 5, "why");
-            assertEquals(result, Codec.proposalResult(Codec.proposalResult(result)));
+            assertEquals(result, Codec.decodeProposalResult(Codec.encodeProposalResult(result)));
         }
-        byte[] unknownFormat = Codec.proposal(proposal);
+        byte[] unknownFormat = Codec.encodeProposal(proposal);
         unknownFormat[0] = 2;
         assertEquals(
                 "unknown format version 2, expected 1",
-                assertThrows(IllegalArgumentException.class, () -> Codec.proposal(unknownFormat))
+                assertThrows(IllegalArgumentException.class, () -> Codec.decodeProposal(unknownFormat))
                         .getMessage());
     }
 }
--- a/src/test/java/mulleinfront/keep/DiskLogTest.java
+++ b/src/test/java/mulleinfront/keep/DiskLogTest.java
@@ -216,8 +216,10 @@
         Files.write(baseDirectory.resolve(DiskLog.STORE_FILE), older);
         String message =
                 assertThrows(IOException.class, () -> open(baseDirectory)).getMessage();
-        assertTrue(message.endsWith(
-                        "has save counter 3, but its counter file has 4: it was truncated or replaced by an older copy"), message);
+        assertTrue(
+                message.endsWith(
+                        "has save counter 3, but its counter file has 4: it was truncated or replaced by an older copy"),
+                message);
         Files.delete(baseDirectory.resolve(DiskLog.COUNTER_FILE));
         message = assertThrows(IOException.class, () -> open(baseDirectory)).getMessage();
         assertTrue(message.contains("keeper.mark: is missing"), message);
--- a/src/test/java/mulleinfront/keep/MemoryLog.java
+++ b/src/test/java/mulleinfront/keep/MemoryLog.java
@@ -77,10 +77,10 @@
             return null;
         }
         TreeMap<Long, LogEntry> entries = new TreeMap<>();
-        current.log.forEach((index, bytes) -> entries.put(index, Codec.entry(bytes)));
+        current.log.forEach((index, bytes) -> entries.put(index, Codec.decodeEntry(bytes)));
         return Recovery.restore(
                 current.endpoint,
-                Codec.members(current.members),
+                Codec.decodeMembers(current.members),
                 current.term,
                 fault == Fault.LOSES_VOTE ? null : current.vote,
                 snapshots(),
@@ -91,8 +91,8 @@
 
     private TreeMap<Long, List<SnapshotChunk>> snapshots() {
         TreeMap<Long, List<SnapshotChunk>> snapshots = new TreeMap<>();
-        current.chunks.forEach((index, parts) ->
-                snapshots.put(index, parts.values().stream().map(Codec::chunk).toList()));
+        current.chunks.forEach((index, parts) -> snapshots.put(
+                index, parts.values().stream().map(Codec::decodeChunk).toList()));
         return snapshots;
     }
 
@@ -120,7 +120,7 @@
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) {
-        current.members = Codec.members(members);
+        current.members = Codec.encodeMembers(members);
         save();
     }
 
@@ -134,14 +134,14 @@
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) {
-        entries.forEach(e -> current.log.put(e.getIndex(), Codec.entry(e)));
+        entries.forEach(e -> current.log.put(e.getIndex(), Codec.encodeEntry(e)));
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) {
         current.chunks
                 .computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
-                .put(chunk.getSnapshotChunkIndex(), Codec.chunk(chunk));
+                .put(chunk.getSnapshotChunkIndex(), Codec.encodeChunk(chunk));
     }
 
     @Override
--- a/src/test/java/mulleinfront/keep/ReplicaNodeTest.java
+++ b/src/test/java/mulleinfront/keep/ReplicaNodeTest.java
@@ -270,13 +270,16 @@
             cluster.nextVersion("k1");
             assertEquals(
                     200,
-                    post(cluster, ReplicaTransport.PROPOSE_PATH, Codec.proposal(TestCluster.proposal("two", 1, "b"))));
+                    post(
+                            cluster,
+                            ReplicaTransport.PROPOSE_PATH,
+                            Codec.encodeProposal(TestCluster.proposal("two", 1, "b"))));
             assertEquals(
                     409,
                     post(
                             cluster,
                             ReplicaTransport.RAFT_PATH,
-                            Codec.message(new io.microraft.model.impl.DefaultRaftModelFactory()
+                            Codec.encodeMessage(new io.microraft.model.impl.DefaultRaftModelFactory()
                                     .createPreVoteRequestBuilder()
                                     .setGroupId(Codec.GROUP_ID)
                                     .setSender(new ReplicaEndpoint("k2"))
--- a/src/test/java/mulleinfront/keep/ReplicaSimulation.java
+++ b/src/test/java/mulleinfront/keep/ReplicaSimulation.java
@@ -191,8 +191,8 @@
 
         @Override
         public void send(String peer, RaftMessage message) {
-            byte[] bytes = Codec.message(message);
-            transmit(this, replicaNamed(peer), target -> target.replica.handle(Codec.message(bytes)));
+            byte[] bytes = Codec.encodeMessage(message);
+            transmit(this, replicaNamed(peer), target -> target.replica.handle(Codec.decodeMessage(bytes)));
         }
 
         @Override
@@ -206,12 +206,13 @@
                 }
             };
             schedule(() -> once.accept(null), TimeUnit.SECONDS.toNanos(1));
-            byte[] bytes = Codec.proposal(proposal);
+            byte[] bytes = Codec.encodeProposal(proposal);
             transmit(
                     this,
                     replicaNamed(peer),
                     target -> target.replica.proposeLocally(
-                            Codec.proposal(bytes), result -> transmit(target, this, back -> once.accept(result))));
+                            Codec.decodeProposal(bytes),
+                            result -> transmit(target, this, back -> once.accept(result))));
         }
 
         @Override
