--- a/src/main/java/mulleinfront/Balancer.java
+++ b/src/main/java/mulleinfront/Balancer.java
@@ -289,7 +289,7 @@
             Settings.require(targetStretch >= 0, name + ": aimStretch is negative");
             Settings.require(
                     worth + lateWorth + targetStretch < Double.POSITIVE_INFINITY,
-                    name + ": worth, lateWorth or aimStretch is no number");
+                    name + ": worth, lateWorth and aimStretch must be finite numbers");
             Settings.require(
                     Math.max(targetLatencyUs, deadlineUs) <= Settings.MAX_DURATION_US,
                     name + ": onTimeUs or deadlineUs is over a day");
--- a/src/main/java/mulleinfront/fleet/FleetSettings.java
+++ b/src/main/java/mulleinfront/fleet/FleetSettings.java
@@ -54,14 +54,14 @@
 
     /** Validates the parameters. */
     public FleetSettings {
-        require(number >= 0 && number < peers, "number must be one of the " + peers + " peers'");
-        require(peers <= Members.MAX_MEMBERS, "peers: must not exceed " + Members.MAX_MEMBERS);
+        require(number >= 0 && number < peers, "number must be the index of one of the " + peers + " peers, from 0");
+        require(peers <= Members.MAX_MEMBERS, "the number of peers must not exceed " + Members.MAX_MEMBERS);
         require(periodUs > 0, "period must be above 0");
         require(ackTimeoutUs > 0 && ackTimeoutUs < probeTimeoutUs, "answer must be above 0 and below conclude");
         require(probeTimeoutUs <= periodUs, "conclude must not be above period");
         require(
                 name.length() <= Datagram.MAX_NAME_CHARACTERS,
-                "name: " + Datagram.MAX_NAME_CHARACTERS + " characters at most");
+                "name must have at most " + Datagram.MAX_NAME_CHARACTERS + " characters");
     }
 
     private static void require(boolean valid, String message) {
--- a/src/main/java/mulleinfront/follow/CachedCopy.java
+++ b/src/main/java/mulleinfront/follow/CachedCopy.java
@@ -45,7 +45,7 @@
         try {
             return DifferenceLine.readCached(Files.readAllBytes(file));
         } catch (IOException e) {
-            System.err.println("mulleinfront: " + file + ": not taken: "
+            System.err.println("mulleinfront: " + file + ": cached configuration ignored: "
                     + String.valueOf(e.getMessage()).replace('\n', ' '));
             return Version.NONE;
         }
--- a/src/main/java/mulleinfront/gossip/PeerSocket.java
+++ b/src/main/java/mulleinfront/gossip/PeerSocket.java
@@ -84,7 +84,7 @@
             if (firstAttempt) {
                 System.err.println("mulleinfront: can't listen for other client proxies on "
                         + NetUtil.toSocketAddressString(listen) + ": "
-                        + bindFuture.cause().getMessage() + "; trying on");
+                        + bindFuture.cause().getMessage() + "; retrying");
             }
             loop.schedule(
                     () -> {
--- a/src/main/java/mulleinfront/proxy/ClientProxy.java
+++ b/src/main/java/mulleinfront/proxy/ClientProxy.java
@@ -181,10 +181,10 @@
                 String hostId,
                 RequestMessage message,
                 long timeoutUs,
-                BooleanSupplier stillWanted,
+                BooleanSupplier maySend,
                 AttemptListener<Upstream.Answer> listener) {
             Upstream.Host host = discovery.host(hostId);
-            return host == null ? null : upstream.attempt(host, message, timeoutUs, stillWanted, listener);
+            return host == null ? null : upstream.attempt(host, message, timeoutUs, maySend, listener);
         }
 
         @Override
@@ -376,7 +376,7 @@
                 throw new IOException(message);
             }
             if (first) {
-                System.err.println("mulleinfront: " + message + "; trying on");
+                System.err.println("mulleinfront: " + message + "; retrying");
             }
             Thread.sleep(BIND_RETRY_MS);
         }
@@ -577,7 +577,7 @@
 
     /** Answers the requests that clients have sent or are about to send, and ends; returns the future of the end. */
     public Future<?> drain() {
-        System.err.println("mulleinfront: told to end; finishing open requests");
+        System.err.println("mulleinfront: shutting down; finishing open requests");
         leaveFleet();
         loop.execute(() -> frontend.drain(() -> {
             discovery.stop();
--- a/src/main/java/mulleinfront/proxy/Serve.java
+++ b/src/main/java/mulleinfront/proxy/Serve.java
@@ -93,12 +93,12 @@
             return null;
         }
         if (!descriptor.equals("0")) {
-            throw new IOException("NODE_INHERITED_FD: only descriptor 0 can be taken up, not " + descriptor);
+            throw new IOException("NODE_INHERITED_FD: only descriptor 0 can be used, not " + descriptor);
         }
         if (System.inheritedChannel() instanceof ServerSocketChannel socket) {
             return socket;
         }
-        throw new IOException("NODE_INHERITED_FD: descriptor 0 is no listening socket");
+        throw new IOException("NODE_INHERITED_FD: descriptor 0 is not a listening socket");
     }
 
     /** Starts the client proxies of a process, one for each event loop; they listen on one port. */
--- a/src/main/java/mulleinfront/proxy/Upstream.java
+++ b/src/main/java/mulleinfront/proxy/Upstream.java
@@ -175,19 +175,19 @@
     /**
      * Creates an attempt, to be started at once; null if the request can't be sent from its beginning.
      *
-     * @param stillWanted checked right before the request is written: whether it may still be sent
+     * @param maySend checked right before the request is written: whether it may still be sent
      */
     Attempt attempt(
             Host host,
             RequestMessage message,
             long timeoutUs,
-            BooleanSupplier stillWanted,
+            BooleanSupplier maySend,
             Wire.AttemptListener<Answer> listener) {
         if (message.remainingBody() != null && message.remainingBody().attached()) {
             // Part of the body has been sent to another endpoint and is no longer buffered.
             return null;
         }
-        return new Attempt(host, message, timeoutUs, stillWanted, listener);
+        return new Attempt(host, message, timeoutUs, maySend, listener);
     }
 
     /** Closes the idle connections to an endpoint; those in use close after their response. */
@@ -230,7 +230,7 @@
         private final Host host;
         private final RequestMessage message;
         private long deadlineNanos;
-        private final BooleanSupplier stillWanted;
+        private final BooleanSupplier maySend;
         private final Wire.AttemptListener<Answer> listener;
         private ScheduledFuture<?> timer;
         private ChannelFuture connecting;
@@ -245,11 +245,11 @@
                 Host host,
                 RequestMessage message,
                 long timeoutUs,
-                BooleanSupplier stillWanted,
+                BooleanSupplier maySend,
                 Wire.AttemptListener<Answer> listener) {
             this.host = host;
             this.message = message;
-            this.stillWanted = stillWanted;
+            this.maySend = maySend;
             this.listener = listener;
             if (timeoutUs != Wire.NO_TIMEOUT) {
                 setTimeout(timeoutUs);
@@ -327,7 +327,7 @@
         private void write(Connection target, boolean reused) {
             connection = target;
             connecting = null;
-            if (!guard.allows(RuleGuard.Check.START_AT_LEFT_ENDPOINT, host.ready) || !stillWanted.getAsBoolean()) {
+            if (!guard.allows(RuleGuard.Check.START_AT_LEFT_ENDPOINT, host.ready) || !maySend.getAsBoolean()) {
                 finish(Outcome.IGNORED, null);
                 return;
             }
--- a/src/test/java/mulleinfront/proxy/ConfigServeTest.java
+++ b/src/test/java/mulleinfront/proxy/ConfigServeTest.java
@@ -62,7 +62,7 @@
     }
 
     private static void awaitLine(Path file, String line) throws Exception {
-        ControlPlaneNodes.await(file.getFileName() + " says " + line, () -> {
+        ControlPlaneNodes.await(file.getFileName() + " contains: " + line, () -> {
             try {
                 return Files.exists(file) && Files.readString(file).contains(line);
             } catch (java.io.IOException e) {
@@ -82,7 +82,7 @@
         controlPlane.awaitActiveEverywhere(1);
         awaitLine(errors, "configuration version 1 in force, by c");
         ControlPlaneNodes.await(
-                "all are known to have it",
+                "the status shows the version at all client proxies",
                 () -> controlPlane
                         .runConfigCommand("status")
                         .endsWith("version 1 is in force at 11 of 11 client proxies\n"));
@@ -90,7 +90,7 @@
                 controlPlane.runConfigCommand("history").contains("2 keys, 2 changed, 0 removed  number 1"),
                 controlPlane.runConfigCommand("history"));
         Path cachedCopy = folder.resolve("state/n0/configuration.json");
-        ControlPlaneNodes.await("it is kept", () -> Files.exists(cachedCopy));
+        ControlPlaneNodes.await("the cached copy exists", () -> Files.exists(cachedCopy));
         process.destroyForcibly().waitFor();
         for (int i = 1; i <= 3; i++) {
             controlPlane.kill(i);
@@ -99,13 +99,13 @@
         Path restartErrors = folder.resolve("again");
         startProxy(ServeTest.freePort(), "127.0.0.1:1", restartErrors);
         awaitLine(restartErrors, "configuration version 1 in force, kept");
-        // A truncated copy is rejected, and the proxy says so.
+        // A truncated copy is rejected, and the proxy reports it.
         byte[] completeCopy = Files.readAllBytes(cachedCopy);
         Files.write(cachedCopy, Arrays.copyOf(completeCopy, completeCopy.length / 2));
         Path truncatedErrors = folder.resolve("cut");
         startProxy(ServeTest.freePort(), "127.0.0.1:1", truncatedErrors);
-        awaitLine(truncatedErrors, "not taken");
-        assertTrue(controlPlane.runConfigCommand("status").startsWith("1\n"), "nobody answers");
+        awaitLine(truncatedErrors, "configuration.json: cached configuration ignored: ");
+        assertTrue(controlPlane.runConfigCommand("status").startsWith("1\n"), "no control-plane node responds");
     }
 
     @Test
@@ -147,13 +147,16 @@
         String output = controlPlane.runConfigCommand("propose", toml.toString(), "--why", "in vain");
         assertTrue(output.startsWith("8\n") || output.startsWith("7\n") || output.startsWith("1\n"), output);
         try (Client client = new Client(port)) {
-            assertEquals(503, client.getSafe("a", 1_000).read().status(), "it answers, though its host is nobody");
+            assertEquals(
+                    503,
+                    client.getSafe("a", 1_000).read().status(),
+                    "the proxy answers although its endpoint is unreachable");
         }
         for (Subscriber subscriber : controlPlane.subscribers) {
             assertEquals(List.of(1L), subscriber.activeVersions);
         }
         controlPlane.startNode(1);
-        ControlPlaneNodes.await("a change is decided again", () -> {
+        ControlPlaneNodes.await("a new version is committed again", () -> {
             try {
                 return controlPlane
                         .runConfigCommand(
@@ -186,12 +189,14 @@
         controlPlane.propose(3, "");
         controlPlane.awaitActiveEverywhere(3);
         ControlPlaneNodes.await(
-                "the third has them too",
+                "the third node has the versions too",
                 () -> controlPlane.runConfigCommand("status").contains("c3               version 3"));
         controlPlane.kill(3);
         copy(older, folder3);
         controlPlane.startNode(3);
-        assertTrue(controlPlane.nodes[2].waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS), "it ends");
+        assertTrue(
+                controlPlane.nodes[2].waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS),
+                "the node with the older copy ends");
         assertEquals(1, controlPlane.nodes[2].exitValue());
         assertTrue(
                 Files.readString(folder.resolve("errors3")).contains("older copy"),
@@ -226,13 +231,14 @@
         controlPlane.propose(1, "");
         awaitLine(errors, "configuration version 1 in force");
         ControlPlaneNodes.await(
-                "it has said so", () -> controlPlane.runConfigCommand("status").contains("in force at 1 of 1"));
+                "the proxy has reported the version",
+                () -> controlPlane.runConfigCommand("status").contains("in force at 1 of 1"));
         ControlPlaneNodes.signal(process, "STOP");
         for (int i = 2; i <= 4; i++) {
             controlPlane.propose(i, "");
         }
         ControlPlaneNodes.await(
-                "it is known to be behind",
+                "the status shows that the proxy is behind",
                 () -> controlPlane.runConfigCommand("status").contains("n0                   version 1, "));
         ControlPlaneNodes.signal(process, "CONT");
         awaitLine(errors, "configuration version 4 in force");
@@ -248,7 +254,9 @@
         awaitLine(errors, "listening on");
         awaitLine(loaded, "mulleinfront.follow.ConfigWatcher ");
         process.destroy();
-        assertTrue(process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS), "nobody hands out, and it ends all the same");
+        assertTrue(
+                process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS),
+                "the proxy ends although no control-plane node is running");
         String classes = Files.readString(loaded);
         for (String forbidden : List.of(
                 "mulleinfront.handout.",
--- a/src/test/java/mulleinfront/proxy/ServeTest.java
+++ b/src/test/java/mulleinfront/proxy/ServeTest.java
@@ -74,7 +74,7 @@
             }
             Thread.sleep(20);
         }
-        throw new AssertionError("never ready");
+        throw new AssertionError("the proxy did not become ready in time");
     }
 
     /** A free port below the ephemeral range, so that no outgoing connection takes it. */
@@ -149,15 +149,15 @@
         int port = start(startServer(script), startServer(script), startServer(script));
         try (Client client = new Client(port)) {
             assertEquals(200, client.postUnsafe("not-run", 20_000).read().status());
-            assertEquals(2, attempts.getAndSet(0), "tried again after it was turned away");
+            assertEquals(2, attempts.getAndSet(0), "retried after a rejection");
             assertEquals(502, client.postUnsafe("error", 20_000).read().status());
-            assertEquals(1, attempts.getAndSet(0), "an error may have run");
+            assertEquals(1, attempts.getAndSet(0), "a request with an error response may have run");
             assertEquals(502, client.postUnsafe("reset", 20_000).read().status());
-            assertEquals(1, attempts.getAndSet(0), "a reset may have run");
+            assertEquals(1, attempts.getAndSet(0), "a request whose connection was reset may have run");
             // Safe to repeat: it is retried at another endpoint, and a refusal is correct whatever the attempts did.
             int status = client.getSafe("reset", 20_000).read().status();
             assertEquals(503, status);
-            assertTrue(attempts.get() > 1, "tried again: " + attempts);
+            assertTrue(attempts.get() > 1, "retried: " + attempts);
         }
     }
 
@@ -175,7 +175,7 @@
             assertEquals(200, kept.postUnsafe("before", 20_000).read().status());
             StandIns.awaitNext(host.received, "the first request");
             open.postUnsafe("out", 20_000);
-            ReceivedRequest inFlight = StandIns.awaitNext(host.received, "the request that is out");
+            ReceivedRequest inFlight = StandIns.awaitNext(host.received, "the request in flight");
             long signalledAtNanos = System.nanoTime();
             process.destroy();
             try {
@@ -189,14 +189,14 @@
                 assertTrue(kept.closed());
                 try (Client newClient = new Client(port)) {
                     assertEquals(
-                            200, newClient.postUnsafe("fresh", 20_000).read().status(), "new ones are served");
+                            200, newClient.postUnsafe("fresh", 20_000).read().status(), "new connections are served");
                 }
             } catch (IOException e) {
                 // Accepted only on a slow machine, after the time in which new requests are still served.
                 assertTrue(System.nanoTime() - signalledAtNanos > TimeUnit.MILLISECONDS.toNanos(500), e.toString());
             }
             assertTrue(idle.closed(), "idle connections close in the end");
-            assertTrue(process.isAlive(), "one request is out");
+            assertTrue(process.isAlive(), "one request is in flight");
             inFlight.respondOk("late");
             assertEquals("late", open.read().text());
             assertTrue(process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
@@ -205,7 +205,7 @@
 
     private void awaitLine(File errors, String line) throws Exception {
         while (!Files.readString(errors.toPath()).contains(line)) {
-            assertTrue(process.isAlive(), "it ended before it said '" + line + "'");
+            assertTrue(process.isAlive(), "the process ended before it printed '" + line + "'");
             Thread.sleep(5);
         }
     }
@@ -230,12 +230,12 @@
                                     "{\"name\":\"n0\"",
                                     "{\"name\":\"n0\",\"management\":\"127.0.0.1:" + occupied.getLocalPort() + "\""),
                     ProcessBuilder.Redirect.to(errors));
-            awaitLine(errors, "; trying on");
+            awaitLine(errors, "; retrying");
             try (Client client = new Client(port)) {
                 client.postUnsafe("a", 20_000);
                 ReceivedRequest inFlight = StandIns.awaitNext(received, "the request");
                 process.destroy();
-                awaitLine(errors, "told to end");
+                awaitLine(errors, "shutting down; finishing open requests");
                 inFlight.respondOk("whole");
                 assertEquals("whole", client.read().text());
             }
@@ -263,7 +263,7 @@
             ReceivedRequest inFlight = StandIns.awaitNext(received, "the request");
             sendSighup();
             process.destroy();
-            awaitLine(errors, "told to end");
+            awaitLine(errors, "shutting down; finishing open requests");
             sendSighup();
             process.destroy();
             Thread.sleep(50);
@@ -385,9 +385,9 @@
                             .read()
                             .status());
         }
-        assertEquals(48, host.received.size(), "nothing to a draining host");
+        assertEquals(48, host.received.size(), "nothing was sent to the draining endpoint");
         process.destroy();
-        assertTrue(process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS), "all of them end");
+        assertTrue(process.waitFor(StandIns.TIMEOUT_S, TimeUnit.SECONDS), "all event loops end");
     }
 
     @Test
@@ -461,7 +461,7 @@
             assertFalse(process.exitValue() == 0);
             List<String> lines = Files.readAllLines(errors.toPath());
             assertEquals(2, lines.size(), lines.toString());
-            assertTrue(lines.get(0).endsWith("; trying on"), lines.get(0));
+            assertTrue(lines.get(0).endsWith("; retrying"), lines.get(0));
             assertTrue(lines.get(1).startsWith("mulleinfront: can't listen on "), lines.get(1));
         }
     }
@@ -481,7 +481,7 @@
                             "",
                             StandIns.listJson(1, true, StandIns.endpointJson("s0", host.address(), "in_service"))),
                     ProcessBuilder.Redirect.to(errors));
-            awaitLine(errors, "; trying on");
+            awaitLine(errors, "; retrying");
         }
         awaitReady(port);
     }
--- a/src/test/java/mulleinfront/proxy/UpgradeTest.java
+++ b/src/test/java/mulleinfront/proxy/UpgradeTest.java
@@ -162,8 +162,8 @@
                 .map(request -> request.message().header("x-request-id"))
                 .filter(Objects::nonNull)
                 .toList();
-        assertEquals(sent.get(), ids.size(), "each sent once");
-        assertEquals(sent.get(), new HashSet<>(ids).size(), "each sent once");
+        assertEquals(sent.get(), ids.size(), "each request was sent once");
+        assertEquals(sent.get(), new HashSet<>(ids).size(), "each request was sent once");
         assertTrue(replacement.isAlive());
         assertFalse(old.isAlive());
     }
@@ -182,8 +182,8 @@
             assertEquals(1, process.exitValue());
             assertEquals(
                     descriptor.equals("7")
-                            ? "mulleinfront: NODE_INHERITED_FD: only descriptor 0 can be taken up, not 7\n"
-                            : "mulleinfront: NODE_INHERITED_FD: descriptor 0 is no listening socket\n",
+                            ? "mulleinfront: NODE_INHERITED_FD: only descriptor 0 can be used, not 7\n"
+                            : "mulleinfront: NODE_INHERITED_FD: descriptor 0 is not a listening socket\n",
                     Files.readString(errors));
         }
     }
