--- a/src/main/java/mulleinfront/StartTimes.java
+++ b/src/main/java/mulleinfront/StartTimes.java
@@ -2,8 +2,8 @@
 
 /**
  * Converts the listed start time of an endpoint's process to the instance's own clock. Lists state it in wall-clock
- * time, which may have been stepped since this instance read it. A start that contradicts what the instance
- * knew before is taken as now, so that slow start lasts its time on the monotonic clock whatever wall clocks do.
+ * time, which may have been stepped since this instance read it. A start time that contradicts what the instance
+ * knew before is replaced by the current time, so that slow start has its full duration whatever wall clocks do.
  */
 final class StartTimes {
     /** Longest time after a start until discovery lists it. */
--- a/src/main/java/mulleinfront/UnservedReason.java
+++ b/src/main/java/mulleinfront/UnservedReason.java
@@ -57,8 +57,8 @@
 
         private final String description;
 
-        Cause(String words) {
-            this.description = words;
+        Cause(String description) {
+            this.description = description;
         }
 
         /** Description for people. */
--- a/src/main/java/mulleinfront/core/AgentBackoff.java
+++ b/src/main/java/mulleinfront/core/AgentBackoff.java
@@ -1,9 +1,10 @@
 package mulleinfront.core;
 
 /**
- * Backoff of calls to a local discovery agent that pushes lists. A change that the agent has reaches its propagation
- * deadline whether or not a watch is open, and the agent answers at once and at no cost, so a broken watch is reopened
- * without delay. Calls without a response are repeated with exponential backoff, up to {@link #MAX_DELAY_US}.
+ * Backoff of calls to a local discovery agent that pushes lists. The propagation deadline of a change that the agent
+ * knows runs whether or not a watch is open, and the agent answers at once and at no cost, so a broken watch is
+ * reopened without delay. Calls without a response are repeated with exponential backoff, up to
+ * {@link #MAX_DELAY_US}.
  */
 public final class AgentBackoff {
     private static final long INITIAL_DELAY_US = 25_000;
--- a/src/main/java/mulleinfront/proxy/ClientChannel.java
+++ b/src/main/java/mulleinfront/proxy/ClientChannel.java
@@ -159,9 +159,8 @@
             try {
                 socket = SocketUtils.accept(javaChannel());
             } catch (IOException failure) {
-                // No free descriptor, no buffers, or a connection that was already closed. The next accept follows
-                // soon:
-                // Netty's own pause is 1 s, after which the waiting clients would have timed out.
+                // No free descriptor, no buffers, or a connection that was already closed. The pause is short: during
+                // Netty's own pause of 1 s the waiting clients would time out.
                 pauseAccepting();
                 return 0;
             }
--- a/src/main/java/mulleinfront/proxy/Frontend.java
+++ b/src/main/java/mulleinfront/proxy/Frontend.java
@@ -332,7 +332,9 @@
         /** Whether further input is ignored, after unreadable input or the connection's last response. */
         private boolean ignoresInput;
 
+        /** Whether a request is being handled or its response is being written. */
         private boolean busy;
+
         private boolean dispatching;
         private boolean keepAlive;
         private boolean http10;
--- a/src/test/java/mulleinfront/CallScheduleTest.java
+++ b/src/test/java/mulleinfront/CallScheduleTest.java
@@ -123,7 +123,7 @@
         assertTrue(schedule.callTimeoutUs() > 3 * SECOND_US, "at the start");
         schedule.called(NOW_US);
         schedule.answered(NOW_US + 10_000);
-        assertTrue(schedule.callTimeoutUs() > 3 * SECOND_US, "after a quick answer");
+        assertTrue(schedule.callTimeoutUs() > 3 * SECOND_US, "after a quick response");
     }
 
     @Test
@@ -139,7 +139,7 @@
         assertTrue(schedule.callTimeoutUs() > 3 * SECOND_US, "" + schedule.callTimeoutUs());
         schedule.called(now);
         schedule.answered(now + SECOND_US);
-        assertTrue(schedule.callTimeoutUs() < SECOND_US, "given up within the time for asking again");
+        assertTrue(schedule.callTimeoutUs() < SECOND_US, "shorter than the poll interval limit");
     }
 
     @Test
@@ -153,9 +153,11 @@
             long calledAt = nextCallAt;
             long failedAt = nextCallAt + 1_000;
             nextCallAt = schedule.afterFailedCall(failedAt, true);
-            assertTrue(nextCallAt < failedAt + 1_500_001, "it goes on calling, after " + (nextCallAt - failedAt));
+            assertTrue(nextCallAt < failedAt + 1_500_001, "calls continue, after " + (nextCallAt - failedAt));
             assertEquals(
-                    calledAt + ListDeadline.PROPAGATION_US, schedule.propagationDeadline(), "from when it was called");
+                    calledAt + ListDeadline.PROPAGATION_US,
+                    schedule.propagationDeadline(),
+                    "counted from the start of the last call");
         }
     }
 
--- a/src/test/java/mulleinfront/FleetTest.java
+++ b/src/test/java/mulleinfront/FleetTest.java
@@ -21,7 +21,7 @@
 /** Failures that occur only where each of hundreds of instances sends little. */
 class FleetTest {
     private static final RequestClass VALUABLE =
-            new RequestClass("dear", Effect.RETRYABLE, null, 0, 10, 0, 500_000, 0, 2_000_000);
+            new RequestClass("valuable", Effect.RETRYABLE, null, 0, 10, 0, 500_000, 0, 2_000_000);
 
     /** Sends requests that are all lost, whichever endpoint they go to. */
     private static void loseRequests(Rig rig, int requests) {
@@ -117,7 +117,7 @@
                 }
             }
         }
-        assertTrue(cheap < 10 && valuable > cheap, "admitted " + cheap + " cheap, " + valuable + " dear");
+        assertTrue(cheap < 10 && valuable > cheap, "admitted " + cheap + " cheap, " + valuable + " valuable");
         // Admission recovers with its cause: timely responses raise the admitted share.
         int served = 0;
         for (int i = 0; i < 400; i++) {
--- a/src/test/java/mulleinfront/RulesTest.java
+++ b/src/test/java/mulleinfront/RulesTest.java
@@ -62,28 +62,30 @@
         @Override
         public void send(String id, String endpointId, long timeoutUs) {
             RequestRecord request = open.get(id);
-            assertTrue(request != null && !request.done, "sent after its end: " + id);
+            assertTrue(request != null && !request.done, "sent after its final answer: " + id);
             Endpoint endpoint = endpoints.get(endpointId);
             assertTrue(
                     endpoint != null && endpoint.availability() == Availability.READY,
-                    "sent to a drained " + endpointId);
+                    "sent to an endpoint that is not ready: " + endpointId);
             assertTrue(request.attempts.size() < 3, "too many attempts");
             for (AttemptRecord attempt : request.attempts) {
-                assertTrue(attempt.outcome != null, "two attempts out at once");
+                assertTrue(attempt.outcome != null, "two attempts in flight at once");
                 boolean mayHaveRun = attempt.outcome == null || !attempt.outcome.neverRan();
                 if (mayHaveRun && request.requestClass.effect() == Effect.FRAGILE) {
                     throw new AssertionError("fragile request sent twice");
                 }
                 if (mayHaveRun && request.requestClass.effect() == Effect.DEDUP) {
                     Endpoint first = endpoints.get(attempt.endpoint);
-                    assertTrue(now - attempt.sentAt <= request.requestClass.dedupWindowUs(), "outside the window");
+                    assertTrue(
+                            now - attempt.sentAt <= request.requestClass.dedupWindowUs(),
+                            "repeated outside the deduplication window");
                     assertTrue(
                             request.requestClass.scope() == DedupScope.ALL
                                     || request.requestClass.scope() == DedupScope.ZONE
                                             && first.zone() == endpoint.zone()
                                     || request.requestClass.scope() == DedupScope.CELL
                                             && first.cell() == endpoint.cell(),
-                            "outside the group");
+                            "repeated outside the deduplication group");
                 }
             }
             AttemptRecord attempt = new AttemptRecord();
@@ -114,7 +116,7 @@
                                 || request.requestClass.effect() == Effect.RETRYABLE
                                 || request.requestClass.effect() == Effect.DEDUP
                                         && request.requestClass.scope() == DedupScope.ALL,
-                        "untrue refusal");
+                        "refused although an attempt may have run");
             }
         }
 
@@ -301,14 +303,14 @@
         openRequest(checker, "a", Rig.RETRYABLE);
         assertThrows(AssertionError.class, () -> checker.send("a", "drained", 0));
         checker.send("a", "up", 0);
-        assertThrows(AssertionError.class, () -> checker.send("a", "far", 0), "two attempts out");
+        assertThrows(AssertionError.class, () -> checker.send("a", "far", 0), "two attempts in flight");
         checker.fail("a");
         assertThrows(AssertionError.class, () -> checker.fail("a"), "two answers");
         openRequest(checker, "b", Rig.FRAGILE);
         checker.send("b", "up", 0);
         checker.open.get("b").attempts.get(0).outcome = Outcome.FAILED;
         assertThrows(AssertionError.class, () -> checker.send("b", "far", 0), "fragile twice");
-        assertThrows(AssertionError.class, () -> checker.refuse("b", 0), "untrue refusal");
+        assertThrows(AssertionError.class, () -> checker.refuse("b", 0), "refused although an attempt may have run");
         openRequest(checker, "d", Rig.DEDUP);
         checker.send("d", "up", 0);
         checker.open.get("d").attempts.get(0).outcome = Outcome.FAILED;
--- a/src/test/java/mulleinfront/config/ConfigDistributionTest.java
+++ b/src/test/java/mulleinfront/config/ConfigDistributionTest.java
@@ -303,9 +303,9 @@
         simulation.run(PROPAGATION_BOUND_US);
         AssertionError found = assertThrows(AssertionError.class, simulation::check);
         String expectedMessage = switch (defect) {
-            case APPLIES_PARTIAL_DELTA -> "of its own";
-            case REVERTS_TO_OLDER_VERSION -> "went back";
-            case REPORTS_VERSION_IT_LACKS -> "says version";
+            case APPLIES_PARTIAL_DELTA -> "that differs from the committed one";
+            case REVERTS_TO_OLDER_VERSION -> "went back to an older version: ";
+            case REPORTS_VERSION_IT_LACKS -> "reported version";
             case NONE -> "";
         };
         assertTrue(found.getMessage().contains(expectedMessage), found.getMessage());
--- a/src/test/java/mulleinfront/config/ConfigSubscriberTest.java
+++ b/src/test/java/mulleinfront/config/ConfigSubscriberTest.java
@@ -31,17 +31,17 @@
                 SubscriberSettings.defaults(3), version(5), new SplittableRandom(1), new ConfigSubscriber.Actions() {
                     @Override
                     public void openWatch(int machine, long baseVersion, long checksum) {
-                        actions.add("ask " + machine + " after " + baseVersion);
+                        actions.add("watch " + machine + " after " + baseVersion);
                     }
 
                     @Override
                     public void closeWatch() {
-                        actions.add("hang up");
+                        actions.add("close watch");
                     }
 
                     @Override
                     public void onActiveVersion(Version version) {
-                        actions.add("in force " + version.number());
+                        actions.add("active " + version.number());
                     }
 
                     @Override
@@ -57,7 +57,7 @@
         subscriber.start(nowUs);
         nowUs = timerUs;
         subscriber.onTimer(nowUs);
-        assertEquals(List.of("ask " + subscriber.machine() + " after 5"), actions);
+        assertEquals(List.of("watch " + subscriber.machine() + " after 5"), actions);
         subscriber.onData(nowUs);
         subscriber.onHeartbeat(nowUs, 5, true);
         actions.clear();
@@ -93,18 +93,18 @@
         assertEquals(List.of(), actions);
         assertEquals(version(5), subscriber.activeVersion());
         subscriber.onDelta(nowUs, Difference.between(version(5), version(6)));
-        assertEquals(List.of("in force 6", "report 6"), actions);
+        assertEquals(List.of("active 6", "report 6"), actions);
     }
 
     @Test
     void mismatchedDeltaIsRejectedAndFullVersionRequestedFromAnotherNode() {
         int firstNode = subscriber.machine();
         subscriber.onDelta(nowUs, Difference.between(version(4), version(7)));
-        assertEquals(List.of("hang up"), actions);
+        assertEquals(List.of("close watch"), actions);
         assertEquals(version(5), subscriber.activeVersion());
         advanceUntilConnecting();
         assertNotEquals(firstNode, subscriber.machine());
-        assertEquals("ask " + subscriber.machine() + " after 0", actions.get(1));
+        assertEquals("watch " + subscriber.machine() + " after 0", actions.get(1));
         subscriber.onData(nowUs);
         subscriber.onDelta(nowUs, Difference.full(version(7)));
         assertEquals(version(7), subscriber.activeVersion());
@@ -115,9 +115,9 @@
         advance(1_499_999);
         assertEquals(List.of("report 5"), actions);
         advance(1);
-        assertEquals(List.of("report 5", "hang up"), actions);
+        assertEquals(List.of("report 5", "close watch"), actions);
         advanceUntilConnecting();
-        assertEquals("ask " + subscriber.machine() + " after 5", actions.get(2));
+        assertEquals("watch " + subscriber.machine() + " after 5", actions.get(2));
         assertTrue(subscriber.mayBeBehind());
     }
 
@@ -128,7 +128,7 @@
         // The process stalls for 10 s: its timer is late, and received data is not read yet.
         nowUs += 10 * SECOND_US;
         subscriber.onTimer(nowUs);
-        assertTrue(!actions.contains("hang up"), actions.toString());
+        assertTrue(!actions.contains("close watch"), actions.toString());
         subscriber.onData(nowUs);
         subscriber.onDelta(nowUs, Difference.between(version(5), version(9)));
         assertEquals(9, subscriber.activeVersion().number());
@@ -149,7 +149,7 @@
             }
             actions.clear();
             advance(SECOND_US / 2);
-            if (actions.contains("hang up")) {
+            if (actions.contains("close watch")) {
                 leftAtUs[nodesLeft++] = nowUs;
             }
         }
@@ -163,11 +163,11 @@
     @Test
     void stoppedSubscriberDoesNothing() {
         subscriber.stop();
-        assertEquals(List.of("hang up"), actions);
+        assertEquals(List.of("close watch"), actions);
         subscriber.onDelta(nowUs, Difference.full(version(9)));
         subscriber.onWatchLost(nowUs);
         subscriber.onTimer(nowUs + 10 * SECOND_US);
-        assertEquals(List.of("hang up"), actions);
+        assertEquals(List.of("close watch"), actions);
         assertEquals(5, subscriber.activeVersion().number());
     }
 }
--- a/src/test/java/mulleinfront/config/DistributionSimulation.java
+++ b/src/test/java/mulleinfront/config/DistributionSimulation.java
@@ -596,7 +596,7 @@
             Connection current = connection;
             long active = activeVersions.isEmpty() ? 0 : activeVersions.get(activeVersions.size() - 1);
             if (number != active) {
-                violations.add("client proxy " + this.number + " says version " + number + " and has " + active);
+                violations.add("client proxy " + this.number + " reported version " + number + " but has " + active);
             }
             if (current != null) {
                 current.sendToNode(
@@ -648,14 +648,15 @@
         for (Proxy proxy : proxies) {
             for (int i = 1; i < proxy.activeVersions.size(); i++) {
                 if (proxy.activeVersions.get(i) < proxy.activeVersions.get(i - 1)) {
-                    throw new AssertionError("client proxy " + proxy.number + " went back: " + proxy.activeVersions);
+                    throw new AssertionError(
+                            "client proxy " + proxy.number + " went back to an older version: " + proxy.activeVersions);
                 }
             }
             if (proxy.subscriber != null) {
                 Version version = proxy.subscriber.activeVersion();
                 if (!version.equals(committed.get((int) version.number()))) {
-                    throw new AssertionError(
-                            "client proxy " + proxy.number + " has a version " + version.number() + " of its own");
+                    throw new AssertionError("client proxy " + proxy.number + " has a version " + version.number()
+                            + " that differs from the committed one");
                 }
             }
         }
--- a/src/test/java/mulleinfront/proxy/AttemptDeadlineTest.java
+++ b/src/test/java/mulleinfront/proxy/AttemptDeadlineTest.java
@@ -38,7 +38,7 @@
         host.acceptPending();
         Message request = host.readHead();
         long deadlineMs = Long.parseLong(request.header("x-deadline-ms"));
-        assertTrue(deadlineMs > 0 && deadlineMs <= DEADLINE_MS - WAIT_MS, "told " + deadlineMs);
+        assertTrue(deadlineMs > 0 && deadlineMs <= DEADLINE_MS - WAIT_MS, "deadline sent: " + deadlineMs);
     }
 
     @Test
@@ -117,7 +117,7 @@
                     case "first" -> {
                         sentRequests.add(request.id());
                         try {
-                            StandIns.awaitNext(release, "word to go on");
+                            StandIns.awaitNext(release, "the release by the test");
                         } catch (InterruptedException e) {
                             throw new AssertionError(e);
                         }
@@ -140,7 +140,7 @@
                             .status());
             assertEquals("a", StandIns.awaitNext(sentRequests, "the decision"));
             Client first = connectClient().getSafe("first", DEADLINE_MS);
-            assertEquals("first", StandIns.awaitNext(sentRequests, "the first stand"));
+            assertEquals("first", StandIns.awaitNext(sentRequests, "the block in the first decision"));
             // Events are handled in order of arrival: the second blocking request, then the connection, both in one
             // turn.
             second.getSafe("second", DEADLINE_MS);
@@ -151,7 +151,7 @@
             assertEquals(
                     Outcome.CONNECT_ERROR,
                     StandIns.awaitNext(balancer.attemptEnds, "the end").outcome());
-            assertEquals(503, client.read().status(), "nothing has run");
+            assertEquals(503, client.read().status(), "no attempt has run");
             assertTrue(host.endedWithoutData(), "nothing was written");
         }
     }
--- a/src/test/java/mulleinfront/proxy/BadClientsTest.java
+++ b/src/test/java/mulleinfront/proxy/BadClientsTest.java
@@ -34,10 +34,10 @@
         }
         balancer.onRequest = request -> balancer.actions.fail(request.id());
         assertEquals(502, connectClient().postUnsafe("id1", 20_000).read().status());
-        assertTrue(idleClients.get(0).closed(), "the longest quiet one went");
+        assertTrue(idleClients.get(0).closed(), "the longest idle connection is closed");
         balancer.actions.fail("busy");
         assertEquals(502, connectClient().postUnsafe("id2", 20_000).read().status());
-        assertEquals(502, busy.read().status(), "one with a request open stays");
+        assertEquals(502, busy.read().status(), "a connection with an open request stays");
     }
 
     @Test
@@ -55,7 +55,7 @@
         // Guards against request smuggling: what follows a head with ambiguous framing is never read.
         startProxy("");
         balancer.onRequest = request -> {
-            throw new AssertionError("told of " + request);
+            throw new AssertionError("passed to the balancer: " + request);
         };
         String post =
                 "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\nX-Class: unsafe\r\n" + "X-Deadline-Ms: 9000\r\n";
@@ -99,7 +99,7 @@
     void duplicateOrMalformedHeadersAreRejected() throws Exception {
         startProxy("");
         balancer.onRequest = request -> {
-            throw new AssertionError("told of " + request);
+            throw new AssertionError("passed to the balancer: " + request);
         };
         String get = "GET /api HTTP/1.1\r\nHost: h\r\n";
         Client client = connectClient();
@@ -202,9 +202,9 @@
         }
         ReceivedRequest first = StandIns.awaitNext(host.received, "the first request");
         client.close();
-        assertEquals("id0", StandIns.awaitNext(balancer.abandonedRequests, "the client's leaving"));
+        assertEquals("id0", StandIns.awaitNext(balancer.abandonedRequests, "the client's disconnect"));
         first.awaitConnectionEnd();
-        assertTrue(balancer.abandonedRequests.isEmpty(), "the others were never begun");
+        assertTrue(balancer.abandonedRequests.isEmpty(), "the other requests were never started");
     }
 
     @Test
@@ -217,7 +217,7 @@
         Message late = client.read();
         assertEquals(503, late.status());
         assertEquals("2", late.header("retry-after"));
-        assertEquals("a", StandIns.awaitNext(started, "the first"));
+        assertEquals("a", StandIns.awaitNext(started, "the first request"));
         assertTrue(started.isEmpty());
     }
 
@@ -229,7 +229,7 @@
         Client client = connectClient().postUnsafe("id1", 20_000);
         ReceivedRequest seen = StandIns.awaitNext(host.received, "the request");
         client.close();
-        assertEquals("id1", StandIns.awaitNext(balancer.abandonedRequests, "the client's leaving"));
+        assertEquals("id1", StandIns.awaitNext(balancer.abandonedRequests, "the client's disconnect"));
         AttemptEnd end = StandIns.awaitNext(balancer.attemptEnds, "the end");
         assertEquals(Outcome.CANCELED, end.outcome());
         assertTrue(end.requestDone());
@@ -240,7 +240,7 @@
     void invalidRequestsAreNotForwarded() throws Exception {
         startProxy("");
         balancer.onRequest = request -> {
-            throw new AssertionError("told of " + request);
+            throw new AssertionError("passed to the balancer: " + request);
         };
         String head = "Host: h\r\nX-Request-Id: a\r\nX-Class: unsafe\r\n";
         assertEquals(400, connectClient().write("nonsense\r\n\r\n").read().status());
@@ -292,7 +292,7 @@
                         .read()
                         .status());
         balancer.onRequest = request -> balancer.actions.fail(request.id());
-        assertEquals(502, connectClient().postUnsafe("id1", 20_000).read().status(), "and it serves on");
+        assertEquals(502, connectClient().postUnsafe("id1", 20_000).read().status(), "the proxy still serves requests");
     }
 
     @Test
--- a/src/test/java/mulleinfront/proxy/BadHostsTest.java
+++ b/src/test/java/mulleinfront/proxy/BadHostsTest.java
@@ -177,8 +177,7 @@
     @Test
     void unsolicitedBytesCloseAnIdleConnection() throws Exception {
         // Guards against reusing a connection with unread bytes: a stray response would answer another request, and
-        // other
-        // bytes would corrupt its response.
+        // other bytes would corrupt its response.
         Server host = startServer(request -> request.respondOk(request.message().header("x-request-id")));
         startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
         balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
@@ -223,10 +222,11 @@
         Client client = connectClient();
         assertEquals(200, client.postUnsafe("id1", 20_000).read().status());
         Thread.sleep(400);
-        assertEquals(502, client.postUnsafe("id2", 20_000).read().status(), "the first to be dropped");
+        assertEquals(
+                502, client.postUnsafe("id2", 20_000).read().status(), "the first request on a reset connection fails");
         assertEquals(200, client.postUnsafe("id3", 20_000).read().status());
         Thread.sleep(800);
-        assertEquals(200, client.postUnsafe("id4", 20_000).read().status(), "on a fresh one");
+        assertEquals(200, client.postUnsafe("id4", 20_000).read().status(), "a new connection is used");
     }
 
     @Test
--- a/src/test/java/mulleinfront/proxy/BodiesTest.java
+++ b/src/test/java/mulleinfront/proxy/BodiesTest.java
@@ -90,7 +90,7 @@
         }
         out.write("0\r\nX-Trailer: t\r\n\r\n".getBytes());
         assertEquals("" + Arrays.hashCode(body), client.read().text(), "on the same connection");
-        assertEquals(200, client.postUnsafe("c", 20_000).read().status(), "which is still in step");
+        assertEquals(200, client.postUnsafe("c", 20_000).read().status(), "the connection is still in sync");
     }
 
     @Test
@@ -137,7 +137,8 @@
                 .write("GET /api HTTP/1.0\r\nX-Request-Id: chunks\r\nX-Class: safe\r\n"
                         + "X-Deadline-Ms: 9000\r\n\r\n");
         assertEquals(200, http10Client.readHead().status());
-        assertArrayEquals(body, http10Client.in.readAllBytes(), "an old client is told by the end of the connection");
+        assertArrayEquals(
+                body, http10Client.in.readAllBytes(), "the end of the connection ends the body for an HTTP/1.0 client");
     }
 
     @Test
@@ -192,7 +193,7 @@
             before = written.get();
             Thread.sleep(300);
         } while (written.get() > before);
-        assertTrue(before < EXCEEDS_BUFFERS_BYTES, "the host could write all of it to a client that reads nothing");
+        assertTrue(before < EXCEEDS_BUFFERS_BYTES, "the endpoint wrote all of it although the client reads nothing");
         for (int i = 0; i < EXCEEDS_BUFFERS_BYTES / piece.length; i++) {
             assertArrayEquals(piece, client.in.readNBytes(piece.length));
         }
@@ -227,7 +228,8 @@
                     Thread.sleep(300);
                 } while (written.get() > before);
                 assertTrue(
-                        before < EXCEEDS_BUFFERS_BYTES, "all of it was taken from a client whose host reads nothing");
+                        before < EXCEEDS_BUFFERS_BYTES,
+                        "all of it was read from the client although the endpoint reads nothing");
                 InputStream in = new BufferedInputStream(host.getInputStream());
                 Message request = StandIns.read(in);
                 assertEquals(EXCEEDS_BUFFERS_BYTES, request.body().length);
@@ -256,12 +258,12 @@
         });
         for (String id : List.of("length", "chunks", "close")) {
             Client client = connectClient().getSafe(id, 20_000);
-            assertThrows(IOException.class, client::read, id + ": the client can tell that it is not whole");
+            assertThrows(IOException.class, client::read, id + ": the client can tell that the response is incomplete");
             assertEquals(
                     Outcome.RESET,
                     StandIns.awaitNext(balancer.attemptEnds, "the end").outcome());
         }
-        assertEquals(3, host.received.size(), "also one that is safe to repeat is not sent again");
+        assertEquals(3, host.received.size(), "a request that is safe to retry is not sent again either");
     }
 
     @Test
@@ -288,12 +290,13 @@
                     StandIns.awaitNext(balancer.attemptEnds, "the end").outcome());
             assertEquals(
                     Outcome.IGNORED,
-                    StandIns.awaitNext(balancer.attemptEnds, "the second's end").outcome());
+                    StandIns.awaitNext(balancer.attemptEnds, "the end of the second attempt")
+                            .outcome());
             client.socket.getOutputStream().write(randomBytes(100_000));
-            assertEquals(503, client.read().status(), "nothing ran: it may be tried again by the client");
+            assertEquals(503, client.read().status(), "no attempt ran, so the client may retry");
             assertTrue(client.closed());
             listening.setSoTimeout(200);
-            assertThrows(IOException.class, listening::accept, "nothing more was sent for it");
+            assertThrows(IOException.class, listening::accept, "no further attempt was sent");
         }
     }
 
@@ -310,7 +313,7 @@
         await(responseStarted);
         reader.close();
         StandIns.awaitNext(host.received, "the request").awaitConnectionEnd();
-        assertEquals("down", StandIns.awaitNext(balancer.abandonedRequests, "word of it"));
+        assertEquals("down", StandIns.awaitNext(balancer.abandonedRequests, "the abandoned request"));
         assertEquals(
                 Outcome.CANCELED,
                 StandIns.awaitNext(balancer.attemptEnds, "the end").outcome());
@@ -321,11 +324,11 @@
             Thread.sleep(5);
         }
         writer.close();
-        assertEquals("up", StandIns.awaitNext(balancer.abandonedRequests, "word of it"));
+        assertEquals("up", StandIns.awaitNext(balancer.abandonedRequests, "the abandoned request"));
         assertEquals(
                 Outcome.CANCELED,
                 StandIns.awaitNext(balancer.attemptEnds, "the end").outcome());
-        assertEquals(0, host.received.size(), "it never came in whole");
+        assertEquals(0, host.received.size(), "no endpoint received a complete request");
     }
 
     @Test
@@ -335,7 +338,7 @@
         client.socket.getOutputStream().write(randomBytes(200_000));
         assertEquals(408, client.read().status());
         assertTrue(client.closed());
-        assertEquals("a", StandIns.awaitNext(balancer.abandonedRequests, "word of it"));
+        assertEquals("a", StandIns.awaitNext(balancer.abandonedRequests, "the abandoned request"));
     }
 
     @Test
@@ -355,7 +358,7 @@
         writer.setDaemon(true);
         writer.start();
         assertEquals(413, client.read().status());
-        assertEquals(0, host.received.size(), "it never came in whole");
+        assertEquals(0, host.received.size(), "no endpoint received a complete request");
     }
 
     @Test
@@ -375,10 +378,10 @@
                 .write("GET /api HTTP/1.0\r\nX-Request-Id: old\r\nX-Class: safe\r\n" + "X-Deadline-Ms: 500\r\n\r\n");
         http10Client.readHead();
         assertEquals("begun", new String(http10Client.in.readNBytes(5)));
-        assertThrows(IOException.class, () -> StandIns.readChunk(chunked.in), "not whole");
-        assertThrows(IOException.class, http10Client.in::read, "nor this: a mere end would be the end of the answer");
+        assertThrows(IOException.class, () -> StandIns.readChunk(chunked.in), "the response is incomplete");
+        assertThrows(IOException.class, http10Client.in::read, "a regular close would end the response");
         assertEquals(0, later.in.available());
         later.socket.setSoTimeout(100);
-        assertThrows(SocketTimeoutException.class, later.in::read, "whose time is not up may go on");
+        assertThrows(SocketTimeoutException.class, later.in::read, "a response before its client's deadline continues");
     }
 }
--- a/src/test/java/mulleinfront/proxy/ClientDisconnectTest.java
+++ b/src/test/java/mulleinfront/proxy/ClientDisconnectTest.java
@@ -61,7 +61,7 @@
     /** Sends a request that blocks the event loop and is refused after that. */
     private Client sendBlocker() throws Exception {
         Client blocker = connectClient().getSafe("blocker", 20_000);
-        assertEquals("blocker", StandIns.awaitNext(blockedAt, "the loop's standing still"));
+        assertEquals("blocker", StandIns.awaitNext(blockedAt, "the blocked event loop"));
         return blocker;
     }
 
@@ -75,7 +75,9 @@
         balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
         assertEquals(200, connectClient().getSafe(id, 20_000).read().status());
         assertEquals(
-                id, StandIns.awaitNext(host.received, "the one").message().header("x-request-id"), "nothing before it");
+                id,
+                StandIns.awaitNext(host.received, "the request").message().header("x-request-id"),
+                "no other request was sent before");
     }
 
     private Server startWithServer() throws Exception {
@@ -90,7 +92,7 @@
         balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
         assertEquals(200, connectClient().getSafe("warm", 20_000).read().status());
         long cooledDownAtNanos = System.nanoTime() + 2_000 * Wire.CONNECTION_COOL_DOWN_US;
-        StandIns.awaitNext(host.received, "the warm one");
+        StandIns.awaitNext(host.received, "the request that opens a connection");
         StandIns.awaitNext(balancer.attemptEnds, "its end");
         while (System.nanoTime() < cooledDownAtNanos) {
             Thread.onSpinWait();
@@ -108,12 +110,12 @@
         assertEquals("a", StandIns.awaitNext(blockedAt, "the decision"));
         disconnect(client);
         release.countDown();
-        assertEquals("a", StandIns.awaitNext(balancer.abandonedRequests, "its leaving"));
+        assertEquals("a", StandIns.awaitNext(balancer.abandonedRequests, "the client's disconnect"));
         AttemptEnd end = StandIns.awaitNext(balancer.attemptEnds, "the end");
         assertEquals(Outcome.IGNORED, end.outcome());
-        assertTrue(end.requestDone(), "nothing follows");
+        assertTrue(end.requestDone(), "no retry follows");
         assertNextSentIs(host, "b");
-        assertTrue(balancer.abandonedRequests.isEmpty(), "told once");
+        assertTrue(balancer.abandonedRequests.isEmpty(), "the disconnect is reported once");
     }
 
     @Test
@@ -127,8 +129,8 @@
         release.countDown();
         assertEquals(503, blocker.read().status());
         for (int i = 0; i < 20; i++) {
-            assertTrue(
-                    StandIns.awaitNext(balancer.abandonedRequests, "a leaving").startsWith("a"));
+            assertTrue(StandIns.awaitNext(balancer.abandonedRequests, "a client's disconnect")
+                    .startsWith("a"));
         }
         assertNextSentIs(host, "b");
     }
@@ -145,7 +147,7 @@
         disconnect(connectClient().write(pipelined.toString()));
         release.countDown();
         assertEquals(503, blocker.read().status());
-        assertEquals("a0", StandIns.awaitNext(balancer.abandonedRequests, "its leaving"));
+        assertEquals("a0", StandIns.awaitNext(balancer.abandonedRequests, "the client's disconnect"));
         assertNextSentIs(host, "b");
     }
 
@@ -169,13 +171,15 @@
         assertEquals("a", StandIns.awaitNext(blockedAt, "the second decision"));
         disconnect(client);
         release.countDown();
-        assertEquals("a", StandIns.awaitNext(balancer.abandonedRequests, "its leaving"));
+        assertEquals("a", StandIns.awaitNext(balancer.abandonedRequests, "the client's disconnect"));
         assertEquals(
                 Outcome.RESET,
-                StandIns.awaitNext(balancer.attemptEnds, "the first's end").outcome());
+                StandIns.awaitNext(balancer.attemptEnds, "the end of the first attempt")
+                        .outcome());
         assertEquals(
                 Outcome.IGNORED,
-                StandIns.awaitNext(balancer.attemptEnds, "the second's end").outcome());
+                StandIns.awaitNext(balancer.attemptEnds, "the end of the second attempt")
+                        .outcome());
         assertNextSentIs(second, "b");
     }
 
@@ -190,7 +194,7 @@
             host.acceptPending();
             disconnect(client);
             release.countDown();
-            assertEquals("a", StandIns.awaitNext(balancer.abandonedRequests, "its leaving"));
+            assertEquals("a", StandIns.awaitNext(balancer.abandonedRequests, "the client's disconnect"));
             assertTrue(host.endedWithoutData(), "nothing was written");
             assertEquals(503, blocker.read().status());
         }
@@ -210,7 +214,7 @@
             }
         };
         Client client = connectClient().postUnsafe("a", 20_000);
-        assertEquals("a", StandIns.awaitNext(queued, "the hold"));
+        assertEquals("a", StandIns.awaitNext(queued, "the queued request"));
         Future<?> shutdown = proxy.drain();
         assertEquals(
                 "close",
@@ -222,10 +226,10 @@
         disconnect(client);
         release.countDown();
         assertEquals(503, blocker.read().status());
-        assertEquals("a", StandIns.awaitNext(balancer.abandonedRequests, "its leaving"));
+        assertEquals("a", StandIns.awaitNext(balancer.abandonedRequests, "the client's disconnect"));
         assertTrue(shutdown.await(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
         proxy = null;
-        assertTrue(host.received.isEmpty(), "nothing was sent");
+        assertTrue(host.received.isEmpty(), "no attempt was sent");
     }
 
     @Test
@@ -238,12 +242,14 @@
                 .write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\nX-Class: unsafe\r\n"
                         + "X-Deadline-Ms: 20000\r\nContent-Length: 1000000\r\n\r\n");
         client.write("b".repeat(400_000));
-        assertEquals("a", StandIns.awaitNext(accepted, "the one that leaves"));
+        assertEquals("a", StandIns.awaitNext(accepted, "the request of the client that disconnects"));
         Client stays = connectClient().getSafe("stays", 4_000);
-        assertEquals("stays", StandIns.awaitNext(accepted, "the one that stays"));
+        assertEquals("stays", StandIns.awaitNext(accepted, "the request of the client that stays"));
         disconnect(client);
         assertEquals(
-                "a", StandIns.awaitNext(balancer.abandonedRequests, "its leaving, long before the other's time is up"));
+                "a",
+                StandIns.awaitNext(
+                        balancer.abandonedRequests, "the disconnect, long before the other client's deadline"));
         assertEquals(503, stays.read().status());
     }
 
@@ -257,15 +263,17 @@
             pipelined.append(getRequest("a" + i));
         }
         Client client = connectClient().write(getRequest("a"));
-        assertEquals("a", StandIns.awaitNext(accepted, "the first"));
+        assertEquals("a", StandIns.awaitNext(accepted, "the first request"));
         client.write(pipelined.toString());
         Client stays = connectClient().getSafe("stays", 4_000);
-        assertEquals("stays", StandIns.awaitNext(accepted, "the one that stays"));
+        assertEquals("stays", StandIns.awaitNext(accepted, "the request of the client that stays"));
         client.close();
         assertEquals(
-                "a", StandIns.awaitNext(balancer.abandonedRequests, "its leaving, long before the other's time is up"));
+                "a",
+                StandIns.awaitNext(
+                        balancer.abandonedRequests, "the disconnect, long before the other client's deadline"));
         assertEquals(503, stays.read().status());
-        assertNull(accepted.poll(), "what it had sent besides was never begun");
+        assertNull(accepted.poll(), "its pipelined requests were never started");
     }
 
     @Test
@@ -282,7 +290,7 @@
         startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
         balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
         Client client = connectClient().write(getRequest("a"));
-        ReceivedRequest first = StandIns.awaitNext(received, "the first");
+        ReceivedRequest first = StandIns.awaitNext(received, "the first request");
         int count = 4_000;
         StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < count; i++) {
@@ -301,10 +309,10 @@
                 assertEquals(503, answer.status());
                 assertNotNull(answer.header("retry-after"));
             }
-            assertNull(answer.header("connection"), "and its connection stays");
+            assertNull(answer.header("connection"), "its connection stays open");
         }
-        assertEquals(served + 1, host.received.size(), "what was refused was not sent");
-        assertTrue(served >= 400, "what can be held is served: " + served);
+        assertEquals(served + 1, host.received.size(), "refused requests were not sent");
+        assertTrue(served >= 400, "requests within the buffer limit are served: " + served);
         assertEquals("b", client.getSafe("b", 20_000).read().text());
     }
 
@@ -326,7 +334,7 @@
         first.awaitConnectionEnd();
         second.respondOk("x");
         assertEquals(200, again.read().status());
-        assertEquals("a", StandIns.awaitNext(balancer.abandonedRequests, "the first's leaving"));
+        assertEquals("a", StandIns.awaitNext(balancer.abandonedRequests, "the disconnect of the first client"));
         assertEquals(2, host.received.size());
         assertTrue(balancer.abandonedRequests.isEmpty());
     }
--- a/src/test/java/mulleinfront/proxy/ClosingTest.java
+++ b/src/test/java/mulleinfront/proxy/ClosingTest.java
@@ -35,7 +35,7 @@
      * this time has passed.
      */
     private static void assertClosesWithoutReset(Client client) throws Exception {
-        assertEquals(-1, client.in.read(), "the end of what it says, and no reset");
+        assertEquals(-1, client.in.read(), "the end of the stream, without a reset");
         long endedAtNanos = System.nanoTime();
         try {
             for (int i = 0; i < 10; i++) {
@@ -65,9 +65,9 @@
         assertClosesWithoutReset(client);
         client.close();
         Client other = connectClient().getSafe("other", 20_000);
-        StandIns.awaitNext(received, "another's request").respondOk("x");
+        StandIns.awaitNext(received, "the other client's request").respondOk("x");
         assertEquals(200, other.read().status());
-        assertTrue(received.isEmpty(), "nothing of what followed was sent on");
+        assertTrue(received.isEmpty(), "no later request was forwarded");
     }
 
     @Test
@@ -78,14 +78,16 @@
         balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
         Client client = connectClient().write(getRequest("last", "Connection: close\r\n"));
         assertEquals(200, client.read().status());
-        assertEquals(-1, client.in.read(), "the end");
+        assertEquals(-1, client.in.read(), "the end of the stream");
         client.postUnsafe("late", 20_000);
         client.socket.shutdownOutput();
         assertEquals(
-                "last", StandIns.awaitNext(host.received, "the one").message().header("x-request-id"));
+                "last",
+                StandIns.awaitNext(host.received, "the only request").message().header("x-request-id"));
         assertEquals(200, connectClient().getSafe("after", 20_000).read().status());
         assertEquals(
-                "after", StandIns.awaitNext(host.received, "the next").message().header("x-request-id"));
+                "after",
+                StandIns.awaitNext(host.received, "the next request").message().header("x-request-id"));
     }
 
     @Test
@@ -109,15 +111,14 @@
 
     @Test
     void disconnectDuringADrainIsNoticed() throws Exception {
-        // Guards against forwarding requests of disconnected clients: only a read detects the disconnect, and the drain
-        // had
-        // stopped reading.
+        // Guards against forwarding requests of disconnected clients: only a read detects the disconnect, and the
+        // drain had stopped reading.
         startProxy("");
         BlockingQueue<String> accepted = new LinkedBlockingQueue<>();
         balancer.onRequest = request -> accepted.add(request.id());
         Client half = connectWithHalfRequest();
         Client stays = connectClient().getSafe("stays", 20_000);
-        StandIns.awaitNext(accepted, "the one that stays");
+        StandIns.awaitNext(accepted, "the request of the client that stays");
         List<Client> leavingClients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             leavingClients.add(connectClient().getSafe("id" + i, 20_000));
@@ -131,12 +132,13 @@
         // The client that stays is answered when the drain's time is over; the disconnects are noticed before that.
         for (int i = 0; i < 20; i++) {
             assertTrue(
-                    StandIns.awaitNext(balancer.abandonedRequests, "leaving " + i)
+                    StandIns.awaitNext(balancer.abandonedRequests, "disconnect " + i)
                             .startsWith("id"),
-                    "leaving " + i);
+                    "disconnect " + i);
         }
         assertEquals(503, stays.read().status());
-        assertEquals("stays", StandIns.awaitNext(balancer.abandonedRequests, "the end of the one that stayed"));
+        assertEquals(
+                "stays", StandIns.awaitNext(balancer.abandonedRequests, "the end of the request that stayed open"));
     }
 
     @Test
@@ -149,22 +151,22 @@
             pipelined.append(getRequest("id" + i, "X-Pad: " + "p".repeat(1_000) + "\r\n"));
         }
         Client client = connectClient().write(pipelined.toString());
-        assertEquals("id0", StandIns.awaitNext(accepted, "the first"));
+        assertEquals("id0", StandIns.awaitNext(accepted, "the first request"));
         Client stays = connectClient().getSafe("stays", 5_000);
-        assertEquals("stays", StandIns.awaitNext(accepted, "the one that stays"));
+        assertEquals("stays", StandIns.awaitNext(accepted, "the request of the client that stays"));
         client.close();
         assertEquals(
                 "id0",
-                StandIns.awaitNext(balancer.abandonedRequests, "its leaving, long before the other's time is up"));
+                StandIns.awaitNext(
+                        balancer.abandonedRequests, "the disconnect, long before the other client's deadline"));
         assertEquals(503, stays.read().status());
-        assertNull(accepted.poll(), "what it had sent besides was never begun");
+        assertNull(accepted.poll(), "its pipelined requests were never started");
     }
 
     @Test
     void drainCompletesAResponseBeingWritten() throws Exception {
-        // Guards against a truncated response: a connection whose response was being written looked idle, and a drain
-        // closes
-        // idle connections.
+        // Guards against a truncated response: a connection whose response was being written looked idle, and a
+        // drain closes idle connections.
         String largeBody = "x".repeat(Framing.MAX_BUFFERED_BODY_BYTES);
         Server host = startServer(request -> request.respondOk(largeBody));
         startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
@@ -184,7 +186,7 @@
                 receivedBefore = host.received.size();
                 Thread.sleep(200);
             } while (receivedBefore == 0 || host.received.size() > receivedBefore);
-            assertTrue(receivedBefore < count, "all was written to a client that reads nothing");
+            assertTrue(receivedBefore < count, "all responses were written although the client reads nothing");
             Client half = connectWithHalfRequest();
             proxy.drain();
             assertClosesWithoutReset(half);
--- a/src/test/java/mulleinfront/proxy/CongestionTest.java
+++ b/src/test/java/mulleinfront/proxy/CongestionTest.java
@@ -26,9 +26,8 @@
 
     @Test
     void unresponsiveOverloadedEndpointsAreNotTakenForIdle() throws Exception {
-        // Guards against congestion that sustains itself: without responses there are no load reports, and the balancer
-        // took
-        // that for spare capacity.
+        // Guards against congestion that sustains itself: without responses there are no load reports, and the
+        // balancer took that for spare capacity.
         AtomicBoolean congested = new AtomicBoolean();
         List<String> hosts = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
@@ -64,7 +63,7 @@
             assertEquals(503, client.getSafe("still" + i, 400).read().status());
         }
         int refused = refusedByAdmission() - refusedBefore;
-        assertTrue(refused > 0, "all ten were sent into the jam");
-        assertTrue(refused < 10, "and some must be, or nobody would see its end");
+        assertTrue(refused > 0, "some are refused under congestion");
+        assertTrue(refused < 10, "some are sent, since the end of the congestion would go unnoticed otherwise");
     }
 }
--- a/src/test/java/mulleinfront/proxy/ControlPlaneNodes.java
+++ b/src/test/java/mulleinfront/proxy/ControlPlaneNodes.java
@@ -183,7 +183,7 @@
         long beforeNanos = System.nanoTime();
         String output = runConfigCommand("propose", toml.toString(), "--why", "number " + number);
         if (!output.equals("0\nversion " + number + " is decided\n")) {
-            throw new AssertionError("not version " + number + ": " + output);
+            throw new AssertionError("expected version " + number + ": " + output);
         }
         return beforeNanos;
     }
@@ -198,7 +198,7 @@
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StandIns.TIMEOUT_S);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("never: " + description);
+                throw new AssertionError("timed out waiting for: " + description);
             }
             Thread.sleep(10);
         }
@@ -209,7 +209,8 @@
         for (Subscriber subscriber : subscribers) {
             for (int i = 1; i < subscriber.activeVersions.size(); i++) {
                 if (subscriber.activeVersions.get(i) <= subscriber.activeVersions.get(i - 1)) {
-                    throw new AssertionError("a reader went back: " + subscriber.activeVersions);
+                    throw new AssertionError(
+                            "a subscriber went back to an older version: " + subscriber.activeVersions);
                 }
             }
         }
--- a/src/test/java/mulleinfront/proxy/DiscoveryTest.java
+++ b/src/test/java/mulleinfront/proxy/DiscoveryTest.java
@@ -35,9 +35,9 @@
         assertEquals("DELTA [t 1 GONE]", StandIns.awaitNext(balancer.listEvents, "a change"));
         assertEquals(503, readyStatus());
         DiscoveryStandIn.push(watch, "{\"version\":4,\"servers\":[{\"id\":7");
-        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the bad line's failure"));
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the failure by the invalid line"));
         watch.awaitConnectionEnd();
-        assertEquals(0, discovery.server.received.size(), "asked again only when the module says so");
+        assertEquals(0, discovery.server.received.size(), "called again only when the balancer decides to");
         balancer.onRequest = request -> {
             balancer.actions.subscribe();
             balancer.actions.fail(request.id());
@@ -48,8 +48,8 @@
                 secondWatch.message().startLine().contains("after=3 "),
                 secondWatch.message().startLine());
         secondWatch.reset();
-        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the break"));
-        assertTrue(balancer.listEvents.isEmpty(), "each failure is told once");
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the broken watch"));
+        assertTrue(balancer.listEvents.isEmpty(), "each failure is reported once");
     }
 
     @Test
@@ -78,15 +78,14 @@
 
     @Test
     void pushedListPrecedesTheConfiguredList() throws Exception {
-        // Guards against sending to a draining endpoint: what the agent has is binding from the start, and the
-        // configured list
-        // may be outdated.
+        // Guards against sending to a draining endpoint: the agent's list counts as known from the start, and the
+        // configured list may be outdated.
         Server drainingServer = startServer(request -> request.respondOk("x"));
         discovery = closeAfterTest(new DiscoveryStandIn());
         startWithPushedLists(
                 StandIns.listJson(1, true, StandIns.endpointJson("s", drainingServer.address(), "in_service")));
         ReceivedRequest watch = discovery.acceptWatch();
-        assertEquals(503, readyStatus(), "nothing is known yet");
+        assertEquals(503, readyStatus(), "no list has arrived yet");
         balancer.onRequest = request -> {
             balancer.actions.send(request.id(), "s", 0);
             balancer.actions.refuse(request.id(), 0);
@@ -101,10 +100,10 @@
                         StandIns.endpointJson("t", drainingServer.address(), "in_service")));
         assertEquals(
                 "FULL [s 1 DRAINING, t 1 READY]",
-                StandIns.awaitNext(balancer.listEvents, "the agent's list, as the first"));
+                StandIns.awaitNext(balancer.listEvents, "the agent's list is the first one"));
         assertEquals(200, readyStatus());
         assertEquals(503, connectClient().postUnsafe("late", 20_000).read().status());
-        assertEquals(0, drainingServer.received.size(), "nothing went to a host that drains");
+        assertEquals(0, drainingServer.received.size(), "nothing was sent to the draining endpoint");
     }
 
     @Test
@@ -113,7 +112,7 @@
         discovery = closeAfterTest(new DiscoveryStandIn());
         startWithPushedLists(StandIns.listJson(1, true, StandIns.endpointJson("s", "127.0.0.1:1", "in_service")));
         StandIns.awaitNext(discovery.server.received, "the watch that is not answered");
-        assertEquals("CACHED [s 1 READY]", StandIns.awaitNext(balancer.listEvents, "the list known"));
+        assertEquals("CACHED [s 1 READY]", StandIns.awaitNext(balancer.listEvents, "the cached list"));
         assertEquals(200, readyStatus());
     }
 
@@ -179,8 +178,8 @@
                 watch, StandIns.listJson(4, true, StandIns.endpointJson("s", "127.0.0.1:1", "in_service")));
         DiscoveryStandIn.push(
                 watch, StandIns.listJson(6, false, StandIns.endpointJson("t", "127.0.0.1:1", "in_service")));
-        assertEquals("FULL [s 1 DRAINING, t 1 READY]", StandIns.awaitNext(balancer.listEvents, "the newer"));
-        assertEquals("DELTA [t 1 READY]", StandIns.awaitNext(balancer.listEvents, "what came after the older"));
+        assertEquals("FULL [s 1 DRAINING, t 1 READY]", StandIns.awaitNext(balancer.listEvents, "the newer list"));
+        assertEquals("DELTA [t 1 READY]", StandIns.awaitNext(balancer.listEvents, "the delta after the older list"));
     }
 
     @Test
@@ -200,11 +199,14 @@
         Client client = connectClient().postUnsafe("id1", 20_000);
         ReceivedRequest inFlight = StandIns.awaitNext(received, "the request");
         DiscoveryStandIn.push(watch, StandIns.listJson(2, true));
-        assertEquals("FULL []", StandIns.awaitNext(balancer.listEvents, "the list that names nobody"));
-        assertEquals(503, connectClient().postUnsafe("id2", 20_000).read().status(), "nothing new goes there");
+        assertEquals("FULL []", StandIns.awaitNext(balancer.listEvents, "the empty list"));
+        assertEquals(
+                503,
+                connectClient().postUnsafe("id2", 20_000).read().status(),
+                "no new request is sent to the unlisted endpoint");
         assertEquals(503, readyStatus());
         inFlight.respondOk("x");
-        assertEquals(200, client.read().status(), "what was out is served");
+        assertEquals(200, client.read().status(), "the request in flight is served");
         inFlight.awaitConnectionEnd();
         assertEquals(1, host.received.size());
     }
@@ -223,14 +225,14 @@
                 moved, StandIns.listJson(2, true, StandIns.endpointJson("new", "127.0.0.1:1", "in_service")));
         assertEquals(
                 "FULL [new 1 READY]",
-                StandIns.awaitNext(balancer.listEvents, "the new one's first, and nothing before"));
+                StandIns.awaitNext(balancer.listEvents, "the new address's list, without an earlier event"));
     }
 
     @Test
     void silentWatchFails() throws Exception {
         startProxy("", StandIns.endpointJson("s", "127.0.0.1:1", "in_service"));
         ReceivedRequest watch = discovery.acceptWatch();
-        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the silence"));
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the watch timeout"));
         watch.awaitConnectionEnd();
     }
 
@@ -271,13 +273,15 @@
                 watch,
                 StandIns.listJson(2, true, StandIns.endpointJson("a}\\\"{b", "127.0.0.1:1", "in_service"))
                         + StandIns.listJson(3, false, StandIns.endpointJson("s", "127.0.0.1:1", "in_service")) + "\n");
-        assertEquals("FULL [a}\"{b 1 READY]", StandIns.awaitNext(balancer.listEvents, "the first of two in a read"));
-        assertEquals("DELTA [s 1 READY]", StandIns.awaitNext(balancer.listEvents, "the second"));
+        assertEquals(
+                "FULL [a}\"{b 1 READY]", StandIns.awaitNext(balancer.listEvents, "the first of two lists in one read"));
+        assertEquals("DELTA [s 1 READY]", StandIns.awaitNext(balancer.listEvents, "the second list"));
         for (char c : indented(StandIns.listJson(4, false, StandIns.endpointJson("s", "127.0.0.1:1", "terminating")))
                 .toCharArray()) {
             pushRaw(watch, String.valueOf(c));
         }
-        assertEquals("DELTA [s 1 DRAINING]", StandIns.awaitNext(balancer.listEvents, "the one in pieces"));
+        assertEquals(
+                "DELTA [s 1 DRAINING]", StandIns.awaitNext(balancer.listEvents, "the list that arrives in pieces"));
         assertTrue(balancer.listEvents.isEmpty());
     }
 
@@ -343,12 +347,13 @@
         assertTrue(
                 moved.message().startLine().startsWith("GET /api/targets?watch=1 "),
                 moved.message().startLine());
-        assertEquals(200, readyStatus(), "the old list holds");
+        assertEquals(200, readyStatus(), "the old list still applies");
         moveDiscoveryTo(other.server.address());
         DiscoveryStandIn.push(
                 moved, StandIns.listJson(2, true, StandIns.endpointJson("t", "127.0.0.1:1", "in_service")));
         assertEquals(
-                "FULL [t 1 READY]", StandIns.awaitNext(balancer.listEvents, "the other's list, and no failure before"));
+                "FULL [t 1 READY]",
+                StandIns.awaitNext(balancer.listEvents, "the list of the other address, without an earlier failure"));
         assertEquals(0, other.server.received.size(), "the same address is no move");
     }
 
--- a/src/test/java/mulleinfront/proxy/EndpointRaceTest.java
+++ b/src/test/java/mulleinfront/proxy/EndpointRaceTest.java
@@ -36,8 +36,7 @@
     @Test
     void retryConnectedAfterTheDeduplicationWindowIsNotSent() throws Exception {
         // Guards against a duplicate: the deduplication window is open when the retry is decided, and over when the
-        // retry
-        // could be written.
+        // retry could be written.
         long windowMs = 400;
         Server first = startServer(ReceivedRequest::reset);
         try (FullBacklogEndpoint second = new FullBacklogEndpoint()) {
@@ -57,7 +56,8 @@
             Client client = sendKeyed(connectClient(), "id1");
             assertEquals(
                     Outcome.RESET,
-                    StandIns.awaitNext(balancer.attemptEnds, "the first's end").outcome());
+                    StandIns.awaitNext(balancer.attemptEnds, "the end of the first attempt")
+                            .outcome());
             long windowEndsAtNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(windowMs);
             while (System.nanoTime() < windowEndsAtNanos) {
                 Thread.onSpinWait();
@@ -65,7 +65,8 @@
             second.acceptPending();
             assertEquals(
                     Outcome.IGNORED,
-                    StandIns.awaitNext(balancer.attemptEnds, "the second's end").outcome());
+                    StandIns.awaitNext(balancer.attemptEnds, "the end of the second attempt")
+                            .outcome());
             assertEquals(502, client.read().status(), "it may have run: no refusal");
             assertTrue(second.endedWithoutData(), "nothing was written");
         }
@@ -93,7 +94,7 @@
             assertTrue(before.endedWithoutData(), "nothing was written to the old address");
             AttemptEnd end = StandIns.awaitNext(balancer.attemptEnds, "the end");
             assertEquals(Outcome.OK, end.outcome());
-            assertEquals(0, end.attempt(), "of the one attempt");
+            assertEquals(0, end.attempt(), "there was only one attempt");
         }
     }
 
@@ -111,7 +112,7 @@
                 watch, StandIns.listJson(2, false, StandIns.endpointJson("s", after.address(), "in_service")));
         assertEquals("DELTA [s 1 READY]", StandIns.awaitNext(balancer.listEvents, "the move"));
         inFlight.respondOk("here");
-        assertEquals("here", client.read().text(), "what was out is served");
+        assertEquals("here", client.read().text(), "the request in flight is served");
         inFlight.awaitConnectionEnd();
         assertEquals("there", client.postUnsafe("id2", 20_000).read().text());
         assertEquals(1, before.received.size());
@@ -148,16 +149,16 @@
                 assertEquals(503, connectClient().getSafe("b", 20_000).read().status());
                 assertEquals(
                         Outcome.IGNORED,
-                        StandIns.awaitNext(balancer.attemptEnds, "the other's end")
+                        StandIns.awaitNext(balancer.attemptEnds, "the end of the other attempt")
                                 .outcome());
                 client.write("b".repeat(length / 2));
                 assertEquals(length / 2, in.readNBytes(length / 2).length);
                 host.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".getBytes());
                 assertEquals("x", client.read().text());
-                assertEquals(-1, in.read(), "and nothing more comes there");
+                assertEquals(-1, in.read(), "nothing more arrives on this connection");
             }
             listening.setSoTimeout(100);
-            assertThrows(IOException.class, listening::accept, "nor on another connection");
+            assertThrows(IOException.class, listening::accept, "no other connection is opened");
         }
     }
 
@@ -181,14 +182,16 @@
             Client client = connectClient().postUnsafe("a", 20_000);
             assertEquals(
                     Outcome.QUEUE_FULL,
-                    StandIns.awaitNext(balancer.attemptEnds, "the first's end").outcome());
+                    StandIns.awaitNext(balancer.attemptEnds, "the end of the first attempt")
+                            .outcome());
             DiscoveryStandIn.push(
                     watch, StandIns.listJson(2, false, StandIns.endpointJson("s", second.address(), "terminating")));
             assertEquals("DELTA [s 1 DRAINING]", StandIns.awaitNext(balancer.listEvents, "the drain"));
             second.acceptPending();
             assertEquals(
                     Outcome.IGNORED,
-                    StandIns.awaitNext(balancer.attemptEnds, "the second's end").outcome());
+                    StandIns.awaitNext(balancer.attemptEnds, "the end of the second attempt")
+                            .outcome());
             assertEquals(503, client.read().status());
             assertTrue(second.endedWithoutData(), "nothing was written");
         }
@@ -221,7 +224,10 @@
                     host.getOutputStream().write(entry.getKey().getBytes());
                     Message answer = client.read();
                     assertEquals(entry.getValue(), answer.status());
-                    assertEquals("close", answer.header("connection"), "what follows can't be told from the rest");
+                    assertEquals(
+                            "close",
+                            answer.header("connection"),
+                            "a later request can't be told from the rest of the body");
                     client.write("b".repeat(1_000));
                     assertTrue(client.closed());
                     assertEquals(-1, in.read(), "its connection is not used again, and the rest was not written");
@@ -253,14 +259,15 @@
             }
         };
         Client safe = connectClient().getSafe("safe", 20_000);
-        ReceivedRequest first = StandIns.awaitNext(received, "the safe one");
+        ReceivedRequest first = StandIns.awaitNext(received, "the safe request");
         Client unsafe = connectClient().postUnsafe("unsafe", 20_000);
-        ReceivedRequest second = StandIns.awaitNext(received, "the unsafe one");
+        ReceivedRequest second = StandIns.awaitNext(received, "the unsafe request");
         before.stopListening();
         first.reset();
         assertEquals(
                 Outcome.CONNECT_ERROR,
-                StandIns.awaitNext(unsentEnds, "nobody is there").outcome());
+                StandIns.awaitNext(unsentEnds, "the end of the attempt at the removed endpoint")
+                        .outcome());
         // One list update removes the endpoint and adds another while an attempt is still in flight at the first.
         DiscoveryStandIn.push(
                 watch,
@@ -271,21 +278,21 @@
                         StandIns.endpointJson("t", after.address(), "in_service")));
         assertEquals("DELTA [s 1 GONE, t 1 READY]", StandIns.awaitNext(balancer.listEvents, "the replacement"));
         second.reset();
-        assertEquals(502, unsafe.read().status(), "it may have run: nobody gets it again");
+        assertEquals(502, unsafe.read().status(), "it may have run, so it is not sent again");
         balancer.onRequest = request -> {
             balancer.actions.send("safe", "t", 0);
             balancer.actions.send(request.id(), "s", 0);
         };
         Client other = connectClient().getSafe("other", 20_000);
         assertEquals("after", safe.read().text());
-        AttemptEnd end = StandIns.awaitNext(unsentEnds, "nothing goes to the old id");
+        AttemptEnd end = StandIns.awaitNext(unsentEnds, "the end of the attempt at the old id");
         assertEquals("other", end.requestId());
         assertEquals(Outcome.IGNORED, end.outcome());
         balancer.onRequest = request -> {
             balancer.actions.send("other", "t", 0);
             balancer.actions.refuse(request.id(), 0);
         };
-        assertEquals(503, connectClient().getSafe("word", 20_000).read().status());
+        assertEquals(503, connectClient().getSafe("last", 20_000).read().status());
         assertEquals("after", other.read().text());
         assertEquals(2, before.received.size());
         assertEquals(2, after.received.size());
@@ -299,7 +306,7 @@
         ReceivedRequest watch = discovery.acceptWatch();
         balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 0);
         assertEquals(200, connectClient().getSafe("a", 20_000).read().status());
-        ReceivedRequest first = StandIns.awaitNext(host.received, "the first");
+        ReceivedRequest first = StandIns.awaitNext(host.received, "the first request");
         DiscoveryStandIn.push(
                 watch, StandIns.listJson(2, true, StandIns.endpointJson("t", host.address(), "in_service")));
         assertEquals("FULL [t 1 READY]", StandIns.awaitNext(balancer.listEvents, "the replacement"));
--- a/src/test/java/mulleinfront/proxy/FleetServeTest.java
+++ b/src/test/java/mulleinfront/proxy/FleetServeTest.java
@@ -110,7 +110,7 @@
             }
             Thread.sleep(20);
         }
-        throw new AssertionError("never " + List.of(wanted) + " but " + output);
+        throw new AssertionError("timed out waiting for " + List.of(wanted) + "; last output: " + output);
     }
 
     @Test
@@ -123,12 +123,12 @@
         Process watchCommand = new ProcessBuilder(
                         programCommand("fleet", "watch", "--door", "127.0.0.1:" + managementPorts[0]))
                 .redirectOutput(folder.resolve("watched").toFile())
-                .redirectError(folder.resolve("word").toFile())
+                .redirectError(folder.resolve("watch-errors").toFile())
                 .start();
         try {
             for (int i = 0;
                     i < 50 * StandIns.TIMEOUT_S
-                            && !Files.readString(folder.resolve("word")).contains("watching");
+                            && !Files.readString(folder.resolve("watch-errors")).contains("watching");
                     i++) {
                 Thread.sleep(20);
             }
@@ -145,7 +145,7 @@
             assertTrue(
                     runCommand("fleet", "leave", "--door", "127.0.0.1:" + managementPorts[0])
                             .startsWith("1\n"),
-                    "it takes clients");
+                    "refused while the proxy accepts clients");
             assertEquals("+OK quiesced", OperatedTest.sendCommand(managementPorts[0], "quiesce\n"));
             assertEquals("0\nleft\n", runCommand("fleet", "leave", "--door", "127.0.0.1:" + managementPorts[0]));
             awaitMembers(2, "0 n0 left", "alive 2");
@@ -216,7 +216,7 @@
             }
             Thread.sleep(20);
         }
-        throw new AssertionError("never healthy");
+        throw new AssertionError("the proxy did not become healthy in time");
     }
 
     @Test
--- a/src/test/java/mulleinfront/proxy/IdleClientsTest.java
+++ b/src/test/java/mulleinfront/proxy/IdleClientsTest.java
@@ -114,7 +114,7 @@
             try (Client client = new Client(port)) {
                 return client.getSafe(idPrefix + "-" + i, 20_000).read();
             } catch (IOException e) {
-                assertTrue(i < 20 && process.isAlive(), "closed on unread, again and again: " + e);
+                assertTrue(i < 20 && process.isAlive(), "closed repeatedly before the request was read: " + e);
             }
         }
     }
@@ -138,7 +138,7 @@
             busy.add(closeAfterTest(new Client(port)).getSafe("busy" + i, 20_000));
         }
         for (int i = 0; i < busy.size(); i++) {
-            inFlight.add(StandIns.awaitNext(received, "request " + i + " of those that are out"));
+            inFlight.add(StandIns.awaitNext(received, "request " + i + " of those in flight"));
         }
         firstDiscovery.close();
         floodConnections();
@@ -174,13 +174,13 @@
             floodConnections();
             inFlight.forEach(request -> request.respondOk("old"));
             for (Client client : busy) {
-                assertEquals("old", client.read().text(), "what is out on old connections is served");
+                assertEquals("old", client.read().text(), "requests in flight on old connections are served");
             }
             // The list may not have been read yet; once it has, nothing is sent to the draining endpoint.
             Message answer;
             for (int i = 0; !(answer = sendUntilRead("new" + i)).text().equals("fresh"); ) {
                 i++;
-                assertTrue(i < 20, "the new host is never reached: " + answer.startLine());
+                assertTrue(i < 20, "the new endpoint is never reached: " + answer.startLine());
             }
         }
     }
--- a/src/test/java/mulleinfront/proxy/ListsTest.java
+++ b/src/test/java/mulleinfront/proxy/ListsTest.java
@@ -56,12 +56,12 @@
                     pushChunk(watch, list.substring(firstLength));
                     assertEquals(
                             (full ? "FULL" : "DELTA") + " [s 1 DRAINING]",
-                            StandIns.awaitNext(balancer.listEvents, "cut at " + splitAt),
-                            "cut at " + splitAt + " of " + form);
+                            StandIns.awaitNext(balancer.listEvents, "split at " + splitAt),
+                            "split at " + splitAt + " of " + form);
                 }
             }
         }
-        assertTrue(balancer.listEvents.isEmpty(), "each was told once");
+        assertTrue(balancer.listEvents.isEmpty(), "each list was reported once");
     }
 
     /**
@@ -101,7 +101,10 @@
         DiscoveryStandIn.push(
                 secondWatch, StandIns.listJson(2, true, StandIns.endpointJson("t", host.address(), "in_service")));
         assertEquals("FULL [t 1 READY]", StandIns.awaitNext(balancer.listEvents, "the whole list"));
-        assertEquals(503, connectClient().postUnsafe("id2", 20_000).read().status(), "it answers still, and is gone");
+        assertEquals(
+                503,
+                connectClient().postUnsafe("id2", 20_000).read().status(),
+                "no attempt is sent to an unlisted endpoint, although it still responds");
         assertEquals(1, received.size());
     }
 
@@ -120,27 +123,27 @@
         ReceivedRequest oldWatch = discovery.acceptWatch();
         // The old discovery fails before the move.
         oldWatch.reset();
-        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the old one's end"));
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the end of the old watch"));
         int port;
         try (ServerSocket reserved = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = reserved.getLocalPort();
         }
         subscribeOnEachRequest();
         moveDiscoveryTo("127.0.0.1:" + port);
-        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the new one is down"));
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the failed call to the new address"));
         DiscoveryStandIn other = closeAfterTest(new DiscoveryStandIn());
         moveDiscoveryTo(other.server.address());
         ReceivedRequest newWatch = other.acceptWatch();
         DiscoveryStandIn.push(
                 newWatch, StandIns.listJson(1, true, StandIns.endpointJson("s", host.address(), "terminating")));
-        assertEquals("FULL [s 1 DRAINING]", StandIns.awaitNext(balancer.listEvents, "the drain, told at once"));
+        assertEquals("FULL [s 1 DRAINING]", StandIns.awaitNext(balancer.listEvents, "the drain, reported at once"));
         assertEquals(503, connectClient().postUnsafe("id1", 20_000).read().status());
-        assertEquals(0, received.size(), "nothing went to the host that drains");
+        assertEquals(0, received.size(), "nothing was sent to the draining endpoint");
         // The other discovery fails after the move: the current list, including its drain, still applies.
         newWatch.reset();
-        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "its end"));
+        assertEquals("failed", StandIns.awaitNext(balancer.listEvents, "the end of its watch"));
         assertEquals(503, connectClient().postUnsafe("id2", 20_000).read().status());
         assertEquals(0, received.size());
-        assertEquals(0, discovery.server.received.size(), "the old one is not asked any more");
+        assertEquals(0, discovery.server.received.size(), "the old address is not called any more");
     }
 }
--- a/src/test/java/mulleinfront/proxy/LoopStallTest.java
+++ b/src/test/java/mulleinfront/proxy/LoopStallTest.java
@@ -28,8 +28,11 @@
         assertEquals(0, stall.ageUs(nanos(TICK_US + LoopStall.MIN_STALL_US)), "within the slack");
         assertEquals(1_200_000, stall.ageUs(nanos(1_200_000)));
         stall.tick(nanos(1_201_000));
-        assertEquals(1_200_000, stall.ageUs(nanos(1_202_000)), "what was accepted in the first round");
-        assertEquals(0, stall.ageUs(nanos(1_250_000)), "and not what comes later");
+        assertEquals(
+                1_200_000,
+                stall.ageUs(nanos(1_202_000)),
+                "data read shortly after the stall may be as old as the stall");
+        assertEquals(0, stall.ageUs(nanos(1_250_000)), "data read later is not");
     }
 
     @Test
@@ -65,7 +68,7 @@
         assertEquals(503, second.read().status());
         first.read();
         assertEquals("stalls", StandIns.awaitNext(decidedRequests, "the first decision"));
-        assertEquals(0, decidedRequests.size(), "the late one was not given to the module");
+        assertEquals(0, decidedRequests.size(), "the late request was not passed to the balancer");
         assertEquals(0, host.received.size());
     }
 
--- a/src/test/java/mulleinfront/proxy/OperatedTest.java
+++ b/src/test/java/mulleinfront/proxy/OperatedTest.java
@@ -80,8 +80,8 @@
         assertTrue(sendCommand("x".repeat(5_000) + "\n").startsWith("-ERR a call has "));
         assertTrue(sendCommand("restart\n").startsWith("-ERR unknown call"));
         assertTrue(sendCommand("\n").startsWith("-ERR unknown call"));
-        assertEquals("+OK none", sendCommand("refusals\n"), "nothing has been given up");
-        assertEquals("+OK serving", sendCommand("HEALTH\nquiesce\n"), "one call on a connection");
+        assertEquals("+OK none", sendCommand("refusals\n"), "no request was refused or failed");
+        assertEquals("+OK serving", sendCommand("HEALTH\nquiesce\n"), "one command per connection");
         assertEquals(200, readyStatus());
     }
 
@@ -94,11 +94,11 @@
                 .write("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: b\r\nX-Class: unsafe\r\n"
                         + "X-Deadline-Ms: 9000\r\nContent-Length: 9\r\n\r\nhalf");
         Client open = connectClient().postUnsafe("out", 20_000);
-        StandIns.ReceivedRequest inFlight = StandIns.awaitNext(host.received, "the request that is out");
+        StandIns.ReceivedRequest inFlight = StandIns.awaitNext(host.received, "the request in flight");
         Future<?> shutdown = proxy.drain();
         assertTrue(half.closed());
         body.socket.getInputStream().readAllBytes();
-        assertFalse(shutdown.isDone(), "one is still open");
+        assertFalse(shutdown.isDone(), "one request is still open");
         inFlight.respondOk("last");
         assertEquals("last", open.read().text());
         assertTrue(shutdown.await(StandIns.TIMEOUT_S, TimeUnit.SECONDS));
@@ -123,7 +123,7 @@
         StandIns.awaitNext(host.received, "a");
         StandIns.awaitNext(host.received, "b");
         open.postUnsafe("out", 20_000);
-        StandIns.ReceivedRequest inFlight = StandIns.awaitNext(host.received, "the request that is out");
+        StandIns.ReceivedRequest inFlight = StandIns.awaitNext(host.received, "the request in flight");
         half.write("POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: half\r\n");
 
         assertEquals("+OK quiesced", sendCommand("quiesce\n"));
@@ -131,16 +131,16 @@
         assertEquals("-ERR quiesced", sendCommand("health\n"));
         assertEquals(503, readyStatus());
         StandIns.Message last = kept.postUnsafe("c", 20_000).read();
-        assertEquals(200, last.status(), "what comes on a connection that stays open is served");
+        assertEquals(200, last.status(), "a request on a connection that is still open is served");
         assertEquals("close", last.header("connection"));
         assertTrue(kept.closed());
         StandIns.Message onNewConnection =
                 connectClient().postUnsafe("d", 20_000).read();
-        assertEquals(200, onNewConnection.status(), "and so is a new connection: the front goes on for a moment");
+        assertEquals(200, onNewConnection.status(), "a new connection is still accepted for a short time");
         assertEquals("close", onNewConnection.header("connection"));
         assertTrue(idle.closed());
         half.write("X-Class: unsafe\r\nX-Deadline-Ms: 20000\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(200, half.read().status(), "a request that was being read is no idle connection");
+        assertEquals(200, half.read().status(), "a connection with a partly read request is not idle");
         inFlight.respondOk("late");
         assertEquals("late", open.read().text());
         assertTrue(open.closed());
--- a/src/test/java/mulleinfront/proxy/PiecesTest.java
+++ b/src/test/java/mulleinfront/proxy/PiecesTest.java
@@ -138,7 +138,7 @@
                 assertEquals(200, answer.status());
             }
         }
-        assertTrue(idCount > 1_000, "cuts: " + idCount);
+        assertTrue(idCount > 1_000, "splits: " + idCount);
     }
 
     @Test
@@ -197,7 +197,7 @@
             awaitTwoLoopTurns();
             Message answer =
                     client.write(closing.replace(ID, id).substring(splitAt)).read();
-            assertEquals("POST /api HTTP/1.1|" + id + "|null|body", answer.text(), "cut at " + splitAt);
+            assertEquals("POST /api HTTP/1.1|" + id + "|null|body", answer.text(), "split at " + splitAt);
             assertEquals("close", answer.header("connection"));
             assertEquals(-1, client.in.read());
             client.close();
@@ -212,7 +212,7 @@
                     client.write(expectContinue.replace(ID, id).substring(splitAt))
                             .read()
                             .status(),
-                    "cut at " + splitAt);
+                    "split at " + splitAt);
             assertEquals(
                     "POST /api HTTP/1.1|" + id + "|null|body",
                     client.write("body").read().text());
--- a/src/test/java/mulleinfront/proxy/ProxyTest.java
+++ b/src/test/java/mulleinfront/proxy/ProxyTest.java
@@ -61,8 +61,8 @@
     @Test
     void timeoutCoversConnecting() throws Exception {
         // Guards against an attempt that hangs while connecting; such an attempt was not executed.
-        try (FullBacklogEndpoint deaf = new FullBacklogEndpoint()) {
-            startProxy("", StandIns.endpointJson("s", deaf.address(), "in_service"));
+        try (FullBacklogEndpoint unresponsive = new FullBacklogEndpoint()) {
+            startProxy("", StandIns.endpointJson("s", unresponsive.address(), "in_service"));
             balancer.onRequest = request -> balancer.actions.send(request.id(), "s", 100_000);
             balancer.onAttemptEnd = attemptEnd -> balancer.actions.refuse(attemptEnd.requestId(), 0);
             assertEquals(503, connectClient().postUnsafe("id1", 20_000).read().status());
@@ -76,8 +76,8 @@
     void nothingIsWrittenToAnEndpointDrainingWhileConnecting() throws Exception {
         // Guards against sending to a draining endpoint: the attempt is decided before the drain, and its connection is
         // established after it.
-        try (FullBacklogEndpoint deaf = new FullBacklogEndpoint()) {
-            startProxy("", StandIns.endpointJson("s", deaf.address(), "in_service"));
+        try (FullBacklogEndpoint unresponsive = new FullBacklogEndpoint()) {
+            startProxy("", StandIns.endpointJson("s", unresponsive.address(), "in_service"));
             ReceivedRequest watch = discovery.acceptWatch();
             BlockingQueue<String> sent = new LinkedBlockingQueue<>();
             balancer.onRequest = request -> {
@@ -88,14 +88,15 @@
             Client client = connectClient().postUnsafe("id1", 20_000);
             StandIns.awaitNext(sent, "the decision");
             DiscoveryStandIn.push(
-                    watch, StandIns.listJson(2, false, StandIns.endpointJson("s", deaf.address(), "terminating")));
+                    watch,
+                    StandIns.listJson(2, false, StandIns.endpointJson("s", unresponsive.address(), "terminating")));
             assertEquals("DELTA [s 1 DRAINING]", StandIns.awaitNext(balancer.listEvents, "the drain"));
-            deaf.acceptPending();
+            unresponsive.acceptPending();
             assertEquals(
                     Outcome.IGNORED,
                     StandIns.awaitNext(balancer.attemptEnds, "the end").outcome());
             assertEquals(503, client.read().status());
-            assertTrue(deaf.endedWithoutData(), "nothing was written");
+            assertTrue(unresponsive.endedWithoutData(), "nothing was written");
         }
     }
 
@@ -117,10 +118,10 @@
         assertEquals("POST /api/x?q=%20a&b HTTP/1.1", forwarded.startLine());
         assertEquals("id1", forwarded.header("x-request-id"));
         assertEquals("i-k", forwarded.header("idempotency-key"));
-        assertNull(forwarded.header("x-hop"), "hop-by-hop headers stay");
+        assertNull(forwarded.header("x-hop"), "hop-by-hop headers are not forwarded");
         assertArrayEquals(body.getBytes(StandardCharsets.ISO_8859_1), forwarded.body());
         long deadline = Long.parseLong(forwarded.header("x-deadline-ms"));
-        assertTrue(deadline > 0 && deadline < 20_000, "a deadline of its own: " + deadline);
+        assertTrue(deadline > 0 && deadline < 20_000, "the deadline of the attempt: " + deadline);
         assertEquals(200, answer.status());
         assertEquals(body + "!", answer.text());
         assertEquals("a/b", answer.header("content-type"));
@@ -149,7 +150,7 @@
                 Outcome.RESET,
                 StandIns.awaitNext(balancer.attemptEnds, "the second end").outcome());
         assertEquals(1, host.connections.size());
-        assertEquals(2, host.received.size(), "sent once and no more");
+        assertEquals(2, host.received.size(), "each request was sent once");
     }
 
     @Test
@@ -194,7 +195,7 @@
             balancer.actions.send(request.id(), "t", 0);
         };
         connectClient().postUnsafe("id1", 20_000);
-        AttemptEnd end = StandIns.awaitNext(balancer.attemptEnds, "the second copy's end");
+        AttemptEnd end = StandIns.awaitNext(balancer.attemptEnds, "the end of the second copy");
         assertEquals(1, end.attempt());
         assertEquals(Outcome.IGNORED, end.outcome());
         assertEquals(0, other.received.size());
@@ -220,9 +221,9 @@
         assertEquals(502, connectClient().postUnsafe("id1", 20_000).read().status());
         assertEquals(
                 Outcome.IGNORED,
-                StandIns.awaitNext(balancer.attemptEnds, "the second copy's end")
+                StandIns.awaitNext(balancer.attemptEnds, "the end of the second copy")
                         .outcome());
-        AttemptEnd end = StandIns.awaitNext(balancer.attemptEnds, "the first's end");
+        AttemptEnd end = StandIns.awaitNext(balancer.attemptEnds, "the end of the first copy");
         assertEquals(0, end.attempt());
         assertEquals(Outcome.CANCELED, end.outcome());
         assertFalse(end.requestDone());
@@ -261,7 +262,7 @@
     void throwingBalancerLosesNoRequest() throws Exception {
         startProxy("");
         balancer.onRequest = request -> {
-            throw new IllegalStateException("a defect");
+            throw new IllegalStateException("simulated defect");
         };
         assertEquals(503, connectClient().postUnsafe("id1", 300).read().status());
         balancer.onRequest = request -> balancer.actions.fail(request.id());
--- a/src/test/java/mulleinfront/proxy/ProxyTestBase.java
+++ b/src/test/java/mulleinfront/proxy/ProxyTestBase.java
@@ -110,7 +110,7 @@
             actions.subscribe();
             return balancer;
         });
-        assertTrue(StandIns.awaitNext(balancer.listEvents, "the list known").startsWith("CACHED"));
+        assertTrue(StandIns.awaitNext(balancer.listEvents, "the cached list").startsWith("CACHED"));
     }
 
     Server startServer(Consumer<ReceivedRequest> script) throws Exception {
@@ -156,7 +156,7 @@
         int status = client.read().status();
         assertEquals(end.outcome() == Outcome.OK ? 200 : 502, status);
         assertEquals(end.outcome() == Outcome.OK, end.requestDone());
-        assertEquals(1, host.received.size(), "sent once and no more");
+        assertEquals(1, host.received.size(), "the request was sent once");
         return end;
     }
 }
--- a/src/test/java/mulleinfront/proxy/ShutdownTest.java
+++ b/src/test/java/mulleinfront/proxy/ShutdownTest.java
@@ -44,7 +44,7 @@
     }
 
     private void awaitShutdown() throws Exception {
-        assertTrue(shutdown.await(StandIns.TIMEOUT_S, TimeUnit.SECONDS), "it ends");
+        assertTrue(shutdown.await(StandIns.TIMEOUT_S, TimeUnit.SECONDS), "the shutdown ends");
         proxy = null;
     }
 
@@ -108,22 +108,22 @@
         long drainedAtNanos = System.nanoTime();
         startDrain();
         assertFinalResponse(client, 503);
-        assertTrue(System.nanoTime() - drainedAtNanos < SHUTDOWN_BOUND_NANOS, "long before its own time was up");
+        assertTrue(System.nanoTime() - drainedAtNanos < SHUTDOWN_BOUND_NANOS, "long before the client's deadline");
         awaitShutdown();
     }
 
     @Test
     void attemptConnectedDuringTheDrainIsServed() throws Exception {
-        try (FullBacklogEndpoint deaf = new FullBacklogEndpoint()) {
-            startProxy("", StandIns.endpointJson("s", deaf.address(), "in_service"));
+        try (FullBacklogEndpoint unresponsive = new FullBacklogEndpoint()) {
+            startProxy("", StandIns.endpointJson("s", unresponsive.address(), "in_service"));
             sendAll("s");
             Client client = connectClient().postUnsafe("a", 20_000);
             StandIns.awaitNext(accepted, "the request");
             startDrain();
-            deaf.acceptPending();
-            Message request = StandIns.read(deaf.in());
+            unresponsive.acceptPending();
+            Message request = StandIns.read(unresponsive.in());
             assertEquals("a", request.header("x-request-id"));
-            deaf.write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
+            unresponsive.write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
             assertFinalResponse(client, 200);
             awaitShutdown();
         }
@@ -136,13 +136,13 @@
         sendAll("s");
         Client unsafe = connectClient().postUnsafe("a", 20_000);
         Client safe = connectClient().getSafe("b", 20_000);
-        ReceivedRequest first = StandIns.awaitNext(host.received, "the one");
-        ReceivedRequest second = StandIns.awaitNext(host.received, "the other");
+        ReceivedRequest first = StandIns.awaitNext(host.received, "the first request");
+        ReceivedRequest second = StandIns.awaitNext(host.received, "the second request");
         long drainedAtNanos = System.nanoTime();
         startDrain();
         assertFinalResponse(unsafe, 504);
         assertFinalResponse(safe, 503);
-        assertTrue(System.nanoTime() - drainedAtNanos < SHUTDOWN_BOUND_NANOS, "long before their own time was up");
+        assertTrue(System.nanoTime() - drainedAtNanos < SHUTDOWN_BOUND_NANOS, "long before the clients' deadline");
         first.awaitConnectionEnd();
         second.awaitConnectionEnd();
         awaitShutdown();
@@ -175,7 +175,8 @@
         inFlight.reset();
         assertEquals(
                 Outcome.RESET,
-                StandIns.awaitNext(balancer.attemptEnds, "its end").outcome());
+                StandIns.awaitNext(balancer.attemptEnds, "the end of the attempt")
+                        .outcome());
         assertFinalResponse(client, 200);
         assertEquals(1, second.received.size());
         awaitShutdown();
@@ -194,7 +195,7 @@
         awaitShutdown();
         assertEquals(-1, idle.in.read());
         assertTrue(silent.closed());
-        assertFalse(idle.socket.isClosed(), "its own end is open");
+        assertFalse(idle.socket.isClosed(), "the client's end is still open");
     }
 
     @Test
@@ -204,7 +205,7 @@
         startProxy("", StandIns.endpointJson("s", host.address(), "in_service"));
         sendAll("s");
         Client keepsProcessOpen = connectClient().postUnsafe("keeps", 20_000);
-        ReceivedRequest inFlight = StandIns.awaitNext(received, "the one that keeps the process");
+        ReceivedRequest inFlight = StandIns.awaitNext(received, "the request that keeps the process running");
         startDrain();
         assertEquals(
                 "close",
@@ -213,14 +214,14 @@
                         .read()
                         .header("connection"));
         Client last = connectClient().postUnsafe("last", 20_000);
-        StandIns.awaitNext(received, "the last").respondOk("x");
+        StandIns.awaitNext(received, "the last request").respondOk("x");
         assertEquals(200, last.read().status());
         assertEquals(-1, last.in.read());
         last.postUnsafe("late", 20_000);
         inFlight.respondOk("x");
         assertFinalResponse(keepsProcessOpen, 200);
         awaitShutdown();
-        assertEquals(0, received.size(), "nothing more was sent on");
+        assertEquals(0, received.size(), "no further request was forwarded");
         assertEquals(2, accepted.size());
     }
 
@@ -246,7 +247,7 @@
     }
 
     private void awaitBlockedAt(String id) throws Exception {
-        assertEquals(id, StandIns.awaitNext(accepted, "standing still at " + id));
+        assertEquals(id, StandIns.awaitNext(accepted, "the block at " + id));
     }
 
     private void release(String id) {
--- a/src/test/java/mulleinfront/proxy/StandIns.java
+++ b/src/test/java/mulleinfront/proxy/StandIns.java
@@ -34,7 +34,7 @@
     static <T> T awaitNext(BlockingQueue<T> queue, String description) throws InterruptedException {
         T element = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (element == null) {
-            throw new AssertionError("never came: " + description);
+            throw new AssertionError("timed out waiting for: " + description);
         }
         return element;
     }
@@ -177,7 +177,7 @@
         }
     }
 
-    /** A message that a server received; {@code ended} completes when the connection ends. */
+    /** A message that a server received; {@code connectionEnded} completes when the connection ends. */
     record ReceivedRequest(Message message, Socket socket, CompletableFuture<Void> connectionEnded) {
         void write(String text) {
             try {
@@ -311,7 +311,7 @@
                 }
                 backlog.add(connection);
             }
-            throw new AssertionError("the queue never filled");
+            throw new AssertionError("the accept backlog did not fill");
         }
 
         String address() {
--- a/src/test/java/mulleinfront/proxy/StartTest.java
+++ b/src/test/java/mulleinfront/proxy/StartTest.java
@@ -33,9 +33,12 @@
     @Test
     void readyThoughDiscoveryAndEndpointsAreUnresponsive() throws Exception {
         discovery = closeAfterTest(new DiscoveryStandIn());
-        try (FullBacklogEndpoint deaf = new FullBacklogEndpoint()) {
-            proxy = ClientProxy.start(config(0, discovery.server.address(), deaf.address()));
-            assertEquals(200, readyStatus(), "no list has come, and no host has been reached");
+        try (FullBacklogEndpoint unresponsive = new FullBacklogEndpoint()) {
+            proxy = ClientProxy.start(config(0, discovery.server.address(), unresponsive.address()));
+            assertEquals(
+                    200,
+                    readyStatus(),
+                    "ready before a list has arrived from discovery and before an endpoint is reached");
             proxy.drain();
         }
     }
@@ -65,7 +68,7 @@
             proxy = ClientProxy.start(config(port, "127.0.0.1:1", "127.0.0.1:1"));
             stopFlood.set(true);
             flood.join();
-            assertTrue(early.size() > 0, "somebody came before it was ready");
+            assertTrue(early.size() > 0, "clients connected before the proxy was ready");
             assertEquals(200, readyStatus());
         } finally {
             stopFlood.set(true);
--- a/src/test/java/mulleinfront/proxy/WarmUpTest.java
+++ b/src/test/java/mulleinfront/proxy/WarmUpTest.java
@@ -74,7 +74,7 @@
             Future<ClientProxy> started =
                     starter.submit(() -> ClientProxy.start(configWithManagement, inherited, begun -> {}));
             Socket idleConnection = connect(managementPort, started);
-            assertNotNull(idleConnection, "the rehearsal was over before anybody came");
+            assertNotNull(idleConnection, "the warm-up ended before a client connected");
             ClientProxy proxy = started.get(StandIns.TIMEOUT_S, TimeUnit.SECONDS);
             idleConnection.setSoTimeout((int) StandIns.TIMEOUT_S * 1000);
             try (idleConnection) {
