--- a/src/main/java/mulleinfront/core/Core.java
+++ b/src/main/java/mulleinfront/core/Core.java
@@ -409,7 +409,7 @@
      * Returns when the request's deadline timer fires, microseconds on the core's clock, even if the response has
      * started and the timer has been cancelled.
      */
-    public long timeLimitOf(RequestHandle<Q, A> handle) {
+    public long deadlineTimerAt(RequestHandle<Q, A> handle) {
         return handle.deadlineAt;
     }
 
--- a/src/main/java/mulleinfront/proxy/ClientProxy.java
+++ b/src/main/java/mulleinfront/proxy/ClientProxy.java
@@ -722,8 +722,8 @@
     }
 
     /** When a request's deadline timer fires, microseconds on the clock of {@link #now}. */
-    long timeLimitOf(Core.RequestHandle<RequestMessage, Upstream.Answer> handle) {
-        return core.timeLimitOf(handle);
+    long deadlineTimerAt(Core.RequestHandle<RequestMessage, Upstream.Answer> handle) {
+        return core.deadlineTimerAt(handle);
     }
 
     /** The retry delay for a client that is refused because it pipelined too much, microseconds; 0 for no advice. */
--- a/src/main/java/mulleinfront/proxy/Frontend.java
+++ b/src/main/java/mulleinfront/proxy/Frontend.java
@@ -701,7 +701,7 @@
             boolean untilClose = answer.remainingBody().length() < 0 && http10;
             BodyStream remainingBody = answer.remainingBody();
             download = remainingBody;
-            downloadDeadlineUs = proxy.timeLimitOf(requestHandle);
+            downloadDeadlineUs = proxy.deadlineTimerAt(requestHandle);
             streaming.add(this);
             lastProgressNanos = System.nanoTime();
             ByteBuf firstPart = Unpooled.wrappedBuffer(answer.body());
