--- a/src/main/java/mulleinfront/keep/ReplicaTransport.java
+++ b/src/main/java/mulleinfront/keep/ReplicaTransport.java
@@ -168,7 +168,7 @@
     public void send(String peer, RaftMessage message) {
         PeerConnection connection = connections.get(peer);
         if (connection != null && !closed) {
-            connection.send(Codec.message(message));
+            connection.send(Codec.encodeMessage(message));
         }
     }
 
@@ -194,7 +194,7 @@
         loop.schedule(() -> connectFuture.channel().close(), RESPONSE_TIMEOUT_NS, TimeUnit.NANOSECONDS);
         connectFuture.addListener(f -> {
             if (f.isSuccess()) {
-                post(connectFuture.channel(), peer, PROPOSE_PATH, Codec.proposal(proposal));
+                post(connectFuture.channel(), peer, PROPOSE_PATH, Codec.encodeProposal(proposal));
             } else {
                 responseHandler.finish(null);
             }
@@ -347,7 +347,7 @@
     }
 
     private void stopAsOutdated(String peer, FullHttpResponse response) {
-        replica.stop("keeper " + peer + ": "
+        replica.stop("replica " + peer + ": "
                 + response.content().toString(StandardCharsets.UTF_8).strip());
     }
 
@@ -372,7 +372,7 @@
             VersionLog.ProposalResult result = null;
             if (response.status().equals(HttpResponseStatus.OK)) {
                 try {
-                    result = Codec.proposalResult(ByteBufUtil.getBytes(response.content()));
+                    result = Codec.decodeProposalResult(ByteBufUtil.getBytes(response.content()));
                 } catch (IllegalArgumentException e) {
                     // An invalid body counts as no response.
                 }
@@ -397,16 +397,17 @@
             if (!request.decoderResult().isSuccess()
                     || !request.method().equals(HttpMethod.POST)
                     || !connections.containsKey(sender)) {
-                respondText(ctx, HttpResponseStatus.BAD_REQUEST, "this is for keepers among themselves\n");
+                respondText(ctx, HttpResponseStatus.BAD_REQUEST, "only replicas may send this request\n");
                 return;
             }
             try {
                 long saveCount = Long.parseLong(request.headers().get(SAVE_COUNT_HEADER, ""));
                 byte[] body = ByteBufUtil.getBytes(request.content());
                 if (request.uri().equals(RAFT_PATH)) {
-                    RaftMessage message = Codec.message(body);
+                    RaftMessage message = Codec.decodeMessage(body);
                     if (!message.getSender().getId().equals(sender)) {
-                        throw new IllegalArgumentException("sent by " + sender + ", from " + message.getSender());
+                        throw new IllegalArgumentException(
+                                "the sender header names " + sender + ", the message names " + message.getSender());
                     }
                     if (checkSaveCount(ctx, sender, saveCount)) {
                         replica.handle(message);
@@ -416,9 +417,9 @@
                     // The save counter is not checked: a proposal has its own connection, so later messages with
                     // a higher counter may overtake it, and it doesn't depend on the sender's Raft state.
                     replica.proposeLocally(
-                            Codec.proposal(body),
+                            Codec.decodeProposal(body),
                             result -> loop.execute(
-                                    () -> respond(ctx, HttpResponseStatus.OK, Codec.proposalResult(result))));
+                                    () -> respond(ctx, HttpResponseStatus.OK, Codec.encodeProposalResult(result))));
                 } else {
                     respondText(ctx, HttpResponseStatus.NOT_FOUND, "no such path\n");
                 }
@@ -434,9 +435,9 @@
                 respondText(
                         ctx,
                         HttpResponseStatus.CONFLICT,
-                        "you are at save " + saveCount + ", and had told of "
+                        "your save counter is " + saveCount + ", but was "
                                 + highestSaveCount
-                                + ": your directory is an older copy\n");
+                                + " before: your directory is an older copy\n");
                 return false;
             }
             if (saveCount > highestSaveCount) {
--- a/src/main/java/mulleinfront/proxy/Frontend.java
+++ b/src/main/java/mulleinfront/proxy/Frontend.java
@@ -332,7 +332,9 @@
         /** Whether further input is ignored, after unreadable input or the connection's last response. */
         private boolean ignoresInput;
 
+        /** Whether a request is being handled or its response is being written. */
         private boolean busy;
+
         private boolean dispatching;
         private boolean keepAlive;
         private boolean http10;
@@ -699,7 +701,7 @@
             boolean untilClose = answer.remainingBody().length() < 0 && http10;
             BodyStream remainingBody = answer.remainingBody();
             download = remainingBody;
-            downloadDeadlineUs = proxy.timeLimitOf(requestHandle);
+            downloadDeadlineUs = proxy.deadlineTimerAt(requestHandle);
             streaming.add(this);
             lastProgressNanos = System.nanoTime();
             ByteBuf firstPart = Unpooled.wrappedBuffer(answer.body());
--- a/src/test/java/mulleinfront/keep/ReplicaNodeTest.java
+++ b/src/test/java/mulleinfront/keep/ReplicaNodeTest.java
@@ -245,7 +245,7 @@
             IOException wrong = assertThrows(
                     IOException.class,
                     () -> new DiskLog(baseDirectory.resolve("elsewhere"), "k3", cluster.addresses.keySet()));
-            assertTrue(wrong.getMessage().endsWith("is keeper k2's, not k3's"), wrong.getMessage());
+            assertTrue(wrong.getMessage().endsWith("belongs to replica k2, not to k3"), wrong.getMessage());
         }
     }
 
@@ -270,13 +270,16 @@
             cluster.nextVersion("k1");
             assertEquals(
                     200,
-                    post(cluster, ReplicaTransport.PROPOSE_PATH, Codec.proposal(TestCluster.proposal("two", 1, "b"))));
+                    post(
+                            cluster,
+                            ReplicaTransport.PROPOSE_PATH,
+                            Codec.encodeProposal(TestCluster.proposal("two", 1, "b"))));
             assertEquals(
                     409,
                     post(
                             cluster,
                             ReplicaTransport.RAFT_PATH,
-                            Codec.message(new io.microraft.model.impl.DefaultRaftModelFactory()
+                            Codec.encodeMessage(new io.microraft.model.impl.DefaultRaftModelFactory()
                                     .createPreVoteRequestBuilder()
                                     .setGroupId(Codec.GROUP_ID)
                                     .setSender(new ReplicaEndpoint("k2"))
