--- a/src/main/java/mulleinfront/keep/Replica.java
+++ b/src/main/java/mulleinfront/keep/Replica.java
@@ -360,7 +360,7 @@
         if (problem != null) {
             onResult.accept(new ProposalResult(ProposalOutcome.REFUSED, newest().number(), problem));
         } else if (!name.equals(leader())) {
-            onResult.accept(unknown("replica " + name + " is not the leader; known leader: " + leader()));
+            onResult.accept(unknown("keeper " + name + " doesn't lead, " + leader() + " may"));
         } else {
             replicate(proposal, result -> onResult.accept(result != null ? result : unknown("the leader changed")));
         }
--- a/src/main/java/mulleinfront/keep/ReplicaTransport.java
+++ b/src/main/java/mulleinfront/keep/ReplicaTransport.java
@@ -347,7 +347,7 @@
     }
 
     private void stopAsOutdated(String peer, FullHttpResponse response) {
-        replica.stop("replica " + peer + ": "
+        replica.stop("keeper " + peer + ": "
                 + response.content().toString(StandardCharsets.UTF_8).strip());
     }
 
@@ -397,7 +397,7 @@
             if (!request.decoderResult().isSuccess()
                     || !request.method().equals(HttpMethod.POST)
                     || !connections.containsKey(sender)) {
-                respondText(ctx, HttpResponseStatus.BAD_REQUEST, "only replicas may send this request\n");
+                respondText(ctx, HttpResponseStatus.BAD_REQUEST, "this is for keepers among themselves\n");
                 return;
             }
             try {
@@ -435,9 +435,9 @@
                 respondText(
                         ctx,
                         HttpResponseStatus.CONFLICT,
-                        "your save counter is " + saveCount + ", but was "
+                        "you are at save " + saveCount + ", and had told of "
                                 + highestSaveCount
-                                + " before: your directory is an older copy\n");
+                                + ": your directory is an older copy\n");
                 return false;
             }
             if (saveCount > highestSaveCount) {
